--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -22,16 +22,16 @@
 
 // host maps instances to their schedulers.
 type host struct {
-	insts   map[uint16]*logic.Scheduler
-	ledgers [16][]logic.WorkerInfo
-	acts    []logic.Action
-	reply   wire.Reply
-	event   wire.Event
+	schedulers  map[uint16]*logic.Scheduler
+	workerLists [16][]logic.WorkerInfo
+	actions     []logic.Action
+	reply       wire.Reply
+	event       wire.Event
 }
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	h := host{insts: map[uint16]*logic.Scheduler{}}
+	h := host{schedulers: map[uint16]*logic.Scheduler{}}
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	var frame []byte
 	var err error
@@ -42,7 +42,7 @@
 			}
 			return err
 		}
-		if err := h.batch(frame); err != nil {
+		if err := h.handleBatch(frame); err != nil {
 			return err
 		}
 		if _, err := w.Write(h.reply.Bytes()); err != nil {
@@ -55,7 +55,7 @@
 }
 
 // batch carries out one batch; a faulty one is found before any of its events is handed on.
-func (h *host) batch(frame []byte) error {
+func (h *host) handleBatch(frame []byte) error {
 	var b wire.Batch
 	if err := b.Open(frame); err != nil {
 		return err
@@ -77,54 +77,54 @@
 func (h *host) handle(now int64, e *wire.Event) {
 	switch e.Code {
 	case wire.EvLedger:
-		h.ledger(e)
+		h.storeWorkerList(e)
 		return
 	case wire.EvKill:
-		delete(h.insts, e.Inst)
+		delete(h.schedulers, e.Inst)
 		return
 	case wire.EvStart:
-		h.start(e)
+		h.startInstance(e)
 		return
 	}
-	s := h.insts[e.Inst]
+	s := h.schedulers[e.Inst]
 	if s == nil {
 		return
 	}
-	h.acts = h.translate(s, now, e, h.acts[:0])
-	for i := range h.acts {
-		h.reply.Add(e.Inst, &h.acts[i])
+	h.actions = h.translate(s, now, e, h.actions[:0])
+	for i := range h.actions {
+		h.reply.Add(e.Inst, &h.actions[i])
 	}
 }
 
-func (h *host) start(e *wire.Event) {
-	delete(h.insts, e.Inst)
+func (h *host) startInstance(e *wire.Event) {
+	delete(h.schedulers, e.Inst)
 	cfg, err := wire.ParseSettings(e.Text)
 	if err == nil {
 		var s *logic.Scheduler
 		if s, err = logic.New(cfg, e.Seed); err == nil {
-			h.insts[e.Inst] = s
+			h.schedulers[e.Inst] = s
 			return
 		}
 	}
 	h.reply.Fault(e.Inst, err.Error())
 }
 
-func (h *host) ledger(e *wire.Event) {
-	if int(e.Set) >= len(h.ledgers) {
+func (h *host) storeWorkerList(e *wire.Event) {
+	if int(e.Set) >= len(h.workerLists) {
 		return
 	}
-	list := h.ledgers[e.Set][:0]
+	list := h.workerLists[e.Set][:0]
 	wire.EachEntry(e.Entries, func(x wire.Entry) {
 		list = append(list, logic.WorkerInfo{
 			ID: logic.WorkerID(x.Worker), Zone: int(x.Zone), Kind: int(x.Kind), Cell: int(x.Cell),
-			Weight: float64(x.Weight), UpSince: int64(min(x.UpSince, 1<<62)), Phase: phase(x.Phase),
+			Weight: float64(x.Weight), UpSince: int64(min(x.UpSince, 1<<62)), Phase: phaseOf(x.Phase),
 		})
 	})
-	h.ledgers[e.Set] = list
+	h.workerLists[e.Set] = list
 }
 
 // phase maps the wire's states; one that is not known is not sent to.
-func phase(v uint8) logic.Phase {
+func phaseOf(v uint8) logic.Phase {
 	switch v {
 	case 1:
 		return logic.Ready
@@ -148,8 +148,8 @@
 			return acts
 		}
 		var list []logic.WorkerInfo
-		if int(e.Set) < len(h.ledgers) && listKinds[e.How] != logic.ListFailed {
-			list = h.ledgers[e.Set]
+		if int(e.Set) < len(h.workerLists) && listKinds[e.How] != logic.ListFailed {
+			list = h.workerLists[e.Set]
 		}
 		return s.Workers(now, listKinds[e.How], list, acts)
 	case wire.EvArrival:
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -63,7 +63,7 @@
 }
 
 // A list number that is used again within a batch, and a kill and new start in one batch.
-func TestListsInOrderAndRestart(t *testing.T) {
+func TestReusedListNumberAndRestartInOneBatch(t *testing.T) {
 	in := frame(1_000_000, 1, start(3, settingsText), start(4, settingsText),
 		ledger(0, 77), update(3, 0), ledger(0, 88), update(4, 0), arrival(3, 1), arrival(4, 2))
 	in = append(in, frame(1_001_000, 2, record(10, uint16(3)), start(3, settingsText), ledger(5, 99), update(3, 5),
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestFaultyBatchGetsNoReply(t *testing.T) {
+func TestInvalidBatchGetsNoReply(t *testing.T) {
 	in := frame(1_000_000, 1, start(3, settingsText))
 	in = append(in, frame(1_001_000, 2, ledger(0, 77), update(3, 0), record(7, uint16(3)))...)
 	var out bytes.Buffer
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestUnusableSettingsReachTheWire(t *testing.T) {
+func TestInvalidSettingsAreReportedOnTheWire(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(frame(1, 1, start(3, "Balancers=1"))), &out); err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestEmptyInputEndsWell(t *testing.T) {
+func TestEmptyInputIsNoError(t *testing.T) {
 	if err := serve(bytes.NewReader(nil), &bytes.Buffer{}); err != nil {
 		t.Error(err)
 	}
--- a/logic/backlog.go
+++ b/logic/backlog.go
@@ -5,85 +5,85 @@
 // A worker's u: own outstanding work and what is seen and told of the others' (DESIGN, per-worker state; under strain).
 
 const (
-	slotsFade = 0.9995    // fade of the most free slots seen at a kind, for each report
-	sightSpan = 2.5       // running times over which a sighting fades: a queue outlives the jobs in it
-	seenGain  = 0.1       // weight of one sighting in the mean backlog of a kind or zone
-	seenFirst = 0.3       // that mean before any sighting, in running times: somewhat over half busy
-	newsSpan  = 2_000_000 // us for which what the other schedulers tell counts as seeing the whole
+	slotsDecay      = 0.9995    // fade of the most free slots seen at a kind, for each report
+	observationSpan = 2.5       // running times over which a sighting fades: a queue outlives the jobs in it
+	backlogGain     = 0.1       // weight of one sighting in the mean backlog of a kind or zone
+	initialBacklog  = 0.3       // that mean before any sighting, in running times: somewhat over half busy
+	reportSpan      = 2_000_000 // us for which what the other schedulers tell counts as seeing the whole
 )
 
 // backlog is u: own outstanding work and an estimate of the others', which returns from what was last seen to the mean as jobs turn over.
 func (s *Scheduler) backlog(w *worker) float64 {
-	own := w.own * w.drain
+	own := w.ownBacklog * w.drainTime
 	n := float64(s.cfg.Schedulers)
 	if n < 2 {
 		return own
 	}
-	run := w.pace * s.meanWork
+	run := w.slowdown * s.meanWork
 	k, z := &s.kinds[w.info.Kind], &s.zones[w.info.Zone]
-	mean := max(k.seen+z.seen-s.seen, 0) * run * s.leaning(w)
-	if w.bgAt == 0 {
+	mean := max(k.meanBacklog+z.meanBacklog-s.meanBacklog, 0) * run * s.herdFactor(w)
+	if w.othersBacklogAt == 0 {
 		return own + mean
 	}
-	t := seconds(s.now-w.bgAt) / max(sightSpan*run, 0.05)
-	return own + mean + (w.bg-mean)/(1+t+t*t/2)
+	t := seconds(s.now-w.othersBacklogAt) / max(observationSpan*run, 0.05)
+	return own + mean + (w.othersBacklog-mean)/(1+t+t*t/2)
 }
 
 // leaning is how much longer a worker's queue is taken to be for this scheduler's own choices of late. What draws it to a
 // worker draws all that hold the same list; one that had more than its part of this one's jobs had more of theirs too.
-func (s *Scheduler) leaning(w *worker) float64 {
-	if s.cfg.Schedulers <= fewSeers || s.perWorker <= 0 {
+func (s *Scheduler) herdFactor(w *worker) float64 {
+	if s.cfg.Schedulers <= fewSchedulers || s.perWorker <= 0 {
 		return 1
 	}
-	fair := s.rate * rateSpan * s.slotsOf(w) / w.pace / (s.perWorker * float64(len(s.ready)))
-	m := (w.sent*math.Exp(-seconds(s.now-w.sentAt)/rateSpan) + 1) / (fair + 1)
+	fair := s.rate * rateTimeConstant * s.slotsOf(w) / w.slowdown / (s.perWorker * float64(len(s.ready)))
+	m := (w.recentSends*math.Exp(-seconds(s.now-w.recentSendsAt)/rateTimeConstant) + 1) / (fair + 1)
 	return m * m
 }
 
 // learnStart learns from the time between sending and start: the way there when it was short, and the worker's backlog
 // when it was not.
-func (s *Scheduler) learnStart(w *worker, delay float64) {
-	b := &s.base[w.info.Zone]
+func (s *Scheduler) learnStartDelay(w *worker, delay float64) {
+	b := &s.baseDelay[w.info.Zone]
 	if delay < *b {
 		*b += (delay - *b) * 0.3
 	} else {
 		*b += (min(delay, 2**b) - *b) * 0.02
 	}
 	wait := max(delay-1.5**b-seconds(s.cfg.Resolution), 0)
-	s.waits += (wait - s.waits) * 0.05
+	s.meanWait += (wait - s.meanWait) * 0.05
 	if wait == 0 {
-		s.seeOthers(w, w.slack*0.7)
+		s.observeOthers(w, w.headroom*0.7)
 	} else {
-		s.seeOthers(w, w.slack+s.rho*wait)
+		s.observeOthers(w, w.headroom+s.rho*wait)
 	}
 }
 
 // seeOthers notes a backlog seen at a worker; what is this scheduler's own is taken off. The means by kind and by zone are what a worker not lately seen is taken to hold. They guard against a herd: all
 // schedulers know the fast kind, and would all choose it were its queue not expected to be longer for that reason.
-func (s *Scheduler) seeOthers(w *worker, u float64) {
-	w.bg, w.bgAt = max(u-w.own*w.drain, 0), s.now
-	v := w.bg / max(w.pace*s.meanWork, 1e-3)
-	for _, m := range [...]*float64{&s.kinds[w.info.Kind].seen, &s.zones[w.info.Zone].seen, &s.seen} {
-		*m += (v - *m) * seenGain
+func (s *Scheduler) observeOthers(w *worker, u float64) {
+	w.othersBacklog, w.othersBacklogAt = max(u-w.ownBacklog*w.drainTime, 0), s.now
+	v := w.othersBacklog / max(w.slowdown*s.meanWork, 1e-3)
+	for _, m := range [...]*float64{&s.kinds[w.info.Kind].meanBacklog, &s.zones[w.info.Zone].meanBacklog, &s.meanBacklog} {
+		*m += (v - *m) * backlogGain
 	}
 }
 
 // Heard takes slot-work that the other schedulers have at a worker, as of a time: a sighting like those of its own.
 func (s *Scheduler) Heard(now int64, id WorkerID, work float64, at int64) {
 	s.now = max(s.now, now)
-	if i, ok := s.byID[id]; ok && at >= s.workers[i].bgAt {
+	if i, ok := s.byID[id]; ok && at >= s.workers[i].othersBacklogAt {
 		w := &s.workers[i]
 		s.derive(w)
-		s.seeOthers(w, (w.own+work)*w.drain)
-		w.bgAt = min(at, s.now)
-		s.heardTill = w.bgAt + newsSpan
+		s.observeOthers(w, (w.ownBacklog+work)*w.drainTime)
+		w.othersBacklogAt = min(at, s.now)
+		s.othersKnownUntil = w.othersBacklogAt + reportSpan
 	}
 }
 
 // HeardDemand takes the slots a second for which the others are asked with a data set, believed until a time.
 func (s *Scheduler) HeardDemand(key uint64, load float64, until int64) {
-	h := s.home(key)
-	h.told, h.toldTill = load, until
+	h := s.affinityOf(key)
+	h.reportedLoad, h.reportedUntil = load, until
 }
 
 // readReport takes a load report: slots of its kind, and the others' backlog.
@@ -102,7 +102,7 @@
 	if k := &s.kinds[w.info.Kind]; free > k.slots {
 		k.slots = free
 	} else {
-		k.slots *= slotsFade
+		k.slots *= slotsDecay
 	}
 	slots := s.slotsOf(w)
 	if queue < 0 && held >= 0 {
@@ -115,8 +115,8 @@
 	u := s.backlog(w)
 	switch {
 	case free >= 0.5:
-		s.seeOthers(w, u/2+tailRoom*w.pace*s.meanWork*max(slots-free, 0)/slots/2)
+		s.observeOthers(w, u/2+residualShare*w.slowdown*s.meanWork*max(slots-free, 0)/slots/2)
 	case queue >= 0:
-		s.seeOthers(w, u/2+(w.slack+w.d*(queue+0.5))/2)
+		s.observeOthers(w, u/2+(w.headroom+w.d*(queue+0.5))/2)
 	}
 }
--- a/logic/checker_test.go
+++ b/logic/checker_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // The checker of rules_test.go must be able to fail: each case breaks one rule and has to be found.
-func TestCheckerFindsEachBreach(t *testing.T) {
+func TestCheckerFindsEachViolation(t *testing.T) {
 	const cls = 8 // unsafe, group of a cell
 	send := func(w WorkerID) Action { return Action{Kind: ActSend, Job: 1, Worker: w} }
 	cases := []struct {
@@ -16,10 +16,10 @@
 		{"answered twice", []Action{{Kind: ActFail, Job: 1}, {Kind: ActFail, Job: 1}}, nil},
 		{"sent after its end", []Action{{Kind: ActFail, Job: 1}, send(1)}, nil},
 		{"answered late", []Action{{Kind: ActFail, Job: 1}}, func(c *checker) { c.now = c.jobs[1].deadline + 1_000_000 }},
-		{"sent to a draining worker", []Action{send(1)}, func(c *checker) { c.workers[1].toldOff = c.now - 1_000_000 }},
+		{"sent to a draining worker", []Action{send(1)}, func(c *checker) { c.workers[1].notReadySince = c.now - 1_000_000 }},
 		{"sent to a worker not listed", []Action{send(3)}, nil},
 		{"too many attempts", []Action{send(1)}, func(c *checker) {
-			c.jobs[1].att = make([]checkAttempt, c.cfg.MaxAttempts)
+			c.jobs[1].attempts = make([]checkAttempt, c.cfg.MaxAttempts)
 		}},
 		{"cold worker pushed over", []Action{send(1)}, func(c *checker) {
 			c.workers[1].info.UpSince, c.hints[1] = c.now-1000, 50
@@ -39,7 +39,7 @@
 		if k.prep != nil {
 			k.prep(c)
 		}
-		if c.apply(k.acts); len(c.faults) == 0 {
+		if c.apply(k.acts); len(c.violations) == 0 {
 			t.Errorf("%s: not found", k.name)
 		}
 	}
--- a/logic/cost.go
+++ b/logic/cost.go
@@ -5,9 +5,9 @@
 // The admission cost of a job at a worker (DESIGN, cost of a placement; equation 18).
 
 const (
-	warmGain  = 1.0  // mean jobs that one at a cold worker earns beside its own worth: it is work that warms it
-	ejectCost = 0.95 // chance of failure booked to an ejected worker; shared by all, it cancels out
-	missPrice = 1.0  // mean jobs that a fetch costs beyond its time: it pushes out a set that is asked for again
+	warmupGain      = 1.0  // mean jobs that one at a cold worker earns beside its own worth: it is work that warms it
+	ejectionPenalty = 0.95 // chance of failure booked to an ejected worker; shared by all, it cancels out
+	missPenalty     = 1.0  // mean jobs that a fetch costs beyond its time: it pushes out a set that is asked for again
 )
 
 // LateChance is the paper's 1(u >= tau) averaged over the error of the estimated backlog, taken as a gamma law of shape 2 around it.
@@ -22,26 +22,26 @@
 // cost is the admission cost of a job at a worker in mean jobs' worth, with the chance that the job is late.
 func (s *Scheduler) cost(j *job, w *worker) (total, late float64) {
 	s.derive(w)
-	miss := s.missChance(j, w)
-	fetch := miss * s.fetch
+	miss := s.missProbability(j, w)
+	fetch := miss * s.fetchTime
 	u := s.backlog(w)
-	run := w.pace*j.work + fetch
-	tau := seconds(j.aimAt-s.now) - s.base[w.info.Zone]*1.5 - run + w.room(j.slots, s.meanWork)
+	run := w.slowdown*j.work + fetch
+	tau := seconds(j.targetAt-s.now) - s.baseDelay[w.info.Zone]*1.5 - run + w.headroomFor(j.slots, s.meanWork)
 	late = LateChance(tau, u)
-	total = s.pushes(w, u, j.slots*(j.work+fetch/w.pace)/s.meanWork)
-	total += j.worth*max(late*(1-s.cfg.Classes[j.class].LateWorth), s.failChance(w)) + s.crossing(w) + missPrice*miss
-	if s.now < w.ejected {
-		total += ejectCost * j.worth
+	total = s.congestionCost(w, u, j.slots*(j.work+fetch/w.slowdown)/s.meanWork)
+	total += j.value*max(late*(1-s.cfg.Classes[j.class].LateWorth), s.failureProbability(w)) + s.crossZoneCost(w) + missPenalty*miss
+	if s.now < w.ejectedUntil {
+		total += ejectionPenalty * j.value
 	}
-	if s.warmth(w) < 1 {
-		total -= warmGain
+	if s.warmupFactor(w) < 1 {
+		total -= warmupGain
 	}
 	return total, late
 }
 
 // pushes is what so many mean jobs more at a worker cost those that come after: v(u+x)-v(u), summed over the classes.
-func (s *Scheduler) pushes(w *worker, u, x float64) (total float64) {
-	for i, h := range s.weight {
+func (s *Scheduler) congestionCost(w *worker, u, x float64) (total float64) {
+	for i, h := range s.classWeight {
 		q := (w.tau[i] - u) / w.d
 		total += h * (s.table.At(q-x) - s.table.At(q) + w.slope[i]*x)
 	}
@@ -49,7 +49,7 @@
 }
 
 // crossing is the price of leaving the zone, in mean jobs.
-func (s *Scheduler) crossing(w *worker) float64 {
+func (s *Scheduler) crossZoneCost(w *worker) float64 {
 	if w.info.Zone == s.cfg.Zone {
 		return 0
 	}
--- a/logic/failures_test.go
+++ b/logic/failures_test.go
@@ -72,7 +72,7 @@
 
 // Two equal workers: the first job ties and goes to the first in order of id, the second to the one without
 // backlog, since v(u+x)-v(u) grows with u.
-func TestDispatchByHand(t *testing.T) {
+func TestSecondJobGoesToIdleWorker(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(2), nil)
 	if got := sends(arrive(s, t0+1, 1)); !reflect.DeepEqual(got, []WorkerID{1}) {
@@ -111,7 +111,7 @@
 }
 
 // Many schedulers that all know the fast kind would all choose it.
-func TestKindThatOthersFillIsNotChosenBlindly(t *testing.T) {
+func TestKindWithLongQueuesIsNotChosen(t *testing.T) {
 	c := testConfig()
 	c.Schedulers = 50
 	s := mustNew(t, c)
@@ -127,9 +127,9 @@
 		t.Fatalf("the fast kind should be chosen while nothing speaks against it, got worker %v", got)
 	}
 	s.HangUp(t0+2, 1, nil)
-	s.kinds[0].seen = 30 // long queues were met at the fast kind
+	s.kinds[0].meanBacklog = 30 // long queues were met at the fast kind
 	for i := range s.workers {
-		s.workers[i].bgAt = 0
+		s.workers[i].othersBacklogAt = 0
 	}
 	if got := sends(arrive(s, t0+3, 2)); s.workers[s.byID[got[0]]].info.Kind != 1 {
 		t.Errorf("worker %v of the kind that the others fill was chosen", got)
@@ -137,7 +137,7 @@
 }
 
 // Schedulers that hold the same list must fetch a data set to the same worker.
-func TestSchedulersAgreeOnHomes(t *testing.T) {
+func TestSchedulersAgreeOnAffinityWorkers(t *testing.T) {
 	for key := uint64(1); key < 20; key++ {
 		var chosen [2]WorkerID
 		for self := range chosen {
@@ -157,22 +157,22 @@
 	}
 }
 
-func TestHotDataSetHasMoreHomes(t *testing.T) {
+func TestHotDataSetHasMoreAffinityWorkers(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(9), nil)
 	arrive(s, t0+1, 1)
-	h := s.homesOf(5)
-	cold := s.homesWanted(h)
+	h := s.rankedAffinity(5)
+	cold := s.affinityWidth(h)
 	for range 200 {
-		s.demand(&job{key: 5, work: 1, slots: 1})
+		s.recordDemand(&job{key: 5, work: 1, slots: 1})
 	}
-	if hot := s.homesWanted(h); hot < cold+2 {
+	if hot := s.affinityWidth(h); hot < cold+2 {
 		t.Errorf("wanted homes grew from %.1f to %.1f only", cold, hot)
 	}
 }
 
 // All schedulers together must stay within the budget of a worker that has just started.
-func TestColdWorkerOverAllSchedulers(t *testing.T) {
+func TestSlowStartBudgetOverAllSchedulers(t *testing.T) {
 	const n = 40
 	allowed := 0
 	for self := range n {
@@ -185,14 +185,14 @@
 		s.Workers(t0, ListFull, list, nil)
 		s.meanWork = 0.1
 		s.now = t0 + c.FallWindow // in the slot of its start a scheduler sends nothing there
-		if s.coldAllows(&s.workers[0], 0.1) {
+		if s.slowStartAllows(&s.workers[0], 0.1) {
 			allowed++
 		}
 	}
 	if allowed == 0 {
 		t.Error("nobody may send to it, it would never warm up")
 	}
-	if budget := 2.5 * 0.1 * firstSlots * 2; float64(allowed)*0.1 > budget/2 {
+	if budget := 2.5 * 0.1 * initialSlots * 2; float64(allowed)*0.1 > budget/2 {
 		t.Errorf("%d schedulers may send 0.1 s of work each, half the budget is %.2f s", allowed, budget/2)
 	}
 }
@@ -200,29 +200,29 @@
 func TestHungWorkerIsEjected(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(2), nil)
-	s.now = t0 + 2*hearSpan
+	s.now = t0 + 2*livenessSpan
 	w := &s.workers[0]
-	for id := range hangMisses {
-		j := &job{n: 1, live: 1}
-		j.att[0] = attempt{w: 0, out: true, sent: t0 + int64(id)}
-		s.noStart(j)
+	for id := range maxMissedStarts {
+		j := &job{attemptCount: 1, outstanding: 1}
+		j.attempts[0] = attempt{worker: 0, outstanding: true, sent: t0 + int64(id)}
+		s.recordMissingStarts(j)
 	}
-	if s.now >= w.ejected {
+	if s.now >= w.ejectedUntil {
 		t.Error("a worker that takes jobs and starts none is not ejected")
 	}
-	s.wellness(w)
-	s.crowd = crowdFrom // the whole fleet is slow to start
-	for range hangMisses {
-		j := &job{n: 1, live: 1}
-		j.att[0] = attempt{w: 1, out: true}
-		s.noStart(j)
+	s.markAlive(w)
+	s.contention = contentionThreshold // the whole fleet is slow to start
+	for range maxMissedStarts {
+		j := &job{attemptCount: 1, outstanding: 1}
+		j.attempts[0] = attempt{worker: 1, outstanding: true}
+		s.recordMissingStarts(j)
 	}
-	if s.now < s.workers[1].ejected {
+	if s.now < s.workers[1].ejectedUntil {
 		t.Error("a shared slowdown ejected a worker")
 	}
 }
 
-func TestOldListHoldsWhileCallsFail(t *testing.T) {
+func TestOldListIsUsedWhileListCallsFail(t *testing.T) {
 	c := testConfig()
 	c.MustAsk = true
 	s := mustNew(t, c)
@@ -236,12 +236,12 @@
 	if got := sends(arrive(s, t0+2000, 1)); len(got) != 1 {
 		t.Errorf("the old list does not hold: sent to %v", got)
 	}
-	if acts := s.Wake(t0+2*askMost, 0, nil); !has(acts, ActSubscribe) {
+	if acts := s.Wake(t0+2*maxListRetryDelay, 0, nil); !has(acts, ActSubscribe) {
 		t.Error("the call was not repeated")
 	}
 }
 
-func TestTenantBeyondShareIsWorthLess(t *testing.T) {
+func TestTenantBeyondQuotaHasLowerValue(t *testing.T) {
 	c := testConfig()
 	c.Tenants, c.OverShare = []Tenant{{Quota: 1}}, 0.1
 	s := mustNew(t, c)
@@ -251,36 +251,36 @@
 		if n < 4 {
 			want = 1
 		}
-		if got := s.share(0, 0); got != want {
+		if got := s.valueShare(0, 0); got != want {
 			t.Errorf("job %d of the tenant counts %.1f, want %.1f", n, got, want)
 		}
 	}
-	if s.now += 2_000_000; s.share(0, 0) != 1 {
+	if s.now += 2_000_000; s.valueShare(0, 0) != 1 {
 		t.Error("the share did not renew")
 	}
 	for _, stranger := range []int{-1, 1} {
-		if got := s.share(stranger, 0); got != 0.1 {
+		if got := s.valueShare(stranger, 0); got != 0.1 {
 			t.Errorf("a job of tenant %d, which the settings do not name, counts %.1f", stranger, got)
 		}
 	}
 	c.Tenants = nil
-	if got := mustNew(t, c).share(-1, 0); got != 1 {
+	if got := mustNew(t, c).valueShare(-1, 0); got != 1 {
 		t.Errorf("a job counts %.1f where there are no tenants", got)
 	}
 }
 
-func TestNoSecondAttemptOutWhereCopiesAreForbidden(t *testing.T) {
+func TestNoConcurrentAttemptsWhereCopiesAreForbidden(t *testing.T) {
 	c := testConfig()
 	c.MayCopy = false
 	s := mustNew(t, c)
 	s.Workers(t0, ListFull, readyWorkers(2), nil)
 	arrive(s, t0+1, 1)
-	if s.mayRepeat(&s.jobs[s.byJob[1]], &s.workers[1]) {
+	if s.mayAttempt(&s.jobs[s.byJob[1]], &s.workers[1]) {
 		t.Error("a second attempt is allowed while the first is out")
 	}
 }
 
-func TestHopelessJobIsRefusedEarly(t *testing.T) {
+func TestJobVeryLikelyLateIsRefusedEarly(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(1), nil)
 	s.Arrive(t0+1, Job{ID: 1, Hint: 100_000, Deadline: t0 + 3_000_000}, nil)
@@ -290,13 +290,13 @@
 	}
 }
 
-func TestWithoutClasses(t *testing.T) {
+func TestNewRejectsConfigWithoutClasses(t *testing.T) {
 	if _, err := New(Config{}, 1); err == nil {
 		t.Error("a configuration without classes was taken")
 	}
 }
 
-func TestMisuseIsIgnored(t *testing.T) {
+func TestInvalidEventsAreIgnored(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, append(readyWorkers(2), WorkerInfo{ID: 1, Zone: -4, Kind: -9, Phase: Ready}), nil)
 	arrive(s, t0+1, 1)
@@ -332,7 +332,7 @@
 }
 
 // turn plays one job from arrival to answer.
-func turn(s *Scheduler, at int64, id JobID, buf []Action) []Action {
+func runJob(s *Scheduler, at int64, id JobID, buf []Action) []Action {
 	buf = s.Arrive(at, Job{ID: id, Hint: 20_000, Deadline: at + 3_000_000}, buf[:0])
 	w := buf[0].Worker
 	buf = s.Started(at+2000, id, 0, buf[:0])
@@ -340,14 +340,14 @@
 	return s.Wake(at+23_000, 0, buf[:0])
 }
 
-func TestSteadyStateAllocatesNothingAndForgets(t *testing.T) {
+func TestSteadyStateAllocatesNothingAndReleasesState(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(40), nil)
 	buf, at, id := make([]Action, 0, 64), t0, JobID(0)
 	step := func() {
 		at += 25_000
 		id++
-		buf = turn(s, at, id, buf)
+		buf = runJob(s, at, id, buf)
 	}
 	for range 2000 {
 		step()
@@ -364,7 +364,7 @@
 	}
 }
 
-func BenchmarkTurn(b *testing.B) {
+func BenchmarkJobLifecycle(b *testing.B) {
 	for _, n := range []int{40, 215, 430} {
 		b.Run(map[int]string{40: "today", 215: "full size", 430: "twice that"}[n], func(b *testing.B) {
 			c := testConfig()
@@ -374,7 +374,7 @@
 			buf := make([]Action, 0, 64)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				buf = turn(s, t0+int64(i)*25_000, JobID(i), buf)
+				buf = runJob(s, t0+int64(i)*25_000, JobID(i), buf)
 			}
 		})
 	}
@@ -403,7 +403,7 @@
 }
 
 // Reports that stop coming must lose their hold: the belief returns to the mean.
-func TestOldSightingFades(t *testing.T) {
+func TestOldObservationLosesWeight(t *testing.T) {
 	c := testConfig()
 	c.Schedulers = 10
 	s := mustNew(t, c)
@@ -411,7 +411,7 @@
 	arrive(s, t0+1, 1)
 	w := &s.workers[1]
 	s.derive(w)
-	s.seeOthers(w, 5)
+	s.observeOthers(w, 5)
 	fresh := s.backlog(w)
 	s.now += 20_000_000
 	if old := s.backlog(w); old > fresh/3 {
@@ -420,7 +420,7 @@
 }
 
 // A worker that was tried is never tried again, so once all were there is nothing to wait for.
-func TestJobThatEveryWorkerTurnedAwayIsAnsweredAtOnce(t *testing.T) {
+func TestJobRefusedByEveryWorkerIsAnsweredAtOnce(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(2), nil)
 	first := sends(arrive(s, t0+1, 1))
@@ -440,14 +440,14 @@
 		t.Errorf("acted on %v", acts)
 	}
 	s.Workers(t0+1000, ListFull, readyWorkers(1), nil)
-	if acts := s.Wake(t0+holdGap, 0, nil); len(sends(acts)) != 1 {
+	if acts := s.Wake(t0+holdInterval, 0, nil); len(sends(acts)) != 1 {
 		t.Errorf("not sent once there is a worker: %v", acts)
 	}
 }
 
 // A fetch costs more than its own time: it pushes out a set that is asked for again. Guards against a data set that
 // wanders over the fleet, fetched anew at each worker, because one that is a little less busy looks cheaper.
-func TestJobGoesWhereItsDataSetIs(t *testing.T) {
+func TestJobGoesToWorkerWithItsDataSet(t *testing.T) {
 	c := testConfig()
 	c.Classes[0].Aim, c.Classes[0].Deadline = 5_000_000, 30_000_000
 	s := mustNew(t, c)
@@ -474,7 +474,7 @@
 }
 
 // A job that has started and of which nothing more is heard is stuck, and is called off if another worker may run it.
-func TestStuckJobIsCalledOff(t *testing.T) {
+func TestStalledJobIsCancelled(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		repeat Repeat
@@ -506,7 +506,7 @@
 }
 
 // A job that waits where it will be late is taken elsewhere, one attempt at a time.
-func TestWaitingJobIsTakenElsewhere(t *testing.T) {
+func TestWaitingJobMovesToIdleWorker(t *testing.T) {
 	s := mustNew(t, progressConfig())
 	s.Workers(t0, ListFull, readyWorkers(1), nil)
 	for id := JobID(1); id < 12; id++ {
@@ -530,7 +530,7 @@
 
 // A worker that says at once when it has taken a job, and does not say so of this one, has not got it: the connection
 // or the worker swallowed it. Where no worker ever said so, its silence means nothing.
-func TestJobThatIsNotTakenIsCalledOff(t *testing.T) {
+func TestUnacknowledgedJobIsCancelled(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		repeat      Repeat
@@ -547,23 +547,23 @@
 		cfg.Classes[0].Repeat, cfg.Classes[0].Window = c.repeat, 40_000_000
 		s := mustNew(t, cfg)
 		s.Workers(t0, ListFull, readyWorkers(2), nil)
-		s.tellsTaken = c.tells
+		s.acksSeen = c.tells
 		arrive(s, t0, 1)
 		if c.took {
 			s.Progress(t0+1000, 1, 0, 0, nil)
 		}
-		if got := has(s.Wake(t0+takenAfter, 0, nil), ActCancel); got != c.want {
+		if got := has(s.Wake(t0+ackTimeout, 0, nil), ActCancel); got != c.want {
 			t.Errorf("%s: called off %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
 // An attempt that is over or called off is never stuck; a review that is due at once, again and again, would not end.
-func TestWhatIsCalledOffIsNotStuck(t *testing.T) {
+func TestCancelledAttemptIsNotStalled(t *testing.T) {
 	s := mustNew(t, progressConfig())
-	s.tellsTaken = true
-	for _, a := range []attempt{{}, {out: true, cancelled: true}, {started: 1, noted: 1}, {out: true, started: 1, noted: 1, cancelled: true}} {
-		if at := s.stallAt(&a); at < t0*1000 {
+	s.acksSeen = true
+	for _, a := range []attempt{{}, {outstanding: true, cancelled: true}, {started: 1, lastNote: 1}, {outstanding: true, started: 1, lastNote: 1, cancelled: true}} {
+		if at := s.stalledAt(&a); at < t0*1000 {
 			t.Errorf("%+v is stuck at %d", a, at)
 		}
 	}
@@ -571,7 +571,7 @@
 
 // Guards against a storm of retries: clients keep asking for what is late already, each try takes the place of a job that
 // could still be in time, and the fleet stays down long after what pushed it there is over.
-func TestRetryWhoseAimHasGoneByIsNotSent(t *testing.T) {
+func TestRetryPastItsTargetIsNotSent(t *testing.T) {
 	for name, test := range map[string]struct {
 		repeated bool
 		hidden   bool  // clients do not mark their retries
@@ -600,7 +600,7 @@
 
 // One that answers errors at once is never busy. It must be avoided from the first error on, since each of many
 // schedulers would otherwise spend a few jobs on it; but not for ever, and not for what was the job's own fault.
-func TestWorkerThatFailsIsAvoided(t *testing.T) {
+func TestFailingWorkerIsAvoided(t *testing.T) {
 	for name, test := range map[string]struct {
 		result Result
 		wait   int64
@@ -622,8 +622,8 @@
 		}
 		w := &s.workers[s.byID[first]]
 		s.now += 120_000_000
-		s.fadePace(w)
-		if p := s.failChance(w); p > 0.25 {
+		s.decayStats(w)
+		if p := s.failureProbability(w); p > 0.25 {
 			t.Errorf("%s: two minutes later it is still taken to fail with a chance of %.2f", name, p)
 		}
 	}
@@ -634,12 +634,12 @@
 func TestCostIsNotNegativeWhenTheUtilisationMoves(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(1), nil)
-	j := &job{work: 5, most: 5, slots: 2, worth: 1, aimAt: t0 + 60_000_000}
+	j := &job{work: 5, maxWork: 5, slots: 2, value: 1, targetAt: t0 + 60_000_000}
 	for _, to := range []float64{0.1, 0.9, 0.3, 0.98} {
 		s.now += 1000
-		s.workRate, s.rate = to*firstSlots, 1000
-		s.refreshed = 0
-		s.update()
+		s.workRate, s.rate = to*initialSlots, 1000
+		s.refreshedAt = 0
+		s.refreshEstimates()
 		if total, _ := s.cost(j, &s.workers[0]); total < 0 {
 			t.Errorf("at utilisation %.2f the cost is %.3f", s.rho, total)
 		}
@@ -665,7 +665,7 @@
 
 // A job that waits and is late by now keeps others waiting for nothing. One that may not be refused is failed, since its
 // client can't ask again, only while most jobs wait.
-func TestLateJobGivesUpItsPlace(t *testing.T) {
+func TestLateWaitingJobIsCancelled(t *testing.T) {
 	for _, test := range []struct {
 		repeat Repeat
 		crowd  float64
@@ -679,7 +679,7 @@
 		c := testConfig()
 		c.MayCopy, c.Classes[0].Repeat = false, test.repeat
 		s := mustNew(t, c)
-		s.crowd = test.crowd
+		s.contention = test.crowd
 		s.Workers(t0, ListFull, readyWorkers(1), nil)
 		s.Arrive(t0, Job{ID: 1, Hint: 100_000, Deadline: t0 + 60_000_000}, nil)
 		var acts []Action
@@ -694,7 +694,7 @@
 
 // Hints are as noisy as jobs differ, and each of many schedulers sees a handful of runs: the learned pace of equal workers
 // must not differ by what their jobs' hints happened to be.
-func TestPaceOfAHandfulOfNoisyRuns(t *testing.T) {
+func TestSlowdownLearnedFromFewNoisyRuns(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
 	c := testConfig()
 	c.Schedulers, c.TellsStart, c.Classes[0].Aim = 80, false, 60_000_000
@@ -711,7 +711,7 @@
 	}
 	least, most := math.Inf(1), 0.0
 	for i := range s.workers {
-		p := s.paceOf(&s.workers[i])
+		p := s.slowdownOf(&s.workers[i])
 		least, most = min(least, p), max(most, p)
 	}
 	if most > 2*least {
@@ -723,7 +723,7 @@
 // just started, and schedulers that share nothing but the list. A cold worker falls when a window brings it more than N + 3 root
 // N + 3 requests of mean work, N being what the settings allow it at that age at the least; the work is what the hints say, a mean of
 // 1 s. Jobs larger than the mean are used to warm workers too.
-func TestColdFleetOverManySchedulers(t *testing.T) {
+func TestSlowStartFleetOverManySchedulers(t *testing.T) {
 	for _, n := range []int{1, 10, 80} {
 		r := rand.New(rand.NewSource(int64(n)))
 		c := testConfig()
@@ -765,7 +765,7 @@
 					}
 				}
 				age := float64(list[i].at-t0) / 24e6
-				allowed := 3 * (0.13 + 0.87*age*age) * firstSlots * 2
+				allowed := 3 * (0.13 + 0.87*age*age) * initialSlots * 2
 				if limit := allowed + 3*math.Sqrt(allowed) + 3; sum > limit {
 					t.Errorf("%d schedulers sent worker %d %.2f s of work in a window, it may take %.2f", n, w, sum, limit)
 				}
@@ -774,7 +774,7 @@
 		if len(cold) < 36 || toCold*8 < total {
 			t.Errorf("%d schedulers sent %d of %d jobs to %d of 36 cold workers: they must be warmed by work", n, toCold, total, len(cold))
 		}
-		if n > fewSeers && large*8 < toCold {
+		if n > fewSchedulers && large*8 < toCold {
 			t.Errorf("%d schedulers sent %d jobs larger than 1.5 of the mean among %d to cold workers: such are more than a fifth of all", n, large, toCold)
 		}
 	}
@@ -816,7 +816,7 @@
 
 // A zone fails as a whole. One that has met two of its workers and found nobody must not go on to meet the rest one by one,
 // with an attempt of a job each; and one that fails alone must not take its zone with it for long.
-func TestFailuresOfAZoneTellOfItsOtherWorkers(t *testing.T) {
+func TestZoneFailuresRaiseFailureProbabilityOfItsOtherWorkers(t *testing.T) {
 	c := testConfig()
 	c.Schedulers, c.Zones, c.MaxAttempts = 80, 2, 3
 	s := mustNew(t, c)
@@ -842,15 +842,15 @@
 	if missed > 6 {
 		t.Errorf("%d attempts at the 20 workers of a zone where nobody is", missed)
 	}
-	s.zones[1].failing = 0
-	s.fail(&s.workers[s.byID[2]])
-	if p := s.failChance(&s.workers[s.byID[40]]); p > 0.25 {
+	s.zones[1].failureShare = 0
+	s.recordFailure(&s.workers[s.byID[2]])
+	if p := s.failureProbability(&s.workers[s.byID[40]]); p > 0.25 {
 		t.Errorf("one failure makes another worker of the zone fail with a chance of %.2f", p)
 	}
 }
 
 // A list service that fails all calls of a fleet at once must not get them all back at once, nor ever as often.
-func TestListCallsOfManySchedulersAreNotInStep(t *testing.T) {
+func TestListRetriesOfManySchedulersAreSpreadOut(t *testing.T) {
 	const n = 80
 	calls := make([][]int64, 5) // times of each round's calls
 	for self := range n {
@@ -892,7 +892,7 @@
 				t.Errorf("round %d: %d of %d calls in 100 ms", round, k, n)
 			}
 		}
-		if gap := t0 + mean - last; round > 0 && gap < int64(askGap)<<round*9/10 && gap < askMost*9/10 {
+		if gap := t0 + mean - last; round > 0 && gap < int64(listRetryDelay)<<round*9/10 && gap < maxListRetryDelay*9/10 {
 			t.Errorf("round %d: calls come %d ms after those before", round, gap/1000)
 		}
 		last = t0 + mean
@@ -901,7 +901,7 @@
 
 // Where a connect that finds nobody is no attempt, an old list must not use up a job's attempts; what ran still counts, and
 // the search has an end.
-func TestConnectsThatFindNobodyAreNoAttempts(t *testing.T) {
+func TestFailedConnectsDoNotCountAsAttempts(t *testing.T) {
 	for _, free := range []bool{false, true} {
 		c := testConfig()
 		c.FreeConnects, c.MaxAttempts, c.MayCopy = free, 2, false
@@ -921,7 +921,7 @@
 		}
 		wants := []int{2, 2, 2}
 		if free {
-			wants = []int{5, 4, maxTries}
+			wants = []int{5, 4, maxAttemptsKept}
 		}
 		for k, results := range [][]Result{
 			{ConnectFailed, ConnectFailed, ConnectFailed, ConnectFailed, Served},
--- a/logic/homes.go
+++ b/logic/homes.go
@@ -8,57 +8,57 @@
 // Where data sets are: homes by a hash on which all schedulers agree, as many of them as the demand fills.
 
 const (
-	keysKept  = 2       // data sets remembered for each worker: its few places are shared with the other schedulers' sets
-	keyHomes  = 12      // workers on which a data set is expected by hash, so that all schedulers agree
-	homesKept = 1 << 14 // data sets whose homes are remembered; bounds the memory
-	hitOwn    = 0.95    // chance that a data set sent to a worker lately is still there
-	homeFade  = 0.3     // fall of that chance for each rank beyond the homes that the demand fills
-	homeFill  = 0.6     // share of a worker that is taken to be filled before the next rank is used
-	hitElse   = 0.05    // the same where nothing speaks for it
+	dataSetsPerWorker    = 2       // data sets remembered for each worker: its few places are shared with the other schedulers' sets
+	affinityRanks        = 12      // workers on which a data set is expected by hash, so that all schedulers agree
+	maxAffinities        = 1 << 14 // data sets whose homes are remembered; bounds the memory
+	recentHitProbability = 0.95    // chance that a data set sent to a worker lately is still there
+	rankHitDecay         = 0.3     // fall of that chance for each rank beyond the homes that the demand fills
+	affinityFill         = 0.6     // share of a worker that is taken to be filled before the next rank is used
+	baseHitProbability   = 0.05    // the same where nothing speaks for it
 )
 
 // missChance is the chance that a worker must fetch a job's data set. It makes the job's running time there longer,
 // which is how affinity enters the cost. Schedulers that cannot talk agree on homes by hash.
-func (s *Scheduler) missChance(j *job, w *worker) float64 {
+func (s *Scheduler) missProbability(j *job, w *worker) float64 {
 	if j.key == 0 {
 		return 0
 	}
-	for _, k := range w.keys {
+	for _, k := range w.dataSets {
 		if k == j.key {
-			return 1 - hitOwn
+			return 1 - recentHitProbability
 		}
 	}
-	h := s.homesOf(j.key)
-	wanted := s.homesWanted(h)
-	for r, i := range h.ids {
+	h := s.rankedAffinity(j.key)
+	wanted := s.affinityWidth(h)
+	for r, i := range h.workers {
 		if i >= 0 && &s.workers[i] == w {
-			return 1 - max(hitOwn-homeFade*max(float64(r+1)-wanted, 0), hitElse)
+			return 1 - max(recentHitProbability-rankHitDecay*max(float64(r+1)-wanted, 0), baseHitProbability)
 		}
 	}
-	return 1 - hitElse
+	return 1 - baseHitProbability
 }
 
 // homesOf ranks the first workers of a data set by a hash weighted by size, alike at all schedulers with the same list.
-func (s *Scheduler) homesOf(key uint64) *homes {
-	h := s.home(key)
-	if h.list == s.lists {
+func (s *Scheduler) rankedAffinity(key uint64) *affinity {
+	h := s.affinityOf(key)
+	if h.listVersion == s.listVersion {
 		return h
 	}
-	h.list = s.lists
-	var best [keyHomes]float64
-	for r := range h.ids {
-		h.ids[r], best[r] = -1, math.Inf(1)
+	h.listVersion = s.listVersion
+	var best [affinityRanks]float64
+	for r := range h.workers {
+		h.workers[r], best[r] = -1, math.Inf(1)
 	}
 	for _, i := range s.ready {
 		w := &s.workers[i]
-		v := -math.Log((float64(mix(key^mix(uint64(w.info.ID)))>>11)+0.5)/(1<<53)) / w.info.Weight
-		if v >= best[keyHomes-1] {
+		v := -math.Log((float64(hash64(key^hash64(uint64(w.info.ID)))>>11)+0.5)/(1<<53)) / w.info.Weight
+		if v >= best[affinityRanks-1] {
 			continue
 		}
-		for r := range h.ids {
+		for r := range h.workers {
 			if v < best[r] {
 				v, best[r] = best[r], v
-				i, h.ids[r] = h.ids[r], i
+				i, h.workers[r] = h.workers[r], i
 			}
 		}
 	}
@@ -66,44 +66,44 @@
 }
 
 // home is what is kept of a data set.
-func (s *Scheduler) home(key uint64) *homes {
-	if s.homes[key] == nil {
-		if len(s.homes) >= homesKept {
-			clear(s.homes)
+func (s *Scheduler) affinityOf(key uint64) *affinity {
+	if s.affinities[key] == nil {
+		if len(s.affinities) >= maxAffinities {
+			clear(s.affinities)
 		}
-		s.homes[key] = &homes{}
+		s.affinities[key] = &affinity{}
 	}
-	return s.homes[key]
+	return s.affinities[key]
 }
 
 // homesWanted is how many workers the demand for a data set fills: the hotter it is, the further down the common
 // ranking it is found. Guards against a hot one that overflows to other workers at each scheduler.
-func (s *Scheduler) homesWanted(h *homes) float64 {
-	load := h.load / s.warmup * float64(s.cfg.Schedulers)
-	if s.now < h.toldTill {
-		load = h.load/s.warmup + h.told
+func (s *Scheduler) affinityWidth(h *affinity) float64 {
+	load := h.load / s.rateCoverage * float64(s.cfg.Schedulers)
+	if s.now < h.reportedUntil {
+		load = h.load/s.rateCoverage + h.reportedLoad
 	}
-	return max(load*s.meanWork/max(homeFill*s.perWorker, 1e-3), 1)
+	return max(load*s.meanWork/max(affinityFill*s.perWorker, 1e-3), 1)
 }
 
 // demand books a job into the demand for its data set.
-func (s *Scheduler) demand(j *job) {
+func (s *Scheduler) recordDemand(j *job) {
 	if j.key == 0 {
 		return
 	}
-	h := s.homesOf(j.key)
-	h.load, h.at = h.load*math.Exp(-seconds(s.now-h.at)/rateSpan)+j.slots/rateSpan, s.now
+	h := s.rankedAffinity(j.key)
+	h.load, h.at = h.load*math.Exp(-seconds(s.now-h.at)/rateTimeConstant)+j.slots/rateTimeConstant, s.now
 }
 
 // keep notes that a worker has a data set now.
-func (w *worker) keep(key uint64) {
+func (w *worker) rememberDataSet(key uint64) {
 	if key == 0 {
 		return
 	}
-	n := slices.Index(w.keys[:], key)
+	n := slices.Index(w.dataSets[:], key)
 	if n < 0 {
-		n = len(w.keys) - 1
+		n = len(w.dataSets) - 1
 	}
-	copy(w.keys[1:n+1], w.keys[:n])
-	w.keys[0] = key
+	copy(w.dataSets[1:n+1], w.dataSets[:n])
+	w.dataSets[0] = key
 }
--- a/logic/place.go
+++ b/logic/place.go
@@ -8,42 +8,42 @@
 // Placing: the lowest cost among those that a job may go to (DESIGN, core).
 
 const (
-	maxTries   = 8      // attempts kept for a job; more than any retry helps
-	hintTrust  = 0.65   // weight of the logarithm of a hint against that of the class's mean: hints are as noisy as jobs differ
-	scanMost   = 12     // candidates compared where many schedulers each see a part: bounds CPU and herding
-	fewSeers   = 4      // schedulers up to which each sees enough of the whole to compare all workers
-	holdGap    = 40_000 // us between looks at a job that found no worker
-	homesTaken = 3      // homes of a data set compared then: were it all, those that hear the same would go to the same one
+	maxAttemptsKept = 8      // attempts kept for a job; more than any retry helps
+	hintWeight      = 0.65   // weight of the logarithm of a hint against that of the class's mean: hints are as noisy as jobs differ
+	maxCandidates   = 12     // candidates compared where many schedulers each see a part: bounds CPU and herding
+	fewSchedulers   = 4      // schedulers up to which each sees enough of the whole to compare all workers
+	holdInterval    = 40_000 // us between looks at a job that found no worker
+	affinitySample  = 3      // homes of a data set compared then: were it all, those that hear the same would go to the same one
 )
 
 type choice struct {
-	w                 int32
-	total, late, load float64
+	worker                   int32
+	cost, violation, backlog float64
 }
 
 // choose finds the worker of lowest cost that the job may go to; w is -1 if there is none. Many schedulers that each see
 // a part would all pick the same few of all workers, so each compares a sample drawn from the load-equalising split.
 func (s *Scheduler) choose(j *job) choice {
-	s.update()
-	best := choice{w: -1}
+	s.refreshEstimates()
+	best := choice{worker: -1}
 	n := uint64(len(s.ready))
-	all := s.cfg.Schedulers <= fewSeers || n <= scanMost
+	all := s.cfg.Schedulers <= fewSchedulers || n <= maxCandidates
 	if !all && j.key != 0 {
-		h := s.homesOf(j.key)
-		wanted := uint64(math.Ceil(s.homesWanted(h)))
-		for r, i := range h.ids {
-			if i >= 0 && (s.now >= s.heardTill || wanted <= 2 || uint64(r) < wanted && s.random()%wanted < homesTaken) {
+		h := s.rankedAffinity(j.key)
+		wanted := uint64(math.Ceil(s.affinityWidth(h)))
+		for r, i := range h.workers {
+			if i >= 0 && (s.now >= s.othersKnownUntil || wanted <= 2 || uint64(r) < wanted && s.random()%wanted < affinitySample) {
 				s.consider(j, i, &best)
 			}
 		}
 	}
 	for _, i := range s.ready {
-		if all || s.random()%n < scanMost || s.warmth(&s.workers[i]) < 1 {
+		if all || s.random()%n < maxCandidates || s.warmupFactor(&s.workers[i]) < 1 {
 			s.consider(j, i, &best)
 		}
 	}
 	for _, i := range s.ready {
-		if best.w < 0 && !all {
+		if best.worker < 0 && !all {
 			s.consider(j, i, &best)
 		}
 	}
@@ -53,30 +53,30 @@
 func (s *Scheduler) consider(j *job, i int32, best *choice) {
 	w := &s.workers[i]
 	k := s.cfg.Classes[j.class].WorkerKind // the only kind that can run it, if any
-	if s.doubt || k >= 0 && k != w.info.Kind || !s.mayRepeat(j, w) || !s.coldAllows(w, j.most*j.slots) || j.tried(i) {
+	if s.membershipStale || k >= 0 && k != w.info.Kind || !s.mayAttempt(j, w) || !s.slowStartAllows(w, j.maxWork*j.slots) || j.triedOn(i) {
 		return
 	}
 	total, late := s.cost(j, w)
 	u := s.backlog(w)
-	if best.w < 0 || total < best.total || total == best.total && u < best.load {
-		*best = choice{w: i, total: total, late: late, load: u}
+	if best.worker < 0 || total < best.cost || total == best.cost && u < best.backlog {
+		*best = choice{worker: i, cost: total, violation: late, backlog: u}
 	}
 }
 
 // send starts the next attempt of a job.
 func (s *Scheduler) send(j *job, i int32) {
 	w := &s.workers[i]
-	miss := s.missChance(j, w)
-	x := (j.work + miss*s.fetch/w.pace) * j.slots
-	w.keep(j.key)
-	j.att[j.n] = attempt{w: i, out: true, zone: w.info.Zone, cell: w.info.Cell, sent: s.now, x: x, miss: miss}
-	j.n++
-	j.live++
-	w.outs++
-	w.own += x
-	w.coldUsed += max(x, j.most*j.slots)
-	w.sent, w.sentAt = w.sent*math.Exp(-seconds(s.now-w.sentAt)/rateSpan)+1, s.now
-	s.do(Action{Kind: ActSend, Job: j.id, Worker: w.info.ID, Timeout: max(j.deadline-s.now, 1)})
+	miss := s.missProbability(j, w)
+	x := (j.work + miss*s.fetchTime/w.slowdown) * j.slots
+	w.rememberDataSet(j.key)
+	j.attempts[j.attemptCount] = attempt{worker: i, outstanding: true, zone: w.info.Zone, cell: w.info.Cell, sent: s.now, slotWork: x, missProbability: miss}
+	j.attemptCount++
+	j.outstanding++
+	w.outstanding++
+	w.ownBacklog += x
+	w.slowStartUsed += max(x, j.maxWork*j.slots)
+	w.recentSends, w.recentSendsAt = w.recentSends*math.Exp(-seconds(s.now-w.recentSendsAt)/rateTimeConstant)+1, s.now
+	s.emit(Action{Kind: ActSend, Job: j.id, Worker: w.info.ID, Timeout: max(j.deadline-s.now, 1)})
 }
 
 // Arrive takes a new job.
@@ -85,7 +85,7 @@
 	if _, dup := s.byJob[in.ID]; dup {
 		return s.end()
 	}
-	i := s.newJob()
+	i := s.allocJob()
 	s.byJob[in.ID] = i
 	j := &s.jobs[i]
 	class := in.Class
@@ -93,12 +93,12 @@
 		class = len(s.cfg.Classes) - 1
 	}
 	c := &s.cfg.Classes[class]
-	*j = job{id: in.ID, held: true, gen: j.gen + 1, class: class, tenant: in.Tenant, key: in.Key, slots: 1,
-		work: s.classWork[class], most: s.classWork[class], arrived: s.now, deadline: in.Deadline, price: in.Price}
+	*j = job{id: in.ID, inUse: true, generation: j.generation + 1, class: class, tenant: in.Tenant, key: in.Key, slots: 1,
+		work: s.classWork[class], maxWork: s.classWork[class], arrived: s.now, deadline: in.Deadline, slotPrice: in.Price}
 	if in.Hint > 0 {
 		hint, mean := seconds(in.Hint), &s.classWork[class]
-		j.work = math.Pow(*mean, 1-hintTrust) * math.Pow(hint, hintTrust)
-		j.most = max(j.work, hint)
+		j.work = math.Pow(*mean, 1-hintWeight) * math.Pow(hint, hintWeight)
+		j.maxWork = max(j.work, hint)
 		*mean += (hint - *mean) * 0.05
 	}
 	for _, need := range [...]float64{in.Slots, in.Memory} { // a worker has a unit of memory for each slot
@@ -114,36 +114,36 @@
 		// Its aim runs from the first try. What is left to the client tells when that was; served late it is worth nothing.
 		asked = min(asked, j.deadline-c.Deadline)
 	}
-	j.aimAt = min(asked+c.Aim+int64(c.Stretch*j.work*1e6), j.deadline)
-	s.count(j)
-	s.update()
-	s.demand(j)
-	share := s.share(in.Tenant, in.Share)
+	j.targetAt = min(asked+c.Aim+int64(c.Stretch*j.work*1e6), j.deadline)
+	s.countArrival(j)
+	s.refreshEstimates()
+	s.recordDemand(j)
+	share := s.valueShare(in.Tenant, in.Share)
 	s.classShare[class] += (share - s.classShare[class]) * 0.03
-	j.worth = s.jobWorth(class, j.work) / s.meanWorth * share
-	s.weighed = [...]float64{j.worth * s.meanWorth, j.work * j.slots, seconds(j.aimAt-s.now) - j.work}
+	j.value = s.jobValue(class, j.work) / s.meanValue * share
+	s.lastEstimate = [...]float64{j.value * s.meanValue, j.work * j.slots, seconds(j.targetAt-s.now) - j.work}
 	s.place(i)
 	return s.end()
 }
 
 // share is the fraction of its worth that a tenant's next job earns: full within this scheduler's part of the quota,
 // the configured rest beyond it. Where the fleet's own limits have decided it, that holds.
-func (s *Scheduler) share(t int, decided float64) float64 {
+func (s *Scheduler) valueShare(t int, decided float64) float64 {
 	switch {
 	case decided > 0:
 		return decided
-	case len(s.used) == 0:
+	case len(s.quotaUsed) == 0:
 		return 1
-	case t < 0 || t >= len(s.used):
+	case t < 0 || t >= len(s.quotaUsed):
 		return s.cfg.OverShare // where there are shares, who is not named has none
 	case s.cfg.Tenants[t].Quota <= 0:
 		return 1
 	}
 	rate := s.cfg.Tenants[t].Quota / float64(s.cfg.Schedulers)
 	const burst = 4.0 // seconds of quota that may be saved up: rides out the unevenness of one scheduler's part
-	s.used[t], s.usedAt[t] = max(s.used[t]-rate*seconds(s.now-s.usedAt[t]), 0), s.now
-	if s.used[t]+1 <= max(rate*burst, 2) {
-		s.used[t]++
+	s.quotaUsed[t], s.quotaUsedAt[t] = max(s.quotaUsed[t]-rate*seconds(s.now-s.quotaUsedAt[t]), 0), s.now
+	if s.quotaUsed[t]+1 <= max(rate*burst, 2) {
+		s.quotaUsed[t]++
 		return 1
 	}
 	return s.cfg.OverShare
@@ -152,31 +152,31 @@
 // place sends a job to the worker of lowest cost, holds it while there is none, or refuses it when it is in vain.
 func (s *Scheduler) place(i int32) {
 	j := &s.jobs[i]
-	if s.now >= s.lastCall(j) {
+	if s.now >= s.answerBy(j) {
 		s.finish(i)
 		return
 	}
 	b := s.choose(j)
-	if b.w < 0 {
-		if s.spent(j) || j.n > 0 && !s.repeatable(j) {
+	if b.worker < 0 {
+		if s.attemptsExhausted(j) || j.attemptCount > 0 && !s.hasRetryWorker(j) {
 			s.finish(i)
 			return
 		}
-		s.reviewAt(i, s.now+holdGap)
+		s.scheduleReview(i, s.now+holdInterval)
 		return
 	}
-	if s.vain(j, b.late) {
+	if s.shouldRefuse(j, b.violation) {
 		s.finish(i)
 		return
 	}
-	s.send(j, b.w)
-	s.reviewAt(i, s.now+s.checkAfter(b.w))
+	s.send(j, b.worker)
+	s.scheduleReview(i, s.now+s.startCheckDelay(b.worker))
 }
 
 // repeatable tells whether a worker that was not tried could be sent the job, else it would be held until its deadline.
-func (s *Scheduler) repeatable(j *job) bool {
-	return slices.ContainsFunc(s.ready, func(i int32) bool { return s.mayRepeat(j, &s.workers[i]) && !j.tried(i) })
+func (s *Scheduler) hasRetryWorker(j *job) bool {
+	return slices.ContainsFunc(s.ready, func(i int32) bool { return s.mayAttempt(j, &s.workers[i]) && !j.triedOn(i) })
 }
 
 // lastCall is when a job must be answered: one tick before the client's time is up.
-func (s *Scheduler) lastCall(j *job) int64 { return j.deadline - s.cfg.Resolution }
+func (s *Scheduler) answerBy(j *job) int64 { return j.deadline - s.cfg.Resolution }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -10,49 +10,49 @@
 // rules from these alone. It models no queue: outcomes are drawn at random among the legal ones.
 
 type checkAttempt struct {
-	worker  WorkerID
-	sent    int64
-	out     bool
-	never   bool
-	zone    int
-	cell    int
-	started bool
+	worker      WorkerID
+	sent        int64
+	outstanding bool
+	neverRan    bool
+	zone        int
+	cell        int
+	started     bool
 }
 
 type checkJob struct {
 	class    int
 	deadline int64
 	answers  int
-	told     bool // the scheduler knows of the end
-	att      []checkAttempt
+	closed   bool // the scheduler knows of the end
+	attempts []checkAttempt
 }
 
 type checkWorker struct {
-	info    WorkerInfo
-	toldOff int64 // when it was told gone or draining; 0 = ready
-	listed  bool
-	cold    []coldSend
+	info           WorkerInfo
+	notReadySince  int64 // when it was told gone or draining; 0 = ready
+	listed         bool
+	slowStartSends []checkedSend
 }
 
-type coldSend struct {
+type checkedSend struct {
 	at   int64
 	work float64
 }
 
 type checker struct {
-	cfg     Config
-	now     int64
-	jobs    map[JobID]*checkJob
-	order   []JobID
-	workers map[WorkerID]*checkWorker
-	ids     []WorkerID
-	faults  []string
-	wakes   []int64
-	hints   map[JobID]float64
+	cfg        Config
+	now        int64
+	jobs       map[JobID]*checkJob
+	order      []JobID
+	workers    map[WorkerID]*checkWorker
+	ids        []WorkerID
+	violations []string
+	wakes      []int64
+	hints      map[JobID]float64
 }
 
-func (c *checker) fault(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
+func (c *checker) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
 // apply books the actions of one call.
@@ -64,19 +64,19 @@
 		case ActSend:
 			c.send(a)
 		case ActCancel:
-			if j := c.jobs[a.Job]; j == nil || a.Attempt >= len(j.att) {
-				c.fault("cancel of an attempt never made")
+			if j := c.jobs[a.Job]; j == nil || a.Attempt >= len(j.attempts) {
+				c.violation("cancel of an attempt never made")
 			}
 		case ActRefuse, ActFail:
 			j := c.jobs[a.Job]
-			if j == nil || j.told {
-				c.fault("answer for job %d that is not open", a.Job)
+			if j == nil || j.closed {
+				c.violation("answer for job %d that is not open", a.Job)
 				continue
 			}
 			j.answers++
-			j.told = true
+			j.closed = true
 			if c.now > j.deadline+c.cfg.AnswerSlack {
-				c.fault("job %d answered late", a.Job)
+				c.violation("job %d answered late", a.Job)
 			}
 			if a.Kind == ActRefuse {
 				c.refuse(a.Job, j)
@@ -87,60 +87,60 @@
 
 func (c *checker) refuse(id JobID, j *checkJob) {
 	k := c.cfg.Classes[j.class]
-	for _, a := range j.att {
-		ok := a.never || k.Repeat == RepeatSafe || k.Repeat == RepeatKeyed && k.Group == GroupAll
+	for _, a := range j.attempts {
+		ok := a.neverRan || k.Repeat == RepeatSafe || k.Repeat == RepeatKeyed && k.Group == GroupAll
 		if !ok {
-			c.fault("job %d refused though it may have run", id)
+			c.violation("job %d refused though it may have run", id)
 		}
 	}
 }
 
 func (c *checker) send(a Action) {
 	j, w := c.jobs[a.Job], c.workers[a.Worker]
-	if j == nil || j.told {
-		c.fault("send for job %d that is not open", a.Job)
+	if j == nil || j.closed {
+		c.violation("send for job %d that is not open", a.Job)
 		return
 	}
 	if w == nil || !w.listed {
-		c.fault("send to a worker not listed")
+		c.violation("send to a worker not listed")
 		return
 	}
-	if w.toldOff != 0 && c.now > w.toldOff+c.cfg.DrainGrace {
-		c.fault("send to worker %d, told off %d us ago", a.Worker, c.now-w.toldOff)
+	if w.notReadySince != 0 && c.now > w.notReadySince+c.cfg.DrainGrace {
+		c.violation("send to worker %d, told off %d us ago", a.Worker, c.now-w.notReadySince)
 	}
-	if len(j.att) >= c.cfg.MaxAttempts {
-		c.fault("job %d has too many attempts", a.Job)
+	if len(j.attempts) >= c.cfg.MaxAttempts {
+		c.violation("job %d has too many attempts", a.Job)
 	}
 	k := c.cfg.Classes[j.class]
 	if k.WorkerKind >= 0 && k.WorkerKind != w.info.Kind {
-		c.fault("job %d on a worker of the wrong kind", a.Job)
+		c.violation("job %d on a worker of the wrong kind", a.Job)
 	}
-	for _, o := range j.att {
-		if o.out && !c.cfg.MayCopy {
-			c.fault("job %d has two attempts out", a.Job)
+	for _, o := range j.attempts {
+		if o.outstanding && !c.cfg.MayCopy {
+			c.violation("job %d has two attempts out", a.Job)
 		}
-		if o.never || k.Repeat == RepeatSafe {
+		if o.neverRan || k.Repeat == RepeatSafe {
 			continue
 		}
 		same := k.Group == GroupAll || o.zone == w.info.Zone && (k.Group == GroupZone || o.cell == w.info.Cell)
 		if k.Repeat == RepeatUnsafe || !same || c.now-o.sent > k.Window {
-			c.fault("job %d sent again though it may have run", a.Job)
+			c.violation("job %d sent again though it may have run", a.Job)
 		}
 	}
-	j.att = append(j.att, checkAttempt{worker: a.Worker, sent: c.now, out: true, zone: w.info.Zone, cell: w.info.Cell})
-	c.coldBudget(w, c.hints[a.Job])
+	j.attempts = append(j.attempts, checkAttempt{worker: a.Worker, sent: c.now, outstanding: true, zone: w.info.Zone, cell: w.info.Cell})
+	c.checkSlowStartBudget(w, c.hints[a.Job])
 }
 
 // coldBudget holds one scheduler to the whole fleet's budget over any window: with a capacity of one slot of
 // standard speed for each worker, which the driver's outcomes do not exceed, that is the loosest legal bound.
-func (c *checker) coldBudget(w *checkWorker, work float64) {
+func (c *checker) checkSlowStartBudget(w *checkWorker, work float64) {
 	age := c.now - w.info.UpSince
 	if c.cfg.Cold == 0 || w.info.UpSince <= 0 || age >= c.cfg.Cold {
 		return
 	}
-	w.cold = append(w.cold, coldSend{c.now, work})
+	w.slowStartSends = append(w.slowStartSends, checkedSend{c.now, work})
 	sum := 0.0
-	for _, s := range w.cold {
+	for _, s := range w.slowStartSends {
 		if c.now-s.at < c.cfg.FallWindow {
 			sum += s.work
 		}
@@ -148,15 +148,15 @@
 	share := c.cfg.StartCapacity + (1-c.cfg.StartCapacity)*float64(max(age, 0))/float64(c.cfg.Cold)
 	const slots = 4.0 // as the driver's reports say
 	if limit := c.cfg.FallMultiple * share * slots * float64(c.cfg.FallWindow) / 1e6; sum > limit {
-		c.fault("cold worker %d was sent %.3f s of work, may take %.3f", w.info.ID, sum, limit)
+		c.violation("cold worker %d was sent %.3f s of work, may take %.3f", w.info.ID, sum, limit)
 	}
 }
 
-func (c *checker) overdue() {
+func (c *checker) checkOverdue() {
 	for _, id := range c.order {
-		if j := c.jobs[id]; !j.told && c.now > j.deadline+c.cfg.AnswerSlack {
-			c.fault("job %d got no answer in time", id)
-			j.told = true
+		if j := c.jobs[id]; !j.closed && c.now > j.deadline+c.cfg.AnswerSlack {
+			c.violation("job %d got no answer in time", id)
+			j.closed = true
 		}
 	}
 }
@@ -184,7 +184,7 @@
 }
 
 // drive plays one random legal history and gives the faults found.
-func drive(seed int64, steps int) []string {
+func runRandomHistory(seed int64, steps int) []string {
 	r := rand.New(rand.NewSource(seed))
 	c := &checker{cfg: ruleConfig(r), now: 50_000_000, jobs: map[JobID]*checkJob{},
 		workers: map[WorkerID]*checkWorker{}, hints: map[JobID]float64{}}
@@ -208,7 +208,7 @@
 			c.apply(s.Workers(c.now, ListFailed, nil, buf[:0]))
 		case k < 48 && len(c.order) > 0:
 			id := c.order[r.Intn(len(c.order))]
-			c.jobs[id].told = true
+			c.jobs[id].closed = true
 			c.apply(s.HangUp(c.now, id, buf[:0]))
 		case k < 50:
 			s.Heard(c.now, WorkerID(r.Intn(12)), r.ExpFloat64()*5, c.now-int64(r.Intn(3_000_000)))
@@ -219,23 +219,23 @@
 		default:
 			c.attemptEvent(s, r)
 		}
-		c.overdue()
+		c.checkOverdue()
 	}
 	for range 4000 { // the end of the day: everything still open must be answered
 		c.now += c.cfg.Resolution
 		c.wake(s)
 	}
-	c.overdue()
-	if left := len(s.byJob); left > 0 && c.noneOut() {
-		c.fault("%d answered jobs are still held", left)
+	c.checkOverdue()
+	if left := len(s.byJob); left > 0 && c.noneOutstanding() {
+		c.violation("%d answered jobs are still held", left)
 	}
-	return c.faults
+	return c.violations
 }
 
-func (c *checker) noneOut() bool {
+func (c *checker) noneOutstanding() bool {
 	for _, j := range c.jobs {
-		for _, a := range j.att {
-			if a.out {
+		for _, a := range j.attempts {
+			if a.outstanding {
 				return false
 			}
 		}
@@ -287,9 +287,9 @@
 		w.info.Phase = []Phase{Ready, Ready, Ready, Draining, Gone}[r.Intn(5)]
 		if w.info.Phase == Ready && r.Intn(3) == 0 && how != ListCached {
 			w.info.UpSince = c.now - r.Int63n(1_000_000)
-			w.cold = nil
+			w.slowStartSends = nil
 		}
-		c.tell(w)
+		c.recordPhase(w)
 		delta = append(delta, w.info)
 	}
 	if how != ListDelta {
@@ -303,12 +303,12 @@
 	c.apply(s.Workers(c.now, how, delta, nil))
 }
 
-func (c *checker) tell(w *checkWorker) {
+func (c *checker) recordPhase(w *checkWorker) {
 	w.listed = w.listed || w.info.Phase != Gone
 	if w.info.Phase == Ready {
-		w.toldOff = 0
-	} else if w.toldOff == 0 {
-		w.toldOff = c.now
+		w.notReadySince = 0
+	} else if w.notReadySince == 0 {
+		w.notReadySince = c.now
 	}
 }
 
@@ -320,9 +320,9 @@
 	at := len(c.order) - 1 - r.Intn(min(len(c.order), 40))
 	id := c.order[at]
 	j := c.jobs[id]
-	for k := range j.att {
-		a := &j.att[k]
-		if !a.out {
+	for k := range j.attempts {
+		a := &j.attempts[k]
+		if !a.outstanding {
 			continue
 		}
 		switch {
@@ -339,25 +339,25 @@
 }
 
 func (c *checker) end(s *Scheduler, r *rand.Rand, id JobID, j *checkJob, k int) {
-	a := &j.att[k]
-	a.out = false
+	a := &j.attempts[k]
+	a.outstanding = false
 	res := Result(r.Intn(8))
 	if a.started && (res == Refused || res == ConnectFailed || res == Moot) {
 		res = Broken
 	}
-	a.never = res == Refused || res == ConnectFailed || res == Moot
-	if res == Served && !j.told {
+	a.neverRan = res == Refused || res == ConnectFailed || res == Moot
+	if res == Served && !j.closed {
 		j.answers++
-		j.told = true
+		j.closed = true
 	}
-	o := Outcome{Job: id, Attempt: k, Worker: a.worker, Result: res, Elapsed: c.now - a.sent, Settled: j.told,
+	o := Outcome{Job: id, Attempt: k, Worker: a.worker, Result: res, Elapsed: c.now - a.sent, Settled: j.closed,
 		Report: []float32{float32(r.Intn(5)), float32(r.Intn(9))}}
 	c.apply(s.Outcome(c.now, o, nil))
 }
 
-func TestRulesUnderAnyOrder(t *testing.T) {
+func TestRulesHoldInAnyEventOrder(t *testing.T) {
 	for seed := int64(1); seed <= 150; seed++ {
-		if faults := drive(seed, 1500); len(faults) > 0 {
+		if faults := runRandomHistory(seed, 1500); len(faults) > 0 {
 			t.Errorf("seed %d: %d faults, first %s", seed, len(faults), faults[0])
 		}
 	}
@@ -366,7 +366,7 @@
 func FuzzRules(f *testing.F) {
 	f.Add(int64(1), uint16(300))
 	f.Fuzz(func(t *testing.T, seed int64, steps uint16) {
-		if faults := drive(seed, int(steps%3000)+1); len(faults) > 0 {
+		if faults := runRandomHistory(seed, int(steps%3000)+1); len(faults) > 0 {
 			t.Errorf("seed %d: %s", seed, faults[0])
 		}
 	})
--- a/logic/scheduler.go
+++ b/logic/scheduler.go
@@ -15,7 +15,7 @@
 		return nil, errors.New("config: Classes is empty")
 	}
 	cfg.Schedulers = max(cfg.Schedulers, 1)
-	cfg.MaxAttempts = min(max(cfg.MaxAttempts, 1), maxTries)
+	cfg.MaxAttempts = min(max(cfg.MaxAttempts, 1), maxAttemptsKept)
 	cfg.Zones = max(cfg.Zones, 1)
 	cfg.Resolution = orDefault(cfg.Resolution, 1000)
 	cfg.FallWindow = orDefault(cfg.FallWindow, 1_000_000)
@@ -23,69 +23,69 @@
 	cfg.Classes = slices.Clone(cfg.Classes)
 	n := len(cfg.Classes)
 	s := &Scheduler{
-		cfg: cfg, rand: seed*0x9E3779B97F4A7C15 | 1, byID: map[WorkerID]int32{}, byJob: map[JobID]int32{},
-		homes: map[uint64]*homes{}, lists: 1,
+		cfg: cfg, rngState: seed*0x9E3779B97F4A7C15 | 1, byID: map[WorkerID]int32{}, byJob: map[JobID]int32{},
+		affinities: map[uint64]*affinity{}, listVersion: 1,
 		classRate: make([]float64, n), classWork: make([]float64, n),
-		classShare: make([]float64, n), weight: make([]float64, n),
-		base: make([]float64, cfg.Zones), used: make([]float64, len(cfg.Tenants)),
-		usedAt: make([]int64, len(cfg.Tenants)), zones: make([]zone, cfg.Zones), seen: seenFirst,
+		classShare: make([]float64, n), classWeight: make([]float64, n),
+		baseDelay: make([]float64, cfg.Zones), quotaUsed: make([]float64, len(cfg.Tenants)),
+		quotaUsedAt: make([]int64, len(cfg.Tenants)), zones: make([]zone, cfg.Zones), meanBacklog: initialBacklog,
 	}
 	for i := range cfg.Classes {
 		c := &s.cfg.Classes[i]
 		c.Deadline = orDefault(c.Deadline, 10_000_000)
 		c.Aim = orDefault(c.Aim, c.Deadline)
 	}
-	s.guess()
-	s.update()
+	s.initEstimates()
+	s.refreshEstimates()
 	return s, nil
 }
 
 // begin takes the time of an event; a time that goes back counts as the latest seen.
 func (s *Scheduler) begin(now int64, out []Action) {
-	if s.started == 0 {
-		s.started = max(now, 1)
+	if s.startedAt == 0 {
+		s.startedAt = max(now, 1)
 		s.ratesAt = now
 	}
 	s.now = max(s.now, now)
-	s.warmup = max(1-math.Exp(-seconds(s.now-s.started)/rateSpan), 0.02)
-	s.out = out
+	s.rateCoverage = max(1-math.Exp(-seconds(s.now-s.startedAt)/rateTimeConstant), 0.02)
+	s.actions = out
 }
 
 // end arms the wake-up for the earliest timer and hands the actions back.
 func (s *Scheduler) end() []Action {
 	if len(s.timers) > 0 {
-		if at := s.timers[0].at; s.armed == 0 || at < s.armed || s.armed <= s.now {
-			s.armed = max(at, s.now+1)
-			s.do(Action{Kind: ActWake, At: s.armed})
+		if at := s.timers[0].at; s.armedAt == 0 || at < s.armedAt || s.armedAt <= s.now {
+			s.armedAt = max(at, s.now+1)
+			s.emit(Action{Kind: ActWake, At: s.armedAt})
 		}
 	}
-	out := s.out
-	s.out = nil
+	out := s.actions
+	s.actions = nil
 	return out
 }
 
-func (s *Scheduler) do(a Action) { s.out = append(s.out, a) }
+func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
 // settle marks a job as answered and calls off its attempts.
-func (s *Scheduler) settle(j *job) {
-	j.done = true
-	for k := range j.n {
-		s.callOff(j, k)
+func (s *Scheduler) markAnswered(j *job) {
+	j.answered = true
+	for k := range j.attemptCount {
+		s.cancelAttempt(j, k)
 	}
 }
 
 // unload takes an attempt's work off its worker's backlog at once.
-func (s *Scheduler) unload(a *attempt) {
-	w := &s.workers[a.w]
-	w.own = max(w.own-a.x, 0)
-	a.x = 0
+func (s *Scheduler) removeBacklog(a *attempt) {
+	w := &s.workers[a.worker]
+	w.ownBacklog = max(w.ownBacklog-a.slotWork, 0)
+	a.slotWork = 0
 }
 
 // HangUp takes the news that a client has left.
 func (s *Scheduler) HangUp(now int64, id JobID, out []Action) []Action {
 	s.begin(now, out)
-	if i, ok := s.byJob[id]; ok && !s.jobs[i].done {
-		s.settle(&s.jobs[i])
+	if i, ok := s.byJob[id]; ok && !s.jobs[i].answered {
+		s.markAnswered(&s.jobs[i])
 		s.release(i)
 	}
 	return s.end()
@@ -94,23 +94,23 @@
 // release lets go of a job that is answered and has nothing out.
 func (s *Scheduler) release(i int32) {
 	j := &s.jobs[i]
-	if !j.held || !j.done || j.live > 0 {
+	if !j.inUse || !j.answered || j.outstanding > 0 {
 		return
 	}
 	delete(s.byJob, j.id)
-	j.held = false
-	j.gen++
-	s.freeJ = append(s.freeJ, i)
+	j.inUse = false
+	j.generation++
+	s.freeJobs = append(s.freeJobs, i)
 }
 
 // The kinds of timers.
 const (
 	timerJob = iota
-	timerAsk
+	timerSubscribe
 )
 
-func (s *Scheduler) timer(at int64, what int, job int32, gen uint32) {
-	s.timers.push(timerEntry{at: at, what: what, job: job, gen: gen})
+func (s *Scheduler) addTimer(at int64, what int, job int32, gen uint32) {
+	s.timers.push(timerEntry{at: at, kind: what, job: job, generation: gen})
 }
 
 // Wake takes a wake-up. The token is not needed: what is due is due.
@@ -119,10 +119,10 @@
 	for len(s.timers) > 0 && s.timers[0].at <= s.now {
 		t := s.timers.pop()
 		switch {
-		case t.what == timerAsk:
-			s.do(Action{Kind: ActSubscribe})
-		case s.jobs[t.job].gen == t.gen && s.jobs[t.job].review == t.at:
-			s.look(t.job)
+		case t.kind == timerSubscribe:
+			s.emit(Action{Kind: ActSubscribe})
+		case s.jobs[t.job].generation == t.generation && s.jobs[t.job].reviewAt == t.at:
+			s.review(t.job)
 		}
 	}
 	return s.end()
--- a/logic/timers.go
+++ b/logic/timers.go
@@ -1,10 +1,10 @@
 package logic
 
 type timerEntry struct {
-	at   int64
-	what int
-	job  int32
-	gen  uint32
+	at         int64
+	kind       int
+	job        int32
+	generation uint32
 }
 
 // timerHeap is a binary heap with the earliest timer first.
--- a/logic/told_test.go
+++ b/logic/told_test.go
@@ -4,29 +4,29 @@
 
 // What the others' runs say of a worker counts beside this scheduler's own, and fades as they do; a verdict keeps jobs off a
 // worker until its time or the next sign of life; a share that the fleet has decided holds.
-func TestTold(t *testing.T) {
+func TestStateReportedByOtherSchedulers(t *testing.T) {
 	c := testConfig()
 	c.Schedulers = max(c.Schedulers, 1)
 	s := newFleet(t, c, readyWorkers(2))[0]
 	slow, other := &s.workers[s.byID[1]], &s.workers[s.byID[2]]
 	s.HeardRan(t0, 1, 40, 10)
-	now := s.paceOf(slow)
-	if now < 2*s.paceOf(other) {
-		t.Errorf("pace %g beside %g after runs of four times the work", now, s.paceOf(other))
+	now := s.slowdownOf(slow)
+	if now < 2*s.slowdownOf(other) {
+		t.Errorf("pace %g beside %g after runs of four times the work", now, s.slowdownOf(other))
 	}
 	s.now += 40_000_000
-	s.fadePace(slow)
-	if later := s.paceOf(slow); later > (now+s.paceOf(other))/2 {
+	s.decayStats(slow)
+	if later := s.slowdownOf(slow); later > (now+s.slowdownOf(other))/2 {
 		t.Errorf("pace %g, %g forty seconds later", now, later)
 	}
 	s.Verdict(s.now, 1, s.now+1_000_000)
 	if to := sends(s.Arrive(s.now, Job{ID: 1, Deadline: s.now + 2_000_000}, nil)); len(to) != 1 || to[0] != 2 {
 		t.Errorf("sent to %v under a verdict on 1", to)
 	}
-	if s.wellness(slow); s.now < slow.ejected {
+	if s.markAlive(slow); s.now < slow.ejectedUntil {
 		t.Error("a sign of life does not end a verdict")
 	}
-	if got := s.share(0, 0.25); got != 0.25 {
+	if got := s.valueShare(0, 0.25); got != 0.25 {
 		t.Errorf("share %g where 0.25 is decided", got)
 	}
 }
--- a/logic/value/value.go
+++ b/logic/value/value.go
@@ -15,9 +15,9 @@
 const RhoMax = 0.98
 
 const (
-	levels = 50       // utilisation levels of the tables: steps of 0.02 are finer than the estimate
-	step   = 1.0 / 32 // of a table in units of d: error of the lerp far under that of u
-	span   = 48       // length of a table in units of d; beyond it G is linear to many digits
+	levels      = 50       // utilisation levels of the tables: steps of 0.02 are finer than the estimate
+	tableStep   = 1.0 / 32 // of a table in units of d: error of the lerp far under that of u
+	tableLength = 48       // length of a table in units of d; beyond it G is linear to many digits
 )
 
 // Table holds G for one utilisation at steps of step.
@@ -38,9 +38,9 @@
 // grid four times finer than the one kept.
 func newTable(rho float64) Table {
 	const fine = 4
-	const h = step / fine
+	const h = tableStep / fine
 	const lag = int(1 / h)
-	n := span*lag + 1
+	n := tableLength*lag + 1
 	full := make([]float64, n)
 	for i := 1; i < n; i++ {
 		if i <= lag {
@@ -52,7 +52,7 @@
 		e, slope := math.Expm1(rho*h), (f1-f0)/h
 		full[i] = full[i-1]*(1+e) + (1-f0)*e - slope*(e/rho-h)
 	}
-	t := Table{rho: rho, g: make([]float64, span*int(1/step)+1)}
+	t := Table{rho: rho, g: make([]float64, tableLength*int(1/tableStep)+1)}
 	for i := range t.g {
 		t.g[i] = full[i*fine]
 	}
@@ -70,10 +70,10 @@
 	if !(q > 0) {
 		return 0
 	}
-	p := q / step
+	p := q / tableStep
 	i := int(p)
 	if last := len(t.g) - 1; i >= last {
-		return t.g[last] + (q-span)*t.rho/(1-t.rho)
+		return t.g[last] + (q-tableLength)*t.rho/(1-t.rho)
 	}
 	return t.g[i] + (p-float64(i))*(t.g[i+1]-t.g[i])
 }
--- a/logic/value/value_test.go
+++ b/logic/value/value_test.go
@@ -44,7 +44,7 @@
 }
 
 // refWithin is equation (2), P(W <= tau), with s = tau/d.
-func refWithin(rho, s float64) float64 {
+func refWaitWithin(rho, s float64) float64 {
 	total := bigFloat(0)
 	for i := 0; i <= int(math.Floor(s)); i++ {
 		z := bigFloat(float64(i))
@@ -59,7 +59,7 @@
 	return v * (1 - rho)
 }
 
-func TestValueAgainstPaper(t *testing.T) {
+func TestTableMatchesPublishedFormulas(t *testing.T) {
 	for _, level := range []int{0, 4, 14, 24, 34, 44, 49} {
 		tab := &tables[level]
 		rho := tab.rho
@@ -68,7 +68,7 @@
 			if tol := 2e-4 * (1 + want); math.Abs(got-want) > tol {
 				t.Errorf("rho %.3f q %.2f: G = %.9f, want %.9f", rho, q, got, want)
 			}
-			wantSlope, gotSlope := rho/(1-rho)*refWithin(rho, q), tab.Slope(q)
+			wantSlope, gotSlope := rho/(1-rho)*refWaitWithin(rho, q), tab.Slope(q)
 			if math.Abs(gotSlope-wantSlope) > 2e-3*(1+wantSlope) {
 				t.Errorf("rho %.3f s %.2f: slope = %.9f, want %.9f", rho, q, gotSlope, wantSlope)
 			}
@@ -77,21 +77,21 @@
 }
 
 // value is v(u)-v(tau) in units of d.
-func value(tab *Table, s, y float64) float64 { return tab.At(s-y) - tab.Slope(s)*(s-y) }
+func relativeValue(tab *Table, s, y float64) float64 { return tab.At(s-y) - tab.Slope(s)*(s-y) }
 
-func TestValueShape(t *testing.T) {
+func TestValueIsMonotoneWithConstantSlopePastDeadline(t *testing.T) {
 	for i := range tables {
 		tab := &tables[i]
 		for _, s := range []float64{0.3, 1, 3.7, 12, 45, 80} {
 			last := math.Inf(-1)
 			for y := 0.0; y < s+5; y += 0.125 {
-				v := value(tab, s, y)
+				v := relativeValue(tab, s, y)
 				if math.IsNaN(v) || math.IsInf(v, 0) || v < last-1e-3 {
 					t.Fatalf("rho %.2f s %.1f u %.3f: v = %g after %g", tab.rho, s, y, v, last)
 				}
 				last = v
 			}
-			rise := value(tab, s, s+3) - value(tab, s, s+2)
+			rise := relativeValue(tab, s, s+3) - relativeValue(tab, s, s+2)
 			if math.Abs(rise-tab.Slope(s)) > 1e-9 {
 				t.Errorf("rho %.2f s %.1f: past the deadline v rises by %g a job, want %g", tab.rho, s, rise, tab.Slope(s))
 			}
@@ -103,11 +103,11 @@
 }
 
 // The paper's example: d = 1, tau = 2.5; an empty queue's admission cost is the chance of a wait past tau.
-func TestAdmissionToEmpty(t *testing.T) {
+func TestAdmissionCostOfEmptyQueue(t *testing.T) {
 	for _, rho := range []float64{0.2, 0.6, 0.8} {
 		tab := newTable(rho)
-		got := value(&tab, 2.5, 1) - value(&tab, 2.5, 0)
-		if want := 1 - refWithin(rho, 2.5); math.Abs(got-want) > 1e-3 {
+		got := relativeValue(&tab, 2.5, 1) - relativeValue(&tab, 2.5, 0)
+		if want := 1 - refWaitWithin(rho, 2.5); math.Abs(got-want) > 1e-3 {
 			t.Errorf("rho %.1f: a(0) = %.6f, want P(W >= tau) = %.6f", rho, got, want)
 		}
 	}
