--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost hosts scheduler instances on the simulator's wire: it reads batches of events from
-// standard input and writes one reply to each. It translates and decides nothing.
+// Command simhost runs scheduler instances for the simulator. It reads batches of events in the simulator's binary
+// protocol (internal/wire) from standard input and writes one reply per batch to standard output. It only translates
+// between the protocol and package logic.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	}
 }
 
-// host maps instances to their schedulers.
+// host holds the scheduler instances by number, and the worker lists that the simulator has sent.
 type host struct {
 	schedulers  map[uint16]*logic.Scheduler
 	workerLists [16][]logic.WorkerInfo
@@ -54,7 +55,7 @@
 	}
 }
 
-// batch carries out one batch; a faulty one is found before any of its events is handed on.
+// handleBatch processes one batch. All of its events are checked before the first is handled.
 func (h *host) handleBatch(frame []byte) error {
 	var b wire.Batch
 	if err := b.Open(frame); err != nil {
@@ -73,7 +74,7 @@
 	}
 }
 
-// handle hands one event to its instance and writes down the actions.
+// handle passes one event to its instance and adds the resulting actions to the reply.
 func (h *host) handle(now int64, e *wire.Event) {
 	switch e.Code {
 	case wire.EvLedger:
@@ -96,6 +97,7 @@
 	}
 }
 
+// startInstance creates the instance of a start event, or adds a fault to the reply if its settings are invalid.
 func (h *host) startInstance(e *wire.Event) {
 	delete(h.schedulers, e.Inst)
 	cfg, err := wire.ParseSettings(e.Text)
@@ -109,6 +111,7 @@
 	h.reply.Fault(e.Inst, err.Error())
 }
 
+// storeWorkerList replaces a numbered worker list, to which later list events refer.
 func (h *host) storeWorkerList(e *wire.Event) {
 	if int(e.Set) >= len(h.workerLists) {
 		return
@@ -123,7 +126,7 @@
 	h.workerLists[e.Set] = list
 }
 
-// phase maps the wire's states; one that is not known is not sent to.
+// phaseOf maps the protocol's worker states; a worker in an unknown state gets no jobs.
 func phaseOf(v uint8) logic.Phase {
 	switch v {
 	case 1:
@@ -134,13 +137,14 @@
 	return logic.Draining
 }
 
-// listKinds and results map the wire's codes, by position.
+// listKinds and results map the protocol's codes, by position.
 var (
 	listKinds = [...]logic.ListKind{logic.ListCached, logic.ListFailed, logic.ListFull, logic.ListDelta}
 	results   = [...]logic.Result{logic.Served, logic.Failed, logic.Refused, logic.TimedOut,
 		logic.ConnectFailed, logic.Broken, logic.Cancelled, logic.Moot}
 )
 
+// translate calls the scheduler's method for an event and returns acts with the resulting actions appended.
 func (h *host) translate(s *logic.Scheduler, now int64, e *wire.Event, acts []logic.Action) []logic.Action {
 	switch e.Code {
 	case wire.EvUpdate:
@@ -172,7 +176,7 @@
 			return s.Progress(now, logic.JobID(e.Job), int(e.Attempt), float64(e.Share), acts)
 		}
 	case wire.EvAnswer:
-		r := logic.Failed // a result that is not known may have run
+		r := logic.Failed // an unknown result may have run
 		if int(e.Result) < len(results) {
 			r = results[e.Result]
 		}
@@ -185,7 +189,7 @@
 	case wire.EvWake:
 		return s.Wake(now, e.Token, acts)
 	case wire.EvInbox:
-		// Peers tell each other nothing in the simulator; what is due is done.
+		// Peers exchange no messages in the simulator; the event only triggers due timers.
 		return s.Wake(now, 0, acts)
 	}
 	return acts
--- a/internal/seam/built.go
+++ b/internal/seam/built.go
@@ -1,22 +1,22 @@
 //go:build !check
 
-// Package seam is where goroutines meet: sending and receiving on channels, and locks, of code that internal/check runs
-// over all interleavings. In the built program these are the language's own, inlined; with the build tag check each asks
-// first whose turn it is.
+// Package seam holds the synchronisation operations, channel sends and receives and locks, of code that internal/check
+// runs under all interleavings of its goroutines. In normal builds they are the language's own operations, inlined. With
+// the build tag check, each operation first waits until the checker schedules its goroutine.
 package seam
 
 import "sync"
 
-// Mutex is a lock.
+// Mutex is a mutual exclusion lock.
 type Mutex = sync.Mutex
 
-// TrySend sends if there is room now.
+// TrySend sends v without blocking and reports whether it did.
 func TrySend[T any](c chan T, v T) bool { return trySend(c, v) }
 
-// TryRecv receives if there is something now.
+// TryRecv receives without blocking; ok reports whether a value was received.
 func TryRecv[T any](c chan T) (v T, ok bool) { return tryRecv(c) }
 
-// Send sends, and waits for room until done is closed; false if it was.
+// Send sends v, blocking until there is room or done is closed. It reports whether v was sent.
 func Send[T any](c chan T, v T, done <-chan struct{}) bool {
 	select {
 	case c <- v:
@@ -26,7 +26,7 @@
 	}
 }
 
-// Recv receives, and waits until done is closed; false if it was.
+// Recv receives, blocking until there is a value or done is closed. It reports whether a value was received.
 func Recv[T any](c chan T, done <-chan struct{}) (v T, ok bool) {
 	select {
 	case v, ok = <-c:
@@ -36,5 +36,5 @@
 	}
 }
 
-// Close closes a channel that says that something is over.
+// Close closes a channel that signals completion.
 func Close(done chan struct{}) { close(done) }
--- a/internal/seam/checked.go
+++ b/internal/seam/checked.go
@@ -1,12 +1,14 @@
 //go:build check
 
-// Package seam is where goroutines meet; this is its form for internal/check, in which each asks first whose turn it is.
+// Package seam holds the synchronisation operations of code that internal/check runs under all interleavings. In this
+// build each operation first waits until the checker schedules its goroutine.
 package seam
 
 import "sync"
 
-// Turn waits until it is this goroutine's turn to touch some objects; ready tells whether it could go on then, and is nil where
-// it always can. Choose gives one of n ways. Both are set while a check runs, and else nothing waits.
+// Turn blocks until the checker schedules this goroutine's next operation, which uses the given objects; ready reports
+// whether the operation can proceed, and is nil where it always can. Choose returns one of the numbers 0 to n-1, to
+// explore alternatives. Both are set only while a check runs; otherwise operations do not wait for a schedule.
 var (
 	Turn   func(ready func() bool, objects ...any)
 	Choose func(n int) int
@@ -18,33 +20,33 @@
 	}
 }
 
-// Mutex is a lock.
+// Mutex is a mutual exclusion lock.
 type Mutex struct {
 	real sync.Mutex
 	held bool
 }
 
-// Lock waits until the lock is free, and takes it.
+// Lock waits until the lock is free, and acquires it.
 func (m *Mutex) Lock() {
 	turn(func() bool { return !m.held }, m)
 	m.real.Lock()
 	m.held = true
 }
 
-// Unlock frees the lock.
+// Unlock releases the lock.
 func (m *Mutex) Unlock() {
 	turn(nil, m)
 	m.held = false
 	m.real.Unlock()
 }
 
-// TrySend sends if there is room now.
+// TrySend sends v without blocking and reports whether it did.
 func TrySend[T any](c chan T, v T) bool {
 	turn(nil, c)
 	return trySend(c, v)
 }
 
-// TryRecv receives if there is something now.
+// TryRecv receives without blocking; ok reports whether a value was received.
 func TryRecv[T any](c chan T) (v T, ok bool) {
 	turn(nil, c)
 	return tryRecv(c)
@@ -59,7 +61,8 @@
 	}
 }
 
-// Send sends, and waits for room until done is closed; false if it was. Where both could be it is either.
+// Send sends v, blocking until there is room or done is closed, and reports whether v was sent. Where both are
+// possible, Choose decides.
 func Send[T any](c chan T, v T, done <-chan struct{}) bool {
 	turn(func() bool { return len(c) < cap(c) || closed(done) }, c, done)
 	if closed(done) && (Choose == nil || len(c) == cap(c) || Choose(2) == 1) {
@@ -69,7 +72,8 @@
 	return true
 }
 
-// Recv receives, and waits until done is closed; false if it was. Where both could be it is either.
+// Recv receives, blocking until there is a value or done is closed, and reports whether a value was received. Where both
+// are possible, Choose decides.
 func Recv[T any](c chan T, done <-chan struct{}) (v T, ok bool) {
 	turn(func() bool { return len(c) > 0 || closed(done) }, c, done)
 	if closed(done) && (Choose == nil || len(c) == 0 || Choose(2) == 1) {
@@ -79,7 +83,7 @@
 	return v, ok
 }
 
-// Close closes a channel that says that something is over.
+// Close closes a channel that signals completion.
 func Close(done chan struct{}) {
 	turn(nil, (<-chan struct{})(done))
 	close(done)
--- a/internal/seam/try.go
+++ b/internal/seam/try.go
@@ -1,6 +1,6 @@
 package seam
 
-// What both builds do without waiting.
+// Non-blocking operations that both builds share.
 
 func trySend[T any](c chan T, v T) bool {
 	select {
--- a/logic/backlog.go
+++ b/logic/backlog.go
@@ -2,17 +2,19 @@
 
 import "math"
 
-// A worker's u: own outstanding work and what is seen and told of the others' (DESIGN, per-worker state; under strain).
+// Estimate of a worker's backlog u: this scheduler's own outstanding work plus an estimate of the other
+// schedulers' work, from observations and from reports.
 
 const (
-	slotsDecay      = 0.9995    // fade of the most free slots seen at a kind, for each report
-	observationSpan = 2.5       // running times over which a sighting fades: a queue outlives the jobs in it
-	backlogGain     = 0.1       // weight of one sighting in the mean backlog of a kind or zone
-	initialBacklog  = 0.3       // that mean before any sighting, in running times: somewhat over half busy
-	reportSpan      = 2_000_000 // us for which what the other schedulers tell counts as seeing the whole
+	slotsDecay      = 0.9995    // decay of the most free slots seen at a kind, per load report
+	observationSpan = 2.5       // running times over which an observation loses weight: a queue outlives the jobs in it
+	backlogGain     = 0.1       // weight of one observation in the mean backlog of a kind or zone
+	initialBacklog  = 0.3       // mean backlog before any observation, in running times: workers somewhat over half busy
+	reportSpan      = 2_000_000 // us for which a report of the other schedulers' work counts as complete knowledge
 )
 
-// backlog is u: own outstanding work and an estimate of the others', which returns from what was last seen to the mean as jobs turn over.
+// backlog returns u: own outstanding work plus an estimate of the others' work. The estimate returns from the
+// last observation to the mean as jobs turn over.
 func (s *Scheduler) backlog(w *worker) float64 {
 	own := w.ownBacklog * w.drainTime
 	n := float64(s.cfg.Schedulers)
@@ -29,8 +31,9 @@
 	return own + mean + (w.othersBacklog-mean)/(1+t+t*t/2)
 }
 
-// leaning is how much longer a worker's queue is taken to be for this scheduler's own choices of late. What draws it to a
-// worker draws all that hold the same list; one that had more than its part of this one's jobs had more of theirs too.
+// herdFactor scales the expected queue of a worker by this scheduler's own recent choices of it. Whatever makes
+// a worker attractive does so for all schedulers with the same list: a worker that received more than its fair
+// share of this scheduler's jobs received more of theirs too.
 func (s *Scheduler) herdFactor(w *worker) float64 {
 	if s.cfg.Schedulers <= fewSchedulers || s.perWorker <= 0 {
 		return 1
@@ -40,8 +43,8 @@
 	return m * m
 }
 
-// learnStart learns from the time between sending and start: the way there when it was short, and the worker's backlog
-// when it was not.
+// learnStartDelay learns from the time between sending and start: the network delay of the zone when it was
+// short, and the worker's backlog when it was not.
 func (s *Scheduler) learnStartDelay(w *worker, delay float64) {
 	b := &s.baseDelay[w.info.Zone]
 	if delay < *b {
@@ -58,8 +61,9 @@
 	}
 }
 
-// seeOthers notes a backlog seen at a worker; what is this scheduler's own is taken off. The means by kind and by zone are what a worker not lately seen is taken to hold. They guard against a herd: all
-// schedulers know the fast kind, and would all choose it were its queue not expected to be longer for that reason.
+// observeOthers records an observed backlog u of a worker, less this scheduler's own part. The means by kind and
+// by zone are the estimate for workers without a recent observation. They prevent herding: all schedulers know
+// the fast kind of worker and would all choose it if they did not expect its queue to be longer for that reason.
 func (s *Scheduler) observeOthers(w *worker, u float64) {
 	w.othersBacklog, w.othersBacklogAt = max(u-w.ownBacklog*w.drainTime, 0), s.now
 	v := w.othersBacklog / max(w.slowdown*s.meanWork, 1e-3)
@@ -68,7 +72,8 @@
 	}
 }
 
-// Heard takes slot-work that the other schedulers have at a worker, as of a time: a sighting like those of its own.
+// Heard records the slot-work, in seconds, that the other schedulers have at a worker, as of time at. It counts
+// like an own observation; a report older than the last observation is ignored.
 func (s *Scheduler) Heard(now int64, id WorkerID, work float64, at int64) {
 	s.now = max(s.now, now)
 	if i, ok := s.byID[id]; ok && at >= s.workers[i].othersBacklogAt {
@@ -80,13 +85,13 @@
 	}
 }
 
-// HeardDemand takes the slots a second for which the others are asked with a data set, believed until a time.
+// HeardDemand records the slots per second that the other schedulers need for a data set; valid until a time.
 func (s *Scheduler) HeardDemand(key uint64, load float64, until int64) {
 	h := s.affinityOf(key)
 	h.reportedLoad, h.reportedUntil = load, until
 }
 
-// readReport takes a load report: slots of its kind, and the others' backlog.
+// readReport evaluates a load report: the number of slots of the worker's kind, and the others' backlog.
 func (s *Scheduler) readReport(w *worker, values []float32) {
 	told := [...]float64{FieldInflight: -1, FieldQueue: -1, FieldService: -1, FieldRate: -1, FieldFreeSlots: -1}
 	for n, v := range values {
@@ -111,7 +116,7 @@
 	if free < 0 && busy >= 0 {
 		free = max(slots-busy, 0)
 	}
-	// A report is as old as its period and delay; half of what was believed stays.
+	// A report is out of date by its period and delay, so the previous estimate keeps half of its weight.
 	u := s.backlog(w)
 	switch {
 	case free >= 0.5:
--- a/logic/cold.go
+++ b/logic/cold.go
@@ -2,23 +2,28 @@
 
 import "math"
 
-// Workers that have just started: how much of their capacity they have, and how much of it may be used.
+// Slow start: the share of its capacity that a recently started worker has, and how much of it may be used.
 
 const (
-	slowStartShare = 0.4  // share of what a window allows that is used in a slot
-	fewRequests    = 30.0 // requests of mean work below which a window allows more beside them
+	slowStartShare = 0.4  // share of a window's allowance that may be used in one slot
+	fewRequests    = 30.0 // allowance in requests of mean work below which the tolerated excess is relatively larger
 )
 
-// Yield gives this scheduler's part of the budgets of workers that have just started to the process that takes over from it.
+// Yield makes this scheduler send nothing more to workers in slow start, because the process that takes over
+// from it uses this scheduler's part of their budgets.
 func (s *Scheduler) Yield() { s.yielded = true }
 
-// coldAllows keeps a worker that has just started from being pushed over by the sum of all schedulers, and from more work than
-// it can do. With N the requests of mean work that the settings allow it in a FallWindow, it falls beyond N + coldSlack(N) of
-// them in any window. Time is cut into slots as long as a window; in each a few schedulers, the same to all by a hash, may send it
-// an equal part of coldSafety N. The first job in a turn may be larger by an equal part of coldSlack(N) / 2, else jobs larger
-// than a part would go to no cold worker. A few schedulers that each see enough jobs find small ones among them, which a slow
-// worker ends in time. Since a window meets two slots, the sum stays under 2 coldSafety N + coldSlack(N) whatever comes to whom.
-// A scheduler has nothing in the slot in which it started, since its former process may have used its part.
+// slowStartAllows reports whether a worker may be sent this work. It protects a worker in slow start from
+// overload by the sum of all schedulers, and from more work than it can do.
+//
+// Let N be the requests of mean work that the settings allow the worker in a FallWindow; it fails beyond
+// N + slowStartSlack(N) of them in any window. Time is cut into slots as long as a window. In each slot a few
+// schedulers, chosen by a hash that all compute alike, may each send an equal part of slowStartShare N. The
+// first job of a scheduler in a slot may exceed its part by an equal part of slowStartSlack(N) / 2; otherwise jobs
+// larger than a part would never go to a worker in slow start. Only a few schedulers are chosen because each then
+// sees enough jobs to find small ones, which a slow worker completes in time. A window overlaps two slots, so the
+// sum stays under 2 slowStartShare N + slowStartSlack(N) however the jobs are distributed. A scheduler has no part
+// in the slot in which it started, since its predecessor process may have used it.
 func (s *Scheduler) slowStartAllows(w *worker, work float64) bool {
 	if s.warmupFactor(w) >= 1 {
 		return true
@@ -33,7 +38,7 @@
 		w.slowStartSlot, w.slowStartUsed = slot, 0
 	}
 	if s.yielded || w.slowStartSlot == s.startedAt/s.cfg.FallWindow {
-		// The process before this one, or the one that takes over from it, has this scheduler's part of the slot.
+		// The previous process of this scheduler, or its successor, owns this scheduler's part of the slot.
 		return false
 	}
 	if (uint64(s.cfg.Self)+hash64(uint64(w.info.ID)<<20^uint64(w.slowStartSlot)))%all >= turns {
@@ -46,8 +51,8 @@
 	return w.slowStartUsed+work <= part || w.slowStartUsed == 0 && work <= part+more
 }
 
-// coldSlack is by how many requests of mean work a worker that has just started may be given more than the n that are allowed
-// in a window: few come more unevenly than many.
+// slowStartSlack returns by how many requests of mean work a worker in slow start may exceed the n that are
+// allowed in a window: small numbers of requests arrive more unevenly than large ones.
 func slowStartSlack(n float64) float64 {
 	if n < fewRequests {
 		return 3*math.Sqrt(n) + 3
@@ -55,7 +60,8 @@
 	return 2*math.Sqrt(n) + 2
 }
 
-// warmth is the share of its capacity that a worker is taken to have. It lags behind time, since work is what warms it.
+// warmupFactor returns the share of its capacity that a worker is assumed to have, from Config.StartCapacity to 1.
+// It grows with the square of time, slower than linear, since it is work that warms a worker up.
 func (s *Scheduler) warmupFactor(w *worker) float64 {
 	if s.cfg.Cold <= 0 || w.info.UpSince <= 0 || s.now-w.info.UpSince >= s.cfg.Cold {
 		return 1
--- a/logic/cost.go
+++ b/logic/cost.go
@@ -2,15 +2,18 @@
 
 import "math"
 
-// The admission cost of a job at a worker (DESIGN, cost of a placement; equation 18).
+// The admission cost of a job at a worker: equation (18) of the paper on the M/D/1 queue with deadlines whose
+// value function package logic/value holds.
 
 const (
-	warmupGain      = 1.0  // mean jobs that one at a cold worker earns beside its own worth: it is work that warms it
-	ejectionPenalty = 0.95 // chance of failure booked to an ejected worker; shared by all, it cancels out
-	missPenalty     = 1.0  // mean jobs that a fetch costs beyond its time: it pushes out a set that is asked for again
+	warmupGain      = 1.0  // value in mean jobs, beside its own, that a job at a worker in slow start earns: work warms the worker up
+	ejectionPenalty = 0.95 // failure probability charged for an ejected worker; it cancels out where all workers are ejected
+	missPenalty     = 1.0  // cost in mean jobs of a fetch beyond its time: it evicts another data set that will be needed again
 )
 
-// LateChance is the paper's 1(u >= tau) averaged over the error of the estimated backlog, taken as a gamma law of shape 2 around it.
+// LateChance returns the probability that a job misses its target on a worker with estimated backlog u when it
+// tolerates the backlog tau, both in seconds. It is the indicator 1(u >= tau) of the paper's cost averaged over
+// the error of the estimate, which is modelled as a gamma distribution of shape 2 with mean u.
 func LateChance(tau, u float64) float64 {
 	if tau <= 0 {
 		return 1
@@ -19,7 +22,8 @@
 	return (1 + z) * math.Exp(-z)
 }
 
-// cost is the admission cost of a job at a worker in mean jobs' worth, with the chance that the job is late.
+// cost returns the admission cost of a job at a worker, in units of the value of a mean job, and the probability
+// that the job misses its target there.
 func (s *Scheduler) cost(j *job, w *worker) (total, late float64) {
 	s.derive(w)
 	miss := s.missProbability(j, w)
@@ -39,7 +43,8 @@
 	return total, late
 }
 
-// pushes is what so many mean jobs more at a worker cost those that come after: v(u+x)-v(u), summed over the classes.
+// congestionCost returns the cost to later jobs of x more mean jobs at a worker with backlog u: v(u+x)-v(u),
+// summed over the classes.
 func (s *Scheduler) congestionCost(w *worker, u, x float64) (total float64) {
 	for i, h := range s.classWeight {
 		q := (w.tau[i] - u) / w.d
@@ -48,7 +53,7 @@
 	return total
 }
 
-// crossing is the price of leaving the zone, in mean jobs.
+// crossZoneCost returns the cost of leaving the zone, which is counted in mean jobs.
 func (s *Scheduler) crossZoneCost(w *worker) float64 {
 	if w.info.Zone == s.cfg.Zone {
 		return 0
--- a/logic/estimate.go
+++ b/logic/estimate.go
@@ -5,16 +5,17 @@
 	"math"
 )
 
-// Estimates that all workers share: arrival rates, the mix of classes, and the utilisation that the load-equalising split
-// gives every worker, with it the table of the value function (DESIGN, per-worker state; value function).
+// Estimates that are shared by all workers: arrival rates, the mix of classes, the utilisation that a
+// load-equalising split gives each worker, and the table of the value function for that utilisation.
 
 const (
-	rhoPriorJobs     = 10.0      // own jobs that a utilisation of a half weighs
-	rateTimeConstant = 15.0      // seconds of memory of arrival rates: rides out bursts, follows a trend
+	rhoPriorJobs     = 10.0      // weight of the prior utilisation 0.5, in own jobs
+	rateTimeConstant = 15.0      // time constant of arrival rates, seconds: smooths bursts, follows a trend
 	refreshInterval  = 1_000_000 // us between refreshes of the shared estimates
 )
 
-// guess sets what is taken for true before anything is heard: work and fetches as long as the classes' aims, workers half busy.
+// initEstimates sets the initial estimates: work and fetch times equal the classes' target latencies, and workers
+// are half busy.
 func (s *Scheduler) initEstimates() {
 	s.table, s.rho = value.For(0.5), 0.5
 	for i, c := range s.cfg.Classes {
@@ -31,14 +32,14 @@
 	}
 }
 
-// count books an arrival into the decayed rates.
+// countArrival adds an arrival to the decayed rates.
 func (s *Scheduler) countArrival(j *job) {
 	s.decayRates()
 	s.rate += 1 / rateTimeConstant
 	s.classRate[j.class] += 1 / rateTimeConstant
 }
 
-// decay lets the rates fade to the present.
+// decayRates decays the rates to the present time.
 func (s *Scheduler) decayRates() {
 	if dt := seconds(s.now - s.ratesAt); dt > 0 {
 		keep := math.Exp(-dt / rateTimeConstant)
@@ -51,9 +52,9 @@
 	}
 }
 
-// update renews the estimates that all workers share: the mix of classes, the utilisation that the load-equalising
-// split gives every worker, and with it the table of the value function.
-// Departure from the design page: lambda is the fleet's (own rate x schedulers), since u estimates the others' work too.
+// refreshEstimates renews the shared estimates once per refreshInterval: the mix of classes, the utilisation that
+// a load-equalising split gives each worker, and the table of the value function for it. The arrival rate is that
+// of the fleet (own rate times the number of schedulers), because u includes the other schedulers' work.
 func (s *Scheduler) refreshEstimates() {
 	if s.refreshedAt != 0 && s.now-s.refreshedAt < refreshInterval {
 		return
@@ -79,7 +80,7 @@
 	}
 	own := s.workRate / s.rateCoverage
 	if capacity > 0 {
-		// A handful of jobs says little of the fleet's rate, and a cost that jumps with each of them is none.
+		// A few jobs say little about the fleet's rate, and the cost must not jump with each of them.
 		jobs := s.rate * rateTimeConstant
 		s.rho = (own*float64(s.cfg.Schedulers)/capacity*jobs + 0.5*rhoPriorJobs) / (jobs + rhoPriorJobs)
 		s.rho = min(max(s.rho, 0.05), value.RhoMax)
@@ -90,6 +91,7 @@
 	}
 }
 
+// jobValue returns the value of a job of a class with the given work.
 func (s *Scheduler) jobValue(class int, work float64) float64 {
 	if s.cfg.WorthByWork {
 		return s.cfg.Classes[class].Worth * work
--- a/logic/homes.go
+++ b/logic/homes.go
@@ -5,20 +5,22 @@
 	"slices"
 )
 
-// Where data sets are: homes by a hash on which all schedulers agree, as many of them as the demand fills.
+// Cache affinity: each data set has affinity workers, ranked by a hash on which all schedulers agree. The number
+// of ranks in use grows with the demand for the data set.
 
 const (
-	dataSetsPerWorker    = 2       // data sets remembered for each worker: its few places are shared with the other schedulers' sets
-	affinityRanks        = 12      // workers on which a data set is expected by hash, so that all schedulers agree
-	maxAffinities        = 1 << 14 // data sets whose homes are remembered; bounds the memory
-	recentHitProbability = 0.95    // chance that a data set sent to a worker lately is still there
-	rankHitDecay         = 0.3     // fall of that chance for each rank beyond the homes that the demand fills
-	affinityFill         = 0.6     // share of a worker that is taken to be filled before the next rank is used
-	baseHitProbability   = 0.05    // the same where nothing speaks for it
+	dataSetsPerWorker    = 2       // data sets remembered per worker: its few cache places are shared with the other schedulers' data sets
+	affinityRanks        = 12      // ranked workers per data set
+	maxAffinities        = 1 << 14 // data sets whose affinity is remembered; bounds the memory
+	recentHitProbability = 0.95    // probability that a data set sent to a worker recently is still there
+	rankHitDecay         = 0.3     // fall of that probability for each rank beyond those that the demand needs
+	affinityFill         = 0.6     // share of a worker's capacity that counts as full before the next rank is used
+	baseHitProbability   = 0.05    // probability of a hit where nothing indicates one
 )
 
-// missChance is the chance that a worker must fetch a job's data set. It makes the job's running time there longer,
-// which is how affinity enters the cost. Schedulers that cannot talk agree on homes by hash.
+// missProbability returns the probability that a worker must fetch a job's data set. The fetch lengthens the job's
+// running time there, which brings affinity into the cost. Schedulers that cannot communicate agree on the
+// affinity workers by a hash.
 func (s *Scheduler) missProbability(j *job, w *worker) float64 {
 	if j.key == 0 {
 		return 0
@@ -38,7 +40,8 @@
 	return 1 - baseHitProbability
 }
 
-// homesOf ranks the first workers of a data set by a hash weighted by size, alike at all schedulers with the same list.
+// rankedAffinity ranks the affinity workers of a data set by a hash weighted by worker size. All schedulers with
+// the same list get the same ranking.
 func (s *Scheduler) rankedAffinity(key uint64) *affinity {
 	h := s.affinityOf(key)
 	if h.listVersion == s.listVersion {
@@ -65,7 +68,7 @@
 	return h
 }
 
-// home is what is kept of a data set.
+// affinityOf returns the record of a data set.
 func (s *Scheduler) affinityOf(key uint64) *affinity {
 	if s.affinities[key] == nil {
 		if len(s.affinities) >= maxAffinities {
@@ -76,8 +79,9 @@
 	return s.affinities[key]
 }
 
-// homesWanted is how many workers the demand for a data set fills: the hotter it is, the further down the common
-// ranking it is found. Guards against a hot one that overflows to other workers at each scheduler.
+// affinityWidth returns how many workers the demand for a data set fills. The higher the demand, the more ranks of
+// the common ranking are expected to hold it. Otherwise a hot data set would overflow to different workers at each
+// scheduler.
 func (s *Scheduler) affinityWidth(h *affinity) float64 {
 	load := h.load / s.rateCoverage * float64(s.cfg.Schedulers)
 	if s.now < h.reportedUntil {
@@ -86,7 +90,7 @@
 	return max(load*s.meanWork/max(affinityFill*s.perWorker, 1e-3), 1)
 }
 
-// demand books a job into the demand for its data set.
+// recordDemand adds a job to the demand for its data set.
 func (s *Scheduler) recordDemand(j *job) {
 	if j.key == 0 {
 		return
@@ -95,7 +99,7 @@
 	h.load, h.at = h.load*math.Exp(-seconds(s.now-h.at)/rateTimeConstant)+j.slots/rateTimeConstant, s.now
 }
 
-// keep notes that a worker has a data set now.
+// rememberDataSet records that a worker now has a data set, and forgets the one sent there longest ago.
 func (w *worker) rememberDataSet(key uint64) {
 	if key == 0 {
 		return
--- a/logic/list.go
+++ b/logic/list.go
@@ -6,19 +6,20 @@
 	"slices"
 )
 
-// The list of workers: what each entry changes, and when a failed call for it is repeated.
+// The worker list: the effect of each entry, and retries of a failed list request.
 
 const (
-	listRetryDelay    = 500_000   // us before a failed list call is repeated at first; doubles, with jitter
-	maxListRetryDelay = 4_000_000 // us that this gap grows to; below any allowed age of a list
+	listRetryDelay    = 500_000   // us before a failed list request is first repeated; doubles, with jitter
+	maxListRetryDelay = 4_000_000 // longest such delay, us; shorter than any permitted age of a list
 )
 
-// Workers takes a list event.
+// Workers takes a list event: the kind of the event and its entries.
 func (s *Scheduler) Workers(now int64, how ListKind, list []WorkerInfo, out []Action) []Action {
 	s.begin(now, out)
 	switch how {
 	case ListFailed:
-		// The old list holds; the call is repeated ever less often, or its callers keep down a list service that is overrun.
+		// The old list stays in use. The delay between requests grows, or the schedulers would keep an overloaded
+		// list service down.
 		gap := min(int64(listRetryDelay)<<min(s.listFailures, 4), maxListRetryDelay)
 		s.listFailures++
 		s.addTimer(s.now+gap/2+int64(s.uniform()*float64(gap)), timerSubscribe, 0, 0)
@@ -52,7 +53,7 @@
 	return s.end()
 }
 
-// take applies one entry of the list.
+// applyEntry applies one entry of the list.
 func (s *Scheduler) applyEntry(e *WorkerInfo) {
 	i, ok := s.byID[e.ID]
 	if !ok {
@@ -64,7 +65,7 @@
 	}
 	w := &s.workers[i]
 	if w.info.UpSince != e.UpSince {
-		// A new process: what was held against the old one is void, as is its backlog of others.
+		// A new process: failures and backlog observed at the old one no longer apply.
 		w.consecutiveFailures, w.ejectedUntil, w.othersBacklog, w.othersBacklogAt = 0, 0, 0, s.now
 		w.dataSets, w.run, w.work = [dataSetsPerWorker]uint64{}, 0, 0
 	}
--- a/logic/notes.go
+++ b/logic/notes.go
@@ -1,8 +1,8 @@
 package logic
 
-// What is heard of attempts: starts, progress, ends.
+// Events of attempts: starts, progress and outcomes.
 
-// Started takes the note that an attempt's job has begun to run.
+// Started takes the report that the job of attempt k has begun to run.
 func (s *Scheduler) Started(now int64, id JobID, k int, out []Action) []Action {
 	s.begin(now, out)
 	i, j, a := s.outstandingAttempt(id, k)
@@ -15,11 +15,11 @@
 	}
 	w := &s.workers[a.worker]
 	s.derive(w)
-	w.ownBacklog = max(w.ownBacklog-a.slotWork*residualShare, 0) // a running job has about half of its work left
+	w.ownBacklog = max(w.ownBacklog-a.slotWork*residualShare, 0) // a running job has on average half of its work left
 	a.slotWork *= 1 - residualShare
 	w.running += j.slots
 	kd := &s.kinds[w.info.Kind]
-	kd.parallelRuns += max(w.running-kd.parallelRuns, 0) * 0.2 // jobs that run side by side show slots where nothing reports them
+	kd.parallelRuns += max(w.running-kd.parallelRuns, 0) * 0.2 // own jobs that run side by side show a worker's slots where nothing reports them
 	s.markAlive(w)
 	s.learnStartDelay(w, seconds(s.now-a.sent))
 	if !j.answered {
@@ -33,7 +33,8 @@
 	return s.end()
 }
 
-// Progress takes the share of an attempt that is done; before its start it says only that the worker has taken it.
+// Progress takes the fraction, 0 to 1, of an attempt that is done. Before the start of the job it only
+// acknowledges that the worker has accepted it.
 func (s *Scheduler) Progress(now int64, id JobID, k int, share float64, out []Action) []Action {
 	s.begin(now, out)
 	i, j, a := s.outstandingAttempt(id, k)
@@ -59,7 +60,8 @@
 	return s.end()
 }
 
-// Streaming takes the note that an attempt's answer has begun; it now belongs to the client.
+// Streaming takes the report that an attempt's answer has begun to flow to the client. The job counts as answered,
+// and its other attempts are cancelled.
 func (s *Scheduler) Streaming(now int64, id JobID, k int, out []Action) []Action {
 	s.begin(now, out)
 	i, j, a := s.outstandingAttempt(id, k)
@@ -76,7 +78,7 @@
 	return s.end()
 }
 
-// Outcome takes the end of an attempt.
+// Outcome takes the end of an attempt. A job without an answer and without other attempts is placed again.
 func (s *Scheduler) Outcome(now int64, o Outcome, out []Action) []Action {
 	s.begin(now, out)
 	i, j, a := s.outstandingAttempt(o.Job, o.Attempt)
--- a/logic/pace.go
+++ b/logic/pace.go
@@ -2,34 +2,34 @@
 
 import "math"
 
-// A worker's d: running time for a second of work, learned from its runs on priors of its kind and of all, and its slots
-// (DESIGN, per-worker state).
+// A worker's slowdown, its running time for a second of work, learned from its runs with its kind and the fleet as
+// priors; its slots; and the quantities that are derived from them.
 
 const (
-	maxKinds          = 256  // kinds told apart; a list that names more has them share one estimate
-	slowdownPriorJobs = 5.0  // mean jobs that a worker's prior pace weighs: a run's work is known to a factor of two
+	maxKinds          = 256  // kinds that are told apart; in a list that names more, the rest share one estimate
+	slowdownPriorJobs = 5.0  // weight of a worker's prior, in mean jobs: the work of a run is known to a factor of two
 	workerRunKeep     = 0.85 // weight kept by older runs at each new one: about six runs are remembered
-	kindRunKeep       = 0.98 // the same for the pace of a whole kind: about fifty runs
-	residualShare     = 0.5  // share of a running time that is left at a random look at it
-	initialSlots      = 4.0  // slots assumed of an unknown worker: fewer keep jobs off it, and more are then never seen
-	statsTimeConstant = 10.0 // seconds in which a worker's own runs fade: one that was slow must get its chance again
-	maxRunSlowdown    = 2.0  // times its kind's pace at which a run still counts for the kind: a slow worker is no rule
+	kindRunKeep       = 0.98 // the same for a whole kind: about fifty runs
+	residualShare     = 0.5  // mean share of a running time that is left when a running job is observed
+	initialSlots      = 4.0  // slots assumed of an unknown worker: with fewer it gets few jobs, and its further slots are never seen
+	statsTimeConstant = 10.0 // time constant of a worker's own runs, seconds: a worker that was slow must get another chance
+	maxRunSlowdown    = 2.0  // multiple of the kind's slowdown to which a run counts for the kind: one slow worker must not set the mean
 )
 
-// paceOf is a worker's running time for a second of work: its own runs, on a prior of its kind's, on a prior of all
-// workers'.
+// slowdownOf returns a worker's running time for a second of work, from its own runs with its kind as the prior.
 func (s *Scheduler) slowdownOf(w *worker) float64 {
 	p := slowdownPriorJobs * max(s.meanWork, 1e-3)
 	return (w.run + w.reportedRun + p*s.kindSlowdown(&s.kinds[w.info.Kind])) / (w.work + w.reportedWork + p)
 }
 
-// kindPace is the same for a worker of a kind of which nothing of its own is known.
+// kindSlowdown returns the same for a worker without runs of its own, with the fleet as the prior.
 func (s *Scheduler) kindSlowdown(k *kind) float64 {
 	p := slowdownPriorJobs * max(s.meanWork, 1e-3)
 	fleet := (s.allKinds.run + p) / (s.allKinds.work + p)
 	return (k.run + p*fleet) / (k.work + p)
 }
 
+// slotsOf returns the number of slots of a worker, as its kind reported them or as own jobs ran side by side.
 func (s *Scheduler) slotsOf(w *worker) float64 {
 	k := &s.kinds[w.info.Kind]
 	if k.slots > 0 {
@@ -38,7 +38,7 @@
 	return max(k.parallelRuns, initialSlots)
 }
 
-// derive renews what placement needs of a worker.
+// derive renews the derived quantities of a worker once per refreshInterval, and when the value table has changed.
 func (s *Scheduler) derive(w *worker) {
 	if w.derivedAt != 0 && s.now-w.derivedAt < refreshInterval && w.tableVersion == s.tableVersion {
 		return
@@ -55,18 +55,19 @@
 	}
 }
 
-// room is the backlog that a worker holds, on average, when a job of so many slots just fits without waiting.
+// headroomFor returns the mean backlog of a worker at which a job of the given slots can still start without waiting.
 func (w *worker) headroomFor(slots, meanWork float64) float64 {
 	return max(w.slots-slots, 0) / w.slots * residualShare * w.slowdown * meanWork
 }
 
-// bearable is the paper's tau for a job: its aim bounds the sojourn, so the running time on this worker and the way
-// there come off; the slots that must fill up before anything waits go on top.
+// tolerableBacklog returns tau for a job of a class, in seconds. The target latency bounds the time until the answer,
+// so the network delay and the running time on this worker are subtracted; the headroom is added, because slots must
+// fill up before anything waits.
 func (s *Scheduler) tolerableBacklog(w *worker, c *Class, work, base float64) float64 {
 	return seconds(c.Aim) + c.Stretch*work - base*1.5 - w.slowdown*work + w.headroom
 }
 
-// learnRun learns the pace of a worker, its kind and the fleet from a run.
+// learnRun updates the slowdown of a worker, its kind and the fleet from a run.
 func (s *Scheduler) learnRun(w *worker, run, work float64) {
 	if run > 0 && work > 0 {
 		s.decayStats(w)
@@ -81,7 +82,7 @@
 	}
 }
 
-// fadePace lets a worker's own runs fade to the present.
+// decayStats decays a worker's statistics to the present time.
 func (s *Scheduler) decayStats(w *worker) {
 	keep := math.Exp(-seconds(s.now-w.statsAt) / statsTimeConstant)
 	w.run, w.work, w.statsAt = w.run*keep, w.work*keep, s.now
--- a/logic/place.go
+++ b/logic/place.go
@@ -5,24 +5,26 @@
 	"slices"
 )
 
-// Placing: the lowest cost among those that a job may go to (DESIGN, core).
+// Placement: the worker of lowest cost among those that a job may be sent to.
 
 const (
-	maxAttemptsKept = 8      // attempts kept for a job; more than any retry helps
-	hintWeight      = 0.65   // weight of the logarithm of a hint against that of the class's mean: hints are as noisy as jobs differ
-	maxCandidates   = 12     // candidates compared where many schedulers each see a part: bounds CPU and herding
-	fewSchedulers   = 4      // schedulers up to which each sees enough of the whole to compare all workers
-	holdInterval    = 40_000 // us between looks at a job that found no worker
-	affinitySample  = 3      // homes of a data set compared then: were it all, those that hear the same would go to the same one
+	maxAttemptsKept = 8      // attempts recorded per job; more retries than this do not help
+	hintWeight      = 0.65   // weight of the logarithm of a hint against that of the class mean: hints are as noisy as jobs differ
+	maxCandidates   = 12     // candidates compared where many schedulers each see a part of the load: bounds CPU use and herding
+	fewSchedulers   = 4      // number of schedulers up to which each sees enough of the load to compare all workers
+	holdInterval    = 40_000 // us between attempts to place a job that found no worker
+	affinitySample  = 3      // affinity workers compared where reports are shared: with all, schedulers with the same reports would choose the same one
 )
 
+// choice is the result of a comparison of workers; violation is the probability of a deadline violation.
 type choice struct {
 	worker                   int32
 	cost, violation, backlog float64
 }
 
-// choose finds the worker of lowest cost that the job may go to; w is -1 if there is none. Many schedulers that each see
-// a part would all pick the same few of all workers, so each compares a sample drawn from the load-equalising split.
+// choose returns the worker of lowest cost that the job may be sent to; its worker is -1 if there is none. Many
+// schedulers that each see a part of the load would all choose the same few workers, so each compares a random
+// sample only, besides the job's affinity workers and the workers in slow start.
 func (s *Scheduler) choose(j *job) choice {
 	s.refreshEstimates()
 	best := choice{worker: -1}
@@ -50,6 +52,7 @@
 	return best
 }
 
+// consider replaces best by worker i if the job may be sent to it and its cost is lower; a tie goes to the shorter backlog.
 func (s *Scheduler) consider(j *job, i int32, best *choice) {
 	w := &s.workers[i]
 	k := s.cfg.Classes[j.class].WorkerKind // the only kind that can run it, if any
@@ -63,7 +66,7 @@
 	}
 }
 
-// send starts the next attempt of a job.
+// send starts the next attempt of a job, at worker i.
 func (s *Scheduler) send(j *job, i int32) {
 	w := &s.workers[i]
 	miss := s.missProbability(j, w)
@@ -79,7 +82,7 @@
 	s.emit(Action{Kind: ActSend, Job: j.id, Worker: w.info.ID, Timeout: max(j.deadline-s.now, 1)})
 }
 
-// Arrive takes a new job.
+// Arrive takes a new job. It is sent, held until a worker becomes available, or refused.
 func (s *Scheduler) Arrive(now int64, in Job, out []Action) []Action {
 	s.begin(now, out)
 	if _, dup := s.byJob[in.ID]; dup {
@@ -101,7 +104,7 @@
 		j.maxWork = max(j.work, hint)
 		*mean += (hint - *mean) * 0.05
 	}
-	for _, need := range [...]float64{in.Slots, in.Memory} { // a worker has a unit of memory for each slot
+	for _, need := range [...]float64{in.Slots, in.Memory} { // a worker has one unit of memory per slot
 		if need > j.slots && need < 1e6 {
 			j.slots = need
 		}
@@ -111,7 +114,8 @@
 	}
 	asked := s.now
 	if in.Repeated || s.cfg.HidesRetry {
-		// Its aim runs from the first try. What is left to the client tells when that was; served late it is worth nothing.
+		// The target latency counts from the first try, whose time follows from the remaining time. A retry served late
+		// has no value.
 		asked = min(asked, j.deadline-c.Deadline)
 	}
 	j.targetAt = min(asked+c.Aim+int64(c.Stretch*j.work*1e6), j.deadline)
@@ -126,8 +130,8 @@
 	return s.end()
 }
 
-// share is the fraction of its worth that a tenant's next job earns: full within this scheduler's part of the quota,
-// the configured rest beyond it. Where the fleet's own limits have decided it, that holds.
+// valueShare returns the fraction of its value that a tenant's next job has: 1 within this scheduler's part of the
+// quota, Config.OverShare beyond it. A fraction that the limits of the whole fleet have decided takes precedence.
 func (s *Scheduler) valueShare(t int, decided float64) float64 {
 	switch {
 	case decided > 0:
@@ -135,12 +139,12 @@
 	case len(s.quotaUsed) == 0:
 		return 1
 	case t < 0 || t >= len(s.quotaUsed):
-		return s.cfg.OverShare // where there are shares, who is not named has none
+		return s.cfg.OverShare // where there are quotas, a job without a known tenant counts as beyond them
 	case s.cfg.Tenants[t].Quota <= 0:
 		return 1
 	}
 	rate := s.cfg.Tenants[t].Quota / float64(s.cfg.Schedulers)
-	const burst = 4.0 // seconds of quota that may be saved up: rides out the unevenness of one scheduler's part
+	const burst = 4.0 // seconds of quota that may be saved up: smooths the uneven arrivals at one scheduler
 	s.quotaUsed[t], s.quotaUsedAt[t] = max(s.quotaUsed[t]-rate*seconds(s.now-s.quotaUsedAt[t]), 0), s.now
 	if s.quotaUsed[t]+1 <= max(rate*burst, 2) {
 		s.quotaUsed[t]++
@@ -149,7 +153,7 @@
 	return s.cfg.OverShare
 }
 
-// place sends a job to the worker of lowest cost, holds it while there is none, or refuses it when it is in vain.
+// place sends a job to the worker of lowest cost, holds it while there is none, or refuses it.
 func (s *Scheduler) place(i int32) {
 	j := &s.jobs[i]
 	if s.now >= s.answerBy(j) {
@@ -173,10 +177,10 @@
 	s.scheduleReview(i, s.now+s.startCheckDelay(b.worker))
 }
 
-// repeatable tells whether a worker that was not tried could be sent the job, else it would be held until its deadline.
+// hasRetryWorker reports whether any ready worker may still be sent the job; if not, holding it is pointless.
 func (s *Scheduler) hasRetryWorker(j *job) bool {
 	return slices.ContainsFunc(s.ready, func(i int32) bool { return s.mayAttempt(j, &s.workers[i]) && !j.triedOn(i) })
 }
 
-// lastCall is when a job must be answered: one tick before the client's time is up.
+// answerBy returns when a job must be answered: one tick before its deadline.
 func (s *Scheduler) answerBy(j *job) int64 { return j.deadline - s.cfg.Resolution }
--- a/logic/review.go
+++ b/logic/review.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// Reviewing: a job of which too little is heard, or that would do better elsewhere.
+// Reviews of jobs that have not been answered: a missing report, or a better worker elsewhere.
 
 const (
-	waitExtrapolation = 3.0     // times the wait so far of a job that has not started that the rest of it is taken for
-	maxMissedStarts   = 2       // start notes missing in a row, with no sign of life, that make a worker suspect
-	ackTimeout        = 500_000 // us in which workers that tell so have taken a job: ten times what was ever seen
-	minMoveGain       = 0.1     // least fall in expected loss, in mean jobs, for which a waiting job is taken elsewhere
+	waitExtrapolation = 3.0     // multiple of the wait so far of a job that has not started that is expected as its remaining wait
+	maxMissedStarts   = 2       // consecutive missing start reports, without a sign of life, that get a worker ejected
+	ackTimeout        = 500_000 // us in which a worker that acknowledges jobs must have done so: ten times the longest delay observed
+	minMoveGain       = 0.1     // smallest fall in expected loss, in mean jobs, for which a waiting job moves to another worker
 )
 
-// checkAfter is how long a job that starts at once needs to say so.
+// startCheckDelay returns the microseconds in which a job that starts at once on worker i reports its start.
 func (s *Scheduler) startCheckDelay(i int32) int64 {
 	return int64(2*s.baseDelay[s.workers[i].info.Zone]*1e6) + s.cfg.Resolution
 }
 
-// reviewAt sets when a job is next looked at; never later than its last call.
+// scheduleReview sets the time of a job's next review; at the latest that is when the job must be answered.
 func (s *Scheduler) scheduleReview(i int32, at int64) {
 	j := &s.jobs[i]
 	j.reviewAt = min(at, s.answerBy(j))
 	s.addTimer(j.reviewAt, timerJob, i, j.generation)
 }
 
-// look reviews a job whose time has come.
+// review checks a job whose review time has come.
 func (s *Scheduler) review(i int32) {
 	j := &s.jobs[i]
 	if j.answered {
@@ -42,7 +42,7 @@
 	}
 	last := &j.attempts[j.attemptCount-1]
 	if s.now >= s.stalledAt(last) {
-		// Its worker stands still, or the connection has fallen silent.
+		// The worker is stuck, or its connection no longer delivers reports.
 		s.eject(&s.workers[last.worker])
 		if s.cfg.MayCancel && s.chooseAlternative(j).worker >= 0 {
 			s.cancelAttempt(j, j.attemptCount-1)
@@ -65,8 +65,9 @@
 	s.scheduleReview(i, s.stalledAt(last))
 }
 
-// stallAt is when a job of which nothing is heard is taken to be stuck: at a worker that has not even said that it has
-// taken it, where others did, or while it runs and should tell of progress. The first such note may come half an interval late.
+// stalledAt returns the time from which an attempt without further reports counts as stalled: an attempt that is not
+// acknowledged where workers acknowledge jobs, or a running one without a progress report where these are due. The
+// first progress report may come half an interval late.
 func (s *Scheduler) stalledAt(a *attempt) int64 {
 	switch {
 	case !a.outstanding || a.cancelled || a.started == 0 && (a.acknowledged || !s.acksSeen) || a.started != 0 && s.cfg.Progress <= 0:
@@ -81,7 +82,7 @@
 	return at
 }
 
-// noStart takes the missing start notes of a job as evidence that its workers have no free slot.
+// recordMissingStarts takes the missing start reports of a job as evidence that its workers have no free slot.
 func (s *Scheduler) recordMissingStarts(j *job) {
 	for k := range j.attemptCount {
 		a := &j.attempts[k]
@@ -91,24 +92,24 @@
 		w := &s.workers[a.worker]
 		s.derive(w)
 		if waited := seconds(s.now - a.sent); a.startOverdue {
-			// What has waited so long may well wait as long again; no outcome will tell before the wait is over.
+			// A job that has waited this long may well wait as long again; no outcome reports the wait before it is over.
 			w.othersBacklog, w.othersBacklogAt = max(w.othersBacklog, w.headroom+waitExtrapolation*waited-w.ownBacklog*w.drainTime), s.now
 			continue
 		}
 		a.startOverdue = true
 		s.contention += (1 - s.contention) * contentionGain
 		s.observeOthers(w, w.headroom+w.d+s.meanWait)
-		// One that takes jobs and starts none looks like a free one: its queue is never heard of. Where the whole fleet
-		// is slow to start, that is crowding and nobody is ejected for it.
+		// A worker that accepts jobs and starts none looks idle, since no report shows its queue. Where the whole
+		// fleet is slow to start jobs, the cause is contention and no worker is ejected.
 		if w.missedStarts++; w.missedStarts >= maxMissedStarts && s.now-w.lastAlive > livenessSpan && s.contention < contentionThreshold {
 			s.eject(w)
 		}
 	}
 }
 
-// elsewhereHelps takes a job that waits unstarted to the worker that is now cheapest, where the loss expected there is
-// lower by moveGain. Exception to send-and-forget: it acts only where workers tell of starts, attempts can be called off
-// and the class may be repeated. Where copies are allowed the first to start wins; else the job is called off first.
+// moveIfBetter moves a job that waits for its start to the worker that is now cheapest, if the expected loss there is
+// lower by minMoveGain, and reports whether it did. It needs start reports, attempts that can be cancelled and a class
+// that may run again. Where copies are allowed, the first attempt to start wins; otherwise the job is cancelled first.
 func (s *Scheduler) moveIfBetter(i int32) bool {
 	j := &s.jobs[i]
 	last := &j.attempts[j.attemptCount-1]
@@ -130,7 +131,7 @@
 	return true
 }
 
-// elsewhere is the best worker for a job once its latest attempt is over, or for a copy of it.
+// chooseAlternative returns the best worker for a job once its latest attempt is over, or for a copy of the job.
 func (s *Scheduler) chooseAlternative(j *job) choice {
 	last := &j.attempts[j.attemptCount-1]
 	out := last.outstanding
@@ -140,7 +141,7 @@
 	return b
 }
 
-// lateWhereItIs is the least chance of being late over the workers that a job waits at.
+// currentViolation returns the lowest probability of a deadline violation over the workers at which a job waits.
 func (s *Scheduler) currentViolation(j *job) float64 {
 	least := 1.0
 	for k := range j.attemptCount {
--- a/logic/rules.go
+++ b/logic/rules.go
@@ -2,24 +2,26 @@
 
 import "slices"
 
-// The rules on repeats, attempts and refusals: every attempt and every refusal passes them.
+// Rules that every attempt and every refusal must satisfy.
 
 const (
-	refusalThreshold      = 0.95 // chance of being late beyond which a job is not worth its work
-	unsafeViolationFactor = 3.0  // times that lateness counts of a job that can't be refused once it is sent, where its fleet is short
-	contentionThreshold   = 0.5  // share of attempts that find no free slot from which slow starts are nobody's fault
+	refusalThreshold      = 0.95 // probability of a deadline violation beyond which a job is not worth its work
+	unsafeViolationFactor = 3.0  // multiple of that probability for a job that can't be refused once it is sent, where the fleet lacks capacity
+	contentionThreshold   = 0.5  // share of attempts without a free slot from which slow starts are not a worker's fault
 )
 
-// HeldUp is for how many microseconds a dispatcher may be held up between a decision and the writing that follows from it.
+// HeldUp is the longest delay, in microseconds, of a dispatcher between a decision and the write that follows from it.
 const HeldUp = 150_000
 
-// RepeatWithin is how long after the first sending of a keyed job that may have run another may be decided on, so that it is
-// still dropped as a repeat when its bytes are written.
+// RepeatWithin returns the microseconds after the first sending of a keyed job that may have run in which another
+// attempt may be decided on. The margin to Class.Window ensures that workers still drop the repeat when its bytes are
+// written.
 func (c *Config) RepeatWithin(class int) int64 {
 	return c.Classes[class].Window - 4*c.Resolution - HeldUp
 }
 
-// mayRepeat guards against a second effect: every attempt, first or further, passes it.
+// mayAttempt reports whether the job may be sent to a worker. It prevents a second effect of the job: every attempt,
+// the first included, passes it.
 func (s *Scheduler) mayAttempt(j *job, w *worker) bool {
 	if s.attemptsExhausted(j) || j.answered {
 		return false
@@ -46,16 +48,18 @@
 	return true
 }
 
+// sameGroup reports whether a worker drops repeats of what an earlier attempt ran.
 func sameGroup(g Group, a *attempt, w *worker) bool {
 	return g == GroupAll || a.zone == w.info.Zone && (g == GroupZone || a.cell == w.info.Cell)
 }
 
-// spent tells whether a job has had all its attempts. What found nobody may not count, but has an end as well.
+// attemptsExhausted reports whether a job has had all its attempts. Attempts that reached no worker may not count,
+// but their number is bounded too.
 func (s *Scheduler) attemptsExhausted(j *job) bool {
 	return j.attemptCount-j.uncounted >= s.cfg.MaxAttempts || j.attemptCount >= maxAttemptsKept
 }
 
-// mayRefuse tells whether 'trying again is harmless' is true of a job.
+// mayRefuse reports whether the job certainly causes no second effect if its client tries again.
 func (s *Scheduler) mayRefuse(j *job) bool {
 	c := &s.cfg.Classes[j.class]
 	if c.Repeat == RepeatSafe || c.Repeat == RepeatKeyed && c.Group == GroupAll {
@@ -64,7 +68,7 @@
 	return !slices.ContainsFunc(j.attempts[:j.attemptCount], func(a attempt) bool { return !a.neverRan })
 }
 
-// finish gives the final answer that the rules permit and calls off what is still out.
+// finish gives the final answer that the rules permit and cancels the outstanding attempts.
 func (s *Scheduler) finish(i int32) {
 	j := &s.jobs[i]
 	s.markAnswered(j)
@@ -76,13 +80,13 @@
 	s.release(i)
 }
 
-// retryAfter tells a client that was refused when to come back: after the wait that jobs see before they start, which
-// is about how long it takes for a place to become free.
+// retryAfter returns when a refused client should come back, in microseconds: after the wait that jobs have before
+// they start, which is about the time until a slot becomes free.
 func (s *Scheduler) retryAfter() int64 {
 	return min(max(int64(s.meanWait*1e6), holdInterval), s.cfg.MaxRetryAfter)
 }
 
-// callOff stops waiting for an attempt, which frees what it holds where workers drop cancelled work.
+// cancelAttempt stops waiting for an attempt, which frees its slot where workers drop cancelled work.
 func (s *Scheduler) cancelAttempt(j *job, k int) {
 	a := &j.attempts[k]
 	if !a.outstanding || a.cancelled || !s.cfg.MayCancel {
@@ -93,18 +97,19 @@
 	s.emit(Action{Kind: ActCancel, Job: j.id, Attempt: k})
 }
 
-// vain tells whether a job so likely late only keeps others waiting. One that can't be refused is failed where most jobs wait, of which each of many schedulers sees a part.
+// shouldRefuse reports whether a job is so likely to be late that it only keeps others waiting. A job that can't be
+// refused is failed only under contention, of which each of many schedulers sees a part.
 func (s *Scheduler) shouldRefuse(j *job, late float64) bool {
 	doubt := late
 	if s.cfg.Classes[j.class].Repeat == RepeatUnsafe {
 		doubt *= unsafeViolationFactor
 	}
 	if j.slotPrice > 0 && j.attemptCount == 0 && j.value*s.meanValue*(1-doubt) < j.slotPrice*j.work*j.slots {
-		return true // its fleet is short, and does work that is worth more
+		return true // the fleet lacks capacity, and has work of higher value
 	}
 	n := float64(s.cfg.Schedulers)
 	if s.now < s.othersKnownUntil {
-		n = 1 // the others' part is seen as well
+		n = 1 // the other schedulers' part is known too
 	}
 	return late >= refusalThreshold && s.cfg.Classes[j.class].LateWorth <= 0 && (s.mayRefuse(j) || s.contention*n >= contentionThreshold*min(fewSchedulers, n))
 }
--- a/logic/scheduler.go
+++ b/logic/scheduler.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// How a scheduler starts, how a call of it begins and ends, its timers, and its books on jobs; what it decides stands in the files that
-// deploy/balancer.toml names.
+// Construction of a scheduler, the start and end of each call, timers, and the bookkeeping of jobs. The decisions are
+// in the files that deploy/balancer.toml names.
 
-// New makes a scheduler for a configuration; seed feeds its random choices. It reports an unusable setting.
+// New returns a scheduler for a configuration; seed feeds its random choices. It fails if cfg.Classes is empty.
 func New(cfg Config, seed uint64) (*Scheduler, error) {
 	if len(cfg.Classes) == 0 {
 		return nil, errors.New("config: Classes is empty")
@@ -40,7 +40,7 @@
 	return s, nil
 }
 
-// begin takes the time of an event; a time that goes back counts as the latest seen.
+// begin records the time of an event; a time that goes back counts as the latest seen.
 func (s *Scheduler) begin(now int64, out []Action) {
 	if s.startedAt == 0 {
 		s.startedAt = max(now, 1)
@@ -51,7 +51,7 @@
 	s.actions = out
 }
 
-// end arms the wake-up for the earliest timer and hands the actions back.
+// end requests a wake-up for the earliest timer and returns the actions.
 func (s *Scheduler) end() []Action {
 	if len(s.timers) > 0 {
 		if at := s.timers[0].at; s.armedAt == 0 || at < s.armedAt || s.armedAt <= s.now {
@@ -64,9 +64,10 @@
 	return out
 }
 
+// emit appends an action to those of the current call.
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
-// settle marks a job as answered and calls off its attempts.
+// markAnswered marks a job as answered and cancels its attempts.
 func (s *Scheduler) markAnswered(j *job) {
 	j.answered = true
 	for k := range j.attemptCount {
@@ -74,14 +75,14 @@
 	}
 }
 
-// unload takes an attempt's work off its worker's backlog at once.
+// removeBacklog removes an attempt's work from its worker's backlog.
 func (s *Scheduler) removeBacklog(a *attempt) {
 	w := &s.workers[a.worker]
 	w.ownBacklog = max(w.ownBacklog-a.slotWork, 0)
 	a.slotWork = 0
 }
 
-// HangUp takes the news that a client has left.
+// HangUp takes the event that a client has disconnected.
 func (s *Scheduler) HangUp(now int64, id JobID, out []Action) []Action {
 	s.begin(now, out)
 	if i, ok := s.byJob[id]; ok && !s.jobs[i].answered {
@@ -91,7 +92,7 @@
 	return s.end()
 }
 
-// release lets go of a job that is answered and has nothing out.
+// release frees the entry of a job that is answered and has no outstanding attempts.
 func (s *Scheduler) release(i int32) {
 	j := &s.jobs[i]
 	if !j.inUse || !j.answered || j.outstanding > 0 {
@@ -103,17 +104,18 @@
 	s.freeJobs = append(s.freeJobs, i)
 }
 
-// The kinds of timers.
+// The kinds of timers: the review of a job, and the next subscription to the worker list.
 const (
 	timerJob = iota
 	timerSubscribe
 )
 
+// addTimer adds a timer; generation is that of the job's entry, so that a timer of an earlier job is ignored.
 func (s *Scheduler) addTimer(at int64, what int, job int32, gen uint32) {
 	s.timers.push(timerEntry{at: at, kind: what, job: job, generation: gen})
 }
 
-// Wake takes a wake-up. The token is not needed: what is due is due.
+// Wake handles a wake-up: all timers that are due. The token is not used.
 func (s *Scheduler) Wake(now int64, _ uint32, out []Action) []Action {
 	s.begin(now, out)
 	for len(s.timers) > 0 && s.timers[0].at <= s.now {
--- a/logic/timers.go
+++ b/logic/timers.go
@@ -1,5 +1,6 @@
 package logic
 
+// timerEntry is one timer; job and generation are set for the review of a job.
 type timerEntry struct {
 	at         int64
 	kind       int
--- a/logic/value/value.go
+++ b/logic/value/value.go
@@ -1,32 +1,37 @@
-// Package value is the value function of the M/D/1 queue with deadlines (DESIGN, value function).
+// Package value computes the value function of the M/D/1 queue with deadlines: Poisson arrivals at utilisation rho,
+// a constant service time d, and a cost for each job whose wait exceeds tau.
 //
-// Equation (16) in units of d, with q = (tau-u)/d and s = tau/d, is
+// The value v(u) of a backlog u is the expected extra cost over all time of starting with it. Equation (16) of the
+// paper that the package follows, in units of d with q = (tau-u)/d and s = tau/d, is
 //
 //	v(u)-v(tau) = G(q) - G'(s) q   for q > 0,   -G'(s) q   for q <= 0,
 //
 // where G(q) = sum over k<m of (e^-z Σ z^j/j! - 1), z = rho (k-q), depends on rho and q alone. The sum alternates and
-// cancels for large rho q; the delay equation that it solves, G' = rho (1 + G(q) - G(q-1)), G = 0 for q <= 0, has no
-// growing mode for rho < 1, so stepping it forward is stable. G'(s) equals rho/(1-rho) P(W <= tau), which makes v'(0) = 0.
+// cancels for large rho q. G also solves the delay equation G' = rho (1 + G(q) - G(q-1)) with G = 0 for q <= 0, which
+// has no growing mode for rho < 1, so stepping it forward is numerically stable. G'(s) equals
+// rho/(1-rho) P(W <= tau), which makes v'(0) = 0.
+//
+// For returns the precomputed Table for a utilisation; Table.At evaluates G and Table.Slope its derivative.
 package value
 
 import "math"
 
-// RhoMax is the utilisation beyond which the queue's horizon is longer than any estimate holds.
+// RhoMax is the highest utilisation with a table. Beyond it the queue's horizon is longer than any estimate stays valid.
 const RhoMax = 0.98
 
 const (
-	levels      = 50       // utilisation levels of the tables: steps of 0.02 are finer than the estimate
-	tableStep   = 1.0 / 32 // of a table in units of d: error of the lerp far under that of u
-	tableLength = 48       // length of a table in units of d; beyond it G is linear to many digits
+	levels      = 50       // number of utilisation levels: steps of 0.02 are finer than the estimate of the utilisation
+	tableStep   = 1.0 / 32 // table resolution in units of d: the interpolation error is far below the error of u
+	tableLength = 48       // table length in units of d; beyond it G is linear to many digits
 )
 
-// Table holds G for one utilisation at steps of step.
+// Table holds G for one utilisation, sampled at intervals of tableStep.
 type Table struct {
 	rho float64
 	g   []float64
 }
 
-// tables depends on constants alone; it is never written after the start.
+// tables holds the tables of all levels. It is computed at program start and never written afterwards.
 var tables = func() (t [levels]Table) {
 	for i := range t {
 		t[i] = newTable(RhoMax * float64(i+1) / levels)
@@ -34,8 +39,8 @@
 	return t
 }()
 
-// newTable steps the delay equation by the trapezoid rule of each interval, solved for the new value, on a
-// grid four times finer than the one kept.
+// newTable integrates the delay equation on a grid four times finer than the one kept. Each step solves the
+// equation for a delayed value that is linear over the step.
 func newTable(rho float64) Table {
 	const fine = 4
 	const h = tableStep / fine
@@ -59,13 +64,13 @@
 	return t
 }
 
-// For is the table nearest to a utilisation.
+// For returns the table whose utilisation is nearest to rho; rho is limited to the range of the tables.
 func For(rho float64) *Table {
 	i := int(rho/RhoMax*levels+0.5) - 1
 	return &tables[min(max(i, 0), levels-1)]
 }
 
-// At is G(q).
+// At returns G(q), by linear interpolation; 0 for q <= 0.
 func (t *Table) At(q float64) float64 {
 	if !(q > 0) {
 		return 0
@@ -78,7 +83,7 @@
 	return t.g[i] + (p-float64(i))*(t.g[i+1]-t.g[i])
 }
 
-// Slope is G'(s): the steepness of the value function past its deadline.
+// Slope returns G'(s), the steepness of the value function past the deadline; 0 for s <= 0.
 func (t *Table) Slope(s float64) float64 {
 	if s <= 0 {
 		return 0
