--- a/logic/backlog.go
+++ b/logic/backlog.go
@@ -93,15 +93,15 @@
 
 // readReport evaluates a load report: the number of slots of the worker's kind, and the others' backlog.
 func (s *Scheduler) readReport(w *worker, values []float32) {
-	told := [...]float64{FieldInflight: -1, FieldQueue: -1, FieldService: -1, FieldRate: -1, FieldFreeSlots: -1}
+	reported := [...]float64{FieldInflight: -1, FieldQueue: -1, FieldService: -1, FieldRate: -1, FieldFreeSlots: -1}
 	for n, v := range values {
 		if f := float64(v); n < len(s.cfg.Reports) && f >= 0 && f <= 1e9 {
-			told[s.cfg.Reports[n]] = f
+			reported[s.cfg.Reports[n]] = f
 		}
 	}
-	free, queue, held := told[FieldFreeSlots], told[FieldQueue], told[FieldInflight]
+	free, queue, held := reported[FieldFreeSlots], reported[FieldQueue], reported[FieldInflight]
 	busy := held
-	if service, rate := told[FieldService]/1000, told[FieldRate]; busy < 0 && service >= 0 && rate >= 0 {
+	if service, rate := reported[FieldService]/1000, reported[FieldRate]; busy < 0 && service >= 0 && rate >= 0 {
 		busy = rate * service
 	}
 	if k := &s.kinds[w.info.Kind]; free > k.slots {
--- a/logic/cost.go
+++ b/logic/cost.go
@@ -6,9 +6,9 @@
 // value function package logic/value holds.
 
 const (
-	warmupGain      = 1.0  // value in mean jobs, beside its own, that a job at a worker in slow start earns: work warms the worker up
-	ejectionPenalty = 0.95 // failure probability charged for an ejected worker; it cancels out where all workers are ejected
-	missPenalty     = 1.0  // cost in mean jobs of a fetch beyond its time: it evicts another data set that will be needed again
+	warmupGain      = 1.0  // bonus in mean jobs for a job at a worker in slow start: work warms it up
+	ejectionPenalty = 0.95 // failure probability charged for an ejected worker; cancels out where all are ejected
+	missPenalty     = 1.0  // cost in mean jobs of a fetch beyond its time: it evicts a data set still in demand
 )
 
 // LateChance returns the probability that a job misses its target on a worker with estimated backlog u when it
@@ -24,23 +24,23 @@
 
 // cost returns the admission cost of a job at a worker, in units of the value of a mean job, and the probability
 // that the job misses its target there.
-func (s *Scheduler) cost(j *job, w *worker) (total, late float64) {
+func (s *Scheduler) cost(j *job, w *worker) (total, violation float64) {
 	s.derive(w)
 	miss := s.missProbability(j, w)
 	fetch := miss * s.fetchTime
 	u := s.backlog(w)
 	run := w.slowdown*j.work + fetch
 	tau := seconds(j.targetAt-s.now) - s.baseDelay[w.info.Zone]*1.5 - run + w.headroomFor(j.slots, s.meanWork)
-	late = LateChance(tau, u)
+	violation = LateChance(tau, u)
 	total = s.congestionCost(w, u, j.slots*(j.work+fetch/w.slowdown)/s.meanWork)
-	total += j.value*max(late*(1-s.cfg.Classes[j.class].LateWorth), s.failureProbability(w)) + s.crossZoneCost(w) + missPenalty*miss
+	total += j.value*max(violation*(1-s.cfg.Classes[j.class].LateWorth), s.failureProbability(w)) + s.crossZoneCost(w) + missPenalty*miss
 	if s.now < w.ejectedUntil {
 		total += ejectionPenalty * j.value
 	}
 	if s.warmupFactor(w) < 1 {
 		total -= warmupGain
 	}
-	return total, late
+	return total, violation
 }
 
 // congestionCost returns the cost to later jobs of x more mean jobs at a worker with backlog u: v(u+x)-v(u),
--- a/logic/health.go
+++ b/logic/health.go
@@ -51,7 +51,7 @@
 		s.learnRun(w, run, j.work)
 	case ConnectFailed, Broken:
 		if s.eject(w); o.Result == ConnectFailed {
-			// No process listens there; the list or a new process will bring the worker back. A try soon would cost an attempt.
+			// No process listens there; the list or a new process will bring the worker back. An early try costs an attempt.
 			w.ejectedUntil = max(w.ejectedUntil, s.now+maxEjection)
 			s.recordFailure(w)
 			if s.cfg.FreeConnects {
--- a/logic/homes.go
+++ b/logic/homes.go
@@ -9,7 +9,7 @@
 // of ranks in use grows with the demand for the data set.
 
 const (
-	dataSetsPerWorker    = 2       // data sets remembered per worker: its few cache places are shared with the other schedulers' data sets
+	dataSetsPerWorker    = 2       // data sets remembered per worker: its few cache places also hold other schedulers' sets
 	affinityRanks        = 12      // ranked workers per data set
 	maxAffinities        = 1 << 14 // data sets whose affinity is remembered; bounds the memory
 	recentHitProbability = 0.95    // probability that a data set sent to a worker recently is still there
--- a/logic/notes.go
+++ b/logic/notes.go
@@ -19,7 +19,8 @@
 	a.slotWork *= 1 - residualShare
 	w.running += j.slots
 	kd := &s.kinds[w.info.Kind]
-	kd.parallelRuns += max(w.running-kd.parallelRuns, 0) * 0.2 // own jobs that run side by side show a worker's slots where nothing reports them
+	// Own jobs that run side by side reveal slots where nothing reports them.
+	kd.parallelRuns += max(w.running-kd.parallelRuns, 0) * 0.2
 	s.markAlive(w)
 	s.learnStartDelay(w, seconds(s.now-a.sent))
 	if !j.answered {
--- a/logic/pace.go
+++ b/logic/pace.go
@@ -11,9 +11,9 @@
 	workerRunKeep     = 0.85 // weight kept by older runs at each new one: about six runs are remembered
 	kindRunKeep       = 0.98 // the same for a whole kind: about fifty runs
 	residualShare     = 0.5  // mean share of a running time that is left when a running job is observed
-	initialSlots      = 4.0  // slots assumed of an unknown worker: with fewer it gets few jobs, and its further slots are never seen
-	statsTimeConstant = 10.0 // time constant of a worker's own runs, seconds: a worker that was slow must get another chance
-	maxRunSlowdown    = 2.0  // multiple of the kind's slowdown to which a run counts for the kind: one slow worker must not set the mean
+	initialSlots      = 4.0  // slots assumed of an unknown worker: fewer keep jobs off it, so that more are never observed
+	statsTimeConstant = 10.0 // time constant of a worker's own runs, seconds: a slow worker must get another chance
+	maxRunSlowdown    = 2.0  // cap on a run in the kind's statistics, as a multiple of its slowdown: limits outliers
 )
 
 // slowdownOf returns a worker's running time for a second of work, from its own runs with its kind as the prior.
--- a/logic/place.go
+++ b/logic/place.go
@@ -9,11 +9,11 @@
 
 const (
 	maxAttemptsKept = 8      // attempts recorded per job; more retries than this do not help
-	hintWeight      = 0.65   // weight of the logarithm of a hint against that of the class mean: hints are as noisy as jobs differ
-	maxCandidates   = 12     // candidates compared where many schedulers each see a part of the load: bounds CPU use and herding
+	hintWeight      = 0.65   // weight of log(hint) against log(class mean): hints are as noisy as jobs differ
+	maxCandidates   = 12     // candidates compared where each scheduler sees a part of the load: bounds CPU use and herding
 	fewSchedulers   = 4      // number of schedulers up to which each sees enough of the load to compare all workers
 	holdInterval    = 40_000 // us between attempts to place a job that found no worker
-	affinitySample  = 3      // affinity workers compared where reports are shared: with all, schedulers with the same reports would choose the same one
+	affinitySample  = 3      // affinity workers compared where reports are shared; comparing all would cause herding
 )
 
 // choice is the result of a comparison of workers; violation is the probability of a deadline violation.
@@ -23,8 +23,9 @@
 }
 
 // choose returns the worker of lowest cost that the job may be sent to; its worker is -1 if there is none. Many
-// schedulers that each see a part of the load would all choose the same few workers, so each compares a random
-// sample only, besides the job's affinity workers and the workers in slow start.
+// schedulers that each see a part of the load would all choose the same few workers, so each compares only a
+// uniform random sample, as under a load-equalising split, besides the job's affinity workers and the workers in slow
+// start.
 func (s *Scheduler) choose(j *job) choice {
 	s.refreshEstimates()
 	best := choice{worker: -1}
@@ -52,17 +53,18 @@
 	return best
 }
 
-// consider replaces best by worker i if the job may be sent to it and its cost is lower; a tie goes to the shorter backlog.
+// consider replaces best by worker i if the job may be sent to it and it has the lower cost, or on a tie the shorter
+// backlog.
 func (s *Scheduler) consider(j *job, i int32, best *choice) {
 	w := &s.workers[i]
 	k := s.cfg.Classes[j.class].WorkerKind // the only kind that can run it, if any
 	if s.membershipStale || k >= 0 && k != w.info.Kind || !s.mayAttempt(j, w) || !s.slowStartAllows(w, j.maxWork*j.slots) || j.triedOn(i) {
 		return
 	}
-	total, late := s.cost(j, w)
+	total, violation := s.cost(j, w)
 	u := s.backlog(w)
 	if best.worker < 0 || total < best.cost || total == best.cost && u < best.backlog {
-		*best = choice{worker: i, cost: total, violation: late, backlog: u}
+		*best = choice{worker: i, cost: total, violation: violation, backlog: u}
 	}
 }
 
@@ -112,13 +114,13 @@
 	if j.deadline <= 0 {
 		j.deadline = s.now + c.Deadline
 	}
-	asked := s.now
+	firstSent := s.now
 	if in.Repeated || s.cfg.HidesRetry {
 		// The target latency counts from the first try, whose time follows from the remaining time. A retry served late
 		// has no value.
-		asked = min(asked, j.deadline-c.Deadline)
+		firstSent = min(firstSent, j.deadline-c.Deadline)
 	}
-	j.targetAt = min(asked+c.Aim+int64(c.Stretch*j.work*1e6), j.deadline)
+	j.targetAt = min(firstSent+c.Aim+int64(c.Stretch*j.work*1e6), j.deadline)
 	s.countArrival(j)
 	s.refreshEstimates()
 	s.recordDemand(j)
@@ -153,7 +155,8 @@
 	return s.cfg.OverShare
 }
 
-// place sends a job to the worker of lowest cost, holds it while there is none, or refuses it.
+// place sends a job to the worker of lowest cost, holds it while there is none, or ends it by finish when its time is
+// up, no attempt is left or it is too likely to be late.
 func (s *Scheduler) place(i int32) {
 	j := &s.jobs[i]
 	if s.now >= s.answerBy(j) {
--- a/logic/review.go
+++ b/logic/review.go
@@ -8,10 +8,10 @@
 // Reviews of jobs that have not been answered: a missing report, or a better worker elsewhere.
 
 const (
-	waitExtrapolation = 3.0     // multiple of the wait so far of a job that has not started that is expected as its remaining wait
+	waitExtrapolation = 3.0     // expected remaining wait of a job that has not started, as a multiple of its wait so far
 	maxMissedStarts   = 2       // consecutive missing start reports, without a sign of life, that get a worker ejected
-	ackTimeout        = 500_000 // us in which a worker that acknowledges jobs must have done so: ten times the longest delay observed
-	minMoveGain       = 0.1     // smallest fall in expected loss, in mean jobs, for which a waiting job moves to another worker
+	ackTimeout        = 500_000 // us in which a worker must acknowledge a job: ten times the longest delay observed
+	minMoveGain       = 0.1     // smallest fall in expected loss, in mean jobs, for which a waiting job moves
 )
 
 // startCheckDelay returns the microseconds in which a job that starts at once on worker i reports its start.
@@ -146,8 +146,8 @@
 	least := 1.0
 	for k := range j.attemptCount {
 		if a := &j.attempts[k]; a.outstanding && !a.cancelled {
-			_, late := s.cost(j, &s.workers[a.worker])
-			least = min(least, late)
+			_, violation := s.cost(j, &s.workers[a.worker])
+			least = min(least, violation)
 		}
 	}
 	return least
--- a/logic/rules.go
+++ b/logic/rules.go
@@ -6,7 +6,7 @@
 
 const (
 	refusalThreshold      = 0.95 // probability of a deadline violation beyond which a job is not worth its work
-	unsafeViolationFactor = 3.0  // multiple of that probability for a job that can't be refused once it is sent, where the fleet lacks capacity
+	unsafeViolationFactor = 3.0  // factor on it for a job that can't be refused once sent, where the fleet lacks capacity
 	contentionThreshold   = 0.5  // share of attempts without a free slot from which slow starts are not a worker's fault
 )
 
@@ -59,7 +59,7 @@
 	return j.attemptCount-j.uncounted >= s.cfg.MaxAttempts || j.attemptCount >= maxAttemptsKept
 }
 
-// mayRefuse reports whether the job certainly causes no second effect if its client tries again.
+// mayRefuse reports whether a retry by the client can't cause a second effect of the job.
 func (s *Scheduler) mayRefuse(j *job) bool {
 	c := &s.cfg.Classes[j.class]
 	if c.Repeat == RepeatSafe || c.Repeat == RepeatKeyed && c.Group == GroupAll {
@@ -99,17 +99,17 @@
 
 // shouldRefuse reports whether a job is so likely to be late that it only keeps others waiting. A job that can't be
 // refused is failed only under contention, of which each of many schedulers sees a part.
-func (s *Scheduler) shouldRefuse(j *job, late float64) bool {
-	doubt := late
+func (s *Scheduler) shouldRefuse(j *job, violation float64) bool {
+	risk := violation
 	if s.cfg.Classes[j.class].Repeat == RepeatUnsafe {
-		doubt *= unsafeViolationFactor
+		risk *= unsafeViolationFactor
 	}
-	if j.slotPrice > 0 && j.attemptCount == 0 && j.value*s.meanValue*(1-doubt) < j.slotPrice*j.work*j.slots {
+	if j.slotPrice > 0 && j.attemptCount == 0 && j.value*s.meanValue*(1-risk) < j.slotPrice*j.work*j.slots {
 		return true // the fleet lacks capacity, and has work of higher value
 	}
 	n := float64(s.cfg.Schedulers)
 	if s.now < s.othersKnownUntil {
 		n = 1 // the other schedulers' part is known too
 	}
-	return late >= refusalThreshold && s.cfg.Classes[j.class].LateWorth <= 0 && (s.mayRefuse(j) || s.contention*n >= contentionThreshold*min(fewSchedulers, n))
+	return violation >= refusalThreshold && s.cfg.Classes[j.class].LateWorth <= 0 && (s.mayRefuse(j) || s.contention*n >= contentionThreshold*min(fewSchedulers, n))
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -33,7 +33,7 @@
 	answered, inUse                          bool
 	key                                      uint64
 	work, slots, value                       float64
-	slotPrice                                float64 // value of a slot-second that the fleet lacks capacity for
+	slotPrice                                float64 // value of the work that a slot could do in a second instead; see Job.Price
 	uncounted                                int     // attempts that do not count, because they never reached a worker
 	maxWork                                  float64 // larger of the expected work and the hint
 	arrived, deadline, targetAt              int64
@@ -75,11 +75,11 @@
 	slowStartSlot             int64   // number of the window that slowStartUsed counts, by time / FallWindow
 	slowStartUsed             float64 // work sent in that window, seconds
 	derivedAt                 int64
-	slowdown, d, drainTime    float64 // running time for a second of work; seconds to drain a mean job, and a second of slot-work
+	slowdown, d, drainTime    float64 // running time per second of work; time to drain a mean job, and a second of slot-work
 	slots                     float64
 	headroom                  float64                   // backlog with which a one-slot job still starts at once, on average
 	dataSets                  [dataSetsPerWorker]uint64 // data sets sent there, latest first
-	tau, slope                []float64                 // for each class: tolerable backlog in units of time, and G' there
+	tau, slope                []float64                 // for each class: tolerable backlog, seconds, and G' there
 }
 
 // kind is the state learned over all workers of a kind.
