--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -62,7 +62,7 @@
 	return to
 }
 
-// A list number that is used again within a batch, and a kill and new start in one batch.
+// A list number may be used again within a batch, and an instance may be stopped and started in one batch.
 func TestReusedListNumberAndRestartInOneBatch(t *testing.T) {
 	in := frame(1_000_000, 1, start(3, settingsText), start(4, settingsText),
 		ledger(0, 77), update(3, 0), ledger(0, 88), update(4, 0), arrival(3, 1), arrival(4, 2))
@@ -84,10 +84,10 @@
 	var out bytes.Buffer
 	err := serve(bytes.NewReader(in), &out)
 	if err == nil || !strings.Contains(err.Error(), "batch 2") {
-		t.Errorf("error %v, want one that names batch 2", err)
+		t.Errorf("error %v, want one that mentions batch 2", err)
 	}
 	if n := binary.BigEndian.Uint32(out.Bytes()); out.Len() != int(n) {
-		t.Errorf("%d bytes written, only the reply of %d to the first batch was due", out.Len(), n)
+		t.Errorf("%d bytes written, want only the reply of %d bytes to the first batch", out.Len(), n)
 	}
 }
 
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	if b := out.Bytes(); len(b) < 9 || b[8] != 2 || !bytes.Contains(b, []byte("Classes.count")) {
-		t.Errorf("reply %q, want a fault that names Classes.count", b)
+		t.Errorf("reply %q, want a fault that mentions Classes.count", b)
 	}
 }
 
--- a/logic/checker_test.go
+++ b/logic/checker_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// The checker of rules_test.go must be able to fail: each case breaks one rule and has to be found.
+// Tests the checker of rules_test.go itself: each case breaks one rule, and the checker must report it.
 func TestCheckerFindsEachViolation(t *testing.T) {
-	const cls = 8 // unsafe, group of a cell
+	const cls = 8 // unsafe, group GroupCell
 	send := func(w WorkerID) Action { return Action{Kind: ActSend, Job: 1, Worker: w} }
 	cases := []struct {
 		name string
@@ -21,7 +21,7 @@
 		{"too many attempts", []Action{send(1)}, func(c *checker) {
 			c.jobs[1].attempts = make([]checkAttempt, c.cfg.MaxAttempts)
 		}},
-		{"cold worker pushed over", []Action{send(1)}, func(c *checker) {
+		{"worker in slow start overloaded", []Action{send(1)}, func(c *checker) {
 			c.workers[1].info.UpSince, c.hints[1] = c.now-1000, 50
 		}},
 	}
@@ -40,7 +40,7 @@
 			k.prep(c)
 		}
 		if c.apply(k.acts); len(c.violations) == 0 {
-			t.Errorf("%s: not found", k.name)
+			t.Errorf("%s: the checker did not report it", k.name)
 		}
 	}
 }
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// The budget of a worker that has just started holds for the sum of all schedulers, however many they are, whatever comes to
-// whom and when, and however often their processes start anew: every scheduler always has work for it, the most that it may send or of drawn sizes, and sends all that it may, late
-// in one slot and early in the next or at drawn moments. In any
-// window the sum stays within N + 2 root N + 2 requests of mean work (under 30: N + 3 root N + 3), N being what is allowed at
-// the window's beginning.
+// Guards against overload of a worker in slow start by the sum of all schedulers, however many they are and however
+// often their processes restart. Every scheduler always has jobs for the worker, of random sizes or as large as allowed,
+// and sends all that it may: at random moments, or late in one slot and early in the next. In any window the sum must
+// stay within N + 2 root N + 2 requests of mean work (for N under 30: N + 3 root N + 3), where N is the allowance at the
+// beginning of the window.
 func TestSlowStartBudgetOfAnyNumberOfSchedulers(t *testing.T) {
 	for _, n := range []int{1, 2, 4, 5, 80, 900} {
-		just := 31 / (0.37 * initialSlots * 2) // N just past the border between few and many in the middle of the play
-		for _, multiple := range []float64{1, 3, just, 40} {
+		justMany := 31 / (0.37 * initialSlots * 2) // N just past the border between few and many in the middle of the run
+		for _, multiple := range []float64{1, 3, justMany, 40} {
 			t.Run(fmt.Sprintf("%d schedulers, multiple %g", n, multiple), func(t *testing.T) {
 				checkSlowStartBudget(t, n, multiple)
 			})
@@ -28,6 +28,8 @@
 	work float64
 }
 
+// checkSlowStartBudget runs n schedulers against one worker in slow start and checks every window.
+
 func checkSlowStartBudget(t *testing.T, n int, multiple float64) {
 	const window, moments = 2_000_000, 40
 	c := testConfig()
@@ -40,25 +42,25 @@
 	for slot := int64(0); slot < 7; slot++ {
 		for m := range moments {
 			at := t0 - t0%window + slot*window + int64(m)*window/moments + r.Int63n(window/moments)
-			bunched := slot >= 3
-			if at < t0 || bunched && slot%2 == 1 && m < moments-1 || bunched && slot%2 == 0 && m > 0 {
+			clustered := slot >= 3
+			if at < t0 || clustered && slot%2 == 1 && m < moments-1 || clustered && slot%2 == 0 && m > 0 {
 				continue
 			}
 			for _, k := range r.Perm(n) {
-				sent = append(sent, sendAllAllowed(fleet[k], at, r, bunched)...)
+				sent = append(sent, sendAllAllowed(fleet[k], at, r, clustered)...)
 				if r.Intn(4) > 0 {
 					continue
 				}
-				// Its process ends, and the next one knows nothing of what was sent.
+				// The process ends; its successor does not know what was sent.
 				c.Self = k
 				fleet[k] = mustNew(t, c)
 				fleet[k].Workers(at, ListFull, list, nil)
-				sent = append(sent, sendAllAllowed(fleet[k], at, r, bunched)...)
+				sent = append(sent, sendAllAllowed(fleet[k], at, r, clustered)...)
 			}
 		}
 	}
 	if len(sent) == 0 {
-		t.Error("nobody may send to it, it would never warm up")
+		t.Error("no scheduler may send to the worker, so it would never warm up")
 	}
 	allowed := func(at int64) float64 {
 		x := float64(at-t0) / 24e6
@@ -71,7 +73,7 @@
 			sum -= sent[from].work
 			from++
 		}
-		// The worker grows warmer in the window; what it is allowed at the end is the most that the settings give.
+		// The worker warms up within the window; the allowance at the window's end is the loosest bound of the settings.
 		limit := allowed(o.at)
 		if limit < 30 {
 			limit += 3*math.Sqrt(limit) + 3
@@ -79,12 +81,13 @@
 			limit += 2*math.Sqrt(limit) + 2
 		}
 		if sum > limit+1e-6 {
-			t.Fatalf("%.2f requests of mean work in a window, %.2f may come", sum, limit)
+			t.Fatalf("%.2f requests of mean work in a window, limit %.2f", sum, limit)
 		}
 	}
 }
 
-// sendCold has a scheduler send all that it may to its first worker, by drawn sizes or the most that it may.
+// sendAllAllowed has a scheduler send all that it may to its first worker, in jobs of random size or of the largest
+// size allowed.
 func sendAllAllowed(s *Scheduler, at int64, r *rand.Rand, most bool) (sent []slowStartSend) {
 	s.now, s.meanWork = max(s.now, at), 1
 	sizes := []float64{r.ExpFloat64() * 4, r.ExpFloat64(), r.Float64() / 4}
@@ -101,7 +104,7 @@
 	return sent
 }
 
-// A process whose place another has taken leaves the budget to that one.
+// A process that has been replaced must leave the slow-start budget to its successor.
 func TestSlowStartBudgetIsLeftToTheSuccessor(t *testing.T) {
 	c := testConfig()
 	c.Cold, c.StartCapacity, c.FallWindow, c.FallMultiple = 24_000_000, 0.3, 2_000_000, 3
@@ -111,14 +114,14 @@
 	s.Workers(t0, ListFull, list, nil)
 	s.now = t0 + c.FallWindow
 	if maxAllowedWork(s) == 0 {
-		t.Error("nothing may be sent to a worker that has just started")
+		t.Error("nothing may be sent to a worker in slow start")
 	}
 	if s.Yield(); maxAllowedWork(s) != 0 {
-		t.Error("a process that was succeeded sends to it")
+		t.Error("a process that was replaced still sends to it")
 	}
 }
 
-// mostCold is the most work that a scheduler may now send to its first worker.
+// maxAllowedWork returns the most work that a scheduler may now send to its first worker, by bisection.
 func maxAllowedWork(s *Scheduler) float64 {
 	low, high := 0.0, 1e6
 	for range 60 {
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -6,7 +6,7 @@
 	"granitewing/logic"
 )
 
-// An operator's scheduler carries out the actions of each call in their order; here they are printed.
+// The caller of a scheduler carries out the actions of each call in their order; this example prints them.
 func ExampleScheduler() {
 	s, err := logic.New(logic.Config{
 		Classes:     []logic.Class{{Aim: 500_000, Deadline: 2_000_000, Worth: 1, Repeat: logic.RepeatSafe, WorkerKind: -1}},
--- a/logic/failures_test.go
+++ b/logic/failures_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-// newFleet makes as many schedulers as the configuration counts, which share nothing but the list.
+// newFleet makes c.Schedulers schedulers, which share only the worker list.
 func newFleet(t *testing.T, c Config, list []WorkerInfo) (fleet []*Scheduler) {
 	t.Helper()
 	for self := range c.Schedulers {
@@ -40,6 +40,7 @@
 	return fleet
 }
 
+// readyWorkers returns n equal workers with the IDs 1 to n.
 func readyWorkers(n int) []WorkerInfo {
 	out := make([]WorkerInfo, n)
 	for i := range out {
@@ -48,6 +49,7 @@
 	return out
 }
 
+// sends returns the workers of the send actions.
 func sends(acts []Action) (to []WorkerID) {
 	for _, a := range acts {
 		if a.Kind == ActSend {
@@ -57,6 +59,7 @@
 	return to
 }
 
+// has reports whether there is an action of kind k.
 func has(acts []Action, k ActionKind) bool {
 	for _, a := range acts {
 		if a.Kind == k {
@@ -70,20 +73,20 @@
 	return s.Arrive(at, Job{ID: id, Hint: 100_000, Deadline: at + 3_000_000}, nil)
 }
 
-// Two equal workers: the first job ties and goes to the first in order of id, the second to the one without
-// backlog, since v(u+x)-v(u) grows with u.
+// Two equal workers: the first job is a tie and goes to the lowest ID; the second goes to the worker without backlog,
+// since v(u+x)-v(u) grows with u.
 func TestSecondJobGoesToIdleWorker(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(2), nil)
 	if got := sends(arrive(s, t0+1, 1)); !reflect.DeepEqual(got, []WorkerID{1}) {
-		t.Fatalf("first job to %v, want worker 1", got)
+		t.Fatalf("first job sent to %v, want worker 1", got)
 	}
 	if got := sends(arrive(s, t0+2, 2)); !reflect.DeepEqual(got, []WorkerID{2}) {
-		t.Fatalf("second job to %v, want worker 2, which holds nothing", got)
+		t.Fatalf("second job sent to %v, want worker 2, which is idle", got)
 	}
 }
 
-// A worker that cannot be reached has an empty backlog and would be the cheapest of all.
+// Guards against sending to an unreachable worker: its backlog is empty, which would make it the cheapest.
 func TestDeadWorkerIsNotCheapest(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(2), nil)
@@ -94,7 +97,7 @@
 	}
 	for id := JobID(2); id < 5; id++ {
 		if got := sends(arrive(s, t0+1000, id)); !reflect.DeepEqual(got, []WorkerID{2}) {
-			t.Errorf("job %d to %v while worker 1 is ejected", id, got)
+			t.Errorf("job %d sent to %v while worker 1 is ejected", id, got)
 		}
 	}
 }
@@ -110,7 +113,7 @@
 	}
 }
 
-// Many schedulers that all know the fast kind would all choose it.
+// Guards against herding: many schedulers that know the fast kind would all choose it.
 func TestKindWithLongQueuesIsNotChosen(t *testing.T) {
 	c := testConfig()
 	c.Schedulers = 50
@@ -124,19 +127,19 @@
 		s.kinds[k].run, s.kinds[k].work = []float64{5, 10}[k], 10
 	}
 	if got := sends(arrive(s, t0+1, 1)); s.workers[s.byID[got[0]]].info.Kind != 0 {
-		t.Fatalf("the fast kind should be chosen while nothing speaks against it, got worker %v", got)
+		t.Fatalf("without observations the fast kind should be chosen, got worker %v", got)
 	}
 	s.HangUp(t0+2, 1, nil)
-	s.kinds[0].meanBacklog = 30 // long queues were met at the fast kind
+	s.kinds[0].meanBacklog = 30 // long queues were observed at the fast kind
 	for i := range s.workers {
 		s.workers[i].othersBacklogAt = 0
 	}
 	if got := sends(arrive(s, t0+3, 2)); s.workers[s.byID[got[0]]].info.Kind != 1 {
-		t.Errorf("worker %v of the kind that the others fill was chosen", got)
+		t.Errorf("worker %v of the kind with long queues was chosen", got)
 	}
 }
 
-// Schedulers that hold the same list must fetch a data set to the same worker.
+// Schedulers with the same list must send the jobs of a data set to the same worker, or each worker fetches it.
 func TestSchedulersAgreeOnAffinityWorkers(t *testing.T) {
 	for key := uint64(1); key < 20; key++ {
 		var chosen [2]WorkerID
@@ -152,7 +155,7 @@
 			chosen[self] = sends(acts)[0]
 		}
 		if chosen[0] != chosen[1] {
-			t.Errorf("data set %d: homes %v differ", key, chosen)
+			t.Errorf("data set %d: workers %v differ", key, chosen)
 		}
 	}
 }
@@ -167,11 +170,11 @@
 		s.recordDemand(&job{key: 5, work: 1, slots: 1})
 	}
 	if hot := s.affinityWidth(h); hot < cold+2 {
-		t.Errorf("wanted homes grew from %.1f to %.1f only", cold, hot)
+		t.Errorf("the number of affinity workers grew only from %.1f to %.1f", cold, hot)
 	}
 }
 
-// All schedulers together must stay within the budget of a worker that has just started.
+// All schedulers together must stay within the slow-start budget of a worker.
 func TestSlowStartBudgetOverAllSchedulers(t *testing.T) {
 	const n = 40
 	allowed := 0
@@ -184,13 +187,13 @@
 		list[0].UpSince = t0
 		s.Workers(t0, ListFull, list, nil)
 		s.meanWork = 0.1
-		s.now = t0 + c.FallWindow // in the slot of its start a scheduler sends nothing there
+		s.now = t0 + c.FallWindow // in the slot in which it started a scheduler sends nothing there
 		if s.slowStartAllows(&s.workers[0], 0.1) {
 			allowed++
 		}
 	}
 	if allowed == 0 {
-		t.Error("nobody may send to it, it would never warm up")
+		t.Error("no scheduler may send to the worker, so it would never warm up")
 	}
 	if budget := 2.5 * 0.1 * initialSlots * 2; float64(allowed)*0.1 > budget/2 {
 		t.Errorf("%d schedulers may send 0.1 s of work each, half the budget is %.2f s", allowed, budget/2)
@@ -208,7 +211,7 @@
 		s.recordMissingStarts(j)
 	}
 	if s.now >= w.ejectedUntil {
-		t.Error("a worker that takes jobs and starts none is not ejected")
+		t.Error("a worker that accepts jobs and starts none is not ejected")
 	}
 	s.markAlive(w)
 	s.contention = contentionThreshold // the whole fleet is slow to start
@@ -218,7 +221,7 @@
 		s.recordMissingStarts(j)
 	}
 	if s.now < s.workers[1].ejectedUntil {
-		t.Error("a shared slowdown ejected a worker")
+		t.Error("a slowdown of the whole fleet ejected a worker")
 	}
 }
 
@@ -227,17 +230,17 @@
 	c.MustAsk = true
 	s := mustNew(t, c)
 	if acts := s.Workers(t0, ListCached, readyWorkers(2), nil); !has(acts, ActSubscribe) {
-		t.Fatal("no subscription asked for after the cached list")
+		t.Fatal("no subscription requested after the cached list")
 	}
 	acts := s.Workers(t0+1000, ListFailed, nil, nil)
 	if !has(acts, ActWake) || has(acts, ActSubscribe) {
-		t.Fatalf("a failed call must be repeated later, not at once: %v", acts)
+		t.Fatalf("a failed list request must be repeated later, not at once: %v", acts)
 	}
 	if got := sends(arrive(s, t0+2000, 1)); len(got) != 1 {
-		t.Errorf("the old list does not hold: sent to %v", got)
+		t.Errorf("the old list is not used: sent to %v", got)
 	}
 	if acts := s.Wake(t0+2*maxListRetryDelay, 0, nil); !has(acts, ActSubscribe) {
-		t.Error("the call was not repeated")
+		t.Error("the list request was not repeated")
 	}
 }
 
@@ -252,20 +255,20 @@
 			want = 1
 		}
 		if got := s.valueShare(0, 0); got != want {
-			t.Errorf("job %d of the tenant counts %.1f, want %.1f", n, got, want)
+			t.Errorf("value share of job %d of the tenant is %.1f, want %.1f", n, got, want)
 		}
 	}
 	if s.now += 2_000_000; s.valueShare(0, 0) != 1 {
-		t.Error("the share did not renew")
+		t.Error("the quota did not renew")
 	}
-	for _, stranger := range []int{-1, 1} {
-		if got := s.valueShare(stranger, 0); got != 0.1 {
-			t.Errorf("a job of tenant %d, which the settings do not name, counts %.1f", stranger, got)
+	for _, unknown := range []int{-1, 1} {
+		if got := s.valueShare(unknown, 0); got != 0.1 {
+			t.Errorf("value share of a job of the unknown tenant %d is %.1f, want 0.1", unknown, got)
 		}
 	}
 	c.Tenants = nil
 	if got := mustNew(t, c).valueShare(-1, 0); got != 1 {
-		t.Errorf("a job counts %.1f where there are no tenants", got)
+		t.Errorf("value share of a job is %.1f without tenants, want 1", got)
 	}
 }
 
@@ -276,7 +279,7 @@
 	s.Workers(t0, ListFull, readyWorkers(2), nil)
 	arrive(s, t0+1, 1)
 	if s.mayAttempt(&s.jobs[s.byJob[1]], &s.workers[1]) {
-		t.Error("a second attempt is allowed while the first is out")
+		t.Error("a second attempt is allowed while the first is outstanding")
 	}
 }
 
@@ -284,15 +287,15 @@
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(1), nil)
 	s.Arrive(t0+1, Job{ID: 1, Hint: 100_000, Deadline: t0 + 3_000_000}, nil)
-	acts := s.Wake(t0+900_000, 0, nil) // past the aim, not started
+	acts := s.Wake(t0+900_000, 0, nil) // past the target latency, not started
 	if !has(acts, ActRefuse) || !has(acts, ActCancel) {
-		t.Errorf("a waiting job past its aim, worth nothing late, still holds its place: %v", acts)
+		t.Errorf("a waiting job past its target, without value when late, is not cancelled: %v", acts)
 	}
 }
 
 func TestNewRejectsConfigWithoutClasses(t *testing.T) {
 	if _, err := New(Config{}, 1); err == nil {
-		t.Error("a configuration without classes was taken")
+		t.Error("New accepted a configuration without classes")
 	}
 }
 
@@ -301,7 +304,7 @@
 	s.Workers(t0, ListFull, append(readyWorkers(2), WorkerInfo{ID: 1, Zone: -4, Kind: -9, Phase: Ready}), nil)
 	arrive(s, t0+1, 1)
 	if acts := arrive(s, t0+2, 1); len(sends(acts)) != 0 {
-		t.Error("a job that is already held was sent again")
+		t.Error("a job whose ID is in use was sent again")
 	}
 	for _, o := range []Outcome{{Job: 9}, {Job: 1, Attempt: 3}, {Job: 1, Attempt: -1}, {Job: 1, Worker: 77}} {
 		if acts := s.Outcome(t0+3, o, nil); len(acts) != 0 {
@@ -309,7 +312,7 @@
 		}
 	}
 	if acts := s.Arrive(t0-5_000_000, Job{ID: 2, Class: 99, Tenant: -3, Slots: -1}, nil); len(sends(acts)) != 1 {
-		t.Error("a class out of range and a time that goes back must not lose the job")
+		t.Error("a job with a class out of range and a time that goes back was lost")
 	}
 }
 
@@ -331,7 +334,7 @@
 	}
 }
 
-// turn plays one job from arrival to answer.
+// runJob runs one job from its arrival to its answer.
 func runJob(s *Scheduler, at int64, id JobID, buf []Action) []Action {
 	buf = s.Arrive(at, Job{ID: id, Hint: 20_000, Deadline: at + 3_000_000}, buf[:0])
 	w := buf[0].Worker
@@ -353,20 +356,20 @@
 		step()
 	}
 	if n := testing.AllocsPerRun(500, step); n != 0 {
-		t.Errorf("%.1f allocations a job", n)
+		t.Errorf("%.1f allocations per job", n)
 	}
 	if len(s.byJob) != 0 || len(s.jobs) > 4 || len(s.timers) > 400 {
-		t.Errorf("still held: %d jobs, %d places, %d timers", len(s.byJob), len(s.jobs), len(s.timers))
+		t.Errorf("still held: %d jobs, %d job entries, %d timers", len(s.byJob), len(s.jobs), len(s.timers))
 	}
 	s.Workers(at, ListFull, nil, nil)
 	if len(s.byID) != 0 {
-		t.Errorf("%d workers that are gone are still held", len(s.byID))
+		t.Errorf("%d workers that are gone still have entries", len(s.byID))
 	}
 }
 
 func BenchmarkJobLifecycle(b *testing.B) {
 	for _, n := range []int{40, 215, 430} {
-		b.Run(map[int]string{40: "today", 215: "full size", 430: "twice that"}[n], func(b *testing.B) {
+		b.Run(map[int]string{40: "40 workers", 215: "215 workers", 430: "430 workers"}[n], func(b *testing.B) {
 			c := testConfig()
 			c.Schedulers = n
 			s, _ := New(c, 1)
@@ -380,8 +383,8 @@
 	}
 }
 
-// A scheduler that comes back with an old list must find its way past workers that are gone by now, and must not
-// load a cold one with more than it can bear.
+// A scheduler that restarts with an old list must find a worker despite entries that are gone, and must not send a
+// worker in slow start more than it can take.
 func TestRestartWithOldList(t *testing.T) {
 	c := testConfig()
 	c.Cold, c.StartCapacity, c.FallMultiple, c.FallWindow = 20_000_000, 0.1, 2, 1_000_000
@@ -393,16 +396,16 @@
 	for k := range 2 {
 		got := sends(acts)
 		if len(got) != 1 || got[0] == 3 {
-			t.Fatalf("attempt %d to %v, want one of the warm workers", k, got)
+			t.Fatalf("attempt %d to %v, want one of the workers at full capacity", k, got)
 		}
 		acts = s.Outcome(t0+int64(k+1)*100, Outcome{Job: 1, Attempt: k, Worker: got[0], Result: ConnectFailed}, nil)
 	}
 	if got := sends(acts); len(got) != 0 {
-		t.Errorf("with only a cold worker left the job went to %v, want it held", got)
+		t.Errorf("with only a worker in slow start left the job went to %v, want it held", got)
 	}
 }
 
-// Reports that stop coming must lose their hold: the belief returns to the mean.
+// When reports stop, the estimate must return to the mean, or an old observation would determine placement for good.
 func TestOldObservationLosesWeight(t *testing.T) {
 	c := testConfig()
 	c.Schedulers = 10
@@ -419,7 +422,7 @@
 	}
 }
 
-// A worker that was tried is never tried again, so once all were there is nothing to wait for.
+// A worker that was tried is never tried again, so a job that all workers have refused must be answered without a wait.
 func TestJobRefusedByEveryWorkerIsAnsweredAtOnce(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(2), nil)
@@ -433,11 +436,11 @@
 	}
 }
 
-// A dispatcher whose list is still empty may be reached by clients that have known it longer.
+// Clients may reach a dispatcher before it has its first worker list; their jobs must wait for it.
 func TestJobBeforeAnyWorkerIsHeld(t *testing.T) {
 	s := mustNew(t, testConfig())
 	if acts := arrive(s, t0, 1); len(sends(acts)) != 0 || has(acts, ActRefuse) {
-		t.Errorf("acted on %v", acts)
+		t.Errorf("without workers the job got the actions %v", acts)
 	}
 	s.Workers(t0+1000, ListFull, readyWorkers(1), nil)
 	if acts := s.Wake(t0+holdInterval, 0, nil); len(sends(acts)) != 1 {
@@ -445,14 +448,14 @@
 	}
 }
 
-// A fetch costs more than its own time: it pushes out a set that is asked for again. Guards against a data set that
-// wanders over the fleet, fetched anew at each worker, because one that is a little less busy looks cheaper.
+// Guards against a data set that moves between workers and is fetched again at each, because a slightly less busy worker
+// looks cheaper. A fetch costs more than its own time: it evicts a data set that is still in demand.
 func TestJobGoesToWorkerWithItsDataSet(t *testing.T) {
 	c := testConfig()
 	c.Classes[0].Aim, c.Classes[0].Deadline = 5_000_000, 30_000_000
 	s := mustNew(t, c)
 	s.Workers(t0, ListFull, readyWorkers(6), nil)
-	at := t0 + 60_000_000 // rates are known by then
+	at := t0 + 60_000_000 // arrival rates are known by then
 	job := func(id JobID) WorkerID {
 		at += 10_000
 		return sends(s.Arrive(at, Job{ID: id, Key: 77, Hint: 500_000, Deadline: at + 30_000_000}, nil))[0]
@@ -465,7 +468,7 @@
 	}
 }
 
-// progressConfig is of workers that tell of progress every 2 s, where no second copy may be out.
+// progressConfig has workers that report progress every 2 s, and forbids copies.
 func progressConfig() Config {
 	c := testConfig()
 	c.MayCopy, c.MaxAttempts, c.Progress = false, 3, 2_000_000
@@ -473,16 +476,16 @@
 	return c
 }
 
-// A job that has started and of which nothing more is heard is stuck, and is called off if another worker may run it.
+// A job that has started and sends no further reports is stalled; it is cancelled if another worker may run it.
 func TestStalledJobIsCancelled(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		repeat Repeat
-		note   int64 // time of a note of progress
+		note   int64 // time of a progress report; 0 = none
 		want   bool
 	}{
-		{"silent", RepeatSafe, 0, true},
-		{"told of progress in between", RepeatSafe, 3_000_000, false},
+		{"no progress report", RepeatSafe, 0, true},
+		{"progress report in between", RepeatSafe, 3_000_000, false},
 		{"must not run twice", RepeatUnsafe, 0, false},
 	} {
 		cfg := progressConfig()
@@ -500,12 +503,12 @@
 			at = t0 + c.note + 2_400_000
 		}
 		if got := has(s.Wake(at, 0, nil), ActCancel); got != c.want {
-			t.Errorf("%s: called off %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: cancelled %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// A job that waits where it will be late is taken elsewhere, one attempt at a time.
+// A job that waits at a worker where it will be late moves to an idle one, without two attempts at once.
 func TestWaitingJobMovesToIdleWorker(t *testing.T) {
 	s := mustNew(t, progressConfig())
 	s.Workers(t0, ListFull, readyWorkers(1), nil)
@@ -515,7 +518,7 @@
 	s.Workers(t0+100, ListFull, readyWorkers(2), nil)
 	acts := s.Wake(t0+200_000, 0, nil)
 	if !has(acts, ActCancel) || len(sends(acts)) != 0 {
-		t.Fatalf("want jobs called off and none sent meanwhile: %v", acts)
+		t.Fatalf("want jobs cancelled and none sent meanwhile: %v", acts)
 	}
 	for _, a := range acts {
 		if a.Kind == ActCancel {
@@ -528,64 +531,64 @@
 	}
 }
 
-// A worker that says at once when it has taken a job, and does not say so of this one, has not got it: the connection
-// or the worker swallowed it. Where no worker ever said so, its silence means nothing.
+// A worker that acknowledges jobs at once, but not this one, has not received it: the connection or the worker lost it.
+// Where no worker has ever acknowledged a job, a missing acknowledgement means nothing.
 func TestUnacknowledgedJobIsCancelled(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		repeat      Repeat
-		tells, took bool
-		want        bool
+		name            string
+		repeat          Repeat
+		acksSeen, acked bool
+		want            bool
 	}{
-		{"not taken", RepeatSafe, true, false, true},
-		{"keyed, not taken", RepeatKeyed, true, false, true},
-		{"taken", RepeatSafe, true, true, false},
-		{"nobody tells", RepeatSafe, false, false, false},
+		{"not acknowledged", RepeatSafe, true, false, true},
+		{"keyed, not acknowledged", RepeatKeyed, true, false, true},
+		{"acknowledged", RepeatSafe, true, true, false},
+		{"no worker acknowledges", RepeatSafe, false, false, false},
 		{"must not run twice", RepeatUnsafe, true, false, false},
 	} {
 		cfg := progressConfig()
 		cfg.Classes[0].Repeat, cfg.Classes[0].Window = c.repeat, 40_000_000
 		s := mustNew(t, cfg)
 		s.Workers(t0, ListFull, readyWorkers(2), nil)
-		s.acksSeen = c.tells
+		s.acksSeen = c.acksSeen
 		arrive(s, t0, 1)
-		if c.took {
+		if c.acked {
 			s.Progress(t0+1000, 1, 0, 0, nil)
 		}
 		if got := has(s.Wake(t0+ackTimeout, 0, nil), ActCancel); got != c.want {
-			t.Errorf("%s: called off %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: cancelled %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// An attempt that is over or called off is never stuck; a review that is due at once, again and again, would not end.
+// An attempt that has ended or is cancelled never counts as stalled; its review would be due again at once, without end.
 func TestCancelledAttemptIsNotStalled(t *testing.T) {
 	s := mustNew(t, progressConfig())
 	s.acksSeen = true
 	for _, a := range []attempt{{}, {outstanding: true, cancelled: true}, {started: 1, lastNote: 1}, {outstanding: true, started: 1, lastNote: 1, cancelled: true}} {
 		if at := s.stalledAt(&a); at < t0*1000 {
-			t.Errorf("%+v is stuck at %d", a, at)
+			t.Errorf("%+v counts as stalled at %d", a, at)
 		}
 	}
 }
 
-// Guards against a storm of retries: clients keep asking for what is late already, each try takes the place of a job that
-// could still be in time, and the fleet stays down long after what pushed it there is over.
+// Guards against a retry storm: clients retry jobs that are already late, each retry takes the place of a job that could
+// still be in time, and the fleet stays overloaded long after the cause has gone.
 func TestRetryPastItsTargetIsNotSent(t *testing.T) {
 	for name, test := range map[string]struct {
 		repeated bool
-		hidden   bool  // clients do not mark their retries
-		left     int64 // of the 3 s that its client waits
+		hidden   bool  // clients do not mark retries
+		left     int64 // remaining time, of the 3 s that the client waits
 		sent     bool
 	}{
-		"first try":                       {false, false, 3_000_000, true},
-		"first try of an impatient":       {false, false, 1_000_000, true},
-		"retry in time":                   {true, false, 2_900_000, true},
-		"retry too late":                  {true, false, 2_000_000, false},
-		"retry that starts its time anew": {true, false, 3_000_000, true},
-		"unmarked first try":              {false, true, 3_000_000, true},
-		"unmarked retry in time":          {false, true, 2_900_000, true},
-		"unmarked retry too late":         {false, true, 2_000_000, false},
+		"first try":                  {false, false, 3_000_000, true},
+		"first try with little time": {false, false, 1_000_000, true},
+		"retry in time":              {true, false, 2_900_000, true},
+		"retry too late":             {true, false, 2_000_000, false},
+		"retry with a new deadline":  {true, false, 3_000_000, true},
+		"unmarked first try":         {false, true, 3_000_000, true},
+		"unmarked retry in time":     {false, true, 2_900_000, true},
+		"unmarked retry too late":    {false, true, 2_000_000, false},
 	} {
 		c := testConfig()
 		c.HidesRetry = test.hidden
@@ -598,8 +601,9 @@
 	}
 }
 
-// One that answers errors at once is never busy. It must be avoided from the first error on, since each of many
-// schedulers would otherwise spend a few jobs on it; but not for ever, and not for what was the job's own fault.
+// Guards against a worker that answers with errors at once: it is never busy, so it would be the cheapest. It must be
+// avoided from the first error, since each of many schedulers would otherwise lose a few jobs to it; but not for ever,
+// and not for an error of the job itself.
 func TestFailingWorkerIsAvoided(t *testing.T) {
 	for name, test := range map[string]struct {
 		result Result
@@ -624,13 +628,13 @@
 		s.now += 120_000_000
 		s.decayStats(w)
 		if p := s.failureProbability(w); p > 0.25 {
-			t.Errorf("%s: two minutes later it is still taken to fail with a chance of %.2f", name, p)
+			t.Errorf("%s: two minutes later its failure probability is still %.2f", name, p)
 		}
 	}
 }
 
-// The cost of a placement must not turn negative when the estimate of the utilisation moves between two refreshes of a
-// worker's own figures: what is then the cheapest is whatever was looked at least lately.
+// The cost must not turn negative when the estimated utilisation changes between two refreshes of a worker's derived
+// quantities: the cheapest worker would then be the one refreshed least recently.
 func TestCostIsNotNegativeWhenTheUtilisationMoves(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(1), nil)
@@ -646,8 +650,8 @@
 	}
 }
 
-// A job that waits tells of its worker's queue before it starts: else every scheduler that has one there goes on sending
-// until the first of them has come to the head of the queue.
+// The wait of a job that has not started must count as backlog of its worker. Otherwise every scheduler with a job there
+// goes on sending until the first of these jobs reaches the head of the queue.
 func TestWaitSoFarCountsAsBacklog(t *testing.T) {
 	c := testConfig()
 	c.Schedulers, c.MayCopy, c.Classes[0].Repeat = 80, false, RepeatUnsafe
@@ -659,18 +663,18 @@
 		s.Wake(at, 0, nil)
 	}
 	if u := s.backlog(&s.workers[0]); u < 2 {
-		t.Errorf("a job has waited 2 s for its start, the backlog is taken for %.2f s", u)
+		t.Errorf("a job has waited 2 s for its start, the estimated backlog is %.2f s", u)
 	}
 }
 
-// A job that waits and is late by now keeps others waiting for nothing. One that may not be refused is failed, since its
-// client can't ask again, only while most jobs wait.
+// A waiting job that is late only keeps others waiting, and must be cancelled. A job that may not be refused is failed
+// only under contention, since its client can't retry it.
 func TestLateWaitingJobIsCancelled(t *testing.T) {
 	for _, test := range []struct {
-		repeat Repeat
-		crowd  float64
-		want   ActionKind
-		gone   bool
+		repeat     Repeat
+		contention float64
+		want       ActionKind
+		ended      bool
 	}{
 		{RepeatSafe, 0, ActRefuse, true},
 		{RepeatUnsafe, 1, ActFail, true},
@@ -679,21 +683,21 @@
 		c := testConfig()
 		c.MayCopy, c.Classes[0].Repeat = false, test.repeat
 		s := mustNew(t, c)
-		s.contention = test.crowd
+		s.contention = test.contention
 		s.Workers(t0, ListFull, readyWorkers(1), nil)
 		s.Arrive(t0, Job{ID: 1, Hint: 100_000, Deadline: t0 + 60_000_000}, nil)
 		var acts []Action
 		for at := t0; at < t0+5_000_000; at += 10_000 {
 			acts = s.Wake(at, 0, acts)
 		}
-		if has(acts, ActCancel) != test.gone || has(acts, test.want) != test.gone {
-			t.Errorf("repeat safety %d, crowding %.0f: %v", test.repeat, test.crowd, acts)
+		if has(acts, ActCancel) != test.ended || has(acts, test.want) != test.ended {
+			t.Errorf("repeat safety %d, contention %.0f: %v", test.repeat, test.contention, acts)
 		}
 	}
 }
 
-// Hints are as noisy as jobs differ, and each of many schedulers sees a handful of runs: the learned pace of equal workers
-// must not differ by what their jobs' hints happened to be.
+// Hints are as noisy as jobs differ, and each of many schedulers sees few runs: the slowdowns learned for equal workers
+// must not differ because of the hints of the jobs they happened to get.
 func TestSlowdownLearnedFromFewNoisyRuns(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
 	c := testConfig()
@@ -715,14 +719,14 @@
 		least, most = min(least, p), max(most, p)
 	}
 	if most > 2*least {
-		t.Errorf("the paces of equal workers were learned as %.2f to %.2f", least, most)
+		t.Errorf("the slowdowns learned for equal workers range from %.2f to %.2f", least, most)
 	}
 }
 
-// Rule four for all schedulers together, and that cold workers are used all the same: a fleet of which six in ten have
-// just started, and schedulers that share nothing but the list. A cold worker falls when a window brings it more than N + 3 root
-// N + 3 requests of mean work, N being what the settings allow it at that age at the least; the work is what the hints say, a mean of
-// 1 s. Jobs larger than the mean are used to warm workers too.
+// All schedulers together must keep the slow-start budgets, and still use workers in slow start. Six in ten workers have
+// just started, and the schedulers share only the list. A worker in slow start fails when a window brings it more than
+// N + 3 root N + 3 requests of mean work, where N is at least what the settings allow at its age; work is taken from the
+// hints, 1 s on average. Jobs larger than the mean must also go to workers in slow start.
 func TestSlowStartFleetOverManySchedulers(t *testing.T) {
 	for _, n := range []int{1, 10, 80} {
 		r := rand.New(rand.NewSource(int64(n)))
@@ -767,21 +771,22 @@
 				age := float64(list[i].at-t0) / 24e6
 				allowed := 3 * (0.13 + 0.87*age*age) * initialSlots * 2
 				if limit := allowed + 3*math.Sqrt(allowed) + 3; sum > limit {
-					t.Errorf("%d schedulers sent worker %d %.2f s of work in a window, it may take %.2f", n, w, sum, limit)
+					t.Errorf("%d schedulers sent worker %d %.2f s of work in a window, limit %.2f", n, w, sum, limit)
 				}
 			}
 		}
 		if len(cold) < 36 || toCold*8 < total {
-			t.Errorf("%d schedulers sent %d of %d jobs to %d of 36 cold workers: they must be warmed by work", n, toCold, total, len(cold))
+			t.Errorf("%d schedulers sent %d of %d jobs to %d of 36 workers in slow start, which need work to warm up", n, toCold, total, len(cold))
 		}
 		if n > fewSchedulers && large*8 < toCold {
-			t.Errorf("%d schedulers sent %d jobs larger than 1.5 of the mean among %d to cold workers: such are more than a fifth of all", n, large, toCold)
+			t.Errorf("%d schedulers sent %d jobs larger than 1.5 means among %d to workers in slow start; more than a fifth of all jobs are", n, large, toCold)
 		}
 	}
 }
 
-// What draws one scheduler to a worker draws all that hold the same list. One that sees a sliver has to take its own
-// choices of late for theirs, or a hot data set's first home gets them all.
+// Guards against herding on a hot data set: what makes a worker attractive to one scheduler does so for all that have
+// the same list. A scheduler that sees a small part must assume that the others choose as it does, or the first affinity
+// worker of the data set gets all of its jobs.
 func TestManySchedulersSpreadAHotDataSet(t *testing.T) {
 	const n = 80
 	c := testConfig()
@@ -792,7 +797,7 @@
 	at := t0
 	for id := JobID(1); at < t0+20_000_000; id++ {
 		at += int64(r.ExpFloat64() * 1e6 / 80)
-		key := uint64(7) // a sixth of the jobs
+		key := uint64(7) // one job in six
 		if r.Intn(6) > 0 {
 			key = uint64(100 + r.Intn(300))
 		}
@@ -810,12 +815,12 @@
 		most = max(most, k)
 	}
 	if share := float64(most) / float64(total); share > 0.33 {
-		t.Errorf("one worker got %.0f%% of the %d jobs of a hot data set, of %d workers that had some", 100*share, total, len(got))
+		t.Errorf("one worker got %.0f%% of the %d jobs of a hot data set, among %d workers with any", 100*share, total, len(got))
 	}
 }
 
-// A zone fails as a whole. One that has met two of its workers and found nobody must not go on to meet the rest one by one,
-// with an attempt of a job each; and one that fails alone must not take its zone with it for long.
+// Zones fail as a whole. A scheduler that could not reach two workers of a zone must not try all others one by one, at
+// the price of an attempt of a job each; and a single failing worker must not make its zone look failed for long.
 func TestZoneFailuresRaiseFailureProbabilityOfItsOtherWorkers(t *testing.T) {
 	c := testConfig()
 	c.Schedulers, c.Zones, c.MaxAttempts = 80, 2, 3
@@ -840,19 +845,19 @@
 		}
 	}
 	if missed > 6 {
-		t.Errorf("%d attempts at the 20 workers of a zone where nobody is", missed)
+		t.Errorf("%d attempts at the 20 unreachable workers of a zone", missed)
 	}
 	s.zones[1].failureShare = 0
 	s.recordFailure(&s.workers[s.byID[2]])
 	if p := s.failureProbability(&s.workers[s.byID[40]]); p > 0.25 {
-		t.Errorf("one failure makes another worker of the zone fail with a chance of %.2f", p)
+		t.Errorf("after one failure another worker of the zone has failure probability %.2f", p)
 	}
 }
 
-// A list service that fails all calls of a fleet at once must not get them all back at once, nor ever as often.
+// Retries of list requests must be spread out and become rarer, or a fleet keeps an overloaded list service down.
 func TestListRetriesOfManySchedulersAreSpreadOut(t *testing.T) {
 	const n = 80
-	calls := make([][]int64, 5) // times of each round's calls
+	calls := make([][]int64, 5) // times of each round's requests
 	for self := range n {
 		c := testConfig()
 		c.Schedulers, c.Self, c.MustAsk = n, self, true
@@ -872,7 +877,7 @@
 					}
 				}
 				if next <= at {
-					t.Fatalf("scheduler %d does not ask again in round %d", self, round)
+					t.Fatalf("scheduler %d does not repeat the request in round %d", self, round)
 				}
 				at = next
 				acts = s.Wake(at, 0, nil)
@@ -889,25 +894,25 @@
 		}
 		for _, k := range in {
 			if k > n*2/5 {
-				t.Errorf("round %d: %d of %d calls in 100 ms", round, k, n)
+				t.Errorf("round %d: %d of %d requests in 100 ms", round, k, n)
 			}
 		}
 		if gap := t0 + mean - last; round > 0 && gap < int64(listRetryDelay)<<round*9/10 && gap < maxListRetryDelay*9/10 {
-			t.Errorf("round %d: calls come %d ms after those before", round, gap/1000)
+			t.Errorf("round %d: requests come only %d ms after the previous ones", round, gap/1000)
 		}
 		last = t0 + mean
 	}
 }
 
-// Where a connect that finds nobody is no attempt, an old list must not use up a job's attempts; what ran still counts, and
-// the search has an end.
+// Where failed connects do not count as attempts, an old list must not use up a job's attempts. Attempts that ran still
+// count, and the number of failed connects is bounded.
 func TestFailedConnectsDoNotCountAsAttempts(t *testing.T) {
 	for _, free := range []bool{false, true} {
 		c := testConfig()
 		c.FreeConnects, c.MaxAttempts, c.MayCopy = free, 2, false
 		s := mustNew(t, c)
 		s.Workers(t0, ListCached, readyWorkers(20), nil)
-		play := func(id JobID, results ...Result) (made int) {
+		runJob := func(id JobID, results ...Result) (made int) {
 			acts := s.Arrive(t0+int64(id)*10_000_000, Job{ID: id, Hint: 100_000, Deadline: t0 + int64(id)*10_000_000 + 3_000_000}, nil)
 			for len(sends(acts)) == 1 {
 				result := results[min(made, len(results)-1)]
@@ -931,7 +936,7 @@
 			if !free && k == 0 {
 				results = []Result{ConnectFailed}
 			}
-			if made := play(JobID(k+1), results...); made != wants[k] {
+			if made := runJob(JobID(k+1), results...); made != wants[k] {
 				t.Errorf("free connects %v, %v: %d attempts, want %d", free, results, made, wants[k])
 			}
 		}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The checker keeps its own books of what it told the scheduler and what the scheduler did, and judges the
-// rules from these alone. It models no queue: outcomes are drawn at random among the legal ones.
+// The checker records what it reported to the scheduler and which actions it got, and checks the rules against these
+// records alone. It models no queue: outcomes are drawn at random among the legal ones.
 
 type checkAttempt struct {
 	worker      WorkerID
@@ -23,13 +23,13 @@
 	class    int
 	deadline int64
 	answers  int
-	closed   bool // the scheduler knows of the end
+	closed   bool // the job is answered or its client has left, as far as the scheduler knows
 	attempts []checkAttempt
 }
 
 type checkWorker struct {
 	info           WorkerInfo
-	notReadySince  int64 // when it was told gone or draining; 0 = ready
+	notReadySince  int64 // when the scheduler was told that it is gone or draining; 0 = ready
 	listed         bool
 	slowStartSends []checkedSend
 }
@@ -55,7 +55,7 @@
 	c.violations = append(c.violations, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// apply books the actions of one call.
+// apply records and checks the actions of one call.
 func (c *checker) apply(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
@@ -106,7 +106,7 @@
 		return
 	}
 	if w.notReadySince != 0 && c.now > w.notReadySince+c.cfg.DrainGrace {
-		c.violation("send to worker %d, told off %d us ago", a.Worker, c.now-w.notReadySince)
+		c.violation("send to worker %d, not ready since %d us", a.Worker, c.now-w.notReadySince)
 	}
 	if len(j.attempts) >= c.cfg.MaxAttempts {
 		c.violation("job %d has too many attempts", a.Job)
@@ -117,7 +117,7 @@
 	}
 	for _, o := range j.attempts {
 		if o.outstanding && !c.cfg.MayCopy {
-			c.violation("job %d has two attempts out", a.Job)
+			c.violation("job %d has two outstanding attempts", a.Job)
 		}
 		if o.neverRan || k.Repeat == RepeatSafe {
 			continue
@@ -131,8 +131,8 @@
 	c.checkSlowStartBudget(w, c.hints[a.Job])
 }
 
-// coldBudget holds one scheduler to the whole fleet's budget over any window: with a capacity of one slot of
-// standard speed for each worker, which the driver's outcomes do not exceed, that is the loosest legal bound.
+// checkSlowStartBudget checks one scheduler against the budget of the whole fleet over any window. The capacity is that
+// of slots of standard speed, which the outcomes drawn do not exceed, so this is the loosest legal bound.
 func (c *checker) checkSlowStartBudget(w *checkWorker, work float64) {
 	age := c.now - w.info.UpSince
 	if c.cfg.Cold == 0 || w.info.UpSince <= 0 || age >= c.cfg.Cold {
@@ -146,9 +146,9 @@
 		}
 	}
 	share := c.cfg.StartCapacity + (1-c.cfg.StartCapacity)*float64(max(age, 0))/float64(c.cfg.Cold)
-	const slots = 4.0 // as the driver's reports say
+	const slots = 4.0 // as in the load reports that are drawn
 	if limit := c.cfg.FallMultiple * share * slots * float64(c.cfg.FallWindow) / 1e6; sum > limit {
-		c.violation("cold worker %d was sent %.3f s of work, may take %.3f", w.info.ID, sum, limit)
+		c.violation("worker %d in slow start was sent %.3f s of work, limit %.3f", w.info.ID, sum, limit)
 	}
 }
 
@@ -183,7 +183,7 @@
 	return c
 }
 
-// drive plays one random legal history and gives the faults found.
+// runRandomHistory runs one random legal history of events and returns the violations found.
 func runRandomHistory(seed int64, steps int) []string {
 	r := rand.New(rand.NewSource(seed))
 	c := &checker{cfg: ruleConfig(r), now: 50_000_000, jobs: map[JobID]*checkJob{},
@@ -195,7 +195,7 @@
 	var buf []Action
 	c.list(s, r, ListCached, 12)
 	for n := range steps {
-		for range 1 + r.Intn(6) { // wake-ups come in the first tick at or past their time
+		for range 1 + r.Intn(6) { // wake-ups come in the first tick at or after their time
 			c.now += c.cfg.Resolution
 			c.wake(s)
 		}
@@ -213,7 +213,7 @@
 		case k < 50:
 			s.Heard(c.now, WorkerID(r.Intn(12)), r.ExpFloat64()*5, c.now-int64(r.Intn(3_000_000)))
 			s.HeardDemand(uint64(r.Intn(5)), r.ExpFloat64()*20, c.now+int64(r.Intn(3_000_000)))
-		case k < 52: // misuse: what was never made must be ignored
+		case k < 52: // invalid events: attempts that were never made must be ignored
 			c.apply(s.Outcome(c.now-r.Int63n(9_000_000), Outcome{Job: JobID(r.Intn(n + 2)), Attempt: 7}, buf[:0]))
 			c.apply(s.Started(c.now, JobID(r.Intn(n+2)), -1, buf[:0]))
 		default:
@@ -221,13 +221,13 @@
 		}
 		c.checkOverdue()
 	}
-	for range 4000 { // the end of the day: everything still open must be answered
+	for range 4000 { // at the end everything still open must be answered
 		c.now += c.cfg.Resolution
 		c.wake(s)
 	}
 	c.checkOverdue()
 	if left := len(s.byJob); left > 0 && c.noneOutstanding() {
-		c.violation("%d answered jobs are still held", left)
+		c.violation("%d answered jobs still have entries", left)
 	}
 	return c.violations
 }
@@ -273,7 +273,7 @@
 	return buf
 }
 
-// list changes n random workers (or makes them) and tells the scheduler.
+// list changes or creates n random workers and reports them to the scheduler.
 func (c *checker) list(s *Scheduler, r *rand.Rand, how ListKind, n int) {
 	var delta []WorkerInfo
 	for range n {
@@ -312,7 +312,7 @@
 	}
 }
 
-// attemptEvent ends, starts or advances a random attempt that is out.
+// attemptEvent ends, starts or advances a random outstanding attempt.
 func (c *checker) attemptEvent(s *Scheduler, r *rand.Rand) {
 	if len(c.order) == 0 {
 		return
@@ -357,8 +357,8 @@
 
 func TestRulesHoldInAnyEventOrder(t *testing.T) {
 	for seed := int64(1); seed <= 150; seed++ {
-		if faults := runRandomHistory(seed, 1500); len(faults) > 0 {
-			t.Errorf("seed %d: %d faults, first %s", seed, len(faults), faults[0])
+		if violations := runRandomHistory(seed, 1500); len(violations) > 0 {
+			t.Errorf("seed %d: %d violations, first %s", seed, len(violations), violations[0])
 		}
 	}
 }
@@ -366,8 +366,8 @@
 func FuzzRules(f *testing.F) {
 	f.Add(int64(1), uint16(300))
 	f.Fuzz(func(t *testing.T, seed int64, steps uint16) {
-		if faults := runRandomHistory(seed, int(steps%3000)+1); len(faults) > 0 {
-			t.Errorf("seed %d: %s", seed, faults[0])
+		if violations := runRandomHistory(seed, int(steps%3000)+1); len(violations) > 0 {
+			t.Errorf("seed %d: %s", seed, violations[0])
 		}
 	})
 }
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkDecisionBySize is what a request costs from its arrival to its end, by the number of servers listed, where 30
-// others send to them too. B/server is what a scheduler holds for each.
+// BenchmarkDecisionBySize measures the time and allocations of a job from its arrival to its end, by the number of
+// servers in the list, with 30 schedulers in the fleet. B/server is the memory that a scheduler holds per server.
 func BenchmarkDecisionBySize(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 3200, 10_000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
--- a/logic/told_test.go
+++ b/logic/told_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// What the others' runs say of a worker counts beside this scheduler's own, and fades as they do; a verdict keeps jobs off a
-// worker until its time or the next sign of life; a share that the fleet has decided holds.
+// Runs that the other schedulers report count like a scheduler's own and decay like them. A verdict of the fleet keeps
+// jobs off a worker until its time or the next sign of life. A value share that the fleet has decided takes precedence.
 func TestStateReportedByOtherSchedulers(t *testing.T) {
 	c := testConfig()
 	c.Schedulers = max(c.Schedulers, 1)
@@ -12,21 +12,21 @@
 	s.HeardRan(t0, 1, 40, 10)
 	now := s.slowdownOf(slow)
 	if now < 2*s.slowdownOf(other) {
-		t.Errorf("pace %g beside %g after runs of four times the work", now, s.slowdownOf(other))
+		t.Errorf("slowdown %g, of the other worker %g, after runs of four times the work", now, s.slowdownOf(other))
 	}
 	s.now += 40_000_000
 	s.decayStats(slow)
 	if later := s.slowdownOf(slow); later > (now+s.slowdownOf(other))/2 {
-		t.Errorf("pace %g, %g forty seconds later", now, later)
+		t.Errorf("slowdown %g, and %g forty seconds later", now, later)
 	}
 	s.Verdict(s.now, 1, s.now+1_000_000)
 	if to := sends(s.Arrive(s.now, Job{ID: 1, Deadline: s.now + 2_000_000}, nil)); len(to) != 1 || to[0] != 2 {
-		t.Errorf("sent to %v under a verdict on 1", to)
+		t.Errorf("sent to %v under a verdict on worker 1", to)
 	}
 	if s.markAlive(slow); s.now < slow.ejectedUntil {
 		t.Error("a sign of life does not end a verdict")
 	}
 	if got := s.valueShare(0, 0.25); got != 0.25 {
-		t.Errorf("share %g where 0.25 is decided", got)
+		t.Errorf("value share %g where the fleet decided 0.25", got)
 	}
 }
--- a/logic/value/value_test.go
+++ b/logic/value/value_test.go
@@ -10,7 +10,7 @@
 
 func bigFloat(v float64) *big.Float { return new(big.Float).SetPrec(refBits).SetFloat64(v) }
 
-// bigExp sums the series of e^x.
+// bigExp returns e^x by its power series.
 func bigExp(x *big.Float) *big.Float {
 	sum, term := bigFloat(1), bigFloat(1)
 	for n := 1; n < 2000; n++ {
@@ -24,7 +24,7 @@
 	return sum
 }
 
-// refG is the sum of equation (16) as printed, in high precision: sum over k<m of (e^-z Σ z^j/j! - 1).
+// refG returns the sum of equation (16) in high precision: sum over k<m of (e^-z Σ z^j/j! - 1).
 func refG(rho, q float64) float64 {
 	total := bigFloat(0)
 	for k := 0; k < int(math.Ceil(q)); k++ {
@@ -43,7 +43,7 @@
 	return v
 }
 
-// refWithin is equation (2), P(W <= tau), with s = tau/d.
+// refWaitWithin returns equation (2), P(W <= tau), with s = tau/d.
 func refWaitWithin(rho, s float64) float64 {
 	total := bigFloat(0)
 	for i := 0; i <= int(math.Floor(s)); i++ {
@@ -76,7 +76,7 @@
 	}
 }
 
-// value is v(u)-v(tau) in units of d.
+// relativeValue returns v(u)-v(tau) in units of d, with s = tau/d and y = u/d.
 func relativeValue(tab *Table, s, y float64) float64 { return tab.At(s-y) - tab.Slope(s)*(s-y) }
 
 func TestValueIsMonotoneWithConstantSlopePastDeadline(t *testing.T) {
@@ -93,16 +93,16 @@
 			}
 			rise := relativeValue(tab, s, s+3) - relativeValue(tab, s, s+2)
 			if math.Abs(rise-tab.Slope(s)) > 1e-9 {
-				t.Errorf("rho %.2f s %.1f: past the deadline v rises by %g a job, want %g", tab.rho, s, rise, tab.Slope(s))
+				t.Errorf("rho %.2f s %.1f: past the deadline v rises by %g per job, want %g", tab.rho, s, rise, tab.Slope(s))
 			}
 		}
 		if tab.Slope(-1) != 0 {
-			t.Errorf("a deadline that cannot be met must have no marginal cost")
+			t.Errorf("the marginal cost of a deadline that cannot be met is not 0")
 		}
 	}
 }
 
-// The paper's example: d = 1, tau = 2.5; an empty queue's admission cost is the chance of a wait past tau.
+// The paper's example: d = 1, tau = 2.5; an empty queue's admission cost is the probability of a wait past tau.
 func TestAdmissionCostOfEmptyQueue(t *testing.T) {
 	for _, rho := range []float64{0.2, 0.6, 0.8} {
 		tab := newTable(rho)
