--- a/internal/seam/checked.go
+++ b/internal/seam/checked.go
@@ -14,7 +14,8 @@
 	Choose func(n int) int
 )
 
-func turn(ready func() bool, objects ...any) {
+// waitScheduled calls Turn while a check runs.
+func waitScheduled(ready func() bool, objects ...any) {
 	if Turn != nil {
 		Turn(ready, objects...)
 	}
@@ -28,27 +29,27 @@
 
 // Lock waits until the lock is free, and acquires it.
 func (m *Mutex) Lock() {
-	turn(func() bool { return !m.held }, m)
+	waitScheduled(func() bool { return !m.held }, m)
 	m.real.Lock()
 	m.held = true
 }
 
 // Unlock releases the lock.
 func (m *Mutex) Unlock() {
-	turn(nil, m)
+	waitScheduled(nil, m)
 	m.held = false
 	m.real.Unlock()
 }
 
 // TrySend sends v without blocking and reports whether it did.
 func TrySend[T any](c chan T, v T) bool {
-	turn(nil, c)
+	waitScheduled(nil, c)
 	return trySend(c, v)
 }
 
 // TryRecv receives without blocking; ok reports whether a value was received.
 func TryRecv[T any](c chan T) (v T, ok bool) {
-	turn(nil, c)
+	waitScheduled(nil, c)
 	return tryRecv(c)
 }
 
@@ -64,7 +65,7 @@
 // Send sends v, blocking until there is room or done is closed, and reports whether v was sent. Where both are
 // possible, Choose decides.
 func Send[T any](c chan T, v T, done <-chan struct{}) bool {
-	turn(func() bool { return len(c) < cap(c) || closed(done) }, c, done)
+	waitScheduled(func() bool { return len(c) < cap(c) || closed(done) }, c, done)
 	if closed(done) && (Choose == nil || len(c) == cap(c) || Choose(2) == 1) {
 		return false
 	}
@@ -75,7 +76,7 @@
 // Recv receives, blocking until there is a value or done is closed, and reports whether a value was received. Where both
 // are possible, Choose decides.
 func Recv[T any](c chan T, done <-chan struct{}) (v T, ok bool) {
-	turn(func() bool { return len(c) > 0 || closed(done) }, c, done)
+	waitScheduled(func() bool { return len(c) > 0 || closed(done) }, c, done)
 	if closed(done) && (Choose == nil || len(c) == 0 || Choose(2) == 1) {
 		return v, false
 	}
@@ -85,6 +86,6 @@
 
 // Close closes a channel that signals completion.
 func Close(done chan struct{}) {
-	turn(nil, (<-chan struct{})(done))
+	waitScheduled(nil, (<-chan struct{})(done))
 	close(done)
 }
--- a/logic/api.go
+++ b/logic/api.go
@@ -55,7 +55,7 @@
 // Class describes one class of jobs. Durations are microseconds.
 type Class struct {
 	Name       string  // label used by the callers of this deployment; no decision depends on it
-	Aim        int64   // target latency: answers within Aim + Stretch x work earn the full value
+	Aim        int64   // target latency: answers within Aim + Stretch x work earn the full value; default Deadline
 	Stretch    float64 // growth of the target latency with the job's own work
 	Deadline   int64   // how long a client waits; used where a job states no deadline; default 10 s
 	Worth      float64 // value of a job, or of a unit of its work (Config.WorthByWork)
