--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost hosts scheduler instances on the simulator's wire: it reads batches of events from
-// standard input and writes one reply to each. It translates and decides nothing.
+// Command simhost runs scheduler instances for the simulator. It reads batches of events in the simulator's binary
+// protocol (internal/wire) from standard input and writes one reply per batch to standard output. It only translates
+// between the protocol and package logic.
 package main
 
 import (
@@ -20,18 +21,18 @@
 	}
 }
 
-// host maps instances to their schedulers.
+// host holds the scheduler instances by number, and the worker lists that the simulator has sent.
 type host struct {
-	insts   map[uint16]*logic.Scheduler
-	ledgers [16][]logic.WorkerInfo
-	acts    []logic.Action
-	reply   wire.Reply
-	event   wire.Event
+	schedulers  map[uint16]*logic.Scheduler
+	workerLists [16][]logic.WorkerInfo
+	actions     []logic.Action
+	reply       wire.Reply
+	event       wire.Event
 }
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	h := host{insts: map[uint16]*logic.Scheduler{}}
+	h := host{schedulers: map[uint16]*logic.Scheduler{}}
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	var frame []byte
 	var err error
@@ -42,7 +43,7 @@
 			}
 			return err
 		}
-		if err := h.batch(frame); err != nil {
+		if err := h.handleBatch(frame); err != nil {
 			return err
 		}
 		if _, err := w.Write(h.reply.Bytes()); err != nil {
@@ -54,8 +55,8 @@
 	}
 }
 
-// batch carries out one batch; a faulty one is found before any of its events is handed on.
-func (h *host) batch(frame []byte) error {
+// handleBatch processes one batch. All of its events are checked before the first is handled.
+func (h *host) handleBatch(frame []byte) error {
 	var b wire.Batch
 	if err := b.Open(frame); err != nil {
 		return err
@@ -73,58 +74,60 @@
 	}
 }
 
-// handle hands one event to its instance and writes down the actions.
+// handle passes one event to its instance and adds the resulting actions to the reply.
 func (h *host) handle(now int64, e *wire.Event) {
 	switch e.Code {
 	case wire.EvLedger:
-		h.ledger(e)
+		h.storeWorkerList(e)
 		return
 	case wire.EvKill:
-		delete(h.insts, e.Inst)
+		delete(h.schedulers, e.Inst)
 		return
 	case wire.EvStart:
-		h.start(e)
+		h.startInstance(e)
 		return
 	}
-	s := h.insts[e.Inst]
+	s := h.schedulers[e.Inst]
 	if s == nil {
 		return
 	}
-	h.acts = h.translate(s, now, e, h.acts[:0])
-	for i := range h.acts {
-		h.reply.Add(e.Inst, &h.acts[i])
+	h.actions = h.translate(s, now, e, h.actions[:0])
+	for i := range h.actions {
+		h.reply.Add(e.Inst, &h.actions[i])
 	}
 }
 
-func (h *host) start(e *wire.Event) {
-	delete(h.insts, e.Inst)
+// startInstance creates the instance of a start event, or adds a fault to the reply if its settings are invalid.
+func (h *host) startInstance(e *wire.Event) {
+	delete(h.schedulers, e.Inst)
 	cfg, err := wire.ParseSettings(e.Text)
 	if err == nil {
 		var s *logic.Scheduler
 		if s, err = logic.New(cfg, e.Seed); err == nil {
-			h.insts[e.Inst] = s
+			h.schedulers[e.Inst] = s
 			return
 		}
 	}
 	h.reply.Fault(e.Inst, err.Error())
 }
 
-func (h *host) ledger(e *wire.Event) {
-	if int(e.Set) >= len(h.ledgers) {
+// storeWorkerList replaces a numbered worker list, to which later list events refer.
+func (h *host) storeWorkerList(e *wire.Event) {
+	if int(e.Set) >= len(h.workerLists) {
 		return
 	}
-	list := h.ledgers[e.Set][:0]
+	list := h.workerLists[e.Set][:0]
 	wire.EachEntry(e.Entries, func(x wire.Entry) {
 		list = append(list, logic.WorkerInfo{
 			ID: logic.WorkerID(x.Worker), Zone: int(x.Zone), Kind: int(x.Kind), Cell: int(x.Cell),
-			Weight: float64(x.Weight), UpSince: int64(min(x.UpSince, 1<<62)), Phase: phase(x.Phase),
+			Weight: float64(x.Weight), UpSince: int64(min(x.UpSince, 1<<62)), Phase: phaseOf(x.Phase),
 		})
 	})
-	h.ledgers[e.Set] = list
+	h.workerLists[e.Set] = list
 }
 
-// phase maps the wire's states; one that is not known is not sent to.
-func phase(v uint8) logic.Phase {
+// phaseOf maps the protocol's worker states; a worker in an unknown state gets no jobs.
+func phaseOf(v uint8) logic.Phase {
 	switch v {
 	case 1:
 		return logic.Ready
@@ -134,13 +137,14 @@
 	return logic.Draining
 }
 
-// listKinds and results map the wire's codes, by position.
+// listKinds and results map the protocol's codes, by position.
 var (
 	listKinds = [...]logic.ListKind{logic.ListCached, logic.ListFailed, logic.ListFull, logic.ListDelta}
 	results   = [...]logic.Result{logic.Served, logic.Failed, logic.Refused, logic.TimedOut,
 		logic.ConnectFailed, logic.Broken, logic.Cancelled, logic.Moot}
 )
 
+// translate calls the scheduler's method for an event and returns acts with the resulting actions appended.
 func (h *host) translate(s *logic.Scheduler, now int64, e *wire.Event, acts []logic.Action) []logic.Action {
 	switch e.Code {
 	case wire.EvUpdate:
@@ -148,8 +152,8 @@
 			return acts
 		}
 		var list []logic.WorkerInfo
-		if int(e.Set) < len(h.ledgers) && listKinds[e.How] != logic.ListFailed {
-			list = h.ledgers[e.Set]
+		if int(e.Set) < len(h.workerLists) && listKinds[e.How] != logic.ListFailed {
+			list = h.workerLists[e.Set]
 		}
 		return s.Workers(now, listKinds[e.How], list, acts)
 	case wire.EvArrival:
@@ -172,7 +176,7 @@
 			return s.Progress(now, logic.JobID(e.Job), int(e.Attempt), float64(e.Share), acts)
 		}
 	case wire.EvAnswer:
-		r := logic.Failed // a result that is not known may have run
+		r := logic.Failed // an unknown result may have run
 		if int(e.Result) < len(results) {
 			r = results[e.Result]
 		}
@@ -185,7 +189,7 @@
 	case wire.EvWake:
 		return s.Wake(now, e.Token, acts)
 	case wire.EvInbox:
-		// Peers tell each other nothing in the simulator; what is due is done.
+		// Peers exchange no messages in the simulator; the event only triggers due timers.
 		return s.Wake(now, 0, acts)
 	}
 	return acts
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -62,8 +62,8 @@
 	return to
 }
 
-// A list number that is used again within a batch, and a kill and new start in one batch.
-func TestListsInOrderAndRestart(t *testing.T) {
+// A list number may be used again within a batch, and an instance may be stopped and started in one batch.
+func TestReusedListNumberAndRestartInOneBatch(t *testing.T) {
 	in := frame(1_000_000, 1, start(3, settingsText), start(4, settingsText),
 		ledger(0, 77), update(3, 0), ledger(0, 88), update(4, 0), arrival(3, 1), arrival(4, 2))
 	in = append(in, frame(1_001_000, 2, record(10, uint16(3)), start(3, settingsText), ledger(5, 99), update(3, 5),
@@ -78,30 +78,30 @@
 	}
 }
 
-func TestFaultyBatchGetsNoReply(t *testing.T) {
+func TestInvalidBatchGetsNoReply(t *testing.T) {
 	in := frame(1_000_000, 1, start(3, settingsText))
 	in = append(in, frame(1_001_000, 2, ledger(0, 77), update(3, 0), record(7, uint16(3)))...)
 	var out bytes.Buffer
 	err := serve(bytes.NewReader(in), &out)
 	if err == nil || !strings.Contains(err.Error(), "batch 2") {
-		t.Errorf("error %v, want one that names batch 2", err)
+		t.Errorf("error %v, want one that mentions batch 2", err)
 	}
 	if n := binary.BigEndian.Uint32(out.Bytes()); out.Len() != int(n) {
-		t.Errorf("%d bytes written, only the reply of %d to the first batch was due", out.Len(), n)
+		t.Errorf("%d bytes written, want only the reply of %d bytes to the first batch", out.Len(), n)
 	}
 }
 
-func TestUnusableSettingsReachTheWire(t *testing.T) {
+func TestInvalidSettingsAreReportedOnTheWire(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(frame(1, 1, start(3, "Balancers=1"))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if b := out.Bytes(); len(b) < 9 || b[8] != 2 || !bytes.Contains(b, []byte("Classes.count")) {
-		t.Errorf("reply %q, want a fault that names Classes.count", b)
+		t.Errorf("reply %q, want a fault that mentions Classes.count", b)
 	}
 }
 
-func TestEmptyInputEndsWell(t *testing.T) {
+func TestEmptyInputIsNoError(t *testing.T) {
 	if err := serve(bytes.NewReader(nil), &bytes.Buffer{}); err != nil {
 		t.Error(err)
 	}
--- a/logic/checker_test.go
+++ b/logic/checker_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// The checker of rules_test.go must be able to fail: each case breaks one rule and has to be found.
-func TestCheckerFindsEachBreach(t *testing.T) {
-	const cls = 8 // unsafe, group of a cell
+// Tests the checker of rules_test.go itself: each case breaks one rule, and the checker must report it.
+func TestCheckerFindsEachViolation(t *testing.T) {
+	const cls = 8 // unsafe, group GroupCell
 	send := func(w WorkerID) Action { return Action{Kind: ActSend, Job: 1, Worker: w} }
 	cases := []struct {
 		name string
@@ -16,12 +16,12 @@
 		{"answered twice", []Action{{Kind: ActFail, Job: 1}, {Kind: ActFail, Job: 1}}, nil},
 		{"sent after its end", []Action{{Kind: ActFail, Job: 1}, send(1)}, nil},
 		{"answered late", []Action{{Kind: ActFail, Job: 1}}, func(c *checker) { c.now = c.jobs[1].deadline + 1_000_000 }},
-		{"sent to a draining worker", []Action{send(1)}, func(c *checker) { c.workers[1].toldOff = c.now - 1_000_000 }},
+		{"sent to a draining worker", []Action{send(1)}, func(c *checker) { c.workers[1].notReadySince = c.now - 1_000_000 }},
 		{"sent to a worker not listed", []Action{send(3)}, nil},
 		{"too many attempts", []Action{send(1)}, func(c *checker) {
-			c.jobs[1].att = make([]checkAttempt, c.cfg.MaxAttempts)
+			c.jobs[1].attempts = make([]checkAttempt, c.cfg.MaxAttempts)
 		}},
-		{"cold worker pushed over", []Action{send(1)}, func(c *checker) {
+		{"worker in slow start overloaded", []Action{send(1)}, func(c *checker) {
 			c.workers[1].info.UpSince, c.hints[1] = c.now-1000, 50
 		}},
 	}
@@ -39,8 +39,8 @@
 		if k.prep != nil {
 			k.prep(c)
 		}
-		if c.apply(k.acts); len(c.faults) == 0 {
-			t.Errorf("%s: not found", k.name)
+		if c.apply(k.acts); len(c.violations) == 0 {
+			t.Errorf("%s: the checker did not report it", k.name)
 		}
 	}
 }
--- a/logic/cost.go
+++ b/logic/cost.go
@@ -2,15 +2,18 @@
 
 import "math"
 
-// The admission cost of a job at a worker (DESIGN, cost of a placement; equation 18).
+// The admission cost of a job at a worker: equation (18) of the paper on the M/D/1 queue with deadlines whose
+// value function package logic/value holds.
 
 const (
-	warmGain  = 1.0  // mean jobs that one at a cold worker earns beside its own worth: it is work that warms it
-	ejectCost = 0.95 // chance of failure booked to an ejected worker; shared by all, it cancels out
-	missPrice = 1.0  // mean jobs that a fetch costs beyond its time: it pushes out a set that is asked for again
+	warmupGain      = 1.0  // bonus in mean jobs for a job at a worker in slow start: work warms it up
+	ejectionPenalty = 0.95 // failure probability charged for an ejected worker; cancels out where all are ejected
+	missPenalty     = 1.0  // cost in mean jobs of a fetch beyond its time: it evicts a data set still in demand
 )
 
-// LateChance is the paper's 1(u >= tau) averaged over the error of the estimated backlog, taken as a gamma law of shape 2 around it.
+// LateChance returns the probability that a job misses its target on a worker with estimated backlog u when it
+// tolerates the backlog tau, both in seconds. It is the indicator 1(u >= tau) of the paper's cost averaged over
+// the error of the estimate, which is modelled as a gamma distribution of shape 2 with mean u.
 func LateChance(tau, u float64) float64 {
 	if tau <= 0 {
 		return 1
@@ -19,37 +22,39 @@
 	return (1 + z) * math.Exp(-z)
 }
 
-// cost is the admission cost of a job at a worker in mean jobs' worth, with the chance that the job is late.
-func (s *Scheduler) cost(j *job, w *worker) (total, late float64) {
+// cost returns the admission cost of a job at a worker, in units of the value of a mean job, and the probability
+// that the job misses its target there.
+func (s *Scheduler) cost(j *job, w *worker) (total, violation float64) {
 	s.derive(w)
-	miss := s.missChance(j, w)
-	fetch := miss * s.fetch
+	miss := s.missProbability(j, w)
+	fetch := miss * s.fetchTime
 	u := s.backlog(w)
-	run := w.pace*j.work + fetch
-	tau := seconds(j.aimAt-s.now) - s.base[w.info.Zone]*1.5 - run + w.room(j.slots, s.meanWork)
-	late = LateChance(tau, u)
-	total = s.pushes(w, u, j.slots*(j.work+fetch/w.pace)/s.meanWork)
-	total += j.worth*max(late*(1-s.cfg.Classes[j.class].LateWorth), s.failChance(w)) + s.crossing(w) + missPrice*miss
-	if s.now < w.ejected {
-		total += ejectCost * j.worth
+	run := w.slowdown*j.work + fetch
+	tau := seconds(j.targetAt-s.now) - s.baseDelay[w.info.Zone]*1.5 - run + w.headroomFor(j.slots, s.meanWork)
+	violation = LateChance(tau, u)
+	total = s.congestionCost(w, u, j.slots*(j.work+fetch/w.slowdown)/s.meanWork)
+	total += j.value*max(violation*(1-s.cfg.Classes[j.class].LateWorth), s.failureProbability(w)) + s.crossZoneCost(w) + missPenalty*miss
+	if s.now < w.ejectedUntil {
+		total += ejectionPenalty * j.value
 	}
-	if s.warmth(w) < 1 {
-		total -= warmGain
+	if s.warmupFactor(w) < 1 {
+		total -= warmupGain
 	}
-	return total, late
+	return total, violation
 }
 
-// pushes is what so many mean jobs more at a worker cost those that come after: v(u+x)-v(u), summed over the classes.
-func (s *Scheduler) pushes(w *worker, u, x float64) (total float64) {
-	for i, h := range s.weight {
+// congestionCost returns the cost to later jobs of x more mean jobs at a worker with backlog u: v(u+x)-v(u),
+// summed over the classes.
+func (s *Scheduler) congestionCost(w *worker, u, x float64) (total float64) {
+	for i, h := range s.classWeight {
 		q := (w.tau[i] - u) / w.d
 		total += h * (s.table.At(q-x) - s.table.At(q) + w.slope[i]*x)
 	}
 	return total
 }
 
-// crossing is the price of leaving the zone, in mean jobs.
-func (s *Scheduler) crossing(w *worker) float64 {
+// crossZoneCost returns the cost of leaving the zone, which is counted in mean jobs.
+func (s *Scheduler) crossZoneCost(w *worker) float64 {
 	if w.info.Zone == s.cfg.Zone {
 		return 0
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -6,56 +6,56 @@
 	"testing"
 )
 
-// The checker keeps its own books of what it told the scheduler and what the scheduler did, and judges the
-// rules from these alone. It models no queue: outcomes are drawn at random among the legal ones.
+// The checker records what it reported to the scheduler and which actions it got, and checks the rules against these
+// records alone. It models no queue: outcomes are drawn at random among the legal ones.
 
 type checkAttempt struct {
-	worker  WorkerID
-	sent    int64
-	out     bool
-	never   bool
-	zone    int
-	cell    int
-	started bool
+	worker      WorkerID
+	sent        int64
+	outstanding bool
+	neverRan    bool
+	zone        int
+	cell        int
+	started     bool
 }
 
 type checkJob struct {
 	class    int
 	deadline int64
 	answers  int
-	told     bool // the scheduler knows of the end
-	att      []checkAttempt
+	closed   bool // the job is answered or its client has left, as far as the scheduler knows
+	attempts []checkAttempt
 }
 
 type checkWorker struct {
-	info    WorkerInfo
-	toldOff int64 // when it was told gone or draining; 0 = ready
-	listed  bool
-	cold    []coldSend
+	info           WorkerInfo
+	notReadySince  int64 // when the scheduler was told that it is gone or draining; 0 = ready
+	listed         bool
+	slowStartSends []checkedSend
 }
 
-type coldSend struct {
+type checkedSend struct {
 	at   int64
 	work float64
 }
 
 type checker struct {
-	cfg     Config
-	now     int64
-	jobs    map[JobID]*checkJob
-	order   []JobID
-	workers map[WorkerID]*checkWorker
-	ids     []WorkerID
-	faults  []string
-	wakes   []int64
-	hints   map[JobID]float64
+	cfg        Config
+	now        int64
+	jobs       map[JobID]*checkJob
+	order      []JobID
+	workers    map[WorkerID]*checkWorker
+	ids        []WorkerID
+	violations []string
+	wakes      []int64
+	hints      map[JobID]float64
 }
 
-func (c *checker) fault(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
+func (c *checker) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// apply books the actions of one call.
+// apply records and checks the actions of one call.
 func (c *checker) apply(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
@@ -64,19 +64,19 @@
 		case ActSend:
 			c.send(a)
 		case ActCancel:
-			if j := c.jobs[a.Job]; j == nil || a.Attempt >= len(j.att) {
-				c.fault("cancel of an attempt never made")
+			if j := c.jobs[a.Job]; j == nil || a.Attempt >= len(j.attempts) {
+				c.violation("cancel of an attempt never made")
 			}
 		case ActRefuse, ActFail:
 			j := c.jobs[a.Job]
-			if j == nil || j.told {
-				c.fault("answer for job %d that is not open", a.Job)
+			if j == nil || j.closed {
+				c.violation("answer for job %d that is not open", a.Job)
 				continue
 			}
 			j.answers++
-			j.told = true
+			j.closed = true
 			if c.now > j.deadline+c.cfg.AnswerSlack {
-				c.fault("job %d answered late", a.Job)
+				c.violation("job %d answered late", a.Job)
 			}
 			if a.Kind == ActRefuse {
 				c.refuse(a.Job, j)
@@ -87,76 +87,76 @@
 
 func (c *checker) refuse(id JobID, j *checkJob) {
 	k := c.cfg.Classes[j.class]
-	for _, a := range j.att {
-		ok := a.never || k.Repeat == RepeatSafe || k.Repeat == RepeatKeyed && k.Group == GroupAll
+	for _, a := range j.attempts {
+		ok := a.neverRan || k.Repeat == RepeatSafe || k.Repeat == RepeatKeyed && k.Group == GroupAll
 		if !ok {
-			c.fault("job %d refused though it may have run", id)
+			c.violation("job %d refused though it may have run", id)
 		}
 	}
 }
 
 func (c *checker) send(a Action) {
 	j, w := c.jobs[a.Job], c.workers[a.Worker]
-	if j == nil || j.told {
-		c.fault("send for job %d that is not open", a.Job)
+	if j == nil || j.closed {
+		c.violation("send for job %d that is not open", a.Job)
 		return
 	}
 	if w == nil || !w.listed {
-		c.fault("send to a worker not listed")
+		c.violation("send to a worker not listed")
 		return
 	}
-	if w.toldOff != 0 && c.now > w.toldOff+c.cfg.DrainGrace {
-		c.fault("send to worker %d, told off %d us ago", a.Worker, c.now-w.toldOff)
+	if w.notReadySince != 0 && c.now > w.notReadySince+c.cfg.DrainGrace {
+		c.violation("send to worker %d, not ready since %d us", a.Worker, c.now-w.notReadySince)
 	}
-	if len(j.att) >= c.cfg.MaxAttempts {
-		c.fault("job %d has too many attempts", a.Job)
+	if len(j.attempts) >= c.cfg.MaxAttempts {
+		c.violation("job %d has too many attempts", a.Job)
 	}
 	k := c.cfg.Classes[j.class]
 	if k.WorkerKind >= 0 && k.WorkerKind != w.info.Kind {
-		c.fault("job %d on a worker of the wrong kind", a.Job)
+		c.violation("job %d on a worker of the wrong kind", a.Job)
 	}
-	for _, o := range j.att {
-		if o.out && !c.cfg.MayCopy {
-			c.fault("job %d has two attempts out", a.Job)
+	for _, o := range j.attempts {
+		if o.outstanding && !c.cfg.MayCopy {
+			c.violation("job %d has two outstanding attempts", a.Job)
 		}
-		if o.never || k.Repeat == RepeatSafe {
+		if o.neverRan || k.Repeat == RepeatSafe {
 			continue
 		}
 		same := k.Group == GroupAll || o.zone == w.info.Zone && (k.Group == GroupZone || o.cell == w.info.Cell)
 		if k.Repeat == RepeatUnsafe || !same || c.now-o.sent > k.Window {
-			c.fault("job %d sent again though it may have run", a.Job)
+			c.violation("job %d sent again though it may have run", a.Job)
 		}
 	}
-	j.att = append(j.att, checkAttempt{worker: a.Worker, sent: c.now, out: true, zone: w.info.Zone, cell: w.info.Cell})
-	c.coldBudget(w, c.hints[a.Job])
+	j.attempts = append(j.attempts, checkAttempt{worker: a.Worker, sent: c.now, outstanding: true, zone: w.info.Zone, cell: w.info.Cell})
+	c.checkSlowStartBudget(w, c.hints[a.Job])
 }
 
-// coldBudget holds one scheduler to the whole fleet's budget over any window: with a capacity of one slot of
-// standard speed for each worker, which the driver's outcomes do not exceed, that is the loosest legal bound.
-func (c *checker) coldBudget(w *checkWorker, work float64) {
+// checkSlowStartBudget checks one scheduler against the budget of the whole fleet over any window. The capacity is that
+// of slots of standard speed, which the outcomes drawn do not exceed, so this is the loosest legal bound.
+func (c *checker) checkSlowStartBudget(w *checkWorker, work float64) {
 	age := c.now - w.info.UpSince
 	if c.cfg.Cold == 0 || w.info.UpSince <= 0 || age >= c.cfg.Cold {
 		return
 	}
-	w.cold = append(w.cold, coldSend{c.now, work})
+	w.slowStartSends = append(w.slowStartSends, checkedSend{c.now, work})
 	sum := 0.0
-	for _, s := range w.cold {
+	for _, s := range w.slowStartSends {
 		if c.now-s.at < c.cfg.FallWindow {
 			sum += s.work
 		}
 	}
 	share := c.cfg.StartCapacity + (1-c.cfg.StartCapacity)*float64(max(age, 0))/float64(c.cfg.Cold)
-	const slots = 4.0 // as the driver's reports say
+	const slots = 4.0 // as in the load reports that are drawn
 	if limit := c.cfg.FallMultiple * share * slots * float64(c.cfg.FallWindow) / 1e6; sum > limit {
-		c.fault("cold worker %d was sent %.3f s of work, may take %.3f", w.info.ID, sum, limit)
+		c.violation("worker %d in slow start was sent %.3f s of work, limit %.3f", w.info.ID, sum, limit)
 	}
 }
 
-func (c *checker) overdue() {
+func (c *checker) checkOverdue() {
 	for _, id := range c.order {
-		if j := c.jobs[id]; !j.told && c.now > j.deadline+c.cfg.AnswerSlack {
-			c.fault("job %d got no answer in time", id)
-			j.told = true
+		if j := c.jobs[id]; !j.closed && c.now > j.deadline+c.cfg.AnswerSlack {
+			c.violation("job %d got no answer in time", id)
+			j.closed = true
 		}
 	}
 }
@@ -183,8 +183,8 @@
 	return c
 }
 
-// drive plays one random legal history and gives the faults found.
-func drive(seed int64, steps int) []string {
+// runRandomHistory runs one random legal history of events and returns the violations found.
+func runRandomHistory(seed int64, steps int) []string {
 	r := rand.New(rand.NewSource(seed))
 	c := &checker{cfg: ruleConfig(r), now: 50_000_000, jobs: map[JobID]*checkJob{},
 		workers: map[WorkerID]*checkWorker{}, hints: map[JobID]float64{}}
@@ -195,7 +195,7 @@
 	var buf []Action
 	c.list(s, r, ListCached, 12)
 	for n := range steps {
-		for range 1 + r.Intn(6) { // wake-ups come in the first tick at or past their time
+		for range 1 + r.Intn(6) { // wake-ups come in the first tick at or after their time
 			c.now += c.cfg.Resolution
 			c.wake(s)
 		}
@@ -208,34 +208,34 @@
 			c.apply(s.Workers(c.now, ListFailed, nil, buf[:0]))
 		case k < 48 && len(c.order) > 0:
 			id := c.order[r.Intn(len(c.order))]
-			c.jobs[id].told = true
+			c.jobs[id].closed = true
 			c.apply(s.HangUp(c.now, id, buf[:0]))
 		case k < 50:
 			s.Heard(c.now, WorkerID(r.Intn(12)), r.ExpFloat64()*5, c.now-int64(r.Intn(3_000_000)))
 			s.HeardDemand(uint64(r.Intn(5)), r.ExpFloat64()*20, c.now+int64(r.Intn(3_000_000)))
-		case k < 52: // misuse: what was never made must be ignored
+		case k < 52: // invalid events: attempts that were never made must be ignored
 			c.apply(s.Outcome(c.now-r.Int63n(9_000_000), Outcome{Job: JobID(r.Intn(n + 2)), Attempt: 7}, buf[:0]))
 			c.apply(s.Started(c.now, JobID(r.Intn(n+2)), -1, buf[:0]))
 		default:
 			c.attemptEvent(s, r)
 		}
-		c.overdue()
+		c.checkOverdue()
 	}
-	for range 4000 { // the end of the day: everything still open must be answered
+	for range 4000 { // at the end everything still open must be answered
 		c.now += c.cfg.Resolution
 		c.wake(s)
 	}
-	c.overdue()
-	if left := len(s.byJob); left > 0 && c.noneOut() {
-		c.fault("%d answered jobs are still held", left)
+	c.checkOverdue()
+	if left := len(s.byJob); left > 0 && c.noneOutstanding() {
+		c.violation("%d answered jobs still have entries", left)
 	}
-	return c.faults
+	return c.violations
 }
 
-func (c *checker) noneOut() bool {
+func (c *checker) noneOutstanding() bool {
 	for _, j := range c.jobs {
-		for _, a := range j.att {
-			if a.out {
+		for _, a := range j.attempts {
+			if a.outstanding {
 				return false
 			}
 		}
@@ -273,7 +273,7 @@
 	return buf
 }
 
-// list changes n random workers (or makes them) and tells the scheduler.
+// list changes or creates n random workers and reports them to the scheduler.
 func (c *checker) list(s *Scheduler, r *rand.Rand, how ListKind, n int) {
 	var delta []WorkerInfo
 	for range n {
@@ -287,9 +287,9 @@
 		w.info.Phase = []Phase{Ready, Ready, Ready, Draining, Gone}[r.Intn(5)]
 		if w.info.Phase == Ready && r.Intn(3) == 0 && how != ListCached {
 			w.info.UpSince = c.now - r.Int63n(1_000_000)
-			w.cold = nil
+			w.slowStartSends = nil
 		}
-		c.tell(w)
+		c.recordPhase(w)
 		delta = append(delta, w.info)
 	}
 	if how != ListDelta {
@@ -303,16 +303,16 @@
 	c.apply(s.Workers(c.now, how, delta, nil))
 }
 
-func (c *checker) tell(w *checkWorker) {
+func (c *checker) recordPhase(w *checkWorker) {
 	w.listed = w.listed || w.info.Phase != Gone
 	if w.info.Phase == Ready {
-		w.toldOff = 0
-	} else if w.toldOff == 0 {
-		w.toldOff = c.now
+		w.notReadySince = 0
+	} else if w.notReadySince == 0 {
+		w.notReadySince = c.now
 	}
 }
 
-// attemptEvent ends, starts or advances a random attempt that is out.
+// attemptEvent ends, starts or advances a random outstanding attempt.
 func (c *checker) attemptEvent(s *Scheduler, r *rand.Rand) {
 	if len(c.order) == 0 {
 		return
@@ -320,9 +320,9 @@
 	at := len(c.order) - 1 - r.Intn(min(len(c.order), 40))
 	id := c.order[at]
 	j := c.jobs[id]
-	for k := range j.att {
-		a := &j.att[k]
-		if !a.out {
+	for k := range j.attempts {
+		a := &j.attempts[k]
+		if !a.outstanding {
 			continue
 		}
 		switch {
@@ -339,26 +339,26 @@
 }
 
 func (c *checker) end(s *Scheduler, r *rand.Rand, id JobID, j *checkJob, k int) {
-	a := &j.att[k]
-	a.out = false
+	a := &j.attempts[k]
+	a.outstanding = false
 	res := Result(r.Intn(8))
 	if a.started && (res == Refused || res == ConnectFailed || res == Moot) {
 		res = Broken
 	}
-	a.never = res == Refused || res == ConnectFailed || res == Moot
-	if res == Served && !j.told {
+	a.neverRan = res == Refused || res == ConnectFailed || res == Moot
+	if res == Served && !j.closed {
 		j.answers++
-		j.told = true
+		j.closed = true
 	}
-	o := Outcome{Job: id, Attempt: k, Worker: a.worker, Result: res, Elapsed: c.now - a.sent, Settled: j.told,
+	o := Outcome{Job: id, Attempt: k, Worker: a.worker, Result: res, Elapsed: c.now - a.sent, Settled: j.closed,
 		Report: []float32{float32(r.Intn(5)), float32(r.Intn(9))}}
 	c.apply(s.Outcome(c.now, o, nil))
 }
 
-func TestRulesUnderAnyOrder(t *testing.T) {
+func TestRulesHoldInAnyEventOrder(t *testing.T) {
 	for seed := int64(1); seed <= 150; seed++ {
-		if faults := drive(seed, 1500); len(faults) > 0 {
-			t.Errorf("seed %d: %d faults, first %s", seed, len(faults), faults[0])
+		if violations := runRandomHistory(seed, 1500); len(violations) > 0 {
+			t.Errorf("seed %d: %d violations, first %s", seed, len(violations), violations[0])
 		}
 	}
 }
@@ -366,8 +366,8 @@
 func FuzzRules(f *testing.F) {
 	f.Add(int64(1), uint16(300))
 	f.Fuzz(func(t *testing.T, seed int64, steps uint16) {
-		if faults := drive(seed, int(steps%3000)+1); len(faults) > 0 {
-			t.Errorf("seed %d: %s", seed, faults[0])
+		if violations := runRandomHistory(seed, int(steps%3000)+1); len(violations) > 0 {
+			t.Errorf("seed %d: %s", seed, violations[0])
 		}
 	})
 }
--- a/logic/timers.go
+++ b/logic/timers.go
@@ -1,10 +1,11 @@
 package logic
 
+// timerEntry is one timer; job and generation are set for the review of a job.
 type timerEntry struct {
-	at   int64
-	what int
-	job  int32
-	gen  uint32
+	at         int64
+	kind       int
+	job        int32
+	generation uint32
 }
 
 // timerHeap is a binary heap with the earliest timer first.
