--- a/internal/system/agreement/disk/disk.go
+++ b/internal/system/agreement/disk/disk.go
@@ -1,5 +1,11 @@
-// Package disk keeps a member of an agreement group on its disk: term, vote and entries in a log of segments, the
-// snapshot in a file beside it.
+// Package disk stores the persistent state of one member of a Raft group (package agreement). Term, vote and entries are
+// records of a segmented log; a snapshot is a file of its own in the same folder, which a record refers to by its index.
+//
+// Open replays the log and yields a Member, whose Stored is the state to start a node with. Save makes the writes of a
+// Ready durable, Compact replaces the log by a snapshot, and Begin gives the disk to a new identity. If the disk is full,
+// these fail with an error for which segment.IsFull is true, and may be called again once there is space. Errors of the
+// file system are of package segment; contradictory or unreadable data is a CorruptError. A Member is not safe for
+// concurrent use.
 package disk
 
 import (
@@ -15,108 +21,113 @@
 )
 
 const (
-	snapshotPrefix  = "snapshot-"
-	segmentLength   = 4 << 20
-	checksumLength  = 4
-	recordOverflow  = 2 // segments before the log is compacted
-	entriesOverflow = 2048
+	snapshotPrefix = "snapshot-"
+	segmentLength  = 4 << 20 // bytes
+	checksumLength = 4       // bytes, of the CRC-32 at the end of a snapshot file
+	maxSegments    = 2       // a log with more segments should be compacted
+	maxEntries     = 2048    // a log with more entries should be compacted
 )
 
-// record is one record of the log. Set fields apply in their order.
+// record is one record of the log, encoded under the names of its fields. The fields that are set apply in their order.
 type record struct {
-	// Started begins a member's life under an identity; what stood before is void. It is the first record of a disk.
+	// Started marks the start of an identity with ID and Founders, the bootstrap members. It invalidates all earlier
+	// records, and is set in the first record of a disk.
 	Started   bool
 	ID        string
 	Founders  []string
 	HardState *agreement.HardState
-	// Snapshot is the index whose file replaces the log; all entries in former records are void.
+	// Snapshot is the index of the snapshot file that replaces the log. It invalidates all entries of earlier records.
 	Snapshot uint64
 	Entries  []agreement.Entry
 }
 
-// CorruptError tells of a disk whose records contradict each other: not what a loss of power leaves.
+// CorruptError reports stored data that is unreadable or contradictory, which a power loss alone does not cause.
 type CorruptError struct{ Reason string }
 
 func (e *CorruptError) Error() string { return "agreement log: " + e.Reason }
 
-// Member is the disk of one member of a group.
+// Member is the storage of one member of a group.
 type Member struct {
-	files     segment.Files
-	log       *segment.Log
-	id        string
-	founders  []string
-	stored    agreement.Stored
-	snapshots []uint64 // indexes of the snapshot files
-	named     uint64   // index of the snapshot that the log names: that file is never written over
+	files              segment.Files
+	log                *segment.Log
+	id                 string
+	bootstrap          []string
+	stored             agreement.Stored
+	snapshots          []uint64 // indexes of the existing snapshot files
+	referencedSnapshot uint64   // index of the snapshot that the log refers to: its file is never overwritten
 }
 
-// Identity tells who a member is that starts on an empty disk: one of the founders where there are any, else a newcomer.
+// Identity is the identity of a member that starts on an empty disk. Founders lists the bootstrap members of the group, of
+// which it is one; it is empty for a member that joins an existing group.
 type Identity struct {
 	ID       string
 	Founders []string
 }
 
-// Open reads a member's disk; fresh is for an empty one.
-func Open(files segment.Files, fresh Identity) (*Member, error) {
+// Open reads a member's disk. On an empty disk it starts the initial identity. The error is a CorruptError, or one of
+// package segment.
+func Open(files segment.Files, initial Identity) (*Member, error) {
 	log, err := segment.Open(files, segmentLength)
 	if err != nil {
 		return nil, err
 	}
 	member := &Member{files: files, log: log}
-	if err := member.open(fresh); err != nil {
+	if err := member.load(initial); err != nil {
 		log.Close()
 		return nil, err
 	}
 	return member, nil
 }
 
-func (m *Member) open(fresh Identity) error {
+// load replays the log and starts the initial identity if the log has none.
+func (m *Member) load(initial Identity) error {
 	if err := m.listSnapshots(); err != nil {
 		return err
 	}
 	started := false
 	err := m.log.Replay(func(_ segment.Position, payload []byte) error {
-		var entry record
-		if err := msgpack.Unmarshal(payload, &entry); err != nil {
-			return &CorruptError{Reason: "record can't be read: " + err.Error()}
+		var rec record
+		if err := msgpack.Unmarshal(payload, &rec); err != nil {
+			return &CorruptError{Reason: "cannot decode record: " + err.Error()}
 		}
-		started = started || entry.Started
-		return m.apply(&entry)
+		started = started || rec.Started
+		return m.apply(&rec)
 	})
 	if err != nil || started {
 		return err
 	}
-	return m.Begin(fresh)
+	return m.Begin(initial)
 }
 
-// Begin starts a member's life under an identity; what the disk held of another is void and removed, since its records
-// name snapshots that go with it. Where the disk was full it is called again.
-func (m *Member) Begin(fresh Identity) error {
+// Begin starts a new identity on the disk. The state of an earlier identity becomes invalid. Its records are removed too,
+// since they refer to snapshots that are removed. If the disk is full, Begin can be called again.
+func (m *Member) Begin(initial Identity) error {
 	if m.id != "" {
 		if err := m.log.Rotate(); err != nil {
 			return err
 		}
 	}
-	entry := record{Started: true, ID: fresh.ID, Founders: fresh.Founders}
-	if err := m.write(&entry); err != nil {
+	rec := record{Started: true, ID: initial.ID, Founders: initial.Founders}
+	if err := m.writeRecord(&rec); err != nil {
 		return err
 	}
-	if err := m.apply(&entry); err != nil {
+	if err := m.apply(&rec); err != nil {
 		return err
 	}
-	return m.removeOld()
+	return m.removeObsolete()
 }
 
-// removeOld removes what the log's last segment makes void.
-func (m *Member) removeOld() error {
+// removeObsolete removes the segments and snapshots that the last segment of the log makes obsolete.
+func (m *Member) removeObsolete() error {
 	for len(m.log.Segments()) > 1 {
 		if err := m.log.RemoveOldest(); err != nil {
 			return err
 		}
 	}
-	return m.removeSnapshots()
+	return m.removeUnreferencedSnapshots()
 }
 
+// listSnapshots collects the indexes of the snapshot files in the folder.
 func (m *Member) listSnapshots() error {
 	names, err := m.files.List()
 	if err != nil {
@@ -134,36 +145,38 @@
 	return nil
 }
 
-// Stored is what the member starts from.
+// Stored returns the state that was read from the disk, with which the member starts.
 func (m *Member) Stored() agreement.Stored { return m.stored }
 
-// ID is the member's identity.
+// ID returns the member's identity.
 func (m *Member) ID() string { return m.id }
 
-func (m *Member) apply(entry *record) error {
-	if entry.Started {
-		m.id, m.founders = entry.ID, entry.Founders
+// apply updates the state by a record that was read or has just been written.
+func (m *Member) apply(rec *record) error {
+	if rec.Started {
+		m.id, m.bootstrap = rec.ID, rec.Founders
 		m.stored = agreement.Stored{}
-		m.named = 0
-		m.stored.Snapshot.Members.Voters = entry.Founders
+		m.referencedSnapshot = 0
+		m.stored.Snapshot.Members.Voters = rec.Founders
 	}
-	if entry.HardState != nil {
-		m.stored.HardState = *entry.HardState
+	if rec.HardState != nil {
+		m.stored.HardState = *rec.HardState
 	}
-	if entry.Snapshot > m.stored.Snapshot.Index {
-		snapshot, err := m.readSnapshot(entry.Snapshot)
+	if rec.Snapshot > m.stored.Snapshot.Index {
+		snapshot, err := m.readSnapshot(rec.Snapshot)
 		if err != nil {
 			return err
 		}
 		m.stored.Snapshot = *snapshot
-		m.named = entry.Snapshot
-		// A snapshot that was installed replaces the whole log, as it does in memory: entries behind its index followed
-		// others than its own.
+		m.referencedSnapshot = rec.Snapshot
+		// An installed snapshot replaces the whole log, as it does in memory: entries after its index followed an entry that
+		// differs from the snapshot's last one.
 		m.stored.Entries = nil
 	}
-	return m.appendEntries(entry.Entries)
+	return m.appendEntries(rec.Entries)
 }
 
+// appendEntries appends entries to the state. An entry at an existing index replaces it and all later ones.
 func (m *Member) appendEntries(entries []agreement.Entry) error {
 	for _, entry := range entries {
 		first := m.stored.Snapshot.Index + 1
@@ -172,17 +185,18 @@
 		}
 		at := entry.Index - first
 		if at > uint64(len(m.stored.Entries)) {
-			return &CorruptError{Reason: fmt.Sprintf("entry %d follows %d", entry.Index, first+uint64(len(m.stored.Entries))-1)}
+			return &CorruptError{Reason: fmt.Sprintf("entry %d follows entry %d", entry.Index, first+uint64(len(m.stored.Entries))-1)}
 		}
 		m.stored.Entries = append(m.stored.Entries[:at], entry)
 	}
 	return nil
 }
 
-func (m *Member) write(entry *record) error {
-	payload, err := msgpack.Marshal(entry)
+// writeRecord appends a record to the log and syncs it.
+func (m *Member) writeRecord(rec *record) error {
+	payload, err := msgpack.Marshal(rec)
 	if err != nil {
-		return &CorruptError{Reason: "record can't be written: " + err.Error()}
+		return &CorruptError{Reason: "cannot encode record: " + err.Error()}
 	}
 	if _, err := m.log.Append(payload); err != nil {
 		return err
@@ -190,32 +204,34 @@
 	return m.log.Sync()
 }
 
-// Save writes and syncs what a Ready asks for. After an error the member must not go on.
+// Save writes and syncs the hard state, the snapshot and the entries of a Ready. After an error the member must not
+// continue; only if the disk is full, the same Ready may be saved again.
 func (m *Member) Save(ready *agreement.Ready) error {
 	if !ready.MustSync() {
 		return nil
 	}
-	entry := record{HardState: ready.HardState, Entries: ready.Entries}
+	rec := record{HardState: ready.HardState, Entries: ready.Entries}
 	if ready.Snapshot != nil && ready.Snapshot.Index > 0 {
 		if err := m.writeSnapshot(ready.Snapshot); err != nil {
 			return err
 		}
-		entry.Snapshot = ready.Snapshot.Index
+		rec.Snapshot = ready.Snapshot.Index
 	}
-	if err := m.write(&entry); err != nil {
+	if err := m.writeRecord(&rec); err != nil {
 		return err
 	}
-	m.named = max(m.named, entry.Snapshot)
+	m.referencedSnapshot = max(m.referencedSnapshot, rec.Snapshot)
 	return nil
 }
 
-// WantsCompaction tells whether the log has grown enough to be replaced by a snapshot.
+// WantsCompaction reports whether the log should be replaced by a snapshot, because it has too many segments or, in
+// memory, too many entries after the last snapshot.
 func (m *Member) WantsCompaction(entries int) bool {
-	return entries > entriesOverflow || len(m.log.Segments()) > recordOverflow
+	return entries > maxEntries || len(m.log.Segments()) > maxSegments
 }
 
-// Compact replaces the log by a snapshot and what follows it. Where the disk is full all that it held stands, and the
-// member goes on.
+// Compact replaces the log by the snapshot of stored and the entries after it. If the disk is full, everything that was
+// stored stays valid and the member can continue.
 func (m *Member) Compact(stored agreement.Stored) error {
 	if err := m.writeSnapshot(&stored.Snapshot); err != nil {
 		return err
@@ -223,19 +239,19 @@
 	if err := m.log.Rotate(); err != nil {
 		return err
 	}
-	head := record{Started: true, ID: m.id, Founders: m.founders, HardState: &stored.HardState,
+	head := record{Started: true, ID: m.id, Founders: m.bootstrap, HardState: &stored.HardState,
 		Snapshot: stored.Snapshot.Index, Entries: stored.Entries}
-	if err := m.write(&head); err != nil {
+	if err := m.writeRecord(&head); err != nil {
 		return err
 	}
-	m.named = head.Snapshot
-	return m.removeOld()
+	m.referencedSnapshot = head.Snapshot
+	return m.removeObsolete()
 }
 
-// removeSnapshots removes all snapshots but the one that the log names.
-func (m *Member) removeSnapshots() error {
+// removeUnreferencedSnapshots removes all snapshot files but the one that the log refers to.
+func (m *Member) removeUnreferencedSnapshots() error {
 	for _, index := range slices.Clone(m.snapshots) {
-		if index == m.named {
+		if index == m.referencedSnapshot {
 			continue
 		}
 		name := snapshotName(index)
@@ -249,15 +265,15 @@
 
 func snapshotName(index uint64) string { return fmt.Sprintf(snapshotPrefix+"%016x", index) }
 
-// writeSnapshot writes a snapshot's file. The one that the log names holds the same state already: writing it again
-// would leave nothing to start from if that was interrupted.
+// writeSnapshot writes and syncs a snapshot file. It skips the one that the log refers to: that file holds the same state
+// already, and an interrupted rewrite would leave nothing to start from.
 func (m *Member) writeSnapshot(snapshot *agreement.Snapshot) error {
-	if snapshot.Index > 0 && snapshot.Index == m.named {
+	if snapshot.Index > 0 && snapshot.Index == m.referencedSnapshot {
 		return nil
 	}
 	payload, err := msgpack.Marshal(snapshot)
 	if err != nil {
-		return &CorruptError{Reason: "snapshot can't be written: " + err.Error()}
+		return &CorruptError{Reason: "cannot encode snapshot: " + err.Error()}
 	}
 	sum := crc32.ChecksumIEEE(payload)
 	payload = append(payload, byte(sum), byte(sum>>8), byte(sum>>16), byte(sum>>24))
@@ -282,6 +298,7 @@
 	return nil
 }
 
+// readSnapshot reads a snapshot file and verifies its checksum.
 func (m *Member) readSnapshot(index uint64) (*agreement.Snapshot, error) {
 	name := snapshotName(index)
 	data, err := m.files.ReadFile(name)
@@ -294,7 +311,7 @@
 	payload, tail := data[:len(data)-checksumLength], data[len(data)-checksumLength:]
 	sum := crc32.ChecksumIEEE(payload)
 	if tail[0] != byte(sum) || tail[1] != byte(sum>>8) || tail[2] != byte(sum>>16) || tail[3] != byte(sum>>24) {
-		return nil, &CorruptError{Reason: name + " has another checksum"}
+		return nil, &CorruptError{Reason: name + " has a wrong checksum"}
 	}
 	var snapshot agreement.Snapshot
 	if err := msgpack.Unmarshal(payload, &snapshot); err != nil {
--- a/internal/system/agreement/disk/disk_test.go
+++ b/internal/system/agreement/disk/disk_test.go
@@ -153,7 +153,7 @@
 				member, err := Open(disk, founder)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(1, 1), entry(2, 1)}})).To(Succeed())
-				disk.full, disk.room = true, room // creations and writes that still succeed
+				disk.full, disk.remaining = true, room // creations and writes that still succeed
 				stored := agreement.Stored{Entries: []agreement.Entry{entry(2, 1)}, Snapshot: agreement.Snapshot{Index: 1, Term: 1,
 					Data: []byte("state"), Members: agreement.Membership{Voters: founder.Founders}}}
 				Expect(segment.IsFull(member.Compact(stored))).To(BeTrue(), "room for %d", room)
@@ -171,20 +171,20 @@
 // fullDisk is a folder in which, while it is full, nothing can be created or written but the first few times.
 type fullDisk struct {
 	segment.Files
-	full bool
-	room int
+	full      bool
+	remaining int
 }
 
-func (d *fullDisk) refuses() bool {
+func (d *fullDisk) failsWrite() bool {
 	if !d.full {
 		return false
 	}
-	d.room--
-	return d.room < 0
+	d.remaining--
+	return d.remaining < 0
 }
 
 func (d *fullDisk) Create(name string) (segment.File, error) {
-	if d.refuses() {
+	if d.failsWrite() {
 		return nil, syscall.ENOSPC
 	}
 	file, err := d.Files.Create(name)
@@ -197,7 +197,7 @@
 }
 
 func (f *fullFile) Write(data []byte) (int, error) {
-	if f.disk.refuses() {
+	if f.disk.failsWrite() {
 		half, _ := f.File.Write(data[:len(data)/2])
 		return half, syscall.ENOSPC
 	}
--- a/internal/system/agreement/election.go
+++ b/internal/system/agreement/election.go
@@ -5,60 +5,67 @@
 	"time"
 )
 
-// followsLeader tells whether a leader was heard within the least election timeout: no vote is given then.
-func (n *Node) followsLeader() bool {
+// hasActiveLeader reports whether a leader was in contact within the minimum election timeout. While there is one, the
+// member grants no pre-vote and ignores vote requests, except for those of a leadership transfer.
+func (n *Node) hasActiveLeader() bool {
 	if n.role == Leader {
-		return n.quorumHeard() >= n.now-n.options.ElectionTimeout
+		return n.quorumContactTime() >= n.now-n.options.ElectionTimeout
 	}
-	return n.leader != "" && n.now-n.heardLeader < n.options.ElectionTimeout
+	return n.leader != "" && n.now-n.electionTimerStart < n.options.ElectionTimeout
 }
 
-func (n *Node) upToDate(message Message) bool {
+// candidateLogUpToDate reports whether the candidate's log is at least as up to date as this member's: its last term is
+// higher, or equal with at least the same last index.
+func (n *Node) candidateLogUpToDate(message Message) bool {
 	if message.LogTerm != n.log.lastTerm() {
 		return message.LogTerm > n.log.lastTerm()
 	}
 	return message.Index >= n.log.lastIndex()
 }
 
-func (n *Node) answerPreVote(message Message) {
-	// Where another has just got this vote it is likely to lead in a moment: a second candidate would only depose it.
-	another := n.vote != "" && n.vote != message.From && n.votedAt > 0 && n.now-n.votedAt < n.options.HeartbeatInterval
-	grant := n.Member() && message.Term > n.term && n.upToDate(message) && !n.followsLeader() && !another
-	answer := Message{Kind: PreVoteAnswer, To: message.From, Reject: !grant}
-	n.send(answer)
+// handlePreVote responds to a pre-vote. A granted response carries the candidate's term, a rejection the member's own.
+func (n *Node) handlePreVote(message Message) {
+	// If another candidate has got this member's vote within a heartbeat interval, it probably becomes leader in a moment:
+	// a second candidate would only depose it.
+	votedForOther := n.vote != "" && n.vote != message.From && n.votedAt > 0 && n.now-n.votedAt < n.options.HeartbeatInterval
+	grant := n.Member() && message.Term > n.term && n.candidateLogUpToDate(message) && !n.hasActiveLeader() && !votedForOther
+	response := Message{Kind: PreVoteAnswer, To: message.From, Reject: !grant}
+	n.send(response)
 	if grant {
 		n.messages[len(n.messages)-1].Term = message.Term
 	}
 }
 
-// answerVote judges a candidate by its log alone. A learner votes too: it may have been made a voter by an entry that has not
-// reached it, and the group may need its vote to go on; where it is none, nobody counts the vote.
-func (n *Node) answerVote(message Message) {
+// handleVote grants the vote if it is free in this term and the candidate's log is up to date. Whether there is an active
+// leader was checked before the term was adopted. A learner votes too: an entry that has not reached it may have made it
+// a voter, and the group may need its vote to make progress. If it is no voter, the candidate does not count its vote.
+func (n *Node) handleVote(message Message) {
 	free := n.vote == "" && n.leader == "" || n.vote == message.From
-	grant := n.Member() && free && n.upToDate(message)
+	grant := n.Member() && free && n.candidateLogUpToDate(message)
 	if grant {
-		n.heardLeader = n.now
+		n.electionTimerStart = n.now
 		n.votedAt = n.now
 		if n.vote != message.From {
 			n.vote = message.From
-			n.stateChanged = true
+			n.hardStateChanged = true
 		}
 	}
 	n.send(Message{Kind: VoteAnswer, To: message.From, Reject: !grant})
 }
 
-// longestCampaign is how often the pause between two campaigns is doubled, from half a heartbeat interval on.
-const longestCampaign = 3
+// maxCampaignDoublings is how often the minimum pause between campaigns doubles, starting at half a heartbeat interval.
+const maxCampaignDoublings = 3
 
-// campaign asks all others for their votes, or first whether they would give them.
+// campaign starts an election: as a Candidate it requests the votes of all other voters, as a PreCandidate it first asks
+// whether they would grant them. A member without a vote only forgets its leader.
 func (n *Node) campaign(role Role) {
-	n.heardLeader = n.now
-	// Asking again soon disturbs nobody: the others answer by what they know of a leader. It takes longer each time, since
-	// the others may be slow to sync their votes.
-	pause := n.options.HeartbeatInterval << min(n.campaigns, longestCampaign) / 2
-	n.timeout = pause + time.Duration(n.options.Random(int64(pause)))
-	n.campaigns++
-	n.leader = "" // none was heard for long; a learner that its group has let go joins anew on that
+	n.electionTimerStart = n.now
+	// Campaigning again soon does no harm: members with an active leader reject it. The pause grows each time, since the
+	// others may be slow to sync their votes.
+	pause := n.options.HeartbeatInterval << min(n.campaignsSinceLeader, maxCampaignDoublings) / 2
+	n.randomizedTimeout = pause + time.Duration(n.options.Random(int64(pause)))
+	n.campaignsSinceLeader++
+	n.leader = "" // no contact for a whole timeout; a learner that was removed from its group sees this and joins again
 	if !n.hasVote(n.options.Self) {
 		return
 	}
@@ -68,11 +75,11 @@
 	if role == Candidate {
 		n.term++
 		n.vote = n.options.Self
-		n.stateChanged = true
-		request = Message{Kind: Vote, Term: n.term, Handover: n.named}
+		n.hardStateChanged = true
+		request = Message{Kind: Vote, Term: n.term, Handover: n.leadershipTransfer}
 	}
 	request.Index, request.LogTerm = n.log.lastIndex(), n.log.lastTerm()
-	for _, peer := range n.others() {
+	for _, peer := range n.peers() {
 		if n.hasVote(peer) {
 			request.To = peer
 			n.sendWithTerm(request)
@@ -81,7 +88,8 @@
 	n.tally()
 }
 
-func (n *Node) countVote(message Message) {
+// handleVoteResponse counts a granted vote or pre-vote of the current campaign.
+func (n *Node) handleVoteResponse(message Message) {
 	expected := message.Kind == PreVoteAnswer && n.role == PreCandidate && message.Term == n.term+1 ||
 		message.Kind == VoteAnswer && n.role == Candidate && message.Term == n.term
 	if !expected || message.Reject || !n.hasVote(message.From) {
@@ -91,15 +99,16 @@
 	n.tally()
 }
 
+// tally counts the votes. With a majority of every voter set a PreCandidate becomes Candidate, and a Candidate leader.
 func (n *Node) tally() {
-	for _, voters := range n.group.electorates() {
-		given := 0
+	for _, voters := range n.membership.voterSets() {
+		granted := 0
 		for _, id := range voters {
 			if n.votes[id] {
-				given++
+				granted++
 			}
 		}
-		if given < majority(voters) {
+		if granted < majority(voters) {
 			return
 		}
 	}
@@ -111,42 +120,46 @@
 	}
 }
 
+// becomeFollower adopts a term and follows leader, which is empty if unknown. A new term clears the vote.
 func (n *Node) becomeFollower(term uint64, leader string) {
 	if term != n.term {
 		n.term, n.vote = term, ""
-		n.stateChanged = true
+		n.hardStateChanged = true
 	}
 	n.role = Follower
 	n.leader = leader
 	if leader != "" {
-		n.campaigns = 0
+		n.campaignsSinceLeader = 0
 	}
 	n.followers, n.votes = nil, nil
-	n.heardLeader = n.now
-	n.drawTimeout()
+	n.electionTimerStart = n.now
+	n.resetElectionTimeout()
 }
 
-func (n *Node) drawTimeout() {
-	least := n.options.ElectionTimeout
-	n.timeout = least + time.Duration(n.options.Random(int64(least)))
+// resetElectionTimeout draws a timeout between the minimum and twice that, so that members rarely campaign together.
+func (n *Node) resetElectionTimeout() {
+	minimum := n.options.ElectionTimeout
+	n.randomizedTimeout = minimum + time.Duration(n.options.Random(int64(minimum)))
 }
 
+// becomeLeader starts leading: it appends a no-op entry, whose commit also commits the entries of earlier terms.
 func (n *Node) becomeLeader() {
 	n.role = Leader
-	n.campaigns = 0
+	n.campaignsSinceLeader = 0
 	n.leader = n.options.Self
 	n.followers = map[string]*progress{}
-	n.readGroup()
-	n.openingIndex = n.appendOwn(nil)
+	n.updateMembership()
+	n.termStartIndex = n.appendEntry(nil)
 	n.broadcast()
 }
 
-// HandOver has another voter that holds the whole log stand for election at once, without waiting for this leader's
-// silence. This one leads on until the other is elected. One that is avoided is named only where there is no other. The answer is false where it
-// does not lead, or where nobody can.
+// HandOver transfers leadership: it asks another voter, whose log holds all committed entries, to campaign at once
+// instead of waiting for its election timeout. This member stays leader until the other is elected. A voter for which
+// avoided returns true is chosen only if there is no other. HandOver returns false if this member is not the leader or
+// no voter qualifies.
 func (n *Node) HandOver(now time.Duration, avoided func(id string) bool) bool {
 	n.now = now
-	successor := n.successor(avoided)
+	successor := n.transferTarget(avoided)
 	if successor == "" {
 		return false
 	}
@@ -154,20 +167,21 @@
 	return true
 }
 
-// successor is a voter that lacks nothing that is committed and was heard a moment ago: one that is not avoided before one that is, and then
-// one of those that hold most, by lot. With a fixed order two that both want to be rid of a group would name each other for good. Empty where
-// there is none.
-func (n *Node) successor(avoided func(id string) bool) string {
+// transferTarget chooses the voter to transfer leadership to: its log holds all committed entries, and it answered within
+// an election timeout. Voters that are not avoided come first, then those with the longest matching log; ties are broken
+// at random. With a fixed order, two members that both want to give up leadership would transfer it to each other
+// forever. The result is empty if this member is not the leader or no voter qualifies.
+func (n *Node) transferTarget(avoided func(id string) bool) string {
 	if n.role != Leader {
 		return ""
 	}
 	var best []string
-	for _, id := range without(n.group.Voters, n.options.Self) {
+	for _, id := range without(n.membership.Voters, n.options.Self) {
 		follower := n.followers[id]
-		if follower == nil || follower.match < n.log.committed || n.now-follower.heard > n.options.ElectionTimeout {
+		if follower == nil || follower.match < n.log.committed || n.now-follower.ackedSendTime > n.options.ElectionTimeout {
 			continue
 		}
-		switch order := n.compareSuccessors(id, best, avoided); {
+		switch order := n.compareTransferTargets(id, best, avoided); {
 		case order > 0:
 			best = []string{id}
 		case order == 0:
@@ -180,8 +194,9 @@
 	return best[n.options.Random(int64(len(best)))]
 }
 
-// compareSuccessors is over 0 where a voter succeeds better than those that were found so far, 0 where as well.
-func (n *Node) compareSuccessors(id string, found []string, avoided func(id string) bool) int {
+// compareTransferTargets compares voter id with the best targets found so far, which are equally good: positive if id is
+// better, 0 if it is as good, negative if it is worse.
+func (n *Node) compareTransferTargets(id string, found []string, avoided func(id string) bool) int {
 	if len(found) == 0 {
 		return 1
 	}
@@ -195,21 +210,22 @@
 	return cmp.Compare(n.followers[id].match, n.followers[other].match)
 }
 
-// standForElection follows the leader's word to succeed it.
-func (n *Node) standForElection(message Message) {
+// handleLeadershipTransfer campaigns at once, without pre-vote, if the request comes from the current leader.
+func (n *Node) handleLeadershipTransfer(message Message) {
 	if n.role == Follower && n.leader == message.From && n.hasVote(n.options.Self) {
-		n.named = true
+		n.leadershipTransfer = true
 		n.campaign(Candidate)
-		n.named = false
+		n.leadershipTransfer = false
 	}
 }
 
-// Hasten has a member that knows of no leader ask for votes soon: another has come that may give one.
+// Hasten shortens the election timeout of a member that knows of no leader, to less than half a heartbeat interval from
+// now. To be called when another member has become reachable, which may grant its vote.
 func (n *Node) Hasten(now time.Duration) {
 	n.now = now
 	if n.role == Leader || n.role == Candidate || n.leader != "" {
 		return
 	}
-	soon := now - n.heardLeader + time.Duration(n.options.Random(int64(n.options.HeartbeatInterval/2)))
-	n.timeout = min(n.timeout, soon)
+	soon := now - n.electionTimerStart + time.Duration(n.options.Random(int64(n.options.HeartbeatInterval/2)))
+	n.randomizedTimeout = min(n.randomizedTimeout, soon)
 }
--- a/internal/system/agreement/membership.go
+++ b/internal/system/agreement/membership.go
@@ -6,37 +6,41 @@
 	"time"
 )
 
-// Group is the group as the member knows it.
-func (n *Node) Group() Membership { return n.group }
+// Group returns the latest membership in the member's log, committed or not.
+func (n *Node) Group() Membership { return n.membership }
 
-// Member tells whether the member belongs to the group, as it knows it; a newcomer doesn't until a leader has told it.
-func (n *Node) Member() bool { return n.group.Has(n.options.Self) }
+// Member reports whether this member is in the latest membership of its log. A new member is not until it has received
+// the entry that adds it.
+func (n *Node) Member() bool { return n.membership.Has(n.options.Self) }
 
-func (n *Node) hasVote(id string) bool { return n.group.HasVote(id) }
+// hasVote reports whether id is a voter in the latest membership of the log.
+func (n *Node) hasVote(id string) bool { return n.membership.HasVote(id) }
 
-// readGroup takes the latest membership of the log.
-func (n *Node) readGroup() {
-	n.group, n.groupIndex = n.log.membership(n.log.lastIndex())
+// updateMembership adopts the latest membership of the log. A leader starts to track new members and drops removed ones.
+func (n *Node) updateMembership() {
+	n.membership, n.membershipIndex = n.log.membership(n.log.lastIndex())
 	if n.role != Leader {
 		return
 	}
-	for _, id := range n.others() {
+	for _, id := range n.peers() {
 		if n.followers[id] == nil {
-			n.followers[id] = &progress{next: n.log.lastIndex() + 1, heard: n.now}
+			n.followers[id] = &progress{next: n.log.lastIndex() + 1, ackedSendTime: n.now}
 		}
 	}
 	for id := range n.followers {
-		if !slices.Contains(n.others(), id) {
+		if !slices.Contains(n.peers(), id) {
 			delete(n.followers, id)
 		}
 	}
 }
 
-// others is all members of the group but this one.
-func (n *Node) others() []string { return without(n.group.members(), n.options.Self) }
+// peers returns all members but this one.
+func (n *Node) peers() []string { return without(n.membership.members(), n.options.Self) }
 
-// ProposeGroup changes the group: one member moves, so that any majority before the change meets any majority after it, or a learner replaces a
-// voter by a joint membership (Membership.Replace), which EndReplacement ends.
+// ProposeGroup proposes a membership change on the leader. The new membership must differ by one member, so that any
+// majority before the change overlaps any majority after it, or be the joint one of Membership.Replace, which
+// EndReplacement ends later. The error is a NotLeaderError, also while a new leader has not applied the entries of
+// earlier leaders, or a ChangePendingError while an earlier change is not committed or still joint.
 func (n *Node) ProposeGroup(now time.Duration, group Membership) error {
 	n.now = now
 	if !n.Leading() {
@@ -45,50 +49,55 @@
 	if !n.GroupSettled() {
 		return &ChangePendingError{}
 	}
-	n.appendGroup(group)
+	n.appendMembership(group)
 	return nil
 }
 
-func (n *Node) appendGroup(group Membership) {
+// appendMembership appends a membership change to the leader's log and adopts it at once.
+func (n *Node) appendMembership(group Membership) {
 	index := n.log.lastIndex() + 1
 	n.log.entries = append(n.log.entries, Entry{Index: index, Term: n.term, Members: &group})
-	n.readGroup()
+	n.updateMembership()
 	n.broadcast()
 }
 
-// EndReplacement ends a replacement whose joint membership is committed: the new voters decide alone from then on, or, where it is called off, those
-// before it. Nothing is done where none is under way.
-func (n *Node) EndReplacement(now time.Duration, calledOff bool) error {
+// EndReplacement ends a replacement whose joint membership is committed. From then on the new voters decide alone, or
+// the previous ones if it is cancelled. Without a replacement in progress it does nothing. The error is a NotLeaderError,
+// or a ChangePendingError while the latest membership is not committed.
+func (n *Node) EndReplacement(now time.Duration, cancelled bool) error {
 	n.now = now
 	switch {
 	case !n.Leading():
 		return &NotLeaderError{Leader: n.leader}
-	case n.groupIndex > n.log.committed:
+	case n.membershipIndex > n.log.committed:
 		return &ChangePendingError{}
-	case !n.group.Joint():
+	case !n.membership.Joint():
 		return nil
-	case calledOff:
-		n.appendGroup(n.group.before())
+	case cancelled:
+		n.appendMembership(n.membership.cancelledReplacement())
 	default:
-		n.appendGroup(n.group.after())
+		n.appendMembership(n.membership.finishedReplacement())
 	}
 	return nil
 }
 
-// GroupSettled tells whether the group as the member knows it is committed, and no change is under way.
-func (n *Node) GroupSettled() bool { return n.groupIndex <= n.log.committed && !n.group.Joint() }
+// GroupSettled reports whether the latest membership in the log is committed and not joint.
+func (n *Node) GroupSettled() bool {
+	return n.membershipIndex <= n.log.committed && !n.membership.Joint()
+}
 
-// majority is how many of a set of voters have to agree.
+// majority returns the number of voters that form a majority of the set.
 func majority(voters []string) int { return len(voters)/2 + 1 }
 
-// agreed is the highest value that a majority of each electorate has reached; value tells how far a voter is, false where that is not known.
-func agreed[V cmp.Ordered](n *Node, value func(id string) (V, bool)) V {
+// quorumValue returns the highest value that a majority of every voter set has reached, or the zero value if a majority
+// is not known. value returns the value that a voter has reached, and false if it is not known.
+func quorumValue[V cmp.Ordered](n *Node, value func(id string) (V, bool)) V {
 	var lowest V
-	for i, voters := range n.group.electorates() {
+	for i, voters := range n.membership.voterSets() {
 		var reached []V
 		for _, id := range voters {
-			if of, known := value(id); known {
-				reached = append(reached, of)
+			if reachedValue, known := value(id); known {
+				reached = append(reached, reachedValue)
 			}
 		}
 		var highest V
--- a/internal/system/agreement/model_test.go
+++ b/internal/system/agreement/model_test.go
@@ -12,58 +12,58 @@
 
 // rules in force; a model without one of them is a mutant.
 type rules struct {
-	oneVoteInTerm     bool // a member votes once in a term
-	logsCompared      bool // votes go to logs that lack nothing that the voter has
-	ownTermCommits    bool // a leader counts majorities for entries of its own term only
-	syncedCounts      bool // a leader counts its own entries once they are synced
-	changeWaits       bool // no change of the group before the last one is committed
-	leaderOpensTerm   bool // no change of the group before an entry of the leader's term is committed
-	oneMemberAtATime  bool // a change moves one member, or is joint
-	bothElectorates   bool // while a joint change is under way, majorities of the voters before and after it are needed
-	jointCommitted    bool // a joint change ends only once it is committed
-	diskIsIdentity    bool // a member that lost its disk is another member
-	previousEntryFits bool // a follower takes an entry only behind the one that the leader has before it
-	snapshotKeeps     bool // a snapshot that the log agrees with leaves what is behind it
+	oneVotePerTerm            bool // a member votes once in a term
+	voteComparesLogs          bool // votes go to logs that lack nothing that the voter has
+	commitOwnTermOnly         bool // a leader counts majorities for entries of its own term only
+	countSyncedOnly           bool // a leader counts its own entries once they are synced
+	changeAwaitsCommit        bool // no change of the group before the last one is committed
+	ownTermCommitBeforeChange bool // no change of the group before an entry of the leader's term is committed
+	oneMemberAtATime          bool // a change moves one member, or is joint
+	jointQuorum               bool // while a joint change is under way, majorities of the voters before and after it are needed
+	jointAwaitsCommit         bool // a joint change ends only once it is committed
+	newIdentityAfterDiskLoss  bool // a member that lost its disk is another member
+	previousEntryMustMatch    bool // a follower takes an entry only behind the one that the leader has before it
+	snapshotKeepsLaterEntries bool // a snapshot that the log agrees with leaves what is behind it
 }
 
 func allRules() rules {
-	return rules{oneVoteInTerm: true, logsCompared: true, ownTermCommits: true, syncedCounts: true,
-		changeWaits: true, leaderOpensTerm: true, oneMemberAtATime: true, bothElectorates: true, jointCommitted: true, diskIsIdentity: true, previousEntryFits: true, snapshotKeeps: true}
+	return rules{oneVotePerTerm: true, voteComparesLogs: true, commitOwnTermOnly: true, countSyncedOnly: true,
+		changeAwaitsCommit: true, ownTermCommitBeforeChange: true, oneMemberAtATime: true, jointQuorum: true, jointAwaitsCommit: true, newIdentityAfterDiskLoss: true, previousEntryMustMatch: true, snapshotKeepsLaterEntries: true}
 }
 
 // mutants gives each set of rules that lacks one, by the name of what it lacks.
-func mutants() map[string]rules {
+func mutations() map[string]rules {
 	found := map[string]rules{}
 	add := func(name string, take func(r *rules)) {
 		r := allRules()
 		take(&r)
 		found[name] = r
 	}
-	add("one-vote-in-term", func(r *rules) { r.oneVoteInTerm = false })
-	add("logs-compared", func(r *rules) { r.logsCompared = false })
-	add("own-term-commits", func(r *rules) { r.ownTermCommits = false })
-	add("synced-counts", func(r *rules) { r.syncedCounts = false })
-	add("change-waits", func(r *rules) { r.changeWaits = false })
-	add("leader-opens-term", func(r *rules) { r.leaderOpensTerm = false })
+	add("one-vote-in-term", func(r *rules) { r.oneVotePerTerm = false })
+	add("logs-compared", func(r *rules) { r.voteComparesLogs = false })
+	add("own-term-commits", func(r *rules) { r.commitOwnTermOnly = false })
+	add("synced-counts", func(r *rules) { r.countSyncedOnly = false })
+	add("change-waits", func(r *rules) { r.changeAwaitsCommit = false })
+	add("leader-opens-term", func(r *rules) { r.ownTermCommitBeforeChange = false })
 	add("one-member-at-a-time", func(r *rules) { r.oneMemberAtATime = false })
-	add("both-electorates", func(r *rules) { r.bothElectorates = false })
-	add("joint-committed", func(r *rules) { r.jointCommitted = false })
-	add("disk-is-identity", func(r *rules) { r.diskIsIdentity = false })
-	add("previous-entry-fits", func(r *rules) { r.previousEntryFits = false })
-	add("snapshot-keeps", func(r *rules) { r.snapshotKeeps = false })
+	add("both-electorates", func(r *rules) { r.jointQuorum = false })
+	add("joint-committed", func(r *rules) { r.jointAwaitsCommit = false })
+	add("disk-is-identity", func(r *rules) { r.newIdentityAfterDiskLoss = false })
+	add("previous-entry-fits", func(r *rules) { r.previousEntryMustMatch = false })
+	add("snapshot-keeps", func(r *rules) { r.snapshotKeepsLaterEntries = false })
 	return found
 }
 
 // bounds of a search.
 type bounds struct {
-	members  int
-	founders uint8
-	terms    uint8
-	entries  int
-	changes  int  // of the group, altogether; the end of a joint one counts
-	joint    bool // changes may be joint: one member replaces another
-	crashes  int  // and losses of a disk
-	installs int  // of snapshots
+	members   int
+	bootstrap uint8
+	terms     uint8
+	entries   int
+	changes   int  // of the group, altogether; the end of a joint one counts
+	joint     bool // changes may be joint: one member replaces another
+	crashes   int  // and losses of a disk
+	installs  int  // of snapshots
 }
 
 // modelEntry is one record: an empty or ordinary one, or a group of voters.
@@ -82,12 +82,12 @@
 const entryBytes = 3
 
 type modelMember struct {
-	term    uint8
-	vote    int8 // -1 for none
-	leads   bool
-	synced  uint8
-	log     string // entries, entryBytes each
-	commits uint8  // as a leader
+	term        uint8
+	vote        int8 // -1 for none
+	isLeader    bool
+	synced      uint8
+	log         string // entries, entryBytes each
+	commitIndex uint8  // as a leader
 }
 
 type modelState struct {
@@ -96,7 +96,7 @@
 	changes   uint8
 	crashes   uint8
 	installs  uint8
-	broken    bool
+	violated  bool
 }
 
 func (m *modelMember) entries() int { return len(m.log) / entryBytes }
@@ -132,30 +132,30 @@
 }
 
 func (m *model) groupOf(member *modelMember) modelGroup {
-	group, _ := member.group(member.entries(), m.bounds.founders)
+	group, _ := member.group(member.entries(), m.bounds.bootstrap)
 	return group
 }
 
 // agree tells whether some members are a majority of a group's voters, and of those before where a joint change is under way.
-func (m *model) agree(group modelGroup, have uint8) bool {
+func (m *model) hasQuorum(group modelGroup, have uint8) bool {
 	enough := func(of uint8) bool { return 2*bits.OnesCount8(of&have) > bits.OnesCount8(of) }
-	return enough(group.voters) && (group.outgoing == 0 || !m.rules.bothElectorates || enough(group.outgoing))
+	return enough(group.voters) && (group.outgoing == 0 || !m.rules.jointQuorum || enough(group.outgoing))
 }
 
 // moves calls visit with every state that follows from one, and what leads there.
-func (m *model) moves(s *modelState, visit func(name string, next modelState)) {
+func (m *model) transitions(s *modelState, visit func(name string, next modelState)) {
 	for i := range m.bounds.members {
-		m.elections(s, i, visit)
-		if s.members[i].leads {
-			m.leaderMoves(s, i, visit)
+		m.electionTransitions(s, i, visit)
+		if s.members[i].isLeader {
+			m.leaderTransitions(s, i, visit)
 		}
 		if int(s.crashes) < m.bounds.crashes {
-			m.failures(s, i, visit)
+			m.failureTransitions(s, i, visit)
 		}
 	}
 }
 
-func (m *model) elections(s *modelState, candidate int, visit func(string, modelState)) {
+func (m *model) electionTransitions(s *modelState, candidate int, visit func(string, modelState)) {
 	c := &s.members[candidate]
 	group := m.groupOf(c)
 	if c.term >= m.bounds.terms || (group.voters|group.outgoing)&(1<<candidate) == 0 {
@@ -164,21 +164,21 @@
 	for term := c.term + 1; term <= m.bounds.terms; term++ {
 		var willing uint8
 		for other := range m.bounds.members {
-			if other == candidate || m.votes(s, other, candidate, term) {
+			if other == candidate || m.grantsVote(s, other, candidate, term) {
 				willing |= 1 << other
 			}
 		}
 		for voters := willing; voters > 0; voters = (voters - 1) & willing {
-			if voters&(1<<candidate) == 0 || !m.agree(group, voters) || m.superfluous(group, voters, candidate) {
+			if voters&(1<<candidate) == 0 || !m.hasQuorum(group, voters) || m.hasRedundantVoter(group, voters, candidate) {
 				continue
 			}
 			next := *s
 			for other := range m.bounds.members {
 				if voters&(1<<other) != 0 {
-					next.members[other].term, next.members[other].vote, next.members[other].leads = term, int8(candidate), false
+					next.members[other].term, next.members[other].vote, next.members[other].isLeader = term, int8(candidate), false
 				}
 			}
-			next.members[candidate].leads = true
+			next.members[candidate].isLeader = true
 			next.members[candidate].append(modelEntry{term: term})
 			if next.members[candidate].entries() <= m.bounds.entries {
 				visit(fmt.Sprintf("elect %d term %d by %05b", candidate, term, voters), next)
@@ -188,26 +188,26 @@
 }
 
 // superfluous tells whether fewer voters would do: only the least majorities are tried.
-func (m *model) superfluous(group modelGroup, voters uint8, candidate int) bool {
+func (m *model) hasRedundantVoter(group modelGroup, voters uint8, candidate int) bool {
 	for other := range m.bounds.members {
 		rest := voters &^ (1 << other)
-		if other != candidate && rest != voters && m.agree(group, rest) {
+		if other != candidate && rest != voters && m.hasQuorum(group, rest) {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *model) votes(s *modelState, voter, candidate int, term uint8) bool {
+func (m *model) grantsVote(s *modelState, voter, candidate int, term uint8) bool {
 	v, c := &s.members[voter], &s.members[candidate]
-	if v.term > term || m.rules.oneVoteInTerm && v.term == term && (v.vote != int8(candidate) || v.leads) {
+	if v.term > term || m.rules.oneVotePerTerm && v.term == term && (v.vote != int8(candidate) || v.isLeader) {
 		return false
 	}
 	ahead := v.lastTerm() > c.lastTerm() || v.lastTerm() == c.lastTerm() && v.entries() > c.entries()
-	return !m.rules.logsCompared || !ahead
+	return !m.rules.voteComparesLogs || !ahead
 }
 
-func (m *model) leaderMoves(s *modelState, i int, visit func(string, modelState)) {
+func (m *model) leaderTransitions(s *modelState, i int, visit func(string, modelState)) {
 	leader := &s.members[i]
 	if int(leader.synced) < leader.entries() {
 		next := *s
@@ -216,16 +216,16 @@
 	}
 	for other := range m.bounds.members {
 		if other != i {
-			m.copyOne(s, i, other, visit)
-			m.install(s, i, other, visit)
+			m.copyEntry(s, i, other, visit)
+			m.installSnapshot(s, i, other, visit)
 		}
 	}
 	m.commit(s, i, visit)
-	m.change(s, i, visit)
+	m.changeMembership(s, i, visit)
 }
 
 // copyOne has a follower take the leader's next entry, synced at once.
-func (m *model) copyOne(s *modelState, i, other int, visit func(string, modelState)) {
+func (m *model) copyEntry(s *modelState, i, other int, visit func(string, modelState)) {
 	leader, follower := &s.members[i], &s.members[other]
 	if follower.term > leader.term {
 		return
@@ -236,7 +236,7 @@
 		common += entryBytes
 	}
 	first := common
-	if !m.rules.previousEntryFits {
+	if !m.rules.previousEntryMustMatch {
 		first = max(common, min(len(follower.log), len(leader.log)-entryBytes))
 	}
 	if first >= len(leader.log) && follower.term == leader.term {
@@ -245,37 +245,37 @@
 	next := *s
 	f := &next.members[other]
 	if f.term < leader.term {
-		f.term, f.vote, f.leads = leader.term, -1, false
+		f.term, f.vote, f.isLeader = leader.term, -1, false
 	}
 	if first < len(leader.log) {
 		f.log = f.log[:first] + leader.log[first:first+entryBytes]
 		f.synced = uint8(f.entries())
 	}
-	f.commits = min(f.commits, uint8(f.entries()))
+	f.commitIndex = min(f.commitIndex, uint8(f.entries()))
 	visit(fmt.Sprintf("copy %d to %d", i, other), next)
 }
 
 // install has a follower take a snapshot of what the leader knows as committed, however late it comes.
-func (m *model) install(s *modelState, i, other int, visit func(string, modelState)) {
+func (m *model) installSnapshot(s *modelState, i, other int, visit func(string, modelState)) {
 	leader, follower := &s.members[i], &s.members[other]
 	if int(s.installs) >= m.bounds.installs || follower.term > leader.term {
 		return
 	}
-	for count := 1; count <= int(leader.commits); count++ {
+	for count := 1; count <= int(leader.commitIndex); count++ {
 		prefix := leader.log[:entryBytes*count]
 		agrees := strings.HasPrefix(follower.log, prefix)
-		if agrees && m.rules.snapshotKeeps {
+		if agrees && m.rules.snapshotKeepsLaterEntries {
 			continue
 		}
 		next := *s
 		next.installs++
 		f := &next.members[other]
 		if f.term < leader.term {
-			f.term, f.vote, f.leads = leader.term, -1, false
+			f.term, f.vote, f.isLeader = leader.term, -1, false
 		}
 		f.log = prefix
 		f.synced = uint8(f.entries())
-		f.commits = min(f.commits, f.synced)
+		f.commitIndex = min(f.commitIndex, f.synced)
 		visit(fmt.Sprintf("install %d of %d at %d", count, i, other), next)
 	}
 }
@@ -283,51 +283,51 @@
 func (m *model) commit(s *modelState, i int, visit func(string, modelState)) {
 	leader := &s.members[i]
 	group := m.groupOf(leader)
-	for count := int(leader.commits) + 1; count <= leader.entries(); count++ {
-		if m.rules.ownTermCommits && leader.entry(count-1).term != leader.term {
+	for count := int(leader.commitIndex) + 1; count <= leader.entries(); count++ {
+		if m.rules.commitOwnTermOnly && leader.entry(count-1).term != leader.term {
 			continue
 		}
 		var have uint8
 		for other := range m.bounds.members {
 			f := &s.members[other]
-			holds := len(f.log) >= entryBytes*count && (f.log[:entryBytes*count] == leader.log[:entryBytes*count] || !m.rules.previousEntryFits)
+			holds := len(f.log) >= entryBytes*count && (f.log[:entryBytes*count] == leader.log[:entryBytes*count] || !m.rules.previousEntryMustMatch)
 			if other == i {
-				holds = !m.rules.syncedCounts || int(leader.synced) >= count
+				holds = !m.rules.countSyncedOnly || int(leader.synced) >= count
 			}
 			if holds && f.term == leader.term {
 				have |= 1 << other
 			}
 		}
-		if !m.agree(group, have) {
+		if !m.hasQuorum(group, have) {
 			continue
 		}
 		next := *s
-		next.members[i].commits = uint8(count)
+		next.members[i].commitIndex = uint8(count)
 		log := leader.log[:entryBytes*count]
 		switch {
 		case strings.HasPrefix(log, s.committed):
 			next.committed = log
 		case !strings.HasPrefix(s.committed, log):
-			next.broken = true
+			next.violated = true
 		}
 		visit(fmt.Sprintf("commit %d at %d", count, i), next)
 	}
 }
 
-func (m *model) change(s *modelState, i int, visit func(string, modelState)) {
+func (m *model) changeMembership(s *modelState, i int, visit func(string, modelState)) {
 	leader := &s.members[i]
 	if int(s.changes) >= m.bounds.changes || leader.entries() >= m.bounds.entries {
 		return
 	}
-	group, at := leader.group(leader.entries(), m.bounds.founders)
-	waits := m.rules.changeWaits
+	group, at := leader.group(leader.entries(), m.bounds.bootstrap)
+	waits := m.rules.changeAwaitsCommit
 	if group.outgoing != 0 {
-		waits = m.rules.jointCommitted
+		waits = m.rules.jointAwaitsCommit
 	}
-	if waits && at > int(leader.commits) {
+	if waits && at > int(leader.commitIndex) {
 		return
 	}
-	if m.rules.leaderOpensTerm && (leader.commits == 0 || leader.entry(int(leader.commits)-1).term != leader.term) {
+	if m.rules.ownTermCommitBeforeChange && (leader.commitIndex == 0 || leader.entry(int(leader.commitIndex)-1).term != leader.term) {
 		return
 	}
 	propose := func(name string, wanted modelGroup) {
@@ -354,16 +354,16 @@
 }
 
 // failures lets a member crash and lose what it had not synced, or, in a mutant, come back under its name without its disk.
-func (m *model) failures(s *modelState, i int, visit func(string, modelState)) {
+func (m *model) failureTransitions(s *modelState, i int, visit func(string, modelState)) {
 	member := &s.members[i]
 	if int(member.synced) < member.entries() {
 		next := *s
 		f := &next.members[i]
-		f.log, f.leads, f.commits = f.log[:entryBytes*int(f.synced)], false, min(f.commits, f.synced)
+		f.log, f.isLeader, f.commitIndex = f.log[:entryBytes*int(f.synced)], false, min(f.commitIndex, f.synced)
 		next.crashes++
 		visit(fmt.Sprintf("crash %d", i), next)
 	}
-	if !m.rules.diskIsIdentity {
+	if !m.rules.newIdentityAfterDiskLoss {
 		next := *s
 		next.members[i] = modelMember{vote: -1}
 		next.crashes++
@@ -373,14 +373,14 @@
 
 // broken tells whether a state breaks what is promised: one leader in a term, and each leader has all that was committed
 // in earlier terms.
-func (s *modelState) brokenNow(members int) bool {
+func (s *modelState) violatesSafety(members int) bool {
 	for i := range members {
 		leader := &s.members[i]
-		if !leader.leads {
+		if !leader.isLeader {
 			continue
 		}
 		for other := range i {
-			if s.members[other].leads && s.members[other].term == leader.term {
+			if s.members[other].isLeader && s.members[other].term == leader.term {
 				return true
 			}
 		}
@@ -388,10 +388,10 @@
 			return true
 		}
 	}
-	return s.broken
+	return s.violated
 }
 
-func firstState() modelState {
+func initialState() modelState {
 	var s modelState
 	for i := range s.members {
 		s.members[i].vote = -1
--- a/internal/system/agreement/node.go
+++ b/internal/system/agreement/node.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Role of a member.
+// Role is the Raft role of a member.
 type Role uint8
 
-// The roles.
+// The roles of a member. Learners are followers that never campaign.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -15,18 +15,18 @@
 
 // Limits of one message.
 const (
-	maxEntriesInMessage = 256
+	maxEntriesInMessage = 256 // of one Append
 )
 
-// progress is what a leader knows of another member.
+// progress is the leader's view of the log of another member.
 type progress struct {
-	match      uint64
-	next       uint64
-	heard      time.Duration // sending time of the latest message that was answered
-	snapshotAt time.Duration // when a snapshot was last sent; none is sent again within an election timeout
+	match          uint64
+	next           uint64
+	ackedSendTime  time.Duration // send time of the latest message that the member answered
+	snapshotSentAt time.Duration // when a snapshot was last sent; no other is sent within an election timeout
 }
 
-// Node is one member.
+// Node is one member of a group. It is not safe for concurrent use.
 type Node struct {
 	options   Options
 	role      Role
@@ -37,57 +37,59 @@
 	votes     map[string]bool
 	followers map[string]*progress
 
-	now          time.Duration
-	heardLeader  time.Duration
-	timeout      time.Duration // of this wait for a leader, by lot
-	heartbeatDue time.Duration
-	group        Membership // the latest in the log, committed or not
-	groupIndex   uint64     // of the entry that made it so
-	stateChanged bool
-	installed    *Snapshot
-	messages     []Message
-	persisted    uint64 // last index of our own log that is synced
-	openingIndex uint64 // of the empty entry that opened our term as leader
-	broadcasts   uint64
-	votedAt      time.Duration // when the vote was last given; 0 before
-	campaigns    int           // since a leader was known
-	named        bool          // the leader has asked this member to succeed it
-}
-
-// New makes a member from what its disk holds.
+	now                  time.Duration
+	electionTimerStart   time.Duration
+	randomizedTimeout    time.Duration // after electionTimerStart; drawn at random for each wait
+	heartbeatDue         time.Duration
+	membership           Membership // latest in the log, committed or not
+	membershipIndex      uint64     // index of the entry that set membership
+	hardStateChanged     bool
+	installedSnapshot    *Snapshot
+	messages             []Message
+	persisted            uint64 // last index of the own log that is synced
+	termStartIndex       uint64 // index of the no-op entry that started this leader's term
+	broadcasts           uint64
+	votedAt              time.Duration // when a vote was last granted; 0 if never
+	campaignsSinceLeader int           // campaigns since a leader was last known
+	leadershipTransfer   bool          // the leader has asked this member to take over: marks its vote requests
+}
+
+// New returns a follower with the persistent state of its disk.
 func New(options Options, stored Stored, now time.Duration) *Node {
 	n := &Node{options: options, term: stored.HardState.Term, vote: stored.HardState.Vote, now: now}
 	n.log.restore(&stored.Snapshot)
 	n.log.entries = append(n.log.entries, stored.Entries...)
-	n.log.unstable = n.log.lastIndex() + 1
+	n.log.firstUnwritten = n.log.lastIndex() + 1
 	n.persisted = n.log.lastIndex()
-	n.readGroup()
+	n.updateMembership()
 	n.becomeFollower(n.term, "")
-	// A member that has just started asks soon: where there is a leader the others say so, and where all have started
-	// together nobody is worth waiting for.
-	n.timeout = options.HeartbeatInterval/4 + time.Duration(options.Random(int64(options.HeartbeatInterval)))
+	// A member that has just started campaigns early, within 1/4 to 5/4 of a heartbeat interval. If there is a leader, the
+	// others reject its pre-vote; if all members have started together, there is no leader to wait for.
+	n.randomizedTimeout = options.HeartbeatInterval/4 + time.Duration(options.Random(int64(options.HeartbeatInterval)))
 	return n
 }
 
-// Leading tells whether the member leads and has applied all that its predecessors committed.
-func (n *Node) Leading() bool { return n.role == Leader && n.log.applied >= n.openingIndex }
+// Leading reports whether the member is the leader and has applied all entries that earlier leaders committed.
+func (n *Node) Leading() bool { return n.role == Leader && n.log.applied >= n.termStartIndex }
 
-// Role is the member's role.
+// Role returns the member's role.
 func (n *Node) Role() Role { return n.role }
 
-// Leader is who leads as far as the member knows, or empty.
+// Leader returns the id of the leader that the member knows of, empty if none.
 func (n *Node) Leader() string { return n.leader }
 
-// Term is the member's term.
+// Term returns the member's current term.
 func (n *Node) Term() uint64 { return n.term }
 
-// Applied is the last index handed out as committed.
+// Applied returns the last index that Ready has returned as committed.
 func (n *Node) Applied() uint64 { return n.log.applied }
 
-// LogLength is the number of entries behind the snapshot.
+// LogLength returns the number of entries after the snapshot.
 func (n *Node) LogLength() int { return len(n.log.entries) }
 
-// Silence is how long a member of the leader's group has not answered, and whether it holds all that is committed.
+// Silence returns, on the leader, the time since it sent the latest message that member id answered, and whether that
+// member's log holds all committed entries. For itself it returns 0 and true, and for an unknown id or if this
+// member is not the leader, 0 and false.
 func (n *Node) Silence(id string) (silence time.Duration, caughtUp bool) {
 	if id == n.options.Self {
 		return 0, true
@@ -96,29 +98,31 @@
 	if n.role != Leader || follower == nil {
 		return 0, false
 	}
-	return n.now - follower.heard, follower.match >= n.log.committed
+	return n.now - follower.ackedSendTime, follower.match >= n.log.committed
 }
 
-// NextWake is when Tick has something to do.
+// NextWake returns the time at which Tick next has something to do.
 func (n *Node) NextWake() time.Duration {
 	if n.role == Leader {
 		return n.heartbeatDue
 	}
-	return n.heardLeader + n.timeout
+	return n.electionTimerStart + n.randomizedTimeout
 }
 
-// Propose appends data to the leader's log.
+// Propose appends data to the leader's log and returns the index of the entry, which is not committed yet. The error is
+// a NotLeaderError.
 func (n *Node) Propose(now time.Duration, data []byte) (uint64, error) {
 	n.now = now
 	if n.role != Leader {
 		return 0, &NotLeaderError{Leader: n.leader}
 	}
-	index := n.appendOwn(data)
+	index := n.appendEntry(data)
 	n.broadcast()
 	return index, nil
 }
 
-// Compact drops the log up to an applied index, for which data is the state.
+// Compact replaces the log up to and including an applied index by a snapshot with data, the application's state as of
+// that index. It returns the current snapshot and whether the log was compacted.
 func (n *Node) Compact(index uint64, data []byte) (Snapshot, bool) {
 	before := n.log.snapshotIndex
 	n.log.compact(index, data)
@@ -126,7 +130,7 @@
 	return n.log.snapshot(), done
 }
 
-// Stored is all that a disk should hold of the member now.
+// Stored returns the persistent state that the member's disk should hold now.
 func (n *Node) Stored() Stored {
 	return Stored{
 		HardState: HardState{Term: n.term, Vote: n.vote},
@@ -135,7 +139,8 @@
 	}
 }
 
-// Tick lets time pass.
+// Tick advances the time: a leader sends due heartbeats and steps down if it has lost its majority, another
+// member campaigns after its election timeout.
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
 	if n.role == Leader {
@@ -147,41 +152,41 @@
 		}
 		return
 	}
-	if now-n.heardLeader >= n.timeout {
+	if now-n.electionTimerStart >= n.randomizedTimeout {
 		n.campaign(PreCandidate)
 	}
 }
 
-// checkQuorum has a leader step down that a majority has not answered for an election timeout.
+// checkQuorum makes the leader step down if no majority has answered it for an election timeout.
 func (n *Node) checkQuorum() {
-	if n.quorumHeard() < n.now-n.options.ElectionTimeout {
+	if n.quorumContactTime() < n.now-n.options.ElectionTimeout {
 		n.becomeFollower(n.term, "")
 	}
 }
 
-// quorumHeard is the latest time at which a majority is known to have followed.
-func (n *Node) quorumHeard() time.Duration {
-	return agreed(n, func(id string) (time.Duration, bool) {
+// quorumContactTime returns the latest time at which a majority is known to have followed this leader.
+func (n *Node) quorumContactTime() time.Duration {
+	return quorumValue(n, func(id string) (time.Duration, bool) {
 		if id == n.options.Self {
 			return n.now, true
 		}
 		if follower := n.followers[id]; follower != nil {
-			return follower.heard, true
+			return follower.ackedSendTime, true
 		}
 		return 0, false
 	})
 }
 
-// Followed tells whether a leader is known to have been followed by a majority within a while.
+// Followed reports whether the member is the leader and a majority is known to have followed it within the given time.
 func (n *Node) Followed(within time.Duration) bool {
-	return n.role == Leader && n.quorumHeard() >= n.now-within
+	return n.role == Leader && n.quorumContactTime() >= n.now-within
 }
 
-// Step takes a message.
+// Step processes a message from another member.
 func (n *Node) Step(now time.Duration, message Message) {
 	n.now = now
 	if message.To != n.options.Self {
-		return // meant for one that was here before
+		return // addressed to an earlier identity of this member
 	}
 	if message.Term > n.term {
 		if !n.acceptHigherTerm(message) {
@@ -189,40 +194,41 @@
 		}
 	}
 	if message.Term < n.term {
-		n.answerStale(message)
+		n.rejectStaleTerm(message)
 		return
 	}
 	switch message.Kind {
 	case PreVote:
-		n.answerPreVote(message)
+		n.handlePreVote(message)
 	case Vote:
-		n.answerVote(message)
+		n.handleVote(message)
 	case PreVoteAnswer, VoteAnswer:
-		n.countVote(message)
+		n.handleVoteResponse(message)
 	case Append:
-		n.followAppend(message)
+		n.handleAppend(message)
 	case InstallSnapshot:
-		n.followSnapshot(message)
+		n.handleInstallSnapshot(message)
 	case AppendAnswer:
-		n.leaderAnswer(message)
+		n.handleAppendResponse(message)
 	case StandForElection:
-		n.standForElection(message)
+		n.handleLeadershipTransfer(message)
 	}
 }
 
-// acceptHigherTerm moves to a later term; false where the message is to be passed over.
+// acceptHigherTerm processes a message of a higher term and adopts the term where Raft requires it. It returns false if
+// the message needs no further processing.
 func (n *Node) acceptHigherTerm(message Message) bool {
 	switch message.Kind {
 	case PreVote:
-		n.answerPreVote(message)
+		n.handlePreVote(message)
 		return false
 	case PreVoteAnswer:
 		if !message.Reject {
-			n.countVote(message)
+			n.handleVoteResponse(message)
 			return false
 		}
 	case Vote:
-		if n.followsLeader() && !message.Handover {
+		if n.hasActiveLeader() && !message.Handover {
 			return false
 		}
 	}
@@ -234,8 +240,9 @@
 	return true
 }
 
-// answerStale tells a sender of an earlier term about ours, so that a deposed leader or a returned member learns it.
-func (n *Node) answerStale(message Message) {
+// rejectStaleTerm responds to a message of an earlier term with the current one, so that a deposed leader or a member
+// that comes back adopts it.
+func (n *Node) rejectStaleTerm(message Message) {
 	switch message.Kind {
 	case Append, InstallSnapshot:
 		n.send(Message{Kind: AppendAnswer, To: message.From, Reject: true, Index: n.log.lastIndex()})
@@ -244,7 +251,8 @@
 	}
 }
 
-func (n *Node) appendOwn(data []byte) uint64 {
+// appendEntry appends an entry of the current term to the leader's log and returns its index.
+func (n *Node) appendEntry(data []byte) uint64 {
 	index := n.log.lastIndex() + 1
 	n.log.entries = append(n.log.entries, Entry{Index: index, Term: n.term, Data: data})
 	return index
--- a/internal/system/agreement/replacement_test.go
+++ b/internal/system/agreement/replacement_test.go
@@ -12,27 +12,27 @@
 	for _, calledOff := range []bool{false, true} {
 		ginkgo.It(fmt.Sprintf("replaces a voter by a newcomer, and takes no other change until that has ended; called off: %t", calledOff), func() {
 			c := newCluster(10, 3)
-			leader := c.settle()
+			leader := c.heal()
 			c.add("new")
 			node := c.members[leader].node
 			Expect(node.ProposeGroup(c.now, node.Group().With("new", AsLearner))).To(Succeed())
-			c.carryOut(leader, false)
+			c.processReady(leader, false)
 			for range 2000 {
 				c.step()
 			}
 			Expect(c.leader()).To(Equal(leader))
 			replaced := without(c.names[:3], leader)[0]
-			c.members[replaced].alive = false
+			c.members[replaced].running = false
 			Expect(node.ProposeGroup(c.now, node.Group().Replace(replaced, "new", Out))).To(Succeed())
 			Expect(node.Group().Outgoing).To(ConsistOf("m1", "m2", "m3"))
 			Expect(node.ProposeGroup(c.now, node.Group().With("other", AsLearner))).To(MatchError(&ChangePendingError{}))
-			c.carryOut(leader, false)
+			c.processReady(leader, false)
 			for range 2000 {
 				c.step()
 			}
 			Expect(node.GroupSettled()).To(BeFalse())
 			Expect(node.EndReplacement(c.now, calledOff)).To(Succeed())
-			c.carryOut(leader, false)
+			c.processReady(leader, false)
 			for range 2000 {
 				c.step()
 			}
@@ -42,14 +42,14 @@
 				wanted = Membership{Voters: c.names[:3], Learners: []string{"new"}}
 			}
 			Expect(node.Group()).To(Equal(wanted))
-			Expect(c.faults).To(BeEmpty())
+			Expect(c.violations).To(BeEmpty())
 		})
 	}
 
 	for _, silent := range []string{"before", "after"} {
 		ginkgo.It("commits nothing while a joint change is under way and a majority of the voters "+silent+" it is silent", func() {
 			c := newCluster(11, 3)
-			leader := c.settle()
+			leader := c.heal()
 			node := c.members[leader].node
 			others := without(c.names, leader)
 			group := Membership{Voters: []string{leader, "n1", "n2"}, Outgoing: slices.Clone(c.names)}
@@ -62,7 +62,7 @@
 				answering = others
 			}
 			for _, name := range answering {
-				node.leaderAnswer(Message{Kind: AppendAnswer, From: name, Term: node.Term(), Index: node.log.lastIndex(), Sent: c.now})
+				node.handleAppendResponse(Message{Kind: AppendAnswer, From: name, Term: node.Term(), Index: node.log.lastIndex(), Sent: c.now})
 			}
 			ready := node.Ready()
 			node.Persisted(&ready)
@@ -70,7 +70,7 @@
 			node.now += testElection + testHeartbeat
 			Expect(node.Followed(testHeartbeat)).To(BeFalse())
 			for _, name := range append(others, "n1", "n2") {
-				node.leaderAnswer(Message{Kind: AppendAnswer, From: name, Term: node.Term(), Index: node.log.lastIndex(), Sent: node.now})
+				node.handleAppendResponse(Message{Kind: AppendAnswer, From: name, Term: node.Term(), Index: node.log.lastIndex(), Sent: node.now})
 			}
 			Expect(node.log.committed).To(BeNumerically(">", committed))
 			Expect(node.EndReplacement(node.now, false)).To(Succeed())
@@ -80,7 +80,7 @@
 })
 
 // withVoter gives a learner a vote, half the time in the place of a voter.
-func (c *cluster) withVoter(group Membership, learner string) Membership {
+func (c *cluster) promoteLearner(group Membership, learner string) Membership {
 	if c.random.IntN(2) == 0 {
 		return group.With(learner, AsVoter)
 	}
--- a/internal/system/agreement/types.go
+++ b/internal/system/agreement/types.go
@@ -1,6 +1,12 @@
-// Package agreement is one replicated log of a group of members: elections with pre-vote and a check of quorum,
-// append, snapshot. It is a state machine without I/O or clocks: inputs are messages, proposals and the time;
-// outputs are collected in a Ready, whose writes must be synced before its messages leave.
+// Package agreement implements one member of a Raft group, which replicates a log: leader election with pre-vote and
+// check-quorum, log replication, snapshots, leadership transfer, learners, and membership changes of one member at a
+// time or by joint consensus.
+//
+// Node is a deterministic state machine without I/O, goroutines or clocks. A driver passes in messages (Step), proposals
+// (Propose, ProposeGroup) and the time (Tick, at the latest at NextWake). It then takes the outputs from Ready: it writes
+// and syncs the hard state, snapshot and entries, calls Persisted, sends the messages and applies the committed entries.
+// No message may leave before the writes of its Ready are synced. All times are durations on one monotonic clock of the
+// driver's choice; a Node is not safe for concurrent use. Package disk stores what a Ready asks to write.
 package agreement
 
 import (
@@ -9,63 +15,68 @@
 	"time"
 )
 
-// Membership is who belongs to a group. Voters elect and commit; learners only follow, until they have caught up.
+// Membership lists the members of a group. Voters elect the leader and count toward commits. Learners only replicate
+// the log, until they have caught up and can be made voters.
 type Membership struct {
 	Voters   []string
 	Learners []string
-	// Outgoing are the voters of the group before, while a change of two members is under way (joint consensus, Raft thesis 4.3): every decision
-	// needs a majority of them beside one of Voters. Empty at other times.
+	// Outgoing holds the previous voters while a change of two members is in progress (joint consensus, Raft thesis
+	// 4.3): every decision needs a majority of Outgoing as well as a majority of Voters. It is empty at other times.
 	Outgoing []string `msgpack:",omitempty"`
 }
 
-// Joint tells whether a change of two members is under way.
+// Joint reports whether the membership is joint: a change of two members is in progress.
 func (m Membership) Joint() bool { return len(m.Outgoing) > 0 }
 
-// electorates gives the sets of voters that have to agree, each by a majority.
-func (m Membership) electorates() [][]string {
+// voterSets returns the sets of voters of which each must reach a majority: two during joint consensus, else one.
+func (m Membership) voterSets() [][]string {
 	if !m.Joint() {
 		return [][]string{m.Voters}
 	}
 	return [][]string{m.Voters, m.Outgoing}
 }
 
-// Empty tells whether nobody is named.
+// Empty reports whether the membership has neither voters nor learners.
 func (m Membership) Empty() bool { return len(m.Voters) == 0 && len(m.Learners) == 0 }
 
-// Has tells whether a member belongs to the group, with a vote or without.
+// Has reports whether id belongs to the group, as a voter or a learner.
 func (m Membership) Has(id string) bool {
 	return m.HasVote(id) || slices.Contains(m.Learners, id)
 }
 
-// HasVote tells whether a member has a vote, be it that of the group before a change that is under way.
+// HasVote reports whether id is a voter. During joint consensus the previous voters count too.
 func (m Membership) HasVote(id string) bool {
 	return slices.Contains(m.Voters, id) || slices.Contains(m.Outgoing, id)
 }
 
-// Replace gives the joint membership in which a learner takes a voter's vote, and the voter moves to a place without one.
+// Replace returns the joint membership in which the learner becomes a voter in place of voter, and voter moves to the
+// given place: Out or AsLearner.
 func (m Membership) Replace(voter, learner string, place Place) Membership {
 	next := m.With(learner, AsVoter).With(voter, place)
 	next.Outgoing = slices.Clone(m.Voters)
 	return next
 }
 
-// after is the membership at the end of a replacement.
-func (m Membership) after() Membership { return Membership{Voters: m.Voters, Learners: m.Learners} }
+// finishedReplacement returns the membership that ends a joint one: the new voters decide alone.
+func (m Membership) finishedReplacement() Membership {
+	return Membership{Voters: m.Voters, Learners: m.Learners}
+}
 
-// before is the membership at the end of a replacement that is called off: the learner follows on.
-func (m Membership) before() Membership {
+// cancelledReplacement returns the membership that cancels a joint one: the previous voters decide alone again, and the
+// member that should have become a voter stays a learner.
+func (m Membership) cancelledReplacement() Membership {
 	learners := slices.DeleteFunc(m.members(), func(id string) bool { return slices.Contains(m.Outgoing, id) })
 	return Membership{Voters: m.Outgoing, Learners: learners}
 }
 
-// members gives all that belong to the group, each once, sorted.
+// members returns the ids of all members, sorted and without duplicates.
 func (m Membership) members() []string {
 	all := slices.Concat(m.Voters, m.Outgoing, m.Learners)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// With gives a membership in which a member has moved to a place.
+// With returns a copy of the membership in which id has the given place. The copy is never joint.
 func (m Membership) With(id string, place Place) Membership {
 	next := Membership{Voters: without(m.Voters, id), Learners: without(m.Learners, id)}
 	switch place {
@@ -79,6 +90,7 @@
 	return next
 }
 
+// without returns ids without id.
 func without(ids []string, id string) []string {
 	var kept []string
 	for _, other := range ids {
@@ -89,14 +101,14 @@
 	return kept
 }
 
-// Place of a member in a group.
+// Place is the standing of a member in a group.
 type Place uint8
 
-// The places.
+// The places of a member.
 const (
-	Out Place = iota
-	AsLearner
-	AsVoter
+	Out       Place = iota // not in the group
+	AsLearner              // replicates the log, has no vote
+	AsVoter                // votes and counts toward commits
 )
 
 // Entry is one record of the log.
@@ -104,17 +116,19 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Index    uint64
 	Term     uint64
-	Data     []byte      // nil for the empty entry with which a leader opens its term
-	Members  *Membership // of a change of the group: in force from its append on
+	Data     []byte      // nil for the no-op entry that a leader appends at the start of its term
+	Members  *Membership // set for a membership change, which takes effect as soon as it is appended
 }
 
-// HardState is what a member must have synced before it answers.
+// HardState is the term and the vote of that term, which a member must sync before it responds. Vote is empty if none
+// was granted.
 type HardState struct {
 	Term uint64
 	Vote string
 }
 
-// Snapshot replaces the log up to and including Index.
+// Snapshot replaces the log up to and including Index. Term is the term of the entry at Index, Data the state of the
+// application as of Index, and Members the membership as of Index.
 type Snapshot struct {
 	Index   uint64
 	Term    uint64
@@ -122,91 +136,99 @@
 	Members Membership
 }
 
-// Kind tells messages apart.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages between members.
 const (
-	PreVote Kind = iota + 1
-	PreVoteAnswer
-	Vote
-	VoteAnswer
-	Append
-	AppendAnswer
-	InstallSnapshot
-	StandForElection // a leader names its successor
+	PreVote          Kind = iota + 1 // asks whether a vote would be granted; changes no state of the receiver
+	PreVoteAnswer                    // response to PreVote
+	Vote                             // requests a vote
+	VoteAnswer                       // response to Vote
+	Append                           // replicates entries; a heartbeat if it has none
+	AppendAnswer                     // response to Append and InstallSnapshot
+	InstallSnapshot                  // replaces the log of a follower that lacks compacted entries
+	StandForElection                 // leadership transfer: asks the receiver to campaign at once (Raft's TimeoutNow)
 )
 
-// IsAnswer tells whether a message of this kind goes to one that was heard.
+// IsAnswer reports whether messages of this kind are responses: they go to a member from which a request
+// has just been received.
 func (k Kind) IsAnswer() bool { return k == PreVoteAnswer || k == VoteAnswer || k == AppendAnswer }
 
-// Message goes from one member to another.
+// Message is sent from one member to another.
 type Message struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Kind     Kind
 	From     string
 	To       string
 	Term     uint64
-	Index    uint64 // of the entry before Entries; the last entry of a candidate; the match of an answer
-	LogTerm  uint64
+	// Index is, by Kind: of an Append, the index of the entry before Entries; of a vote request or a StandForElection, the
+	// last index of the sender's log; of an AppendAnswer, the last index known to match the leader's log or, with Reject,
+	// the index after which the leader should try next.
+	Index    uint64
+	LogTerm  uint64 // term of the entry at Index
 	Commit   uint64
 	Entries  []Entry
 	Snapshot *Snapshot
 	Reject   bool
-	// Sent is the leader's time of sending, which an answer returns: what the check of quorum is measured from.
+	// Sent is the leader's time when it sent the request. The response returns it, and the leader's check-quorum measures
+	// from it.
 	Sent time.Duration
-	// Handover marks a request of one that the leader has named: it is judged although a leader is heard.
+	// Handover marks a vote request of a leadership transfer: it is considered although the current leader is active.
 	Handover bool
 }
 
-// Options of a member. All members of a group are given the same timeouts.
+// Options configures a Node. All members of a group must have the same timeouts.
 type Options struct {
-	// Self is the member's identity, drawn on its disk: one whose disk was lost is another member, which joins as a
-	// learner and counts for nothing until it has caught up.
+	// Self is the member's identity, which is created with its disk. A member that lost its disk comes back as another
+	// member, which joins as a learner and counts toward no quorum until it has caught up.
 	Self string
-	// ElectionTimeout is the least silence of a leader before a member stands for election; up to twice that by lot.
-	ElectionTimeout   time.Duration
+	// ElectionTimeout is the minimum time without contact by a leader after which a member campaigns. The actual timeout
+	// is drawn at random between this and twice this.
+	ElectionTimeout time.Duration
+	// HeartbeatInterval is the time between two heartbeats of a leader.
 	HeartbeatInterval time.Duration
-	// Random returns a number from 0 up to n, exclusive.
+	// Random returns a random number in [0, n).
 	Random func(n int64) int64
 }
 
-// Stored is what a member finds on its disk. The snapshot of a founder's new disk names the founders; that of a newcomer
-// nobody.
+// Stored is the persistent state of a member. On a new disk the snapshot has index 0: its membership lists the bootstrap
+// members if this is one of them, and is empty for a member that joins later.
 type Stored struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
 }
 
-// Ready is what a driver has to do, in the order of its fields: write and sync, then send, then apply.
+// Ready is the work that a driver must do, in the order of the fields: write and sync HardState, Snapshot and Entries,
+// then send Messages, then apply Committed.
 type Ready struct {
 	HardState *HardState
-	Snapshot  *Snapshot // installed from the leader: replaces the state and the log
-	Entries   []Entry   // to append; an index that the log has already replaces it and all behind
+	Snapshot  *Snapshot // received from the leader: replaces the application's state and the whole log
+	Entries   []Entry   // to append; an entry at an existing index replaces it and all later entries
 	Messages  []Message
 	Committed []Entry
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
 	return r.HardState == nil && r.Snapshot == nil && len(r.Entries) == 0 && len(r.Messages) == 0 &&
 		len(r.Committed) == 0
 }
 
-// MustSync tells whether the writes have to be synced.
+// MustSync reports whether the Ready has writes, which must be synced before its messages are sent.
 func (r *Ready) MustSync() bool {
 	return r.HardState != nil || r.Snapshot != nil || len(r.Entries) > 0
 }
 
-// NotLeaderError answers a proposal to a member that does not lead.
+// NotLeaderError is returned for a proposal to a member that is not the leader.
 type NotLeaderError struct {
-	Leader string // empty when unknown
+	Leader string // id of the current leader, empty if unknown
 }
 
 func (e *NotLeaderError) Error() string { return fmt.Sprintf("not the leader (leader %q)", e.Leader) }
 
-// ChangePendingError answers a change of the group while another is not committed.
+// ChangePendingError is returned for a membership change while an earlier one is not committed or still joint.
 type ChangePendingError struct{}
 
-func (e *ChangePendingError) Error() string { return "another change of the group is under way" }
+func (e *ChangePendingError) Error() string { return "another membership change is in progress" }
--- a/internal/system/ownership/balance.go
+++ b/internal/system/ownership/balance.go
@@ -5,26 +5,27 @@
 	"strings"
 )
 
-// Fleet is the carriers that may own units.
+// Fleet lists the carriers that can own units, by their incarnations.
 type Fleet struct {
-	Live     []string        // incarnations, in the order in which they are asked where loads are alike
-	Stopping map[string]bool // those of the live ones that are about to stop: they get nothing, and what they own moves
+	Live     []string        // in order of preference among carriers with equal load
+	Stopping map[string]bool // live carriers that shut down gracefully: they get no units, and their units move away
 }
 
-func (f *Fleet) takers() []string {
-	takers := make([]string, 0, len(f.Live))
+// eligible returns the live carriers that are not stopping, or all live ones if all are stopping.
+func (f *Fleet) eligible() []string {
+	eligible := make([]string, 0, len(f.Live))
 	for _, incarnation := range f.Live {
 		if !f.Stopping[incarnation] {
-			takers = append(takers, incarnation)
+			eligible = append(eligible, incarnation)
 		}
 	}
-	if len(takers) == 0 {
+	if len(eligible) == 0 {
 		return f.Live
 	}
-	return takers
+	return eligible
 }
 
-// loads counts units by their owners, within a group of alike units and altogether.
+// loads counts the units of each carrier, within each balance group and in total.
 type loads struct {
 	byGroup map[string]map[string]int
 	total   map[string]int
@@ -32,8 +33,9 @@
 
 func newLoads() *loads { return &loads{byGroup: map[string]map[string]int{}, total: map[string]int{}} }
 
+// add adds count, which may be negative, to the units of a carrier.
 func (l *loads) add(unit, incarnation string, count int) {
-	group := groupOf(unit)
+	group := balanceGroup(unit)
 	if l.byGroup[group] == nil {
 		l.byGroup[group] = map[string]int{}
 	}
@@ -41,28 +43,29 @@
 	l.total[incarnation] += count
 }
 
-// least gives the taker that owns the fewest of a unit's group, then the fewest units altogether.
-func (l *loads) least(unit string, takers []string) string {
-	group := l.byGroup[groupOf(unit)]
-	best := takers[0]
-	for _, taker := range takers[1:] {
-		if group[taker] < group[best] || group[taker] == group[best] && l.total[taker] < l.total[best] {
-			best = taker
+// leastLoaded returns the first of the candidates that own the fewest units of the unit's balance group, and of these the
+// fewest units in total.
+func (l *loads) leastLoaded(unit string, candidates []string) string {
+	group := l.byGroup[balanceGroup(unit)]
+	best := candidates[0]
+	for _, candidate := range candidates[1:] {
+		if group[candidate] < group[best] || group[candidate] == group[best] && l.total[candidate] < l.total[best] {
+			best = candidate
 		}
 	}
 	return best
 }
 
-// groupOf names the units that are spread evenly: those of keys, and those that have a pace.
-func groupOf(unit string) string {
+// balanceGroup returns the group within which a unit is balanced: the units of ordering keys, or those of services.
+func balanceGroup(unit string) string {
 	if strings.HasPrefix(unit, keyPrefix) {
 		return keyPrefix
 	}
 	return pacedPrefix
 }
 
-// Assign names an owner for each unit whose owner is not live, the carrier that owns fewest first. Units that have a
-// live owner stay where they are.
+// Assign returns changes that give each unit without a live owner to the carrier with the fewest units of its balance
+// group. Units with a live owner stay where they are. Apply carries out the changes.
 func (s *State) Assign(units []string, fleet Fleet) []Change {
 	if len(fleet.Live) == 0 {
 		return nil
@@ -72,85 +75,87 @@
 		live[incarnation] = true
 	}
 	load := newLoads()
-	var without []string
+	var unowned []string
 	for _, unit := range units {
 		if owner, owned := s.owners[unit]; owned && live[owner.Incarnation] {
 			load.add(unit, owner.Incarnation, 1)
 			continue
 		}
-		without = append(without, unit)
+		unowned = append(unowned, unit)
 	}
-	sort.Strings(without)
-	takers := fleet.takers()
-	changes := make([]Change, 0, len(without))
-	for _, unit := range without {
-		taker := load.least(unit, takers)
-		load.add(unit, taker, 1)
-		changes = append(changes, Change{Kind: Assign, Unit: unit, Incarnation: taker})
+	sort.Strings(unowned)
+	candidates := fleet.eligible()
+	changes := make([]Change, 0, len(unowned))
+	for _, unit := range unowned {
+		candidate := load.leastLoaded(unit, candidates)
+		load.add(unit, candidate, 1)
+		changes = append(changes, Change{Kind: Assign, Unit: unit, Incarnation: candidate})
 	}
 	return changes
 }
 
-// Balance names units that their live owners should hand over, at most so many at a time: all of an owner that is
-// stopping, and else one of the owner that has at least two more of a group than another. Offers to carriers that have
-// gone are taken back.
-func (s *State) Balance(units []string, fleet Fleet, most int) []Change {
+// Balance returns changes that offer units to other carriers, so that their live owners hand them over. A stopping carrier
+// offers all its units; another offers a unit if it owns at least two more of the balance group than the carrier with the
+// fewest. At most maxOpenOffers offers are open at a time. Balance also withdraws offers to carriers that are no longer
+// live or are stopping. It returns nothing if no carrier can take a unit.
+func (s *State) Balance(units []string, fleet Fleet, maxOpenOffers int) []Change {
 	live := map[string]bool{}
 	for _, incarnation := range fleet.Live {
 		live[incarnation] = true
 	}
-	takers := fleet.takers()
-	if len(takers) == 0 || fleet.Stopping[takers[0]] {
+	candidates := fleet.eligible()
+	if len(candidates) == 0 || fleet.Stopping[candidates[0]] {
 		return nil
 	}
 	load := newLoads()
 	var changes []Change
-	open := 0
+	openOffers := 0
 	for _, unit := range units {
 		owner := s.owners[unit]
 		switch {
 		case owner.Next == "":
 			load.add(unit, owner.Incarnation, 1)
 		case !live[owner.Next] || fleet.Stopping[owner.Next]:
-			changes = append(changes, s.offer(unit, ""))
+			changes = append(changes, s.offerChange(unit, ""))
 			load.add(unit, owner.Incarnation, 1)
 		default:
-			open++
+			openOffers++
 			load.add(unit, owner.Next, 1)
 		}
 	}
 	for _, unit := range units {
 		owner := s.owners[unit]
-		if open >= most {
+		if openOffers >= maxOpenOffers {
 			break
 		}
 		if owner.Next != "" || !live[owner.Incarnation] {
 			continue
 		}
-		taker := load.least(unit, takers)
-		group := load.byGroup[groupOf(unit)]
-		if !fleet.Stopping[owner.Incarnation] && group[owner.Incarnation] < group[taker]+2 {
+		candidate := load.leastLoaded(unit, candidates)
+		group := load.byGroup[balanceGroup(unit)]
+		if !fleet.Stopping[owner.Incarnation] && group[owner.Incarnation] < group[candidate]+2 {
 			continue
 		}
 		load.add(unit, owner.Incarnation, -1)
-		load.add(unit, taker, 1)
-		open++
-		changes = append(changes, s.offer(unit, taker))
+		load.add(unit, candidate, 1)
+		openOffers++
+		changes = append(changes, s.offerChange(unit, candidate))
 	}
 	return changes
 }
 
-func (s *State) offer(unit, next string) Change {
+// offerChange returns the change that offers a unit to the carrier next, or withdraws the offer if next is empty.
+func (s *State) offerChange(unit, next string) Change {
 	owner := s.owners[unit]
 	return Change{Kind: Offer, Unit: unit, Incarnation: next, Token: owner.Token, Offer: owner.Offer}
 }
 
-// Withdraw gives the changes that take back all offers that are in a list.
+// Withdraw returns the changes that withdraw all open offers of the given units.
 func (s *State) Withdraw(units []string) []Change {
 	var changes []Change
 	for _, unit := range units {
 		if s.owners[unit].Next != "" {
-			changes = append(changes, s.offer(unit, ""))
+			changes = append(changes, s.offerChange(unit, ""))
 		}
 	}
 	return changes
--- a/internal/system/ownership/state.go
+++ b/internal/system/ownership/state.go
@@ -1,8 +1,13 @@
-// Package ownership is the replicated table of who owns the units of a shard: the carrier that orders or paces what belongs to
-// a unit, under a fencing token that rises with every change of owner.
+// Package ownership is the replicated table of the owners of a shard's units. A unit is the part of the messages that one
+// carrier at a time orders or rate-limits. Its owner acts under a fencing token, which rises with every change of owner.
 //
-// Ordering keys are spread over units by the key alone. The order of a key holds whatever route its messages come by and whatever
-// service runs them, and a change of the configuration may give a route to another service while messages wait.
+// State is the table of one shard. The shard's leader computes changes with Assign, Balance and Withdraw, replicates them,
+// and every replica carries them out with Apply. A unit moves from a live owner in two steps: an Offer names the next
+// owner, and the Release of the current owner makes it the owner.
+//
+// Ordering keys map to units by the key alone, regardless of route and service: messages of a key keep their order on
+// whatever route they arrive and whichever service runs them, and a configuration change may assign a route to another
+// service while messages wait.
 package ownership
 
 import (
@@ -15,79 +20,84 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// KeyBuckets is the number of units that all ordering keys are spread over.
+// KeyBuckets is the number of units over which all ordering keys are spread.
 const KeyBuckets = 16
 
-// Owner of a unit.
+// Owner is the ownership record of a unit: the incarnation of its carrier and the fencing token.
 type Owner struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Incarnation string
 	Token       uint64
-	// Next is the carrier that the owner is asked to hand the unit to; empty where it keeps it.
+	// Next is the incarnation to which the owner is asked to hand over the unit; empty if there is no offer.
 	Next string
-	// Offer rises whenever Next is set or taken back.
+	// Offer is a number that rises whenever an offer is made or withdrawn.
 	Offer uint64
 }
 
-// OlderThan tells whether another record of the same unit is newer.
+// OlderThan reports whether other is a newer record of the same unit.
 func (o Owner) OlderThan(other Owner) bool {
 	return o.Token < other.Token || o.Token == other.Token && o.Offer < other.Offer
 }
 
-// ChangeKind tells changes apart.
+// ChangeKind is the type of a change.
 type ChangeKind uint8
 
-// The changes.
+// The kinds of changes.
 const (
-	Assign  ChangeKind = iota // names the owner of a unit whose former owner is gone
-	Offer                     // asks the owner to hand the unit over, or takes that back
-	Release                   // the owner hands the unit over: it does nothing more under its token
-	Remove                    // no message needs the unit any more
+	Assign  ChangeKind = iota // sets the owner of a unit that has none or whose owner is gone
+	Offer                     // asks the owner to hand over the unit, or withdraws that
+	Release                   // the owner hands over the unit: it does nothing more under its token
+	Remove                    // removes a unit that no message needs any more
 )
 
-// Change of one unit's owner.
+// Change is one change of a unit's ownership record.
 type Change struct {
 	Kind        ChangeKind
 	Unit        string
-	Incarnation string // of the new owner, or of the one that it is offered to; empty takes an offer back
-	Token       uint64 // of Offer, Release and Remove: the owner's, else nothing changes
-	Offer       uint64 // of Offer: the number before it; of Release: the one that is followed
+	Incarnation string // of the new owner, or of the carrier that the unit is offered to; empty withdraws the offer
+	Token       uint64 // for Offer, Release and Remove: token of the owner; with another one the change has no effect
+	Offer       uint64 // for Offer: number of the previous offer; for Release: number of the offer that is accepted
 }
 
-// StaleOfferError tells an owner that an offer does not stand any more: the unit stays with it.
+// StaleOfferError is returned for a Release whose offer is no longer valid: the unit stays with its owner.
 type StaleOfferError struct{ Unit string }
 
-func (e *StaleOfferError) Error() string { return "the offer of " + e.Unit + " does not stand" }
+func (e *StaleOfferError) Error() string {
+	return "the offer of unit " + e.Unit + " is no longer valid"
+}
 
 // State is the replicated table of one shard.
 type State struct {
 	owners map[string]Owner
-	// removed is the highest token of any unit that was removed: one that comes back begins above it, so that a carrier's
-	// view of a unit never goes back.
-	removed uint64
+	// maxRemovedToken is the highest token of all removed units. A unit that is created again starts above it, so that its
+	// token never goes back in the view of any carrier.
+	maxRemovedToken uint64
 }
 
-// snapshot is the form of a State in bytes.
+// snapshot is the encoded form of a State.
 type snapshot struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Owners   map[string]Owner
 	Removed  uint64
 }
 
-// NewState is the empty table.
+// NewState returns an empty table.
 func NewState() *State { return &State{owners: map[string]Owner{}} }
 
-// MalformedError tells of a snapshot that can't be read.
+// MalformedError reports a snapshot or changes that cannot be encoded or decoded.
 type MalformedError struct{ Err error }
 
-func (e *MalformedError) Error() string { return fmt.Sprintf("ownership table: %v", e.Err) }
+func (e *MalformedError) Error() string {
+	return fmt.Sprintf("malformed ownership data: %v", e.Err)
+}
 
 func (e *MalformedError) Unwrap() error { return e.Err }
 
-// Owners gives the table; it must not be changed.
+// Owners returns the table, by the names of units. The caller must not modify it.
 func (s *State) Owners() map[string]Owner { return s.owners }
 
-// Apply carries out changes. The error is that of the last release that came too late.
+// Apply carries out the changes in order. Changes that no longer match the table have no effect. The error is the
+// StaleOfferError of the last Release whose offer is no longer valid.
 func (s *State) Apply(changes []Change) error {
 	var failure error
 	for _, change := range changes {
@@ -102,10 +112,10 @@
 	owner := s.owners[change.Unit]
 	switch change.Kind {
 	case Assign:
-		s.owners[change.Unit] = Owner{Incarnation: change.Incarnation, Token: max(owner.Token, s.removed) + 1}
+		s.owners[change.Unit] = Owner{Incarnation: change.Incarnation, Token: max(owner.Token, s.maxRemovedToken) + 1}
 	case Remove:
 		if owner.Token == change.Token {
-			s.removed = max(s.removed, owner.Token)
+			s.maxRemovedToken = max(s.maxRemovedToken, owner.Token)
 			delete(s.owners, change.Unit)
 		}
 	case Offer:
@@ -116,7 +126,7 @@
 	case Release:
 		switch {
 		case owner.Token > change.Token:
-			return nil // it was released, or given to another, before
+			return nil // the unit was released or reassigned before
 		case owner.Token < change.Token || owner.Offer != change.Offer || owner.Next == "":
 			return &StaleOfferError{Unit: change.Unit}
 		}
@@ -125,17 +135,17 @@
 	return nil
 }
 
-// Snapshot is the whole table in bytes.
+// Snapshot returns the encoded table.
 func (s *State) Snapshot() ([]byte, error) {
-	return msgpack.Marshal(&snapshot{Owners: s.owners, Removed: s.removed})
+	return msgpack.Marshal(&snapshot{Owners: s.owners, Removed: s.maxRemovedToken})
 }
 
-// Restore replaces the table by a snapshot.
+// Restore replaces the table by a snapshot. The error is a MalformedError; the table is then unchanged.
 func (s *State) Restore(data []byte) error {
 	var restored snapshot
 	var err error
 	if len(data) > 0 && isMap(data[0]) {
-		err = msgpack.Unmarshal(data, &restored.Owners) // an earlier build's: the table alone
+		err = msgpack.Unmarshal(data, &restored.Owners) // format of earlier builds: the table without the highest removed token
 	} else {
 		err = msgpack.Unmarshal(data, &restored)
 	}
@@ -145,24 +155,25 @@
 	if restored.Owners == nil {
 		restored.Owners = map[string]Owner{}
 	}
-	s.owners, s.removed = restored.Owners, restored.Removed
+	s.owners, s.maxRemovedToken = restored.Owners, restored.Removed
 	return nil
 }
 
-// Prefixes of units' names.
+// Prefixes of the names of units.
 const (
 	keyPrefix   = "key/"
 	pacedPrefix = "paced/"
 )
 
+// isMap reports whether a MessagePack value that starts with this byte is a map.
 func isMap(code byte) bool {
 	return msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
 }
 
-// keyShard is the shard of all units of ordering keys, so that one leader spreads them evenly.
+// keyShard is the shard of all units of ordering keys. They share one so that a single leader balances them.
 const keyShard = 0
 
-// Shard is the shard of a unit, from 0 up to shards; -1 where the name is no unit's that has an owner.
+// Shard returns the shard of a unit, in [0, shards), or -1 if unit is not the name of a unit that can have an owner.
 func Shard(unit string, shards int) int {
 	if service, paced := PacedService(unit); paced {
 		return int(hash(service) % uint32(shards))
@@ -172,7 +183,7 @@
 		return -1
 	}
 	if slash := strings.LastIndexByte(text, '/'); slash > 0 {
-		// Earlier builds spread the keys of each service by themselves. What waits in such a unit is on their disks.
+		// Earlier builds had units of ordering keys for each service. Messages on disk may still belong to such a unit.
 		return int(hash(text[:slash]) % uint32(shards))
 	}
 	if bucket, err := strconv.Atoi(text); err != nil || bucket < 0 || bucket >= KeyBuckets {
@@ -181,10 +192,10 @@
 	return keyShard
 }
 
-// KeyUnit is the unit of an ordering key.
+// KeyUnit returns the unit of an ordering key.
 func KeyUnit(key string) string { return keyPrefix + strconv.Itoa(int(hash(key)%KeyBuckets)) }
 
-// KeyUnits gives all units of ordering keys.
+// KeyUnits returns all units of ordering keys.
 func KeyUnits() []string {
 	units := make([]string, KeyBuckets)
 	for bucket := range units {
@@ -193,18 +204,20 @@
 	return units
 }
 
-// PacedUnit is the one unit of a service that is paced or has a single endpoint, of what has no order.
+// PacedUnit returns the single unit of a service that is rate-limited or has a single endpoint. It holds the service's
+// messages without an ordering key.
 func PacedUnit(service string) string { return pacedPrefix + service }
 
-// PacedService is the service of such a unit; false for any other name.
+// PacedService returns the service whose PacedUnit this is, and false for any other name.
 func PacedService(unit string) (service string, paced bool) {
 	service, paced = strings.CutPrefix(unit, pacedPrefix)
 	return service, paced && service != ""
 }
 
-// CarrierUnit is the unit of what a carrier accepted and delivers by itself.
+// CarrierUnit returns the unit of the messages that a carrier accepted and delivers by itself. It has no entry in the table.
 func CarrierUnit(incarnation string) string { return "carrier/" + incarnation }
 
+// hash is FNV-1a followed by the first part of the MurmurHash3 finalizer, which mixes the high bits into the low ones.
 func hash(text string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(text)) //nolint:errcheck // never fails
--- a/internal/system/ownership/state_test.go
+++ b/internal/system/ownership/state_test.go
@@ -57,10 +57,10 @@
 		Expect(state.Balance(units, fleet, 4)).To(BeEmpty())
 		groups := map[string]map[string]int{}
 		for unit, owner := range state.Owners() {
-			if groups[groupOf(unit)] == nil {
-				groups[groupOf(unit)] = map[string]int{}
+			if groups[balanceGroup(unit)] == nil {
+				groups[balanceGroup(unit)] = map[string]int{}
 			}
-			groups[groupOf(unit)][owner.Incarnation]++
+			groups[balanceGroup(unit)][owner.Incarnation]++
 		}
 		Expect(groups).To(HaveLen(2))
 		for _, incarnation := range fleet.Live {
--- a/internal/system/tolerance/tolerance.go
+++ b/internal/system/tolerance/tolerance.go
@@ -1,28 +1,33 @@
-// Package tolerance tells which disks may be lost at one time, and from that on which a message has to lie, and how many
-// of those that hold messages may be silent while somebody reads them all.
+// Package tolerance computes with the fault tolerance of a deployment: how many machines, zones or regions may be lost at
+// the same time. From this follow the disks that must hold the replicas of a message (Enough, Choose), the disks that may
+// be unreachable while somebody reads all messages (May), and whether a set of voters keeps its majority (Survives).
 //
-// The two fit each other: what Enough allows is never wholly within what May allows, so whoever has heard all disks but
-// such as may be lost has heard one of each message's.
+// Replicas and disks are given by the names of their zones, one name per disk.
+//
+// Enough and May fit together: a set of disks that is Enough is never a subset of one that May be lost. So a reader that
+// has reached all disks but a set that may be lost has reached at least one replica of each message.
 package tolerance
 
 import "slices"
 
-// Tolerance is what may be lost at one time: so many machines with a disk, or all of so many zones, or of so many regions.
+// Tolerance is the largest loss at one time that the system tolerates: this many machines with a disk, or all machines
+// of this many zones, or all machines of this many regions.
 type Tolerance struct {
 	Machines int
 	Zones    int
 	Regions  int
-	// RegionOf gives the region of each zone.
+	// RegionOf maps each zone to its region.
 	RegionOf map[string]string
 }
 
-// Copies is the least number of disks that a message lies on.
+// Copies returns the minimum number of replicas of a message, each on a disk of its own.
 func (t *Tolerance) Copies() int { return max(t.Machines, t.Zones, t.Regions) + 1 }
 
-// Voters is how many members a control group should have.
+// Voters returns the number of voters that a control group (a Raft group of keepers) should have.
 func (t *Tolerance) Voters() int { return 2*max(t.Machines, t.Zones, t.Regions) + 1 }
 
-func distinct(names []string) int {
+// countDistinct returns the number of different names.
+func countDistinct(names []string) int {
 	found := map[string]bool{}
 	for _, name := range names {
 		found[name] = true
@@ -30,46 +35,47 @@
 	return len(found)
 }
 
-func (t *Tolerance) regions(zones []string) int {
+// countRegions returns the number of regions that the zones lie in.
+func (t *Tolerance) countRegions(zones []string) int {
 	regions := make([]string, 0, len(zones))
 	for _, zone := range zones {
 		regions = append(regions, t.RegionOf[zone])
 	}
-	return distinct(regions)
+	return countDistinct(regions)
 }
 
-// Enough tells whether disks, given by their zones, outlive every loss that is tolerated.
+// Enough reports whether at least one of the disks in these zones remains after every tolerated loss.
 func (t *Tolerance) Enough(zones []string) bool {
-	return len(zones) > t.Machines && distinct(zones) > t.Zones && t.regions(zones) > t.Regions
+	return len(zones) > t.Machines && countDistinct(zones) > t.Zones && t.countRegions(zones) > t.Regions
 }
 
-// May tells whether disks, given by their zones, may be lost at one time.
+// May reports whether all of the disks in these zones may be lost at the same time.
 func (t *Tolerance) May(zones []string) bool {
-	return len(zones) <= t.Machines || t.Zones > 0 && distinct(zones) <= t.Zones || t.Regions > 0 && t.regions(zones) <= t.Regions
+	return len(zones) <= t.Machines || t.Zones > 0 && countDistinct(zones) <= t.Zones || t.Regions > 0 && t.countRegions(zones) <= t.Regions
 }
 
-// Spread tells whether disks, given by their zones, lie at so many places that enough are left after every loss of zones or
-// regions that is tolerated.
+// Spread reports whether the disks in these zones cover so many zones and regions that, after every tolerated loss of
+// zones or regions, the rest still covers as many as Enough requires. It ignores the number of disks.
 func (t *Tolerance) Spread(zones []string) bool {
-	return distinct(zones) > 2*t.Zones && t.regions(zones) > 2*t.Regions
+	return countDistinct(zones) > 2*t.Zones && t.countRegions(zones) > 2*t.Regions
 }
 
-// Survives tells whether voters, given by their zones, keep a majority through every loss that is tolerated.
+// Survives reports whether the voters in these zones keep a majority after every tolerated loss.
 func (t *Tolerance) Survives(zones []string) bool { return t.SurvivesWith(zones, len(zones)) }
 
-// SurvivesWith tells whether those of so many voters that are live, given by their zones, keep a majority of all through
-// every loss that is tolerated.
+// SurvivesWith reports whether the live voters in these zones still are a majority of all voters, live or not, after every
+// tolerated loss. voters is the number of all voters.
 func (t *Tolerance) SurvivesWith(live []string, voters int) bool {
 	regions := make([]string, 0, len(live))
 	for _, zone := range live {
 		regions = append(regions, t.RegionOf[zone])
 	}
-	loss := max(min(t.Machines, len(live)), largest(live, t.Zones), largest(regions, t.Regions))
+	loss := max(min(t.Machines, len(live)), countInLargest(live, t.Zones), countInLargest(regions, t.Regions))
 	return 2*(len(live)-loss) > voters
 }
 
-// largest is how many of some things lie at the places where most do.
-func largest(places []string, count int) int {
+// countInLargest returns how many items, given by their places, are at the count places with the most items.
+func countInLargest(places []string, count int) int {
 	byPlace := map[string]int{}
 	for _, place := range places {
 		byPlace[place]++
@@ -86,15 +92,16 @@
 	return sum
 }
 
-// Lacking is how many more disks are needed at least besides some, given by their zones.
+// Lacking returns the minimum number of disks that must be added to the disks in these zones until they are Enough.
 func (t *Tolerance) Lacking(zones []string) int {
-	return max(0, t.Machines+1-len(zones), t.Zones+1-distinct(zones), t.Regions+1-t.regions(zones))
+	return max(0, t.Machines+1-len(zones), t.Zones+1-countDistinct(zones), t.Regions+1-t.countRegions(zones))
 }
 
-// Choose picks disks out of candidates, which are given by their zones, the best first, so that together with some that
-// are there already they are enough and as few as can be. It gives the indexes, and all that help where they are too few.
-func (t *Tolerance) Choose(there, candidates []string) []int {
-	chosen := append([]string(nil), there...)
+// Choose picks disks for new replicas so that, with the existing replicas, they are Enough, and no more than that takes.
+// existing and candidates are zones; the best candidates come first. It returns the indexes of the picked candidates. If
+// the candidates do not suffice, it returns all that reduce the number of lacking disks.
+func (t *Tolerance) Choose(existing, candidates []string) []int {
+	chosen := append([]string(nil), existing...)
 	var picks []int
 	used := make([]bool, len(candidates))
 	for {
