--- a/internal/system/agreement/cluster_test.go
+++ b/internal/system/agreement/cluster_test.go
@@ -10,15 +10,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// member is one member on simulated time, with a disk that loses what was not synced.
+// member is a group member on simulated time. Its disk holds only what was synced.
 type member struct {
 	node    *Node
 	disk    Stored
 	running bool
-	applied []Entry // handed out as committed, in this life or an earlier one, by index
+	applied []Entry // returned as committed, in this incarnation or an earlier one, by index
 }
 
-// cluster is a group whose messages are lost, late and out of order.
+// cluster is a group whose messages are lost, delayed and reordered.
 type cluster struct {
 	random     *rand.Rand
 	now        time.Duration
@@ -26,10 +26,10 @@
 	names      []string
 	inFlight   []Message
 	blocked    map[[2]string]bool
-	committed  map[uint64]string // what any member saw committed at an index
-	leaders    map[uint64]string // by term
+	committed  map[uint64]string // by index: the entry that any member has seen as committed
+	leaders    map[uint64]string // by term: the id of the leader
 	violations []string
-	crashes    bool // members crash now and then before a sync
+	crashes    bool // members crash at random before a sync
 }
 
 const (
@@ -37,22 +37,24 @@
 	testHeartbeat = 20 * time.Millisecond
 )
 
+// newCluster starts a group of the given number of voters. All randomness derives from seed.
 func newCluster(seed uint64, voters int) *cluster {
 	c := &cluster{random: rand.New(rand.NewPCG(seed, 3)), members: map[string]*member{}, blocked: map[[2]string]bool{},
 		committed: map[uint64]string{}, leaders: map[uint64]string{}}
 	for i := range voters {
 		c.names = append(c.names, fmt.Sprintf("m%d", i+1))
 	}
-	founders := slices.Clone(c.names)
-	for _, name := range founders {
+	bootstrap := slices.Clone(c.names)
+	for _, name := range bootstrap {
 		m := &member{}
-		m.disk.Snapshot.Members.Voters = founders
+		m.disk.Snapshot.Members.Voters = bootstrap
 		c.members[name] = m
 		c.start(name)
 	}
 	return c
 }
 
+// start runs a member from the state on its disk.
 func (c *cluster) start(name string) {
 	m := c.members[name]
 	m.running = true
@@ -60,18 +62,20 @@
 		Random: c.random.Int64N}, m.disk, c.now)
 }
 
-// add starts a newcomer on an empty disk.
+// add starts a new member on an empty disk.
 func (c *cluster) add(name string) {
 	c.names = append(c.names, name)
 	c.members[name] = &member{}
 	c.start(name)
 }
 
+// reportViolation records that a safety property does not hold.
 func (c *cluster) reportViolation(format string, values ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, values...))
 }
 
-// carryOut does what a member has ready; where it crashes before the sync, nothing of it counts.
+// processReady persists, sends and applies what a member has ready. With crash the member stops before the sync and the
+// work is lost. It reports a violation if two members lead the same term.
 func (c *cluster) processReady(name string, crash bool) {
 	m := c.members[name]
 	ready := m.node.Ready()
@@ -87,12 +91,13 @@
 	}
 	if m.node.Role() == Leader {
 		if other, known := c.leaders[m.node.Term()]; known && other != name {
-			c.reportViolation("%s and %s lead term %d", name, other, m.node.Term())
+			c.reportViolation("%s and %s both lead term %d", name, other, m.node.Term())
 		}
 		c.leaders[m.node.Term()] = name
 	}
 }
 
+// persist writes the hard state, snapshot and entries of a Ready to the simulated disk.
 func (m *member) persist(ready *Ready) {
 	if ready.HardState != nil {
 		m.disk.HardState = *ready.HardState
@@ -106,15 +111,17 @@
 	}
 }
 
+// apply reports a violation if another entry was committed at the same index before.
 func (c *cluster) apply(name string, entry Entry) {
 	text := fmt.Sprintf("%d:%s:%v", entry.Term, entry.Data, entry.Members)
 	if other, known := c.committed[entry.Index]; known && other != text {
-		c.reportViolation("index %d is %q at %s and was %q", entry.Index, text, name, other)
+		c.reportViolation("index %d: committed %q at %s, earlier %q", entry.Index, text, name, other)
 	}
 	c.committed[entry.Index] = text
 }
 
-// step delivers a message, or lets time pass for a member.
+// step advances the time by less than 2 ms, delivers up to six messages, of which 1 in 50 is lost, and ticks due
+// members.
 func (c *cluster) step() {
 	c.now += time.Duration(c.random.Int64N(int64(2 * time.Millisecond)))
 	for range min(len(c.inFlight), 1+c.random.IntN(6)) {
@@ -136,6 +143,7 @@
 	}
 }
 
+// leader returns the first member that is ready as leader, empty if none.
 func (c *cluster) leader() string {
 	for _, name := range c.names {
 		if m := c.members[name]; m.running && m.node.Leading() {
@@ -145,7 +153,7 @@
 	return ""
 }
 
-// settle heals everything and lets the group agree.
+// heal ends all faults, restarts crashed members, runs 6000 steps and returns the leader.
 func (c *cluster) heal() string {
 	c.crashes = false
 	c.blocked = map[[2]string]bool{}
@@ -160,8 +168,8 @@
 	return c.leader()
 }
 
-var _ = ginkgo.Describe("A group", func() {
-	ginkgo.It("elects one leader and commits what it is given", func() {
+var _ = ginkgo.Describe("A Raft group", func() {
+	ginkgo.It("elects one leader and commits a proposal", func() {
 		c := newCluster(1, 3)
 		leader := c.heal()
 		Expect(leader).NotTo(BeEmpty())
@@ -175,24 +183,24 @@
 		Expect(c.committed).To(ContainElement(ContainSubstring("one")))
 	})
 
-	ginkgo.It("keeps what was committed through crashes, cuts, lost and reordered messages, and changes of its members", func() {
+	ginkgo.It("keeps committed entries despite crashes, partitions, lost and reordered messages, and membership changes", func() {
 		for seed := uint64(1); seed <= 150; seed++ {
 			c := newCluster(seed, 3+2*int(seed%2))
 			c.injectFaults()
 			Expect(c.violations).To(BeEmpty(), "seed %d", seed)
 			leader := c.heal()
 			Expect(c.violations).To(BeEmpty(), "seed %d", seed)
-			Expect(leader).NotTo(BeEmpty(), "seed %d: no leader once all is well", seed)
+			Expect(leader).NotTo(BeEmpty(), "seed %d: no leader after all faults ended", seed)
 		}
 	})
 
-	ginkgo.It("gives a newcomer on an empty disk no vote until its leader has given it one", func() {
+	ginkgo.It("lets a new member on an empty disk grant no vote before a leader has added it to the group", func() {
 		c := newCluster(4, 3)
 		leader := c.heal()
 		c.add("new")
-		newcomer := c.members["new"].node
-		newcomer.Step(c.now, Message{Kind: Vote, From: "m1", To: "new", Term: 99, Index: 99, LogTerm: 99})
-		ready := newcomer.Ready()
+		newMember := c.members["new"].node
+		newMember.Step(c.now, Message{Kind: Vote, From: "m1", To: "new", Term: 99, Index: 99, LogTerm: 99})
+		ready := newMember.Ready()
 		Expect(ready.Messages).To(HaveLen(1))
 		Expect(ready.Messages[0].Reject).To(BeTrue())
 		group := c.members[leader].node.Group()
@@ -204,10 +212,10 @@
 		leader = c.leader()
 		_, caughtUp := c.members[leader].node.Silence("new")
 		Expect(caughtUp).To(BeTrue())
-		Expect(newcomer.Member()).To(BeTrue())
+		Expect(newMember.Member()).To(BeTrue())
 	})
 
-	ginkgo.It("takes no second change of its members before the first is committed", func() {
+	ginkgo.It("accepts no second membership change before the first is committed", func() {
 		c := newCluster(5, 3)
 		leader := c.heal()
 		node := c.members[leader].node
@@ -215,7 +223,7 @@
 		Expect(node.ProposeGroup(c.now, node.Group().With("b", AsLearner))).To(MatchError(&ChangePendingError{}))
 	})
 
-	ginkgo.It("has a leader step down that a majority has not answered for an election timeout", func() {
+	ginkgo.It("makes a leader step down if no majority has answered it for an election timeout", func() {
 		c := newCluster(6, 3)
 		leader := c.heal()
 		for _, name := range c.names {
@@ -229,7 +237,7 @@
 		Expect(c.members[leader].node.Role()).NotTo(Equal(Leader))
 	})
 
-	ginkgo.It("hands its leadership over without a silence, to a member that lacks nothing", func() {
+	ginkgo.It("transfers leadership without waiting for an election timeout, to a member that holds all committed entries", func() {
 		c := newCluster(8, 3)
 		leader := c.heal()
 		term, began := c.members[leader].node.Term(), c.now
@@ -243,13 +251,13 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	ginkgo.It("names no successor while nobody else holds what is committed, and follows the word of nobody but its leader", func() {
+	ginkgo.It("transfers leadership to no member that lacks committed entries, and campaigns on request of its leader only", func() {
 		c := newCluster(9, 3)
 		leader := c.heal()
 		follower := without(c.names, leader)[0]
-		stranger := without(without(c.names, leader), follower)[0]
+		nonLeader := without(without(c.names, leader), follower)[0]
 		node := c.members[follower].node
-		node.Step(c.now, Message{Kind: StandForElection, From: stranger, To: follower, Term: node.Term()})
+		node.Step(c.now, Message{Kind: StandForElection, From: nonLeader, To: follower, Term: node.Term()})
 		Expect(node.Role()).To(Equal(Follower))
 		Expect(node.HandOver(c.now, avoidNone)).To(BeFalse())
 		for _, name := range c.names {
@@ -267,16 +275,16 @@
 		Expect(c.members[leader].node.HandOver(c.now, avoidNone)).To(BeFalse())
 	})
 
-	ginkgo.It("does not lose its leader to a member that comes back from a cut", func() {
+	ginkgo.It("keeps its leader when a partitioned member comes back", func() {
 		c := newCluster(7, 3)
 		leader := c.heal()
-		away := c.names[0]
-		if away == leader {
-			away = c.names[1]
+		partitioned := c.names[0]
+		if partitioned == leader {
+			partitioned = c.names[1]
 		}
 		for _, name := range c.names {
-			c.blocked[[2]string{away, name}] = true
-			c.blocked[[2]string{name, away}] = true
+			c.blocked[[2]string{partitioned, name}] = true
+			c.blocked[[2]string{name, partitioned}] = true
 		}
 		for range 3000 {
 			c.step()
@@ -291,7 +299,8 @@
 	})
 })
 
-// play lets faults happen: never more lost than a majority of the founders can bear for ever, but any number for a while.
+// injectFaults runs 60 rounds of 120 steps with a random fault, proposal or membership change after each. Any number of
+// members may be down for a while, but none loses its disk.
 func (c *cluster) injectFaults() {
 	c.crashes = true
 	for round := range 60 {
@@ -330,7 +339,8 @@
 	}
 }
 
-// change moves a member to another place: a newcomer follows, then votes; a founder that is gone is let go.
+// changeMembership proposes a membership change that suits the current state: it ends a joint membership, promotes a
+// learner that has caught up, removes an unreachable voter of five or more, or adds a new member as a learner.
 func (c *cluster) changeMembership(leader string, round int) {
 	if leader == "" {
 		return
@@ -359,6 +369,7 @@
 	c.processReady(leader, false)
 }
 
+// compact replaces the log of a running member by a snapshot of all applied entries.
 func (c *cluster) compact(name string) {
 	m := c.members[name]
 	if !m.running {
--- a/internal/system/agreement/disk/disk.go
+++ b/internal/system/agreement/disk/disk.go
@@ -1,11 +1,12 @@
-// Package disk stores the persistent state of one member of a Raft group (package agreement). Term, vote and entries are
-// records of a segmented log; a snapshot is a file of its own in the same folder, which a record refers to by its index.
+// Package disk stores the persistent state of one member of a Raft group (package agreement). Term, vote and entries
+// are records of a segmented log; a snapshot is a file of its own in the same folder, which a record refers to by its
+// index.
 //
-// Open replays the log and yields a Member, whose Stored is the state to start a node with. Save makes the writes of a
-// Ready durable, Compact replaces the log by a snapshot, and Begin gives the disk to a new identity. If the disk is full,
-// these fail with an error for which segment.IsFull is true, and may be called again once there is space. Errors of the
-// file system are of package segment; contradictory or unreadable data is a CorruptError. A Member is not safe for
-// concurrent use.
+// Open replays the log and yields a Member, whose Stored is the state to start a node with. Save makes the writes of
+// a Ready durable, Compact replaces the log by a snapshot, and Begin gives the disk to a new identity. If the disk is
+// full, these fail with an error for which segment.IsFull is true, and may be called again once there is space.
+// Errors of the file system are of package segment; contradictory or unreadable data is a CorruptError. A Member is
+// not safe for concurrent use.
 package disk
 
 import (
@@ -57,8 +58,8 @@
 	referencedSnapshot uint64   // index of the snapshot that the log refers to: its file is never overwritten
 }
 
-// Identity is the identity of a member that starts on an empty disk. Founders lists the bootstrap members of the group, of
-// which it is one; it is empty for a member that joins an existing group.
+// Identity is the identity of a member that starts on an empty disk. Founders lists the bootstrap members of the
+// group, of which it is one; it is empty for a member that joins an existing group.
 type Identity struct {
 	ID       string
 	Founders []string
@@ -99,8 +100,8 @@
 	return m.Begin(initial)
 }
 
-// Begin starts a new identity on the disk. The state of an earlier identity becomes invalid. Its records are removed too,
-// since they refer to snapshots that are removed. If the disk is full, Begin can be called again.
+// Begin starts a new identity on the disk. The state of an earlier identity becomes invalid. Its records are removed
+// too, since they refer to snapshots that are removed. If the disk is full, Begin can be called again.
 func (m *Member) Begin(initial Identity) error {
 	if m.id != "" {
 		if err := m.log.Rotate(); err != nil {
@@ -265,8 +266,8 @@
 
 func snapshotName(index uint64) string { return fmt.Sprintf(snapshotPrefix+"%016x", index) }
 
-// writeSnapshot writes and syncs a snapshot file. It skips the one that the log refers to: that file holds the same state
-// already, and an interrupted rewrite would leave nothing to start from.
+// writeSnapshot writes and syncs a snapshot file. It skips the one that the log refers to: that file holds the same
+// state already, and an interrupted rewrite would leave nothing to start from.
 func (m *Member) writeSnapshot(snapshot *agreement.Snapshot) error {
 	if snapshot.Index > 0 && snapshot.Index == m.referencedSnapshot {
 		return nil
--- a/internal/system/agreement/election.go
+++ b/internal/system/agreement/election.go
@@ -36,9 +36,10 @@
 	}
 }
 
-// handleVote grants the vote if it is free in this term and the candidate's log is up to date. Whether there is an active
-// leader was checked before the term was adopted. A learner votes too: an entry that has not reached it may have made it
-// a voter, and the group may need its vote to make progress. If it is no voter, the candidate does not count its vote.
+// handleVote grants the vote if it is free in this term and the candidate's log is up to date. Whether there is an
+// active leader was checked before the term was adopted. A learner votes too: an entry that has not reached it may
+// have made it a voter, and the group may need its vote to make progress. If it is no voter, the candidate does not
+// count its vote.
 func (n *Node) handleVote(message Message) {
 	free := n.vote == "" && n.leader == "" || n.vote == message.From
 	grant := n.Member() && free && n.candidateLogUpToDate(message)
@@ -56,8 +57,8 @@
 // maxCampaignDoublings is how often the minimum pause between campaigns doubles, starting at half a heartbeat interval.
 const maxCampaignDoublings = 3
 
-// campaign starts an election: as a Candidate it requests the votes of all other voters, as a PreCandidate it first asks
-// whether they would grant them. A member without a vote only forgets its leader.
+// campaign starts an election: as a Candidate it requests the votes of all other voters, as a PreCandidate it first
+// asks whether they would grant them. A member without a vote only forgets its leader.
 func (n *Node) campaign(role Role) {
 	n.electionTimerStart = n.now
 	// Campaigning again soon does no harm: members with an active leader reject it. The pause grows each time, since the
@@ -159,18 +160,18 @@
 // no voter qualifies.
 func (n *Node) HandOver(now time.Duration, avoided func(id string) bool) bool {
 	n.now = now
-	successor := n.transferTarget(avoided)
-	if successor == "" {
+	target := n.transferTarget(avoided)
+	if target == "" {
 		return false
 	}
-	n.send(Message{Kind: StandForElection, To: successor, Index: n.log.lastIndex()})
+	n.send(Message{Kind: StandForElection, To: target, Index: n.log.lastIndex()})
 	return true
 }
 
-// transferTarget chooses the voter to transfer leadership to: its log holds all committed entries, and it answered within
-// an election timeout. Voters that are not avoided come first, then those with the longest matching log; ties are broken
-// at random. With a fixed order, two members that both want to give up leadership would transfer it to each other
-// forever. The result is empty if this member is not the leader or no voter qualifies.
+// transferTarget chooses the voter to transfer leadership to: its log holds all committed entries, and it answered
+// within an election timeout. Voters that are not avoided come first, then those with the longest matching log; ties
+// are broken at random. With a fixed order, two members that both want to give up leadership would transfer it to
+// each other forever. The result is empty if this member is not the leader or no voter qualifies.
 func (n *Node) transferTarget(avoided func(id string) bool) string {
 	if n.role != Leader {
 		return ""
@@ -194,8 +195,8 @@
 	return best[n.options.Random(int64(len(best)))]
 }
 
-// compareTransferTargets compares voter id with the best targets found so far, which are equally good: positive if id is
-// better, 0 if it is as good, negative if it is worse.
+// compareTransferTargets compares voter id with the best targets found so far, which are equally good: positive if id
+// is better, 0 if it is as good, negative if it is worse.
 func (n *Node) compareTransferTargets(id string, found []string, avoided func(id string) bool) int {
 	if len(found) == 0 {
 		return 1
--- a/internal/system/agreement/handover_test.go
+++ b/internal/system/agreement/handover_test.go
@@ -2,13 +2,14 @@
 
 import "testing"
 
-// nobody avoids no member.
+// avoidNone is a filter for transfer targets that avoids no member.
 func avoidNone(string) bool { return false }
 
-// What was seen: two machines were being emptied, whose keepers led a group by turns and handed it to each other ten times a second, for good: each
-// named as its successor the first of those that lacked nothing, and neither may take itself out. The drawn schedule 200 of machines that are emptied
-// at about the same time has it.
-func TestHandOverReachesAll(t *testing.T) {
+// Leadership transfers must reach every voter. When two machines were drained at once, each of their keepers
+// transferred leadership to the other ten times a second, forever: both chose the first voter with all committed
+// entries, and a leader cannot remove itself from the group. Random schedule 200 of machines drained at about the
+// same time showed this.
+func TestLeadershipTransferReachesAllVoters(t *testing.T) {
 	c := newCluster(11, 3)
 	led := map[string]bool{}
 	for range 40 {
@@ -21,22 +22,22 @@
 		}
 	}
 	if len(led) < len(c.names) {
-		t.Errorf("after 40 hand-overs %d of %d members have led", len(led), len(c.names))
+		t.Errorf("after 40 leadership transfers, %d of %d members have been leader", len(led), len(c.names))
 	}
 }
 
-// A leader names one that is to be avoided only where there is no other.
-func TestHandOverAvoids(t *testing.T) {
+// A leader transfers leadership to an avoided voter only if there is no other.
+func TestLeadershipTransferAvoidsVoters(t *testing.T) {
 	c := newCluster(12, 3)
 	leader := c.heal()
 	others := without(c.names, leader)
 	avoided := func(id string) bool { return id == others[0] }
 	for range 20 {
-		if successor := c.members[leader].node.transferTarget(avoided); successor != others[1] {
-			t.Fatalf("%q is named, want %q", successor, others[1])
+		if target := c.members[leader].node.transferTarget(avoided); target != others[1] {
+			t.Fatalf("transfer target is %q, want %q", target, others[1])
 		}
 	}
-	if successor := c.members[leader].node.transferTarget(func(string) bool { return true }); successor == "" {
-		t.Error("nobody is named where all are to be avoided")
+	if target := c.members[leader].node.transferTarget(func(string) bool { return true }); target == "" {
+		t.Error("no transfer target if all voters are avoided")
 	}
 }
--- a/internal/system/agreement/log.go
+++ b/internal/system/agreement/log.go
@@ -7,9 +7,9 @@
 	snapshotData    []byte
 	snapshotMembers Membership
 	entries         []Entry // entries[0] has index snapshotIndex+1
-	committed       uint64
-	applied         uint64
-	firstUnwritten  uint64 // first index that Ready has not returned for writing
+	committed       uint64  // commit index
+	applied         uint64  // last index that Ready has returned as committed
+	firstUnwritten  uint64  // first index that Ready has not returned for writing
 }
 
 // lastIndex returns the index of the last entry, or of the snapshot if there is none after it.
--- a/internal/system/agreement/membership.go
+++ b/internal/system/agreement/membership.go
@@ -16,7 +16,8 @@
 // hasVote reports whether id is a voter in the latest membership of the log.
 func (n *Node) hasVote(id string) bool { return n.membership.HasVote(id) }
 
-// updateMembership adopts the latest membership of the log. A leader starts to track new members and drops removed ones.
+// updateMembership adopts the latest membership of the log. A leader starts to track new members and drops removed
+// ones.
 func (n *Node) updateMembership() {
 	n.membership, n.membershipIndex = n.log.membership(n.log.lastIndex())
 	if n.role != Leader {
@@ -62,8 +63,8 @@
 }
 
 // EndReplacement ends a replacement whose joint membership is committed. From then on the new voters decide alone, or
-// the previous ones if it is cancelled. Without a replacement in progress it does nothing. The error is a NotLeaderError,
-// or a ChangePendingError while the latest membership is not committed.
+// the previous ones if it is cancelled. Without a replacement in progress it does nothing. The error is a
+// NotLeaderError, or a ChangePendingError while the latest membership is not committed.
 func (n *Node) EndReplacement(now time.Duration, cancelled bool) error {
 	n.now = now
 	switch {
--- a/internal/system/agreement/model_search_test.go
+++ b/internal/system/agreement/model_search_test.go
@@ -11,23 +11,24 @@
 	. "github.com/onsi/gomega"
 )
 
-// search visits all states within the bounds, nearest first. It gives the moves to a broken one, nil where there is none.
-func (m *model) search(most int) (trace []string, visited int) {
+// search visits the states within the bounds breadth-first, up to maxStates of them. It returns the steps to the
+// first one that violates safety, or nil if there is none, and the number of visited states.
+func (m *model) search(maxStates int) (trace []string, visited int) {
 	type step struct {
 		from int
 		name string
 	}
-	first := initialState()
-	states := []modelState{first}
+	initial := initialState()
+	states := []modelState{initial}
 	steps := []step{{from: -1}}
-	known := map[modelState]bool{first: true}
-	for at := 0; at < len(states) && len(states) < most; at++ {
+	seen := map[modelState]bool{initial: true}
+	for at := 0; at < len(states) && len(states) < maxStates; at++ {
 		found := -1
 		m.transitions(&states[at], func(name string, next modelState) {
-			if found >= 0 || known[next] {
+			if found >= 0 || seen[next] {
 				return
 			}
-			known[next] = true
+			seen[next] = true
 			states, steps = append(states, next), append(steps, step{from: at, name: name})
 			if next.violatesSafety(m.bounds.members) {
 				found = len(states) - 1
@@ -44,30 +45,32 @@
 	return nil, len(states)
 }
 
-// play follows a trace; it gives the number of moves that were possible, and whether the end is broken.
-func (m *model) replay(trace []string) (possible int, broken bool) {
+// replay follows a trace. It returns the number of steps that were possible, and whether the final state violates
+// safety.
+func (m *model) replay(trace []string) (possible int, violated bool) {
 	s := initialState()
-	for _, wanted := range trace {
-		var reached *modelState
+	for _, wantedStep := range trace {
+		var successor *modelState
 		m.transitions(&s, func(name string, next modelState) {
-			if name == wanted && reached == nil {
-				reached = &next
+			if name == wantedStep && successor == nil {
+				successor = &next
 			}
 		})
-		if reached == nil {
+		if successor == nil {
 			return possible, false
 		}
-		s = *reached
+		s = *successor
 		possible++
 	}
 	return possible, s.violatesSafety(m.bounds.members)
 }
 
-// mutantBounds are wide enough for the counter-example of a mutant.
+// mutationBounds returns bounds that are wide enough for the counterexample of a mutation.
 func mutationBounds(name string) bounds {
 	switch name {
 	case "leader-opens-term":
-		// Too deep for a search within seconds: written by hand, after the fault in the first publication of such changes.
+		// Too deep for a search within seconds. The trace is written by hand after the bug in the first publication of
+		// single-server changes.
 		return bounds{members: 5, bootstrap: 0b01111, terms: 3, entries: 4, changes: 2}
 	case "snapshot-keeps":
 		return bounds{members: 3, bootstrap: 0b111, terms: 3, entries: 3, installs: 1}
@@ -83,54 +86,54 @@
 	return bounds{members: 4, bootstrap: 0b0111, terms: 3, entries: 4, changes: 2, crashes: 1}
 }
 
-var _ = ginkgo.Describe("The model of a group and its changes", func() {
-	searchesWhole := func(b bounds, most int) {
+var _ = ginkgo.Describe("The model of the protocol and its membership changes", func() {
+	expectNoViolation := func(b bounds, maxStates int) {
 		m := &model{rules: allRules(), bounds: b}
-		trace, visited := m.search(most)
+		trace, visited := m.search(maxStates)
 		Expect(trace).To(BeNil(), strings.Join(trace, "\n"))
-		Expect(visited).To(BeNumerically("<", most), "the search is whole")
+		Expect(visited).To(BeNumerically("<", maxStates), "the search is exhaustive")
 		ginkgo.AddReportEntry("states", visited)
 	}
-	ginkgo.DescribeTable("finds nothing with all rules in force", func(b bounds) { searchesWhole(b, 1_000_000) },
-		ginkgo.Entry("three members that may be let go", bounds{members: 3, bootstrap: 0b111, terms: 2, entries: 3, changes: 2, crashes: 1}),
+	ginkgo.DescribeTable("finds no violation with all rules in force", func(b bounds) { expectNoViolation(b, 1_000_000) },
+		ginkgo.Entry("three members that may be removed", bounds{members: 3, bootstrap: 0b111, terms: 2, entries: 3, changes: 2, crashes: 1}),
 		ginkgo.Entry("three members, one of which installs a snapshot", bounds{members: 3, bootstrap: 0b111, terms: 3, entries: 3, installs: 1}),
-		ginkgo.Entry("three members and a newcomer", bounds{members: 4, bootstrap: 0b0111, terms: 2, entries: 3, changes: 1, crashes: 1}),
-		ginkgo.Entry("two members and two newcomers", bounds{members: 4, bootstrap: 0b0011, terms: 2, entries: 3, changes: 1, crashes: 1}),
+		ginkgo.Entry("three members and a new member", bounds{members: 4, bootstrap: 0b0111, terms: 2, entries: 3, changes: 1, crashes: 1}),
+		ginkgo.Entry("two members and two new members", bounds{members: 4, bootstrap: 0b0011, terms: 2, entries: 3, changes: 1, crashes: 1}),
 		ginkgo.Entry("five members", bounds{members: 5, bootstrap: 0b11111, terms: 2, entries: 2}),
-		ginkgo.Entry("three members, one of which a newcomer replaces", bounds{members: 4, bootstrap: 0b0111, terms: 2, entries: 3, changes: 2, joint: true}),
+		ginkgo.Entry("three members, one of which is replaced by a new member", bounds{members: 4, bootstrap: 0b0111, terms: 2, entries: 3, changes: 2, joint: true}),
 	)
 
-	ginkgo.DescribeTable("finds nothing within wider bounds, asked for by WIDE_SEARCH=1", func(b bounds) {
+	ginkgo.DescribeTable("finds no violation within wider bounds, enabled by WIDE_SEARCH=1", func(b bounds) {
 		if os.Getenv("WIDE_SEARCH") == "" {
-			ginkgo.Skip("asked for by WIDE_SEARCH=1")
+			ginkgo.Skip("enabled by WIDE_SEARCH=1")
 		}
-		searchesWhole(b, 12_000_000)
+		expectNoViolation(b, 12_000_000)
 	},
 		ginkgo.Entry("three members, three terms", bounds{members: 3, bootstrap: 0b111, terms: 3, entries: 4, changes: 2, crashes: 1}),
-		ginkgo.Entry("three members and a newcomer, three terms", bounds{members: 4, bootstrap: 0b0111, terms: 3, entries: 3, changes: 1}),
-		ginkgo.Entry("three members, one of which a newcomer replaces, three terms", bounds{members: 4, bootstrap: 0b0111, terms: 3, entries: 3, changes: 2, joint: true}),
-		ginkgo.Entry("five members, one of which may be let go", bounds{members: 5, bootstrap: 0b11111, terms: 2, entries: 3, changes: 1}),
+		ginkgo.Entry("three members and a new member, three terms", bounds{members: 4, bootstrap: 0b0111, terms: 3, entries: 3, changes: 1}),
+		ginkgo.Entry("three members, one of which is replaced by a new member, three terms", bounds{members: 4, bootstrap: 0b0111, terms: 3, entries: 3, changes: 2, joint: true}),
+		ginkgo.Entry("five members, one of which may be removed", bounds{members: 5, bootstrap: 0b11111, terms: 2, entries: 3, changes: 1}),
 	)
 
-	ginkgo.It("finds the kept counter-example where a rule is taken away, and that the rule forbids it", func() {
-		for name, taken := range mutations() {
+	ginkgo.It("replays the counterexample of each removed rule, which the complete rules forbid", func() {
+		for name, mutatedRules := range mutations() {
 			text, err := os.ReadFile(filepath.Join("testdata", "model", name+".txt"))
 			Expect(err).NotTo(HaveOccurred())
 			trace := strings.Split(strings.TrimSpace(string(text)), "\n")
-			mutant := &model{rules: taken, bounds: mutationBounds(name)}
-			possible, broken := mutant.replay(trace)
+			mutation := &model{rules: mutatedRules, bounds: mutationBounds(name)}
+			possible, violated := mutation.replay(trace)
 			Expect(possible).To(Equal(len(trace)), name)
-			Expect(broken).To(BeTrue(), name)
-			whole := &model{rules: allRules(), bounds: mutationBounds(name)}
-			_, broken = whole.replay(trace)
-			Expect(broken).To(BeFalse(), name)
+			Expect(violated).To(BeTrue(), name)
+			complete := &model{rules: allRules(), bounds: mutationBounds(name)}
+			_, violated = complete.replay(trace)
+			Expect(violated).To(BeFalse(), name)
 		}
 	})
 
-	// Asked for by name, it searches for the counter-examples anew.
-	ginkgo.It("keeps counter-examples", func() {
+	// Searches for the counterexamples and writes them to testdata/model.
+	ginkgo.It("regenerates the counterexamples", func() {
 		if os.Getenv("KEEP_COUNTEREXAMPLES") == "" {
-			ginkgo.Skip("asked for by KEEP_COUNTEREXAMPLES=1")
+			ginkgo.Skip("enabled by KEEP_COUNTEREXAMPLES=1")
 		}
 		var names []string
 		for name := range mutations() {
@@ -143,7 +146,7 @@
 			}
 			m := &model{rules: mutations()[name], bounds: mutationBounds(name)}
 			trace, visited := m.search(12_000_000)
-			fmt.Printf("%s: %d moves, %d states\n", name, len(trace), visited)
+			fmt.Printf("%s: %d steps, %d states\n", name, len(trace), visited)
 			Expect(trace).NotTo(BeNil(), name)
 			Expect(os.WriteFile(filepath.Join("testdata", "model", name+".txt"), []byte(strings.Join(trace, "\n")+"\n"), 0o600)).To(Succeed())
 		}
--- a/internal/system/agreement/model_test.go
+++ b/internal/system/agreement/model_test.go
@@ -6,38 +6,40 @@
 	"strings"
 )
 
-// The rules of a group and its changes, as a model that is searched exhaustively: members with a log and a vote on disk,
-// atomic elections, one entry copied at a time, crashes that lose what was not synced. Taking a rule away once gives a
-// counter-example, which is kept in testdata/model and played again.
+// This file models the protocol and its membership changes for an exhaustive search of states. Members have a log and
+// a vote on disk; an election is one atomic step; entries are copied one at a time; a crash loses what was not
+// synced. For each rule, testdata/model holds a counterexample that becomes possible once the rule is removed; a test
+// replays it.
 
-// rules in force; a model without one of them is a mutant.
+// rules are the protocol rules in force. A model that lacks one of them is a mutation.
 type rules struct {
-	oneVotePerTerm            bool // a member votes once in a term
-	voteComparesLogs          bool // votes go to logs that lack nothing that the voter has
-	commitOwnTermOnly         bool // a leader counts majorities for entries of its own term only
-	countSyncedOnly           bool // a leader counts its own entries once they are synced
-	changeAwaitsCommit        bool // no change of the group before the last one is committed
-	ownTermCommitBeforeChange bool // no change of the group before an entry of the leader's term is committed
-	oneMemberAtATime          bool // a change moves one member, or is joint
-	jointQuorum               bool // while a joint change is under way, majorities of the voters before and after it are needed
-	jointAwaitsCommit         bool // a joint change ends only once it is committed
-	newIdentityAfterDiskLoss  bool // a member that lost its disk is another member
-	previousEntryMustMatch    bool // a follower takes an entry only behind the one that the leader has before it
-	snapshotKeepsLaterEntries bool // a snapshot that the log agrees with leaves what is behind it
+	oneVotePerTerm            bool // a member grants one vote per term
+	voteComparesLogs          bool // a vote goes only to a candidate whose log is at least as up to date as the voter's
+	commitOwnTermOnly         bool // a leader commits by counting replicas only if the last entry is of its own term
+	countSyncedOnly           bool // a leader counts its own entries only once they are synced
+	changeAwaitsCommit        bool // no membership change before the previous one is committed
+	ownTermCommitBeforeChange bool // no membership change before an entry of the leader's term is committed
+	oneMemberAtATime          bool // a change adds or removes one member, or is joint
+	jointQuorum               bool // joint consensus needs majorities of both the old and the new voters
+	jointAwaitsCommit         bool // a joint membership is left only once it is committed
+	newIdentityAfterDiskLoss  bool // a member that lost its disk has a new identity
+	previousEntryMustMatch    bool // a follower accepts an entry only if the entry before it matches the leader's
+	snapshotKeepsLaterEntries bool // a snapshot that matches the log leaves the later entries in place
 }
 
+// allRules returns the complete protocol.
 func allRules() rules {
 	return rules{oneVotePerTerm: true, voteComparesLogs: true, commitOwnTermOnly: true, countSyncedOnly: true,
 		changeAwaitsCommit: true, ownTermCommitBeforeChange: true, oneMemberAtATime: true, jointQuorum: true, jointAwaitsCommit: true, newIdentityAfterDiskLoss: true, previousEntryMustMatch: true, snapshotKeepsLaterEntries: true}
 }
 
-// mutants gives each set of rules that lacks one, by the name of what it lacks.
+// mutations returns every set of rules that lacks one rule, by the name of the counterexample in testdata/model.
 func mutations() map[string]rules {
-	found := map[string]rules{}
-	add := func(name string, take func(r *rules)) {
+	byName := map[string]rules{}
+	add := func(name string, remove func(r *rules)) {
 		r := allRules()
-		take(&r)
-		found[name] = r
+		remove(&r)
+		byName[name] = r
 	}
 	add("one-vote-in-term", func(r *rules) { r.oneVotePerTerm = false })
 	add("logs-compared", func(r *rules) { r.voteComparesLogs = false })
@@ -51,54 +53,57 @@
 	add("disk-is-identity", func(r *rules) { r.newIdentityAfterDiskLoss = false })
 	add("previous-entry-fits", func(r *rules) { r.previousEntryMustMatch = false })
 	add("snapshot-keeps", func(r *rules) { r.snapshotKeepsLaterEntries = false })
-	return found
+	return byName
 }
 
-// bounds of a search.
+// bounds limit a search.
 type bounds struct {
 	members   int
 	bootstrap uint8
 	terms     uint8
 	entries   int
-	changes   int  // of the group, altogether; the end of a joint one counts
-	joint     bool // changes may be joint: one member replaces another
-	crashes   int  // and losses of a disk
-	installs  int  // of snapshots
+	changes   int  // membership changes in total; leaving a joint membership counts too
+	joint     bool // allows joint changes, in which one member replaces another
+	crashes   int  // crashes and disk losses in total
+	installs  int  // installed snapshots in total
 }
 
-// modelEntry is one record: an empty or ordinary one, or a group of voters.
+// modelEntry is a log entry: a no-op or ordinary one, or a membership change.
 type modelEntry struct {
 	term uint8
 	modelGroup
 }
 
-// modelGroup is sets of voters.
+// modelGroup is a membership. Each set of voters is a bit mask of members.
 type modelGroup struct {
 	voters   uint8 // 0 for an ordinary entry
-	outgoing uint8 // those before a joint change, 0 where none is under way
+	outgoing uint8 // previous voters during joint consensus, else 0
 }
 
-// entryBytes is the size of an entry in a log.
+// entryBytes is the size of an encoded entry in modelMember.log.
 const entryBytes = 3
 
+// modelMember is the state of one member.
 type modelMember struct {
 	term        uint8
 	vote        int8 // -1 for none
 	isLeader    bool
 	synced      uint8
-	log         string // entries, entryBytes each
-	commitIndex uint8  // as a leader
+	log         string // encoded entries, entryBytes each
+	commitIndex uint8  // number of entries that the member, as leader, has committed
 }
 
+// modelState is the state of the group, with the resources of the bounds that were used. It is comparable.
 type modelState struct {
 	members   [5]modelMember
-	committed string // the longest log that any leader counted as committed
+	committed string // the longest log that any leader has committed
 	changes   uint8
 	crashes   uint8
 	installs  uint8
 	violated  bool
 }
 
+// entries returns the number of entries.
 func (m *modelMember) entries() int { return len(m.log) / entryBytes }
 func (m *modelMember) entry(i int) modelEntry {
 	at := m.log[entryBytes*i:]
@@ -115,17 +120,17 @@
 	return m.log[len(m.log)-entryBytes]
 }
 
-// group gives the latest group within the first entries.
-func (m *modelMember) group(within int, founders uint8) (group modelGroup, at int) {
+// group returns the latest membership in the first within entries, and the number of entries up to it.
+func (m *modelMember) group(within int, bootstrap uint8) (group modelGroup, at int) {
 	for i := min(within, m.entries()) - 1; i >= 0; i-- {
 		if group := m.entry(i).modelGroup; group.voters != 0 {
 			return group, i + 1
 		}
 	}
-	return modelGroup{voters: founders}, 0
+	return modelGroup{voters: bootstrap}, 0
 }
 
-// model is what is searched.
+// model is a protocol with the bounds of a search.
 type model struct {
 	rules  rules
 	bounds bounds
@@ -136,13 +141,14 @@
 	return group
 }
 
-// agree tells whether some members are a majority of a group's voters, and of those before where a joint change is under way.
+// hasQuorum reports whether the members in have include a majority of the group's voters and, during joint consensus,
+// of the previous voters.
 func (m *model) hasQuorum(group modelGroup, have uint8) bool {
-	enough := func(of uint8) bool { return 2*bits.OnesCount8(of&have) > bits.OnesCount8(of) }
-	return enough(group.voters) && (group.outgoing == 0 || !m.rules.jointQuorum || enough(group.outgoing))
+	isMajority := func(of uint8) bool { return 2*bits.OnesCount8(of&have) > bits.OnesCount8(of) }
+	return isMajority(group.voters) && (group.outgoing == 0 || !m.rules.jointQuorum || isMajority(group.outgoing))
 }
 
-// moves calls visit with every state that follows from one, and what leads there.
+// transitions calls visit with every successor of a state and the name of the step that leads to it.
 func (m *model) transitions(s *modelState, visit func(name string, next modelState)) {
 	for i := range m.bounds.members {
 		m.electionTransitions(s, i, visit)
@@ -162,13 +168,13 @@
 		return
 	}
 	for term := c.term + 1; term <= m.bounds.terms; term++ {
-		var willing uint8
+		var granting uint8
 		for other := range m.bounds.members {
 			if other == candidate || m.grantsVote(s, other, candidate, term) {
-				willing |= 1 << other
+				granting |= 1 << other
 			}
 		}
-		for voters := willing; voters > 0; voters = (voters - 1) & willing {
+		for voters := granting; voters > 0; voters = (voters - 1) & granting {
 			if voters&(1<<candidate) == 0 || !m.hasQuorum(group, voters) || m.hasRedundantVoter(group, voters, candidate) {
 				continue
 			}
@@ -187,7 +193,7 @@
 	}
 }
 
-// superfluous tells whether fewer voters would do: only the least majorities are tried.
+// hasRedundantVoter reports whether the voters are a quorum without one of them. Only minimal quorums are searched.
 func (m *model) hasRedundantVoter(group modelGroup, voters uint8, candidate int) bool {
 	for other := range m.bounds.members {
 		rest := voters &^ (1 << other)
@@ -198,6 +204,7 @@
 	return false
 }
 
+// grantsVote reports whether voter grants its vote to candidate in term.
 func (m *model) grantsVote(s *modelState, voter, candidate int, term uint8) bool {
 	v, c := &s.members[voter], &s.members[candidate]
 	if v.term > term || m.rules.oneVotePerTerm && v.term == term && (v.vote != int8(candidate) || v.isLeader) {
@@ -224,7 +231,7 @@
 	m.changeMembership(s, i, visit)
 }
 
-// copyOne has a follower take the leader's next entry, synced at once.
+// copyEntry copies the leader's next entry to a follower, which syncs it at once.
 func (m *model) copyEntry(s *modelState, i, other int, visit func(string, modelState)) {
 	leader, follower := &s.members[i], &s.members[other]
 	if follower.term > leader.term {
@@ -255,7 +262,7 @@
 	visit(fmt.Sprintf("copy %d to %d", i, other), next)
 }
 
-// install has a follower take a snapshot of what the leader knows as committed, however late it comes.
+// installSnapshot installs a snapshot of the leader's committed entries, which may arrive arbitrarily late.
 func (m *model) installSnapshot(s *modelState, i, other int, visit func(string, modelState)) {
 	leader, follower := &s.members[i], &s.members[other]
 	if int(s.installs) >= m.bounds.installs || follower.term > leader.term {
@@ -320,11 +327,11 @@
 		return
 	}
 	group, at := leader.group(leader.entries(), m.bounds.bootstrap)
-	waits := m.rules.changeAwaitsCommit
+	mustBeCommitted := m.rules.changeAwaitsCommit
 	if group.outgoing != 0 {
-		waits = m.rules.jointAwaitsCommit
+		mustBeCommitted = m.rules.jointAwaitsCommit
 	}
-	if waits && at > int(leader.commitIndex) {
+	if mustBeCommitted && at > int(leader.commitIndex) {
 		return
 	}
 	if m.rules.ownTermCommitBeforeChange && (leader.commitIndex == 0 || leader.entry(int(leader.commitIndex)-1).term != leader.term) {
@@ -342,18 +349,19 @@
 		return
 	}
 	for wanted := uint8(1); wanted < 1<<m.bounds.members; wanted++ {
-		moved := bits.OnesCount8(wanted ^ group.voters)
-		if moved == 2 && m.bounds.joint && bits.OnesCount8(wanted) == bits.OnesCount8(group.voters) {
+		changedMembers := bits.OnesCount8(wanted ^ group.voters)
+		if changedMembers == 2 && m.bounds.joint && bits.OnesCount8(wanted) == bits.OnesCount8(group.voters) {
 			propose("joint change to", modelGroup{voters: wanted, outgoing: group.voters})
 		}
-		if moved == 0 || m.rules.oneMemberAtATime && moved > 1 {
+		if changedMembers == 0 || m.rules.oneMemberAtATime && changedMembers > 1 {
 			continue
 		}
 		propose("change to", modelGroup{voters: wanted})
 	}
 }
 
-// failures lets a member crash and lose what it had not synced, or, in a mutant, come back under its name without its disk.
+// failureTransitions crash a member, which loses what it has not synced. In a mutation the member may also lose its
+// disk and come back under the same identity.
 func (m *model) failureTransitions(s *modelState, i int, visit func(string, modelState)) {
 	member := &s.members[i]
 	if int(member.synced) < member.entries() {
@@ -371,8 +379,8 @@
 	}
 }
 
-// broken tells whether a state breaks what is promised: one leader in a term, and each leader has all that was committed
-// in earlier terms.
+// violatesSafety reports whether a state violates a safety property: there is at most one leader per term, and each
+// leader has all entries that were committed in earlier terms.
 func (s *modelState) violatesSafety(members int) bool {
 	for i := range members {
 		leader := &s.members[i]
--- a/internal/system/agreement/node.go
+++ b/internal/system/agreement/node.go
@@ -20,8 +20,8 @@
 
 // progress is the leader's view of the log of another member.
 type progress struct {
-	match          uint64
-	next           uint64
+	match          uint64        // highest index known to be replicated on the member
+	next           uint64        // index of the next entry to send
 	ackedSendTime  time.Duration // send time of the latest message that the member answered
 	snapshotSentAt time.Duration // when a snapshot was last sent; no other is sent within an election timeout
 }
@@ -38,11 +38,11 @@
 	followers map[string]*progress
 
 	now                  time.Duration
-	electionTimerStart   time.Duration
+	electionTimerStart   time.Duration // latest contact by the leader, granted vote or campaign
 	randomizedTimeout    time.Duration // after electionTimerStart; drawn at random for each wait
-	heartbeatDue         time.Duration
-	membership           Membership // latest in the log, committed or not
-	membershipIndex      uint64     // index of the entry that set membership
+	heartbeatDue         time.Duration // of the next heartbeat, as leader
+	membership           Membership    // latest in the log, committed or not
+	membershipIndex      uint64        // index of the entry that set membership
 	hardStateChanged     bool
 	installedSnapshot    *Snapshot
 	messages             []Message
--- a/internal/system/agreement/recovery_test.go
+++ b/internal/system/agreement/recovery_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// entriesOf gives entries of a term, from one index to another.
+// entriesOf returns entries of a term with the indexes from through to.
 func entriesOf(term, from, to uint64) []Entry {
 	var entries []Entry
 	for index := from; index <= to; index++ {
@@ -18,34 +18,34 @@
 	return entries
 }
 
-var _ = ginkgo.Describe("A member whose log was behind", func() {
+var _ = ginkgo.Describe("A member whose log lags behind", func() {
 	const now = time.Second
 	options := func(self string) Options {
 		random := rand.New(rand.NewPCG(uint64(self[0]), 1))
 		return Options{Self: self, ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat,
 			Random: func(below int64) int64 { return random.Int64N(max(below, 1)) }}
 	}
-	founders := Membership{Voters: []string{"a", "b", "c"}}
-	// done has a member carry out what it has ready, on a disk that syncs at once, and gives the messages.
-	done := func(node *Node) []Message {
+	bootstrap := Membership{Voters: []string{"a", "b", "c"}}
+	// processReady persists what a member has ready, on a disk that syncs at once, and returns its messages.
+	processReady := func(node *Node) []Message {
 		ready := node.Ready()
 		node.Persisted(&ready)
 		return ready.Messages
 	}
 
-	ginkgo.It("votes as soon as it was made a voter, though the entry that says so has not reached it", func() {
-		// The group of a, b and c, of which c is gone for good, was to become a, b, c and d: a and b have that entry, d not.
-		follows := Membership{Voters: founders.Voters, Learners: []string{"d"}}
-		promoted := follows.With("d", AsVoter)
-		first := []Entry{{Index: 1, Term: 1, Members: &follows}}
-		whole := []Entry{first[0], {Index: 2, Term: 1, Members: &promoted}}
+	ginkgo.It("votes once it was made a voter, even if it has not received the entry that says so", func() {
+		// The voters are a, b and c, of which c is lost for good. The entry that makes d a voter has reached a and b, not d.
+		withLearner := Membership{Voters: bootstrap.Voters, Learners: []string{"d"}}
+		promoted := withLearner.With("d", AsVoter)
+		first := []Entry{{Index: 1, Term: 1, Members: &withLearner}}
+		complete := []Entry{first[0], {Index: 2, Term: 1, Members: &promoted}}
 		stored := func(entries []Entry) Stored {
-			return Stored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Members: founders}, Entries: entries}
+			return Stored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Members: bootstrap}, Entries: entries}
 		}
-		members := map[string]*Node{"a": New(options("a"), stored(whole), now), "b": New(options("b"), stored(whole), now),
+		members := map[string]*Node{"a": New(options("a"), stored(complete), now), "b": New(options("b"), stored(complete), now),
 			"d": New(options("d"), stored(first), now)}
-		leads := func() bool { return members["a"].Leading() || members["b"].Leading() || members["d"].Leading() }
-		for at := time.Duration(now); at < now+20*testElection && !leads(); at += testHeartbeat / 4 {
+		hasLeader := func() bool { return members["a"].Leading() || members["b"].Leading() || members["d"].Leading() }
+		for at := time.Duration(now); at < now+20*testElection && !hasLeader(); at += testHeartbeat / 4 {
 			for _, name := range []string{"a", "b", "d"} {
 				if at >= members[name].NextWake() {
 					members[name].Tick(at)
@@ -53,7 +53,7 @@
 			}
 			for range 4 {
 				for _, name := range []string{"a", "b", "d"} {
-					for _, message := range done(members[name]) {
+					for _, message := range processReady(members[name]) {
 						if to := members[message.To]; to != nil {
 							to.Step(at, message)
 						}
@@ -61,50 +61,50 @@
 				}
 			}
 		}
-		Expect(leads()).To(BeTrue())
+		Expect(hasLeader()).To(BeTrue())
 	})
 
-	ginkgo.It("keeps what it has acknowledged behind a snapshot that its log agrees with", func() {
-		node := New(options("b"), Stored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Members: founders}}, now)
+	ginkgo.It("keeps acknowledged entries after a snapshot that matches its log", func() {
+		node := New(options("b"), Stored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Members: bootstrap}}, now)
 		node.Step(now, Message{Kind: Append, From: "a", To: "b", Term: 1, Entries: entriesOf(1, 1, 9), Commit: 3})
-		acknowledged := done(node)
+		acknowledged := processReady(node)
 		Expect(acknowledged).To(HaveLen(1))
 		Expect(acknowledged[0].Index).To(Equal(uint64(9)))
 		node.Step(now, Message{Kind: InstallSnapshot, From: "a", To: "b", Term: 1,
-			Snapshot: &Snapshot{Index: 6, Term: 1, Data: []byte("state"), Members: founders}})
+			Snapshot: &Snapshot{Index: 6, Term: 1, Data: []byte("state"), Members: bootstrap}})
 		ready := node.Ready()
 		Expect(ready.Snapshot).To(BeNil())
 		Expect(node.log.lastIndex()).To(Equal(uint64(9)))
 		Expect(node.Applied()).To(Equal(uint64(6)))
 	})
 
-	ginkgo.It("lets go of all that an installed snapshot does not agree with", func() {
-		node := New(options("b"), Stored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Members: founders}, Entries: entriesOf(1, 1, 9)}, now)
+	ginkgo.It("drops its whole log when an installed snapshot does not match it", func() {
+		node := New(options("b"), Stored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Members: bootstrap}, Entries: entriesOf(1, 1, 9)}, now)
 		node.Step(now, Message{Kind: InstallSnapshot, From: "a", To: "b", Term: 3,
-			Snapshot: &Snapshot{Index: 6, Term: 2, Data: []byte("state"), Members: founders}})
+			Snapshot: &Snapshot{Index: 6, Term: 2, Data: []byte("state"), Members: bootstrap}})
 		ready := node.Ready()
 		Expect(ready.Snapshot).NotTo(BeNil())
 		Expect(node.log.lastIndex()).To(Equal(uint64(6)))
 		Expect(node.log.lastTerm()).To(Equal(uint64(2)))
 	})
 
-	ginkgo.It("is not taken for behind by an answer that comes late", func() {
-		leader := New(options("a"), Stored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Members: founders}, Entries: entriesOf(1, 1, 5)}, now)
+	ginkgo.It("keeps its match index on the leader when a delayed rejection arrives", func() {
+		leader := New(options("a"), Stored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Members: bootstrap}, Entries: entriesOf(1, 1, 5)}, now)
 		leader.campaign(Candidate)
 		leader.Step(now, Message{Kind: VoteAnswer, From: "b", To: "a", Term: leader.Term()})
 		Expect(leader.Role()).To(Equal(Leader))
-		done(leader)
+		processReady(leader)
 		answer := Message{Kind: AppendAnswer, From: "b", To: "a", Term: leader.Term(), Index: 6, Sent: now + 2}
 		leader.Step(now+3, answer)
 		Expect(leader.followers["b"].match).To(Equal(uint64(6)))
-		late := Message{Kind: AppendAnswer, From: "b", To: "a", Term: leader.Term(), Index: 2, Reject: true, Sent: now + 1}
-		leader.Step(now+4, late)
+		delayed := Message{Kind: AppendAnswer, From: "b", To: "a", Term: leader.Term(), Index: 2, Reject: true, Sent: now + 1}
+		leader.Step(now+4, delayed)
 		Expect(leader.followers["b"].match).To(Equal(uint64(6)))
 		Expect(leader.followers["b"].next).To(BeNumerically(">", 6))
 	})
 
-	ginkgo.It("knows of no leader once it has heard none for long, as a learner too", func() {
-		group := Membership{Voters: founders.Voters, Learners: []string{"d"}}
+	ginkgo.It("forgets its leader after a long time without contact, even as a learner", func() {
+		group := Membership{Voters: bootstrap.Voters, Learners: []string{"d"}}
 		node := New(options("d"), Stored{HardState: HardState{Term: 1}, Snapshot: Snapshot{Members: group}}, now)
 		node.Step(now, Message{Kind: Append, From: "a", To: "d", Term: 1})
 		Expect(node.Leader()).To(Equal("a"))
--- a/internal/system/agreement/replacement_test.go
+++ b/internal/system/agreement/replacement_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("The replacement of a voter", func() {
-	for _, calledOff := range []bool{false, true} {
-		ginkgo.It(fmt.Sprintf("replaces a voter by a newcomer, and takes no other change until that has ended; called off: %t", calledOff), func() {
+var _ = ginkgo.Describe("A voter replacement", func() {
+	for _, cancelled := range []bool{false, true} {
+		ginkgo.It(fmt.Sprintf("replaces a voter by a new member, and accepts no other change until it has ended; cancelled: %t", cancelled), func() {
 			c := newCluster(10, 3)
 			leader := c.heal()
 			c.add("new")
@@ -31,14 +31,14 @@
 				c.step()
 			}
 			Expect(node.GroupSettled()).To(BeFalse())
-			Expect(node.EndReplacement(c.now, calledOff)).To(Succeed())
+			Expect(node.EndReplacement(c.now, cancelled)).To(Succeed())
 			c.processReady(leader, false)
 			for range 2000 {
 				c.step()
 			}
 			Expect(node.GroupSettled()).To(BeTrue())
 			wanted := Membership{Voters: slices.Sorted(slices.Values(append(without(c.names[:3], replaced), "new")))}
-			if calledOff {
+			if cancelled {
 				wanted = Membership{Voters: c.names[:3], Learners: []string{"new"}}
 			}
 			Expect(node.Group()).To(Equal(wanted))
@@ -46,8 +46,8 @@
 		})
 	}
 
-	for _, silent := range []string{"before", "after"} {
-		ginkgo.It("commits nothing while a joint change is under way and a majority of the voters "+silent+" it is silent", func() {
+	for _, unreachable := range []string{"before", "after"} {
+		ginkgo.It("commits nothing during joint consensus while a majority of the voters "+unreachable+" the change does not respond", func() {
 			c := newCluster(11, 3)
 			leader := c.heal()
 			node := c.members[leader].node
@@ -57,11 +57,11 @@
 			c.add("n2")
 			Expect(node.ProposeGroup(c.now, group)).To(Succeed())
 			committed := node.log.committed
-			answering := []string{"n1", "n2"}
-			if silent == "after" {
-				answering = others
+			responding := []string{"n1", "n2"}
+			if unreachable == "after" {
+				responding = others
 			}
-			for _, name := range answering {
+			for _, name := range responding {
 				node.handleAppendResponse(Message{Kind: AppendAnswer, From: name, Term: node.Term(), Index: node.log.lastIndex(), Sent: c.now})
 			}
 			ready := node.Ready()
@@ -79,7 +79,7 @@
 	}
 })
 
-// withVoter gives a learner a vote, half the time in the place of a voter.
+// promoteLearner returns a membership in which the learner is a voter, in half of the cases in place of another voter.
 func (c *cluster) promoteLearner(group Membership, learner string) Membership {
 	if c.random.IntN(2) == 0 {
 		return group.With(learner, AsVoter)
--- a/internal/system/agreement/replicate.go
+++ b/internal/system/agreement/replicate.go
@@ -63,8 +63,8 @@
 	n.send(Message{Kind: InstallSnapshot, To: peer, Snapshot: &snapshot, Commit: n.log.committed, Sent: n.now})
 }
 
-// handleAppend appends the leader's entries if the entry before them matches, and responds with the last matching index.
-// Otherwise it rejects them with the index after which the leader should try next.
+// handleAppend appends the leader's entries if the entry before them matches, and responds with the last matching
+// index. Otherwise it rejects them with the index after which the leader should try next.
 func (n *Node) handleAppend(message Message) {
 	n.followLeader(message.From)
 	response := Message{Kind: AppendAnswer, To: message.From, Sent: message.Sent}
@@ -199,7 +199,8 @@
 	return ready
 }
 
-// Persisted reports to the node that the writes of ready are synced. A leader then counts its own entries toward commits.
+// Persisted reports to the node that the writes of ready are synced. A leader then counts its own entries toward
+// commits.
 func (n *Node) Persisted(ready *Ready) {
 	if ready.Snapshot != nil {
 		n.persisted = max(n.persisted, ready.Snapshot.Index)
--- a/internal/system/agreement/types.go
+++ b/internal/system/agreement/types.go
@@ -2,11 +2,12 @@
 // check-quorum, log replication, snapshots, leadership transfer, learners, and membership changes of one member at a
 // time or by joint consensus.
 //
-// Node is a deterministic state machine without I/O, goroutines or clocks. A driver passes in messages (Step), proposals
-// (Propose, ProposeGroup) and the time (Tick, at the latest at NextWake). It then takes the outputs from Ready: it writes
-// and syncs the hard state, snapshot and entries, calls Persisted, sends the messages and applies the committed entries.
-// No message may leave before the writes of its Ready are synced. All times are durations on one monotonic clock of the
-// driver's choice; a Node is not safe for concurrent use. Package disk stores what a Ready asks to write.
+// Node is a deterministic state machine without I/O, goroutines or clocks. A driver passes in messages (Step),
+// proposals (Propose, ProposeGroup) and the time (Tick, at the latest at NextWake). It then takes the outputs from
+// Ready: it writes and syncs the hard state, snapshot and entries, calls Persisted, sends the messages and applies
+// the committed entries. No message may leave before the writes of its Ready are synced. All times are durations on
+// one monotonic clock of the driver's choice; a Node is not safe for concurrent use. Package disk stores what a Ready
+// asks to write.
 package agreement
 
 import (
@@ -192,8 +193,8 @@
 	Random func(n int64) int64
 }
 
-// Stored is the persistent state of a member. On a new disk the snapshot has index 0: its membership lists the bootstrap
-// members if this is one of them, and is empty for a member that joins later.
+// Stored is the persistent state of a member. On a new disk the snapshot has index 0: its membership lists the
+// bootstrap members if this is one of them, and is empty for a member that joins later.
 type Stored struct {
 	HardState HardState
 	Snapshot  Snapshot
--- a/internal/system/ownership/balance.go
+++ b/internal/system/ownership/balance.go
@@ -43,8 +43,8 @@
 	l.total[incarnation] += count
 }
 
-// leastLoaded returns the first of the candidates that own the fewest units of the unit's balance group, and of these the
-// fewest units in total.
+// leastLoaded returns the first of the candidates that own the fewest units of the unit's balance group, and of these
+// the fewest units in total.
 func (l *loads) leastLoaded(unit string, candidates []string) string {
 	group := l.byGroup[balanceGroup(unit)]
 	best := candidates[0]
@@ -94,10 +94,10 @@
 	return changes
 }
 
-// Balance returns changes that offer units to other carriers, so that their live owners hand them over. A stopping carrier
-// offers all its units; another offers a unit if it owns at least two more of the balance group than the carrier with the
-// fewest. At most maxOpenOffers offers are open at a time. Balance also withdraws offers to carriers that are no longer
-// live or are stopping. It returns nothing if no carrier can take a unit.
+// Balance returns changes that offer units to other carriers, so that their live owners hand them over. A stopping
+// carrier offers all its units; another offers a unit if it owns at least two more of the balance group than the
+// carrier with the fewest. At most maxOpenOffers offers are open at a time. Balance also withdraws offers to carriers
+// that are no longer live or are stopping. It returns nothing if no carrier can take a unit.
 func (s *State) Balance(units []string, fleet Fleet, maxOpenOffers int) []Change {
 	live := map[string]bool{}
 	for _, incarnation := range fleet.Live {
--- a/internal/system/ownership/state.go
+++ b/internal/system/ownership/state.go
@@ -1,9 +1,10 @@
-// Package ownership is the replicated table of the owners of a shard's units. A unit is the part of the messages that one
-// carrier at a time orders or rate-limits. Its owner acts under a fencing token, which rises with every change of owner.
+// Package ownership is the replicated table of the owners of a shard's units. A unit is the part of the messages that
+// one carrier at a time orders or rate-limits. Its owner acts under a fencing token, which rises with every change of
+// owner.
 //
-// State is the table of one shard. The shard's leader computes changes with Assign, Balance and Withdraw, replicates them,
-// and every replica carries them out with Apply. A unit moves from a live owner in two steps: an Offer names the next
-// owner, and the Release of the current owner makes it the owner.
+// State is the table of one shard. The shard's leader computes changes with Assign, Balance and Withdraw, replicates
+// them, and every replica carries them out with Apply. A unit moves from a live owner in two steps: an Offer names
+// the next owner, and the Release of the current owner makes it the owner.
 //
 // Ordering keys map to units by the key alone, regardless of route and service: messages of a key keep their order on
 // whatever route they arrive and whichever service runs them, and a configuration change may assign a route to another
@@ -214,7 +215,8 @@
 	return service, paced && service != ""
 }
 
-// CarrierUnit returns the unit of the messages that a carrier accepted and delivers by itself. It has no entry in the table.
+// CarrierUnit returns the unit of the messages that a carrier accepted and delivers by itself. It has no entry in the
+// table.
 func CarrierUnit(incarnation string) string { return "carrier/" + incarnation }
 
 // hash is FNV-1a followed by the first part of the MurmurHash3 finalizer, which mixes the high bits into the low ones.
--- a/internal/system/ownership/state_test.go
+++ b/internal/system/ownership/state_test.go
@@ -11,14 +11,14 @@
 
 func live(incarnations ...string) Fleet { return Fleet{Live: incarnations} }
 
-// release follows the offer that stands.
+// release accepts the open offer of a unit.
 func release(state *State, unit string) error {
 	owner := state.Owners()[unit]
 	return state.Apply([]Change{{Kind: Release, Unit: unit, Token: owner.Token, Offer: owner.Offer}})
 }
 
-var _ = ginkgo.Describe("The table of owners", func() {
-	ginkgo.It("names owners evenly, and moves a unit only when its owner is gone, under a higher token", func() {
+var _ = ginkgo.Describe("The ownership table", func() {
+	ginkgo.It("assigns owners evenly, and moves a unit only when its owner is gone, under a higher token", func() {
 		state := NewState()
 		units := append(KeyUnits(), PacedUnit("p1"), PacedUnit("p2"))
 		Expect(state.Apply(state.Assign(units, live("a", "b")))).To(Succeed())
@@ -37,11 +37,11 @@
 		}
 	})
 
-	ginkgo.It("assigns nothing while there is nobody", func() {
+	ginkgo.It("assigns nothing while no carrier is live", func() {
 		Expect(NewState().Assign([]string{"u"}, live())).To(BeEmpty())
 	})
 
-	ginkgo.It("evens out each group when carriers join, a few units at a time, and then rests", func() {
+	ginkgo.It("balances each group when carriers join, a few units at a time, and then stops", func() {
 		state := NewState()
 		units := append(KeyUnits(), PacedUnit("p1"), PacedUnit("p2"), PacedUnit("p3"))
 		Expect(state.Apply(state.Assign(units, live("a")))).To(Succeed())
@@ -69,7 +69,7 @@
 		}
 	})
 
-	ginkgo.It("has all units of a carrier that stops move, and gives it none", func() {
+	ginkgo.It("moves all units of a stopping carrier, and gives it none", func() {
 		state := NewState()
 		units := KeyUnits()
 		Expect(state.Apply(state.Assign(units, live("a", "b")))).To(Succeed())
@@ -90,19 +90,19 @@
 		Expect(state.Assign([]string{"new"}, fleet)).To(HaveLen(1))
 	})
 
-	ginkgo.It("takes an offer back when the carrier that it was made to has gone", func() {
+	ginkgo.It("withdraws an offer when the carrier that it was made to is gone", func() {
 		state := NewState()
 		units := KeyUnits()
 		Expect(state.Apply(state.Assign(units, live("a")))).To(Succeed())
 		offers := state.Balance(units, live("a", "b"), 1)
 		Expect(state.Apply(offers)).To(Succeed())
-		back := state.Balance(units, live("a"), 1)
-		Expect(back).To(HaveLen(1))
-		Expect(state.Apply(back)).To(Succeed())
+		withdrawals := state.Balance(units, live("a"), 1)
+		Expect(withdrawals).To(HaveLen(1))
+		Expect(state.Apply(withdrawals)).To(Succeed())
 		Expect(state.Owners()[offers[0].Unit]).To(Equal(Owner{Incarnation: "a", Token: 1, Offer: 2}))
 	})
 
-	ginkgo.It("lets a release count for the offer that it follows alone", func() {
+	ginkgo.It("accepts a release only for the offer that it refers to", func() {
 		state := NewState()
 		Expect(state.Apply([]Change{{Unit: "u", Incarnation: "a"}})).To(Succeed())
 		offer := Change{Kind: Offer, Unit: "u", Incarnation: "b", Token: 1}
@@ -116,13 +116,13 @@
 		Expect(state.Owners()["u"]).To(Equal(Owner{Incarnation: "a", Token: 1, Next: "c", Offer: 3}))
 		Expect(release(state, "u")).To(Succeed())
 		Expect(state.Owners()["u"]).To(Equal(Owner{Incarnation: "c", Token: 2}))
-		// One that was taken before is acknowledged again, and an offer under a former token is void.
+		// A repeated release of an earlier owner is acknowledged again, and an offer under an earlier token has no effect.
 		Expect(state.Apply([]Change{{Kind: Release, Unit: "u", Token: 1, Offer: 3}})).To(Succeed())
 		Expect(state.Apply([]Change{{Kind: Offer, Unit: "u", Incarnation: "d", Token: 1, Offer: 3}})).To(Succeed())
 		Expect(state.Owners()["u"]).To(Equal(Owner{Incarnation: "c", Token: 2}))
 	})
 
-	ginkgo.It("tells the service of a paced unit, and the shard of each unit that has an owner", func() {
+	ginkgo.It("returns the service of a paced unit, and the shard of each unit that can have an owner", func() {
 		service, paced := PacedService(PacedUnit("a/b"))
 		Expect(service).To(Equal("a/b"))
 		Expect(paced).To(BeTrue())
@@ -136,14 +136,14 @@
 		for _, unit := range []string{CarrierUnit("c"), "key/", "key/x", "key/-1", "key/16", "paced/", ""} {
 			Expect(Shard(unit, 2)).To(Equal(-1), unit)
 		}
-		Expect(Shard("key/a service/3", 2)).To(Equal(Shard(PacedUnit("a service"), 2)), "of an earlier build")
+		Expect(Shard("key/a service/3", 2)).To(Equal(Shard(PacedUnit("a service"), 2)), "unit name of an earlier build")
 	})
 
-	ginkgo.It("lets a unit that was removed come back under a higher token only", func() {
+	ginkgo.It("creates a removed unit again only under a higher token", func() {
 		state := NewState()
 		Expect(state.Apply([]Change{{Unit: "u", Incarnation: "a"}, {Unit: "u", Incarnation: "b"}, {Unit: "v", Incarnation: "a"}})).To(Succeed())
 		Expect(state.Apply([]Change{{Kind: Remove, Unit: "u", Token: 1}})).To(Succeed())
-		Expect(state.Owners()).To(HaveKey("u"), "another owner has it meanwhile")
+		Expect(state.Owners()).To(HaveKey("u"), "it has another owner by now")
 		Expect(state.Apply([]Change{{Kind: Remove, Unit: "u", Token: 2}})).To(Succeed())
 		Expect(state.Owners()).NotTo(HaveKey("u"))
 		data, err := state.Snapshot()
@@ -175,7 +175,7 @@
 		Expect(shards[0]).To(BeNumerically("~", 200, 60))
 	})
 
-	ginkgo.It("is the same after a snapshot", func() {
+	ginkgo.It("is equal after a snapshot and restore", func() {
 		state := NewState()
 		Expect(state.Apply([]Change{{Unit: "u", Incarnation: "a"}})).To(Succeed())
 		data, err := state.Snapshot()
--- a/internal/system/tolerance/tolerance.go
+++ b/internal/system/tolerance/tolerance.go
@@ -1,11 +1,12 @@
-// Package tolerance computes with the fault tolerance of a deployment: how many machines, zones or regions may be lost at
-// the same time. From this follow the disks that must hold the replicas of a message (Enough, Choose), the disks that may
-// be unreachable while somebody reads all messages (May), and whether a set of voters keeps its majority (Survives).
+// Package tolerance computes with the fault tolerance of a deployment: how many machines, zones or regions may be
+// lost at the same time. From this follow the disks that must hold the replicas of a message (Enough, Choose), the
+// disks that may be unreachable while a reader needs all messages (May), and whether a set of voters keeps its
+// majority (Survives).
 //
 // Replicas and disks are given by the names of their zones, one name per disk.
 //
-// Enough and May fit together: a set of disks that is Enough is never a subset of one that May be lost. So a reader that
-// has reached all disks but a set that may be lost has reached at least one replica of each message.
+// Enough and May fit together: a set of disks that is Enough is never a subset of one that May be lost. So a reader
+// that has reached all disks but a set that may be lost has reached at least one replica of each message.
 package tolerance
 
 import "slices"
@@ -63,8 +64,8 @@
 // Survives reports whether the voters in these zones keep a majority after every tolerated loss.
 func (t *Tolerance) Survives(zones []string) bool { return t.SurvivesWith(zones, len(zones)) }
 
-// SurvivesWith reports whether the live voters in these zones still are a majority of all voters, live or not, after every
-// tolerated loss. voters is the number of all voters.
+// SurvivesWith reports whether the live voters in these zones still are a majority of all voters, live or not, after
+// every tolerated loss. voters is the number of all voters.
 func (t *Tolerance) SurvivesWith(live []string, voters int) bool {
 	regions := make([]string, 0, len(live))
 	for _, zone := range live {
@@ -97,9 +98,9 @@
 	return max(0, t.Machines+1-len(zones), t.Zones+1-countDistinct(zones), t.Regions+1-t.countRegions(zones))
 }
 
-// Choose picks disks for new replicas so that, with the existing replicas, they are Enough, and no more than that takes.
-// existing and candidates are zones; the best candidates come first. It returns the indexes of the picked candidates. If
-// the candidates do not suffice, it returns all that reduce the number of lacking disks.
+// Choose picks disks for new replicas so that, with the existing replicas, they are Enough, and no more than that
+// takes. existing and candidates are zones; the best candidates come first. It returns the indexes of the picked
+// candidates. If the candidates do not suffice, it returns all that reduce the number of lacking disks.
 func (t *Tolerance) Choose(existing, candidates []string) []int {
 	chosen := append([]string(nil), existing...)
 	var picks []int
--- a/internal/system/tolerance/tolerance_suite_test.go
+++ b/internal/system/tolerance/tolerance_suite_test.go
@@ -14,7 +14,7 @@
 
 var regionOf = map[string]string{"a": "r1", "b": "r1", "c": "r2", "d": "r3"}
 
-// subsets calls visit with each choice of places: all that are in it, and all that are not.
+// subsets calls visit with every subset of places and its complement.
 func subsets(places []string, visit func(in, out []string)) {
 	for set := range 1 << len(places) {
 		var in, out []string
@@ -32,7 +32,7 @@
 var _ = Describe("Tolerance", func() {
 	places := []string{"a", "a", "b", "b", "c", "c", "d"}
 
-	It("lets no message be wholly on disks that may be lost, whatever may be", func() {
+	It("never allows a loss of all disks of a message, whatever is tolerated", func() {
 		for machines := range 3 {
 			for zones := range 3 {
 				for regions := range 2 {
@@ -47,29 +47,29 @@
 		}
 	})
 
-	It("chooses disks that are enough wherever some are, the best first and no more than needed", func() {
+	It("chooses enough disks in addition to existing ones, the best first and no more than needed", func() {
 		for machines := range 3 {
 			for zones := range 3 {
 				t := &Tolerance{Machines: machines, Zones: zones, RegionOf: regionOf}
-				subsets(places, func(there, candidates []string) {
-					chosen := append([]string(nil), there...)
-					for _, pick := range t.Choose(there, candidates) {
+				subsets(places, func(existing, candidates []string) {
+					chosen := append([]string(nil), existing...)
+					for _, pick := range t.Choose(existing, candidates) {
 						chosen = append(chosen, candidates[pick])
 					}
-					Expect(t.Enough(chosen)).To(BeTrue(), "%+v %v", t, there)
-					Expect(len(chosen)).To(BeNumerically("<=", max(len(there)+t.Copies(), t.Copies())))
+					Expect(t.Enough(chosen)).To(BeTrue(), "%+v %v", t, existing)
+					Expect(len(chosen)).To(BeNumerically("<=", max(len(existing)+t.Copies(), t.Copies())))
 				})
 			}
 		}
-		near := &Tolerance{Machines: 2, RegionOf: regionOf}
-		Expect(near.Choose(nil, []string{"a", "a", "a", "b"})).To(Equal([]int{0, 1, 2}))
-		far := &Tolerance{Machines: 2, Zones: 1, RegionOf: regionOf}
-		Expect(far.Choose(nil, []string{"a", "a", "a", "b"})).To(Equal([]int{0, 1, 3}))
-		Expect(far.Choose([]string{"b"}, []string{"a", "a"})).To(Equal([]int{0, 1}))
-		Expect(far.Choose(nil, []string{"a"})).To(Equal([]int{0}))
+		machinesOnly := &Tolerance{Machines: 2, RegionOf: regionOf}
+		Expect(machinesOnly.Choose(nil, []string{"a", "a", "a", "b"})).To(Equal([]int{0, 1, 2}))
+		machinesAndZone := &Tolerance{Machines: 2, Zones: 1, RegionOf: regionOf}
+		Expect(machinesAndZone.Choose(nil, []string{"a", "a", "a", "b"})).To(Equal([]int{0, 1, 3}))
+		Expect(machinesAndZone.Choose([]string{"b"}, []string{"a", "a"})).To(Equal([]int{0, 1}))
+		Expect(machinesAndZone.Choose(nil, []string{"a"})).To(Equal([]int{0}))
 	})
 
-	It("knows whether voters keep a majority", func() {
+	It("reports whether voters keep a majority", func() {
 		three := &Tolerance{Machines: 1, Zones: 1}
 		Expect(three.Survives([]string{"a", "b", "c"})).To(BeTrue())
 		Expect(three.Survives([]string{"a", "b", "b"})).To(BeFalse())
@@ -78,12 +78,12 @@
 		five := &Tolerance{Machines: 2, Zones: 1}
 		Expect(five.Survives([]string{"a", "a", "b", "b", "c"})).To(BeTrue())
 		Expect(five.Survives([]string{"a", "a", "a", "b", "c"})).To(BeFalse())
-		abroad := &Tolerance{Regions: 1, RegionOf: regionOf}
-		Expect(abroad.Survives([]string{"a", "c", "d"})).To(BeTrue())
-		Expect(abroad.Survives([]string{"a", "b", "c"})).To(BeFalse())
+		regional := &Tolerance{Regions: 1, RegionOf: regionOf}
+		Expect(regional.Survives([]string{"a", "c", "d"})).To(BeTrue())
+		Expect(regional.Survives([]string{"a", "b", "c"})).To(BeFalse())
 	})
 
-	It("wants as many copies and voters as the largest loss asks for", func() {
+	It("requires as many copies and voters as the largest loss needs", func() {
 		t := &Tolerance{Machines: 1, Zones: 2}
 		Expect(t.Copies()).To(Equal(3))
 		Expect(t.Voters()).To(Equal(5))
