--- a/internal/system/agreement/cluster_test.go
+++ b/internal/system/agreement/cluster_test.go
@@ -10,26 +10,26 @@
 	. "github.com/onsi/gomega"
 )
 
-// member is one member on simulated time, with a disk that loses what was not synced.
+// member is a group member on simulated time. Its disk holds only what was synced.
 type member struct {
 	node    *Node
 	disk    Stored
-	alive   bool
-	applied []Entry // handed out as committed, in this life or an earlier one, by index
+	running bool
+	applied []Entry // returned as committed, in this incarnation or an earlier one, by index
 }
 
-// cluster is a group whose messages are lost, late and out of order.
+// cluster is a group whose messages are lost, delayed and reordered.
 type cluster struct {
-	random    *rand.Rand
-	now       time.Duration
-	members   map[string]*member
-	names     []string
-	flying    []Message
-	cut       map[[2]string]bool
-	committed map[uint64]string // what any member saw committed at an index
-	leaders   map[uint64]string // by term
-	faults    []string
-	crashes   bool // members crash now and then before a sync
+	random     *rand.Rand
+	now        time.Duration
+	members    map[string]*member
+	names      []string
+	inFlight   []Message
+	blocked    map[[2]string]bool
+	committed  map[uint64]string // by index: the entry that any member has seen as committed
+	leaders    map[uint64]string // by term: the id of the leader
+	violations []string
+	crashes    bool // members crash at random before a sync
 }
 
 const (
@@ -37,63 +37,68 @@
 	testHeartbeat = 20 * time.Millisecond
 )
 
+// newCluster starts a group of the given number of voters. All randomness derives from seed.
 func newCluster(seed uint64, voters int) *cluster {
-	c := &cluster{random: rand.New(rand.NewPCG(seed, 3)), members: map[string]*member{}, cut: map[[2]string]bool{},
+	c := &cluster{random: rand.New(rand.NewPCG(seed, 3)), members: map[string]*member{}, blocked: map[[2]string]bool{},
 		committed: map[uint64]string{}, leaders: map[uint64]string{}}
 	for i := range voters {
 		c.names = append(c.names, fmt.Sprintf("m%d", i+1))
 	}
-	founders := slices.Clone(c.names)
-	for _, name := range founders {
+	bootstrap := slices.Clone(c.names)
+	for _, name := range bootstrap {
 		m := &member{}
-		m.disk.Snapshot.Members.Voters = founders
+		m.disk.Snapshot.Members.Voters = bootstrap
 		c.members[name] = m
 		c.start(name)
 	}
 	return c
 }
 
+// start runs a member from the state on its disk.
 func (c *cluster) start(name string) {
 	m := c.members[name]
-	m.alive = true
+	m.running = true
 	m.node = New(Options{Self: name, ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat,
 		Random: c.random.Int64N}, m.disk, c.now)
 }
 
-// add starts a newcomer on an empty disk.
+// add starts a new member on an empty disk.
 func (c *cluster) add(name string) {
 	c.names = append(c.names, name)
 	c.members[name] = &member{}
 	c.start(name)
 }
 
-func (c *cluster) fault(format string, values ...any) {
-	c.faults = append(c.faults, fmt.Sprintf(format, values...))
+// reportViolation records that a safety property does not hold.
+func (c *cluster) reportViolation(format string, values ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, values...))
 }
 
-// carryOut does what a member has ready; where it crashes before the sync, nothing of it counts.
-func (c *cluster) carryOut(name string, crash bool) {
+// processReady persists, sends and applies what a member has ready. With crash the member stops before the sync and the
+// work is lost. It reports a violation if two members lead the same term.
+func (c *cluster) processReady(name string, crash bool) {
 	m := c.members[name]
 	ready := m.node.Ready()
 	if crash {
-		m.alive = false
+		m.running = false
 		return
 	}
-	m.save(&ready)
-	c.flying = append(c.flying, ready.Messages...)
+	m.persist(&ready)
+	c.inFlight = append(c.inFlight, ready.Messages...)
 	m.node.Persisted(&ready)
 	for _, entry := range ready.Committed {
 		c.apply(name, entry)
 	}
 	if m.node.Role() == Leader {
 		if other, known := c.leaders[m.node.Term()]; known && other != name {
-			c.fault("%s and %s lead term %d", name, other, m.node.Term())
+			c.reportViolation("%s and %s both lead term %d", name, other, m.node.Term())
 		}
 		c.leaders[m.node.Term()] = name
 	}
 }
 
-func (m *member) save(ready *Ready) {
+// persist writes the hard state, snapshot and entries of a Ready to the simulated disk.
+func (m *member) persist(ready *Ready) {
 	if ready.HardState != nil {
 		m.disk.HardState = *ready.HardState
 	}
@@ -106,51 +111,54 @@
 	}
 }
 
+// apply reports a violation if another entry was committed at the same index before.
 func (c *cluster) apply(name string, entry Entry) {
 	text := fmt.Sprintf("%d:%s:%v", entry.Term, entry.Data, entry.Members)
 	if other, known := c.committed[entry.Index]; known && other != text {
-		c.fault("index %d is %q at %s and was %q", entry.Index, text, name, other)
+		c.reportViolation("index %d: committed %q at %s, earlier %q", entry.Index, text, name, other)
 	}
 	c.committed[entry.Index] = text
 }
 
-// step delivers a message, or lets time pass for a member.
+// step advances the time by less than 2 ms, delivers up to six messages, of which 1 in 50 is lost, and ticks due
+// members.
 func (c *cluster) step() {
 	c.now += time.Duration(c.random.Int64N(int64(2 * time.Millisecond)))
-	for range min(len(c.flying), 1+c.random.IntN(6)) {
-		at := c.random.IntN(min(len(c.flying), 4))
-		message := c.flying[at]
-		c.flying = slices.Delete(c.flying, at, at+1)
+	for range min(len(c.inFlight), 1+c.random.IntN(6)) {
+		at := c.random.IntN(min(len(c.inFlight), 4))
+		message := c.inFlight[at]
+		c.inFlight = slices.Delete(c.inFlight, at, at+1)
 		target := c.members[message.To]
-		if target == nil || !target.alive || c.cut[[2]string{message.From, message.To}] || c.random.IntN(50) == 0 {
+		if target == nil || !target.running || c.blocked[[2]string{message.From, message.To}] || c.random.IntN(50) == 0 {
 			continue
 		}
 		target.node.Step(c.now, message)
-		c.carryOut(message.To, c.crashes && c.random.IntN(600) == 0)
+		c.processReady(message.To, c.crashes && c.random.IntN(600) == 0)
 	}
 	for _, name := range c.names {
-		if m := c.members[name]; m.alive && c.now >= m.node.NextWake() {
+		if m := c.members[name]; m.running && c.now >= m.node.NextWake() {
 			m.node.Tick(c.now)
-			c.carryOut(name, false)
+			c.processReady(name, false)
 		}
 	}
 }
 
+// leader returns the first member that is ready as leader, empty if none.
 func (c *cluster) leader() string {
 	for _, name := range c.names {
-		if m := c.members[name]; m.alive && m.node.Leading() {
+		if m := c.members[name]; m.running && m.node.Leading() {
 			return name
 		}
 	}
 	return ""
 }
 
-// settle heals everything and lets the group agree.
-func (c *cluster) settle() string {
+// heal ends all faults, restarts crashed members, runs 6000 steps and returns the leader.
+func (c *cluster) heal() string {
 	c.crashes = false
-	c.cut = map[[2]string]bool{}
+	c.blocked = map[[2]string]bool{}
 	for _, name := range c.names {
-		if !c.members[name].alive {
+		if !c.members[name].running {
 			c.start(name)
 		}
 	}
@@ -160,67 +168,67 @@
 	return c.leader()
 }
 
-var _ = ginkgo.Describe("A group", func() {
-	ginkgo.It("elects one leader and commits what it is given", func() {
+var _ = ginkgo.Describe("A Raft group", func() {
+	ginkgo.It("elects one leader and commits a proposal", func() {
 		c := newCluster(1, 3)
-		leader := c.settle()
+		leader := c.heal()
 		Expect(leader).NotTo(BeEmpty())
 		_, err := c.members[leader].node.Propose(c.now, []byte("one"))
 		Expect(err).NotTo(HaveOccurred())
-		c.carryOut(leader, false)
+		c.processReady(leader, false)
 		for range 500 {
 			c.step()
 		}
-		Expect(c.faults).To(BeEmpty())
+		Expect(c.violations).To(BeEmpty())
 		Expect(c.committed).To(ContainElement(ContainSubstring("one")))
 	})
 
-	ginkgo.It("keeps what was committed through crashes, cuts, lost and reordered messages, and changes of its members", func() {
+	ginkgo.It("keeps committed entries despite crashes, partitions, lost and reordered messages, and membership changes", func() {
 		for seed := uint64(1); seed <= 150; seed++ {
 			c := newCluster(seed, 3+2*int(seed%2))
-			c.play()
-			Expect(c.faults).To(BeEmpty(), "seed %d", seed)
-			leader := c.settle()
-			Expect(c.faults).To(BeEmpty(), "seed %d", seed)
-			Expect(leader).NotTo(BeEmpty(), "seed %d: no leader once all is well", seed)
+			c.injectFaults()
+			Expect(c.violations).To(BeEmpty(), "seed %d", seed)
+			leader := c.heal()
+			Expect(c.violations).To(BeEmpty(), "seed %d", seed)
+			Expect(leader).NotTo(BeEmpty(), "seed %d: no leader after all faults ended", seed)
 		}
 	})
 
-	ginkgo.It("gives a newcomer on an empty disk no vote until its leader has given it one", func() {
+	ginkgo.It("lets a new member on an empty disk grant no vote before a leader has added it to the group", func() {
 		c := newCluster(4, 3)
-		leader := c.settle()
+		leader := c.heal()
 		c.add("new")
-		newcomer := c.members["new"].node
-		newcomer.Step(c.now, Message{Kind: Vote, From: "m1", To: "new", Term: 99, Index: 99, LogTerm: 99})
-		ready := newcomer.Ready()
+		newMember := c.members["new"].node
+		newMember.Step(c.now, Message{Kind: Vote, From: "m1", To: "new", Term: 99, Index: 99, LogTerm: 99})
+		ready := newMember.Ready()
 		Expect(ready.Messages).To(HaveLen(1))
 		Expect(ready.Messages[0].Reject).To(BeTrue())
 		group := c.members[leader].node.Group()
 		Expect(c.members[leader].node.ProposeGroup(c.now, group.With("new", AsLearner))).To(Succeed())
-		c.carryOut(leader, false)
+		c.processReady(leader, false)
 		for range 2000 {
 			c.step()
 		}
 		leader = c.leader()
 		_, caughtUp := c.members[leader].node.Silence("new")
 		Expect(caughtUp).To(BeTrue())
-		Expect(newcomer.Member()).To(BeTrue())
+		Expect(newMember.Member()).To(BeTrue())
 	})
 
-	ginkgo.It("takes no second change of its members before the first is committed", func() {
+	ginkgo.It("accepts no second membership change before the first is committed", func() {
 		c := newCluster(5, 3)
-		leader := c.settle()
+		leader := c.heal()
 		node := c.members[leader].node
 		Expect(node.ProposeGroup(c.now, node.Group().With("a", AsLearner))).To(Succeed())
 		Expect(node.ProposeGroup(c.now, node.Group().With("b", AsLearner))).To(MatchError(&ChangePendingError{}))
 	})
 
-	ginkgo.It("has a leader step down that a majority has not answered for an election timeout", func() {
+	ginkgo.It("makes a leader step down if no majority has answered it for an election timeout", func() {
 		c := newCluster(6, 3)
-		leader := c.settle()
+		leader := c.heal()
 		for _, name := range c.names {
-			c.cut[[2]string{leader, name}] = true
-			c.cut[[2]string{name, leader}] = true
+			c.blocked[[2]string{leader, name}] = true
+			c.blocked[[2]string{name, leader}] = true
 		}
 		began := c.now
 		for c.now < began+2*testElection {
@@ -229,61 +237,61 @@
 		Expect(c.members[leader].node.Role()).NotTo(Equal(Leader))
 	})
 
-	ginkgo.It("hands its leadership over without a silence, to a member that lacks nothing", func() {
+	ginkgo.It("transfers leadership without waiting for an election timeout, to a member that holds all committed entries", func() {
 		c := newCluster(8, 3)
-		leader := c.settle()
+		leader := c.heal()
 		term, began := c.members[leader].node.Term(), c.now
-		Expect(c.members[leader].node.HandOver(c.now, nobody)).To(BeTrue())
-		c.carryOut(leader, false)
+		Expect(c.members[leader].node.HandOver(c.now, avoidNone)).To(BeTrue())
+		c.processReady(leader, false)
 		for c.now < began+testElection/2 {
 			c.step()
 		}
 		Expect(c.leader()).NotTo(Or(BeEmpty(), Equal(leader)))
 		Expect(c.members[c.leader()].node.Term()).To(Equal(term + 1))
-		Expect(c.faults).To(BeEmpty())
+		Expect(c.violations).To(BeEmpty())
 	})
 
-	ginkgo.It("names no successor while nobody else holds what is committed, and follows the word of nobody but its leader", func() {
+	ginkgo.It("transfers leadership to no member that lacks committed entries, and campaigns on request of its leader only", func() {
 		c := newCluster(9, 3)
-		leader := c.settle()
+		leader := c.heal()
 		follower := without(c.names, leader)[0]
-		stranger := without(without(c.names, leader), follower)[0]
+		nonLeader := without(without(c.names, leader), follower)[0]
 		node := c.members[follower].node
-		node.Step(c.now, Message{Kind: StandForElection, From: stranger, To: follower, Term: node.Term()})
+		node.Step(c.now, Message{Kind: StandForElection, From: nonLeader, To: follower, Term: node.Term()})
 		Expect(node.Role()).To(Equal(Follower))
-		Expect(node.HandOver(c.now, nobody)).To(BeFalse())
+		Expect(node.HandOver(c.now, avoidNone)).To(BeFalse())
 		for _, name := range c.names {
-			c.cut[[2]string{name, leader}] = true
+			c.blocked[[2]string{name, leader}] = true
 		}
 		for began := c.now; c.now < began+testElection/2; {
 			c.step()
 		}
 		_, err := c.members[leader].node.Propose(c.now, []byte("unknown"))
 		Expect(err).NotTo(HaveOccurred())
-		c.carryOut(leader, false)
+		c.processReady(leader, false)
 		for began := c.now; c.now < began+2*testElection; {
 			c.step()
 		}
-		Expect(c.members[leader].node.HandOver(c.now, nobody)).To(BeFalse())
+		Expect(c.members[leader].node.HandOver(c.now, avoidNone)).To(BeFalse())
 	})
 
-	ginkgo.It("does not lose its leader to a member that comes back from a cut", func() {
+	ginkgo.It("keeps its leader when a partitioned member comes back", func() {
 		c := newCluster(7, 3)
-		leader := c.settle()
-		away := c.names[0]
-		if away == leader {
-			away = c.names[1]
+		leader := c.heal()
+		partitioned := c.names[0]
+		if partitioned == leader {
+			partitioned = c.names[1]
 		}
 		for _, name := range c.names {
-			c.cut[[2]string{away, name}] = true
-			c.cut[[2]string{name, away}] = true
+			c.blocked[[2]string{partitioned, name}] = true
+			c.blocked[[2]string{name, partitioned}] = true
 		}
 		for range 3000 {
 			c.step()
 		}
 		leader = c.leader()
 		term := c.members[leader].node.Term()
-		c.cut = map[[2]string]bool{}
+		c.blocked = map[[2]string]bool{}
 		for range 1000 {
 			c.step()
 		}
@@ -291,8 +299,9 @@
 	})
 })
 
-// play lets faults happen: never more lost than a majority of the founders can bear for ever, but any number for a while.
-func (c *cluster) play() {
+// injectFaults runs 60 rounds of 120 steps with a random fault, proposal or membership change after each. Any number of
+// members may be down for a while, but none loses its disk.
+func (c *cluster) injectFaults() {
 	c.crashes = true
 	for round := range 60 {
 		for range 120 {
@@ -303,35 +312,36 @@
 		switch c.random.IntN(9) {
 		case 8:
 			if leader != "" {
-				c.members[leader].node.HandOver(c.now, nobody)
-				c.carryOut(leader, false)
+				c.members[leader].node.HandOver(c.now, avoidNone)
+				c.processReady(leader, false)
 			}
 		case 0:
-			c.members[name].alive = false
+			c.members[name].running = false
 		case 1:
-			if !c.members[name].alive {
+			if !c.members[name].running {
 				c.start(name)
 			}
 		case 2:
 			other := c.names[c.random.IntN(len(c.names))]
-			c.cut[[2]string{name, other}] = true
+			c.blocked[[2]string{name, other}] = true
 		case 3:
-			c.cut = map[[2]string]bool{}
+			c.blocked = map[[2]string]bool{}
 		case 4:
-			c.change(leader, round)
+			c.changeMembership(leader, round)
 		case 5:
 			c.compact(name)
 		default:
 			if leader != "" {
 				_, _ = c.members[leader].node.Propose(c.now, fmt.Appendf(nil, "p%d", round))
-				c.carryOut(leader, false)
+				c.processReady(leader, false)
 			}
 		}
 	}
 }
 
-// change moves a member to another place: a newcomer follows, then votes; a founder that is gone is let go.
-func (c *cluster) change(leader string, round int) {
+// changeMembership proposes a membership change that suits the current state: it ends a joint membership, promotes a
+// learner that has caught up, removes an unreachable voter of five or more, or adds a new member as a learner.
+func (c *cluster) changeMembership(leader string, round int) {
 	if leader == "" {
 		return
 	}
@@ -342,7 +352,7 @@
 	} else if len(group.Learners) > 0 {
 		learner := group.Learners[0]
 		if _, caughtUp := node.Silence(learner); caughtUp {
-			_ = node.ProposeGroup(c.now, c.withVoter(group, learner))
+			_ = node.ProposeGroup(c.now, c.promoteLearner(group, learner))
 		}
 	} else if len(group.Voters) > 4 {
 		for _, voter := range group.Voters {
@@ -356,12 +366,13 @@
 		c.add(name)
 		_ = node.ProposeGroup(c.now, group.With(name, AsLearner))
 	}
-	c.carryOut(leader, false)
+	c.processReady(leader, false)
 }
 
+// compact replaces the log of a running member by a snapshot of all applied entries.
 func (c *cluster) compact(name string) {
 	m := c.members[name]
-	if !m.alive {
+	if !m.running {
 		return
 	}
 	if _, done := m.node.Compact(m.node.Applied(), []byte("state")); done {
