--- a/internal/system/role/keeper/groups.go
+++ b/internal/system/role/keeper/groups.go
@@ -7,84 +7,91 @@
 	"granitewing/internal/system/agreement"
 )
 
-// Times of the care for groups.
+// Times that govern changes of group membership.
 const (
-	// A voter that was silent for so long is taken for gone: a learner gets its place.
-	silentForRemoval = 1200 * time.Millisecond
-	learnerGone      = 8 * time.Second
-	memberHeard      = 600 * time.Millisecond // within it a member that is live was heard
-	goneForGood      = time.Hour              // the silence of a voter whose disk is known to be lost
+	// voterRemovalTimeout is the silence after which a voter is considered lost and is replaced by a learner.
+	voterRemovalTimeout   = 1200 * time.Millisecond
+	learnerRemovalTimeout = 8 * time.Second        // the same for learners, which are removed
+	memberLiveWindow      = 600 * time.Millisecond // a live member answered its leader within this time
+	permanentSilence      = time.Hour              // stands for the silence of a voter whose disk is known to be lost
 )
 
-// tendGroups changes the groups that this keeper leads: a newcomer that has caught up gets a vote where there are too few, or takes the place of a
-// voter that is gone, that leaves, or whose zone has too many.
-func (c *Core) tendGroups() {
+// reconcileGroups adjusts the membership of the groups that this keeper leads. A learner that has caught up is
+// promoted if the group has too few voters, or replaces a voter that is lost, whose machine is being drained, or
+// whose zone has too many voters.
+func (c *Core) reconcileGroups() {
 	for id, g := range c.groups {
 		if g.node.Leading() {
-			c.tendGroup(id, g.node)
+			c.reconcileGroup(id, g.node)
 		}
 	}
-	c.noteKeepers()
+	c.publishKeepers()
 }
 
-// blind tells whether this keeper knows no table of sessions: it was let go by the group that holds it, or has not caught
-// up. It can't tell which machines leave, where they are or who is alive, so it must tend no group and name no owners.
-func (c *Core) blind() bool { return c.groups[SessionGroup].node.Group().Empty() }
+// lacksSessions reports whether this keeper has no session table: the session group removed it, or it has not caught
+// up yet. Without the table it can't tell which machines are being drained, in which zone a machine is, or which
+// members are live, so it must not change group membership or assign owners.
+func (c *Core) lacksSessions() bool { return c.groups[SessionGroup].node.Group().Empty() }
 
-// lacking tells whether this keeper holds nothing of some group: the feed that it would give to members lacks a part.
-func (c *Core) lacking() bool {
+// lacksGroup reports whether this keeper has no state of some group, so that the feed that it would give to members
+// is incomplete.
+func (c *Core) lacksGroup() bool {
 	return slices.ContainsFunc(c.groups[:], func(g *group) bool { return g.node.Group().Empty() })
 }
 
-// tendGroup changes a group, or hands it over where this keeper should not lead it: it knows no sessions, or it leads them and lacks a part of
-// what members are given. One that leads the sessions changes their group first, as its voters may all be such that lack a part.
-func (c *Core) tendGroup(id int, node *agreement.Node) {
-	if c.blind() {
-		node.HandOver(c.now, c.leaves)
+// reconcileGroup changes the membership of a group that this keeper leads. It transfers leadership if this keeper
+// should not lead: if it has no session table, or if it leads the session group and lacks another part of the feed.
+// In the latter case it first changes the membership of the session group, as all of its voters may lack such a
+// part.
+func (c *Core) reconcileGroup(id int, node *agreement.Node) {
+	if c.lacksSessions() {
+		node.HandOver(c.now, c.isLeaving)
 		return
 	}
 	if node.Group().Joint() {
-		c.endReplacement(id, node)
+		c.finishReplacement(id, node)
 		return
 	}
-	if node.GroupSettled() && c.changeMembers(id, node) {
+	if node.GroupSettled() && c.changeMembership(id, node) {
 		return
 	}
-	if id == SessionGroup && c.lacking() && node.GroupSettled() {
-		node.HandOver(c.now, c.leaves)
+	if id == SessionGroup && c.lacksGroup() && node.GroupSettled() {
+		node.HandOver(c.now, c.isLeaving)
 	}
 }
 
-// changeMembers makes the change that a group needs most; false where it needs none, or none can be made now.
-func (c *Core) changeMembers(id int, node *agreement.Node) bool {
+// changeMembership makes the most urgent membership change of a group. It returns false if no change is needed or
+// possible now.
+func (c *Core) changeMembership(id int, node *agreement.Node) bool {
 	group := node.Group()
 	silentVoter, silence := longestSilence(node, group)
-	gone := ""
-	if silence > silentForRemoval {
-		gone = silentVoter
+	unreachable := ""
+	if silence > voterRemovalTimeout {
+		unreachable = silentVoter
 	}
 	leaving := c.leavingVoter(group)
 	if len(group.Voters) > c.options.Tolerance.Voters() {
-		return c.letGo(id, node, gone, leaving)
+		return c.removeSurplusVoter(id, node, unreachable, leaving)
 	}
 	if len(group.Voters) < c.options.Tolerance.Voters() {
-		if learner := c.anotherVoter(node, group); learner != "" {
+		if learner := c.learnerToPromote(node, group); learner != "" {
 			return c.changeGroup(id, group.With(learner, agreement.AsVoter))
 		}
-	} else if voter, learner := c.replacement(node, group, gone, leaving); learner != "" {
-		return c.replaceVoter(id, voter, learner, gone)
+	} else if voter, learner := c.chooseReplacement(node, group, unreachable, leaving); learner != "" {
+		return c.replaceVoter(id, voter, learner, unreachable)
 	}
 	for _, learner := range group.Learners {
-		if quiet, _ := node.Silence(learner); quiet > learnerGone || c.leaves(learner) && !c.leavesLater(id, learner) {
+		if elapsed, _ := node.Silence(learner); elapsed > learnerRemovalTimeout || c.isLeaving(learner) && !c.leavesAfterOtherGroups(id, learner) {
 			return c.changeGroup(id, group.With(learner, agreement.Out))
 		}
 	}
 	return false
 }
 
-// leavesLater tells whether a member of the sessions' group, whose machine is being emptied, follows it still: as long as another group has not
-// let the machine go it may lead that, and needs the table of sessions to know who leaves.
-func (c *Core) leavesLater(id int, member string) bool {
+// leavesAfterOtherGroups reports whether a member of the session group on a machine that is being drained has to
+// stay in that group for now. Until every other group has removed the machine, the member may lead one of them, and
+// then needs the session table to know which machines are being drained.
+func (c *Core) leavesAfterOtherGroups(id int, member string) bool {
 	if id != SessionGroup {
 		return false
 	}
@@ -101,64 +108,67 @@
 	return false
 }
 
-// letGo takes a voter out of a group that has one more than it needs: one that is gone, one that is leaving, or one of a
-// zone that has too many. One that is gone holds nothing that the group could use, so that is always right; a live one
-// stays until the others are live and caught up without it. It tells whether something was done.
-func (c *Core) letGo(id int, node *agreement.Node, gone, leaving string) bool {
+// removeSurplusVoter removes a voter from a group that has more voters than needed: a lost one, else one on a
+// machine that is being drained, else one in a zone that has too many. A lost voter holds nothing that the group
+// could use, so it can always be removed. A live one stays until the others are live and caught up without it. The
+// result reports whether a change was started.
+func (c *Core) removeSurplusVoter(id int, node *agreement.Node, unreachable, leaving string) bool {
 	group := node.Group()
-	goes := gone
-	if goes == "" {
-		goes = leaving
+	target := unreachable
+	if target == "" {
+		target = leaving
 	}
-	if goes == "" && !c.options.Tolerance.Survives(c.zonesOf(group.Voters, "")) {
-		goes = c.crowding(group.Voters)
+	if target == "" && !c.options.Tolerance.Survives(c.zonesOf(group.Voters, "")) {
+		target = c.redundantVoter(group.Voters)
 	}
-	if goes == "" || goes != gone && !c.safeWithout(node, goes) {
+	if target == "" || target != unreachable && !c.safeWithout(node, target) {
 		return false
 	}
-	if goes == c.options.IDs[id] {
-		return node.HandOver(c.now, c.leaves) // its successor takes it out
+	if target == c.options.IDs[id] {
+		return node.HandOver(c.now, c.isLeaving) // the new leader removes this keeper
 	}
-	return c.changeGroup(id, group.With(goes, c.placeAfter(id, goes, gone)))
+	return c.changeGroup(id, group.With(target, c.roleAfterRemoval(id, target, unreachable)))
 }
 
-// replaceVoter has a learner take the place of a voter in one joint change. With one change after the other the group has two members where the tolerated
-// loss may strike both.
-func (c *Core) replaceVoter(id int, replaced, learner, gone string) bool {
+// replaceVoter replaces a voter by a learner in one joint change. With two separate changes, the group would for a
+// while have two members in a place where one tolerated loss may strike both.
+func (c *Core) replaceVoter(id int, replaced, learner, unreachable string) bool {
 	node := c.groups[id].node
 	if replaced == c.options.IDs[id] {
-		return node.HandOver(c.now, c.leaves) // its successor replaces it
+		return node.HandOver(c.now, c.isLeaving) // the new leader replaces this keeper
 	}
-	return c.changeGroup(id, node.Group().Replace(replaced, learner, c.placeAfter(id, replaced, gone)))
+	return c.changeGroup(id, node.Group().Replace(replaced, learner, c.roleAfterRemoval(id, replaced, unreachable)))
 }
 
-// endReplacement ends the replacement of a voter once the voters with the learner are live, or the one that is replaced is not; it calls it off
-// where one of the others has gone meanwhile.
-func (c *Core) endReplacement(id int, node *agreement.Node) {
+// finishReplacement completes a joint change once the new set of voters is safe, or the replaced voter is no longer
+// live. It cancels the change if one of the other voters was lost meanwhile.
+func (c *Core) finishReplacement(id int, node *agreement.Node) {
 	group := node.Group()
-	if !slices.Contains(group.Voters, c.options.IDs[id]) && node.HandOver(c.now, c.leaves) {
+	if !slices.Contains(group.Voters, c.options.IDs[id]) && node.HandOver(c.now, c.isLeaving) {
 		return
 	}
 	replaced := slices.DeleteFunc(slices.Clone(group.Outgoing), func(id string) bool { return slices.Contains(group.Voters, id) })
 	_, silence := longestSilence(node, group)
 	switch {
-	case len(live(node, replaced)) == 0 || c.safeWith(node, group.Voters):
-		_ = node.EndReplacement(c.now, false) // one that is refused is tried again at the next look
-	case silence > silentForRemoval:
+	case len(liveMembers(node, replaced)) == 0 || c.safeWithVoters(node, group.Voters):
+		_ = node.EndReplacement(c.now, false) // if refused, the next reconciliation tries again
+	case silence > voterRemovalTimeout:
 		_ = node.EndReplacement(c.now, true)
 	}
 }
 
-// placeAfter is where a voter goes that loses its vote.
-func (c *Core) placeAfter(id int, voter, gone string) agreement.Place {
-	if voter != gone && c.leavesLater(id, voter) {
+// roleAfterRemoval returns what a voter becomes that loses its vote: a learner if it must still follow the session
+// group, otherwise no member.
+func (c *Core) roleAfterRemoval(id int, voter, unreachable string) agreement.Place {
+	if voter != unreachable && c.leavesAfterOtherGroups(id, voter) {
 		return agreement.AsLearner
 	}
 	return agreement.Out
 }
 
-// crowding is a voter without whom the others keep a majority through every tolerated loss; empty where there is none.
-func (c *Core) crowding(voters []string) string {
+// redundantVoter returns a voter without which the others keep a majority through every tolerated loss, or an empty
+// string.
+func (c *Core) redundantVoter(voters []string) string {
 	for _, voter := range voters {
 		if c.options.Tolerance.Survives(c.zonesOf(voters, voter)) {
 			return voter
@@ -167,6 +177,7 @@
 	return ""
 }
 
+// zonesOf returns the zones of the members in ids except without.
 func (c *Core) zonesOf(ids []string, without string) []string {
 	zones := make([]string, 0, len(ids))
 	for _, id := range ids {
@@ -177,31 +188,33 @@
 	return zones
 }
 
-// anotherVoter is a learner that has caught up and that a group with too few voters gives a vote: one with whom the voters keep a majority through
-// every tolerated loss, or else any. Empty where there is none.
-func (c *Core) anotherVoter(node *agreement.Node, group agreement.Membership) string {
-	any := ""
-	for _, learner := range c.candidates(node, group) {
+// learnerToPromote returns a learner to promote in a group that has too few voters: one that has caught up and with
+// which the voters keep a majority through every tolerated loss, or else any that has caught up. It returns an empty
+// string if there is none.
+func (c *Core) learnerToPromote(node *agreement.Node, group agreement.Membership) string {
+	fallback := ""
+	for _, learner := range c.promotableLearners(node, group) {
 		with := append(slices.Clone(group.Voters), learner)
-		if 2*len(live(node, with)) <= len(with) {
-			continue // the group could commit nothing with one voter more, the change itself among it
+		if 2*len(liveMembers(node, with)) <= len(with) {
+			continue // with one more voter the group could commit nothing, not even this change
 		}
 		if c.options.Tolerance.Survives(c.zonesOf(with, "")) {
 			return learner
 		}
-		any = learner
+		fallback = learner
 	}
-	return any
+	return fallback
 }
 
-// replacement is a voter that a group should rather do without, and a learner that has caught up and with whom in its place the voters keep a majority
-// through every tolerated loss. A live voter is replaced only while the others are live. The learner is empty where there is none.
-func (c *Core) replacement(node *agreement.Node, group agreement.Membership, gone, leaving string) (voter, learner string) {
-	for _, voter := range c.replaceable(group, gone, leaving) {
-		for _, learner := range c.candidates(node, group) {
+// chooseReplacement returns a voter to replace and a learner that has caught up and with which the voters keep a
+// majority through every tolerated loss. A live voter is replaced only while the others are live. The learner is
+// empty if there is no such pair.
+func (c *Core) chooseReplacement(node *agreement.Node, group agreement.Membership, unreachable, leaving string) (voter, learner string) {
+	for _, voter := range c.replaceableVoters(group, unreachable, leaving) {
+		for _, learner := range c.promotableLearners(node, group) {
 			after := group.Replace(voter, learner, agreement.Out).Voters
-			fits := 2*len(live(node, after)) > len(after) && c.options.Tolerance.Survives(c.zonesOf(after, ""))
-			if fits && (voter == gone || c.safeWith(node, after)) {
+			fits := 2*len(liveMembers(node, after)) > len(after) && c.options.Tolerance.Survives(c.zonesOf(after, ""))
+			if fits && (voter == unreachable || c.safeWithVoters(node, after)) {
 				return voter, learner
 			}
 		}
@@ -209,11 +222,12 @@
 	return "", ""
 }
 
-// replaceable gives the voters that a group should rather do without: one that is gone, else one that leaves, else any where a zone has too many.
-func (c *Core) replaceable(group agreement.Membership, gone, leaving string) []string {
+// replaceableVoters returns the voters that a group should replace: a lost one, else one on a machine that is being
+// drained, else all voters if they don't survive every tolerated loss.
+func (c *Core) replaceableVoters(group agreement.Membership, unreachable, leaving string) []string {
 	switch {
-	case gone != "":
-		return []string{gone}
+	case unreachable != "":
+		return []string{unreachable}
 	case leaving != "":
 		return []string{leaving}
 	case !c.options.Tolerance.Survives(c.zonesOf(group.Voters, "")):
@@ -222,12 +236,14 @@
 	return nil
 }
 
-// candidates gives the learners that may get a vote: they hold all that is committed, were heard a moment ago and stay.
-func (c *Core) candidates(node *agreement.Node, group agreement.Membership) []string {
-	return slices.DeleteFunc(live(node, group.Learners), c.leaves)
+// promotableLearners returns the learners that may become voters: they hold all committed entries, answered within
+// memberLiveWindow, and are not on a machine that is being drained.
+func (c *Core) promotableLearners(node *agreement.Node, group agreement.Membership) []string {
+	return slices.DeleteFunc(liveMembers(node, group.Learners), c.isLeaving)
 }
 
-// zoneOf is the zone of a member's machine, which its store tells; empty where that is not known.
+// zoneOf returns the zone of a member's machine, as reported by the store on that machine, or an empty string if
+// unknown.
 func (c *Core) zoneOf(id string) string {
 	for _, disk := range c.sessions.Disks() {
 		if sameHost(AddressOf(id), disk.Member.Address) {
@@ -237,35 +253,37 @@
 	return ""
 }
 
-// Yield has other keepers lead what this one leads, before it stops. The answer tells whether it leads nothing any more.
+// Yield transfers the leadership of all groups that this keeper leads, before it shuts down. It returns true once
+// this keeper leads no group.
 func (c *Core) Yield(now time.Duration) bool {
 	c.now = now
 	yielded := true
 	for _, g := range c.groups {
 		if g.node.Leading() {
 			yielded = false
-			g.node.HandOver(now, c.leaves)
+			g.node.HandOver(now, c.isLeaving)
 		}
 	}
 	return yielded
 }
 
-// longestSilence is the voter that has not answered for longest. One whose address another member has is gone for good:
-// that one was drawn on the empty disk of the same machine.
+// longestSilence returns the voter that has not answered for the longest time. A voter whose address also belongs to
+// a learner is lost for good: the learner's identity was created on an empty disk of the same machine.
 func longestSilence(node *agreement.Node, group agreement.Membership) (id string, silence time.Duration) {
 	for _, voter := range group.Voters {
-		quiet, _ := node.Silence(voter)
-		if quiet > memberHeard && slices.ContainsFunc(group.Learners, func(learner string) bool { return AddressOf(learner) == AddressOf(voter) }) {
-			quiet = goneForGood
+		elapsed, _ := node.Silence(voter)
+		if elapsed > memberLiveWindow && slices.ContainsFunc(group.Learners, func(learner string) bool { return AddressOf(learner) == AddressOf(voter) }) {
+			elapsed = permanentSilence
 		}
-		if quiet > silence {
-			id, silence = voter, quiet
+		if elapsed > silence {
+			id, silence = voter, elapsed
 		}
 	}
 	return id, silence
 }
 
-// changeGroup proposes a change; one that is under way is tried again at the next look.
+// changeGroup proposes a new membership and reports whether it was accepted. If another change is in progress, the
+// next reconciliation tries again.
 func (c *Core) changeGroup(id int, group agreement.Membership) bool {
 	return c.groups[id].node.ProposeGroup(c.now, group) == nil
 }
--- a/internal/system/role/keeper/handle.go
+++ b/internal/system/role/keeper/handle.go
@@ -9,7 +9,8 @@
 	"granitewing/internal/system/wire"
 )
 
-// Handle carries out a call of a member or another keeper. An error means that the call can't be read.
+// Handle carries out a call of a member or another keeper and answers it through answerer. It returns an error if
+// the call can't be decoded or its kind is unknown.
 func (c *Core) Handle(now time.Duration, from Subscriber, kind wire.Kind, payload []byte, answerer wire.Answerer) error {
 	c.now = now
 	done := func(err error) { answer(answerer, &struct{}{}, err) }
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// handleOrder carries out the calls that change the tables of sessions and owners for good.
+// handleOrder handles the calls that change the replicated session and ownership tables.
 func (c *Core) handleOrder(now time.Duration, kind wire.Kind, payload []byte, _ wire.Answerer, done func(err error)) error {
 	switch kind {
 	case wire.CloseSession:
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// answer answers a call, or refuses it by the error's type.
+// answer sends the result of a call, or a refusal whose code depends on the error's type.
 func answer(answerer wire.Answerer, body any, err error) {
 	var notLeader *agreement.NotLeaderError
 	var unknown *UnknownSessionError
--- a/internal/system/role/keeper/join.go
+++ b/internal/system/role/keeper/join.go
@@ -6,18 +6,20 @@
 	"granitewing/internal/system/agreement"
 )
 
-// RemovedError tells a keeper that its group does without it: what its disk holds of the group is void.
+// RemovedError reports that a group has removed a keeper. The group state on that keeper's disk is invalid.
 type RemovedError struct{ ID string }
 
-func (e *RemovedError) Error() string { return "the group does without " + e.ID }
+func (e *RemovedError) Error() string { return "the group has removed " + e.ID }
 
-// LeavingError tells a newcomer that its machine is being emptied.
+// LeavingError refuses a keeper that asks to join because its machine is being drained.
 type LeavingError struct{ ID string }
 
-func (e *LeavingError) Error() string { return "the machine of " + e.ID + " is being emptied" }
+func (e *LeavingError) Error() string { return "the machine of " + e.ID + " is being drained" }
 
-// JoinGroup lets a newcomer follow a group. Every keeper follows every group: whoever leads the sessions gives members all
-// that the groups hold, and whoever is needed as a voter has caught up. knows tells whether its disk names a group already.
+// JoinGroup admits a keeper to a group as a learner. Every keeper follows every group, so that the leader of the
+// session group can give members the state of all groups, and any keeper that is needed as a voter has caught up.
+// knows reports whether the joining keeper's disk holds state of the group already; then it was a member before, and
+// gets a RemovedError once a majority confirms its removal.
 func (c *Core) JoinGroup(now time.Duration, id int, member string, knows bool, done func(err error)) {
 	c.now = now
 	if id < 0 || id >= Groups || !c.groups[id].node.Leading() {
@@ -29,18 +31,19 @@
 	case node.Group().Has(member):
 		done(nil)
 	case knows:
-		c.refuseRemoved(id, member, done)
-	case c.leaves(member) && !c.leavesLater(id, member):
+		c.confirmRemoval(id, member, done)
+	case c.isLeaving(member) && !c.leavesAfterOtherGroups(id, member):
 		done(&LeavingError{ID: member})
 	default:
 		done(node.ProposeGroup(now, node.Group().With(member, agreement.AsLearner)))
 	}
 }
 
-// refuseRemoved tells a member that its group does without it, once a majority has confirmed that: on this word it gives up
-// its identity and all that its disk holds of the group. A leader that was deposed, or a change that is not committed, may
-// know of another group than the one that there is.
-func (c *Core) refuseRemoved(id int, member string, done func(err error)) {
+// confirmRemoval answers a member that is not in the group, after a majority has confirmed its removal. On a
+// RemovedError the member discards its identity and all its stored state of the group, so the answer must be
+// certain: a deposed leader, or one with an uncommitted membership change, may see a different membership than the
+// current one.
+func (c *Core) confirmRemoval(id int, member string, done func(err error)) {
 	node := c.groups[id].node
 	c.confirm(id, func(err error) {
 		switch {
@@ -56,7 +59,8 @@
 	})
 }
 
-// Joining tells whether a group's member should ask to join: it knows of no group, or has heard no leader for long.
+// Joining returns this keeper's identity in a group, whether it knows the group's membership, and whether it should
+// ask to join. It should while it knows no leader of the group.
 func (c *Core) Joining(now time.Duration, id int) (member string, knows, wanted bool) {
 	node := c.groups[id].node
 	group := node.Group()
@@ -64,14 +68,14 @@
 	return c.options.IDs[id], knows, node.Leader() == ""
 }
 
-// ResetGroup begins a group's member anew, under another identity, after the group did without it.
+// ResetGroup discards this keeper's state of a group that has removed it, and starts over under another identity.
 func (c *Core) ResetGroup(now time.Duration, id int, identity string) {
 	c.now = now
 	c.options.IDs[id] = identity
-	c.groups[id].abandon()
+	c.groups[id].failWaiters()
 	c.groups[id].reset()
 	c.groups[id] = c.newGroup(id, agreement.Stored{})
 	for subscriber := range c.subscribers {
-		c.subscribers[subscriber] = &subscription{} // it gets the whole table
+		c.subscribers[subscriber] = &subscription{} // is sent the whole table again
 	}
 }
--- a/internal/system/role/keeper/joiner.go
+++ b/internal/system/role/keeper/joiner.go
@@ -8,18 +8,20 @@
 	"granitewing/internal/system/wire"
 )
 
-// JoinEnvironment is what the driver or the simulation gives a Joiner.
+// JoinEnvironment is the set of services that the driver or the simulation provides to a Joiner.
 type JoinEnvironment interface {
 	loop.Loop
 	loop.Peers
-	// Others gives the addresses of the other keepers that are known.
+	// Others returns the known addresses of other keepers.
 	Others() []string
-	// Reset begins a group's member anew under another identity, after the group did without it.
+	// Reset discards the state of a group that has removed this keeper and starts over under another identity. It ends
+	// with a call of Joiner.WasReset.
 	Reset(group int)
 }
 
-// Joiner asks, for each group in which a keeper hears no leader, to be let in; and for the groups that it leads tells the
-// leader of the sessions which machines they do without.
+// Joiner periodically asks the other keepers to admit this one to each group whose leader it does not know. For the
+// groups that this keeper leads, it reports to the leader of the session group which drained machines the groups
+// have removed.
 type Joiner struct {
 	env       JoinEnvironment
 	core      *Core
@@ -28,26 +30,27 @@
 
 const (
 	joinInterval = 250 * time.Millisecond
-	joinTimeout  = time.Second // a leader may have to ask a majority
+	joinTimeout  = time.Second // a leader may have to confirm with a majority first
 )
 
-// NewJoiner makes a joiner; Step begins.
+// NewJoiner creates a Joiner. Step starts it.
 func NewJoiner(env JoinEnvironment, core *Core) *Joiner { return &Joiner{env: env, core: core} }
 
-// Step asks now, and again after a while.
+// Step sends the due requests and reports, and schedules itself again.
 func (j *Joiner) Step() {
 	j.env.After(joinInterval/2+time.Duration(j.env.Random(int64(joinInterval))), j.Step)
 	for group := range Groups {
 		id, knows, wanted := j.core.Joining(j.env.Now(), group)
 		if wanted && !j.resetting[group] {
-			j.ask(group, id, knows)
+			j.requestJoin(group, id, knows)
 		}
 	}
-	j.report()
+	j.reportDepartures()
 }
 
-// report tells the leader of the sessions which machines that are being emptied have left a group.
-func (j *Joiner) report() {
+// reportDepartures tells the leader of the session group which machines that are being drained have left a group
+// that this keeper leads.
+func (j *Joiner) reportDepartures() {
 	for _, departure := range j.core.Departures(j.env.Now()) {
 		leader, self := j.core.Leader(SessionGroup)
 		switch {
@@ -60,29 +63,31 @@
 	}
 }
 
-func (j *Joiner) ask(group int, id string, knows bool) {
+// requestJoin asks every connected keeper to admit this one to a group. Only the leader can.
+func (j *Joiner) requestJoin(group int, id string, knows bool) {
 	body := wire.Encode(&wire.JoinGroupBody{Group: group, Member: id, Knows: knows})
 	for _, address := range j.env.Others() {
 		if j.env.Up(address) {
-			j.env.Call(address, wire.JoinGroup, body, joinTimeout, func(_ []byte, err error) { j.asked(group, id, err) })
+			j.env.Call(address, wire.JoinGroup, body, joinTimeout, func(_ []byte, err error) { j.handleJoinAnswer(group, id, err) })
 		}
 	}
 }
 
-// refusal is a peer's refusal, as the driver hands it on.
+// refusal is the refusal of a call by a peer, as the driver passes it on.
 type refusal interface {
 	error
 	Refusal() wire.RefusalBody
 }
 
-// asked begins anew where the group does without this member: its disk's state can't come back.
-func (j *Joiner) asked(group int, id string, err error) {
+// handleJoinAnswer resets the group if its leader answers that it has removed this member. The member can't return
+// with its old state.
+func (j *Joiner) handleJoinAnswer(group int, id string, err error) {
 	var refused refusal
 	current, _, _ := j.core.Joining(j.env.Now(), group)
 	if !errors.As(err, &refused) {
 		return
 	}
-	// The leader need be none of those that the seeds name: it is asked as soon as there is a connection to it.
+	// The leader may not be among the configured seeds. It is asked as soon as a connection to it is up.
 	j.core.Heard(refused.Refusal().Leader)
 	if refused.Refusal().Code != wire.Removed || current != id || j.resetting[group] {
 		return
@@ -91,5 +96,5 @@
 	j.env.Reset(group)
 }
 
-// WasReset tells that a group's member began anew.
+// WasReset reports to the Joiner that the reset of a group is complete.
 func (j *Joiner) WasReset(group int) { j.resetting[group] = false }
--- a/internal/system/role/keeper/orders.go
+++ b/internal/system/role/keeper/orders.go
@@ -8,7 +8,9 @@
 	"granitewing/internal/system/configuration"
 )
 
-// Replace takes an operator's configuration. The answer is nil once a majority has synced it.
+// Replace replaces the configuration by an operator's order. done gets nil once a majority has synced it. A repeated
+// order is acknowledged again. An order that does not fit the current configuration is refused only after a majority
+// has confirmed that this keeper still leads.
 func (c *Core) Replace(now time.Duration, order configuration.Order, done func(err error)) {
 	c.now = now
 	g := c.groups[ConfigurationGroup]
@@ -18,7 +20,7 @@
 	}
 	known, err := c.configuration.Check(order)
 	if err != nil {
-		c.confirm(ConfigurationGroup, func(confirmation error) { done(firstError(confirmation, c.judgeAgain(order))) })
+		c.confirm(ConfigurationGroup, func(confirmation error) { done(firstError(confirmation, c.recheckOrder(order))) })
 		return
 	}
 	if known {
@@ -33,8 +35,9 @@
 	c.propose(ConfigurationGroup, data, done)
 }
 
-// judgeAgain judges an order by the state that a confirmed leader has.
-func (c *Core) judgeAgain(order configuration.Order) error {
+// recheckOrder checks an order against the state of a leader that a majority has confirmed. It returns nil for an
+// order that was taken before.
+func (c *Core) recheckOrder(order configuration.Order) error {
 	known, err := c.configuration.Check(order)
 	if known {
 		return nil
@@ -42,6 +45,7 @@
 	return err
 }
 
+// firstError returns the first error that is not nil.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -51,11 +55,12 @@
 	return nil
 }
 
-// confirm passes an empty entry through a group's log: once it is applied, a majority has said that this keeper still leads,
-// and the state here is the newest there is.
+// confirm commits an empty entry to a group's log. Once it is applied, a majority has confirmed that this keeper
+// leads, and the state here is up to date.
 func (c *Core) confirm(id int, done func(err error)) { c.propose(id, nil, done) }
 
-// Read gives the newest configuration as it was sent.
+// Read passes the current configuration to done, in the bytes in which it was sent; nil if there is none. A majority
+// has confirmed that it is current.
 func (c *Core) Read(now time.Duration, done func(raw []byte, err error)) {
 	c.now = now
 	g := c.groups[ConfigurationGroup]
@@ -72,6 +77,7 @@
 	})
 }
 
+// applyOrder applies a committed configuration order.
 func (c *Core) applyOrder(_ uint64, data []byte) error {
 	var order configuration.Order
 	if err := msgpack.Unmarshal(data, &order); err != nil {
--- a/internal/system/role/keeper/owners.go
+++ b/internal/system/role/keeper/owners.go
@@ -9,49 +9,50 @@
 	"granitewing/internal/system/session"
 )
 
-// Times and bounds of handing units over while their owners live.
+// Times and limits of handovers of units between live owners.
 const (
-	quietBeforeMoves  = 800 * time.Millisecond  // since the last carrier came or went
-	offerStands       = 3 * time.Second         // after it an offer that was not followed is taken back
-	pauseAfterOffer   = 2500 * time.Millisecond // after an offer was taken back
-	offersAtOnce      = 4
-	offersOfStopping  = 64 // all units of a carrier that stops move at once
-	moveRetryInterval = 200 * time.Millisecond
+	quietBeforeOffers     = 800 * time.Millisecond  // no offers until this long after the last carrier joined or left
+	offerTimeout          = 3 * time.Second         // an offer that was not taken up by then is withdrawn
+	pauseAfterWithdrawal  = 2500 * time.Millisecond // no offers for this long after one was withdrawn
+	maxOffers             = 4                       // open offers per shard
+	maxOffersWhenStopping = 64                      // while a carrier stops, which hands all its units over at once
+	offerRetryInterval    = 200 * time.Millisecond
 )
 
-// moves is what the leader of a shard remembers of the hand-overs under way; a new leader begins anew.
-type moves struct {
-	since map[string]offerSince // by unit
-	pause time.Duration         // until then nothing is offered
+// handoverState is what the leader of a shard remembers of the open offers. A new leader starts with an empty one.
+type handoverState struct {
+	since       map[string]observedOffer // by unit
+	pausedUntil time.Duration            // no offers are made before this time
 }
 
-// offerSince is when an offer was first seen.
-type offerSince struct {
-	number uint64
-	at     time.Duration
+// observedOffer is an open offer of a unit and when this leader first saw it.
+type observedOffer struct {
+	number    uint64
+	firstSeen time.Duration
 }
 
-// reconcile gives each unit without a live owner to a carrier, in the shards that this keeper leads, and has units move
-// to carriers that own fewer.
+// reconcile assigns the units that have no live owner to carriers, in the ownership shards that this keeper leads,
+// and starts handovers to carriers that own fewer units. Each shard starts at another carrier, so that the shards
+// don't all favor the same one.
 func (c *Core) reconcile() {
 	fleet := c.fleet()
 	for shard := range c.owners {
 		g := c.groups[firstOwnershipGroup+shard]
 		if !g.node.Leading() {
-			c.unneeded[shard] = unneeded{}
+			c.unneededUnits[shard] = unneededState{}
 		}
-		if !g.node.Leading() || c.now < c.assigning[shard] || len(fleet.Live) == 0 {
+		if !g.node.Leading() || c.now < c.assignmentDeadline[shard] || len(fleet.Live) == 0 {
 			continue
 		}
-		turn := shard * len(fleet.Live) / OwnershipShards
-		turned := fleet
-		turned.Live = append(append([]string(nil), fleet.Live[turn:]...), fleet.Live[:turn]...)
+		offset := shard * len(fleet.Live) / OwnershipShards
+		rotated := fleet
+		rotated.Live = append(append([]string(nil), fleet.Live[offset:]...), fleet.Live[:offset]...)
 		units, changes := c.units(shard)
 		if len(changes) == 0 {
-			changes = c.owners[shard].Assign(units, turned)
+			changes = c.owners[shard].Assign(units, rotated)
 		}
 		if len(changes) == 0 {
-			changes = c.move(shard, units, turned)
+			changes = c.handoverChanges(shard, units, rotated)
 		}
 		if len(changes) > 0 {
 			c.proposeOwners(shard, changes)
@@ -59,58 +60,63 @@
 	}
 }
 
+// proposeOwners proposes ownership changes to a shard's log. The shard gets no further changes until these are
+// applied or lost.
 func (c *Core) proposeOwners(shard int, changes []ownership.Change) {
 	data, err := msgpack.Marshal(changes)
 	if err != nil {
 		return
 	}
-	c.assigning[shard] = c.now + orderWait
-	c.propose(firstOwnershipGroup+shard, data, func(error) { c.assigning[shard] = 0 })
+	c.assignmentDeadline[shard] = c.now + proposalTimeout
+	c.propose(firstOwnershipGroup+shard, data, func(error) { c.assignmentDeadline[shard] = 0 })
 }
 
-// move gives the offers that are to be made or taken back now.
-func (c *Core) move(shard int, units []string, fleet ownership.Fleet) []ownership.Change {
-	state, memory := c.owners[shard], &c.moves[shard]
-	if late := memory.late(c.now, state, units); len(late) > 0 {
-		memory.pause = c.now + pauseAfterOffer
-		return state.Withdraw(late)
+// handoverChanges returns the offers to make or withdraw now. No offers are made shortly after a withdrawal, shortly
+// after a carrier joined or left unless some carrier is stopping, or while the store of a counted disk is missing.
+func (c *Core) handoverChanges(shard int, units []string, fleet ownership.Fleet) []ownership.Change {
+	state, memory := c.owners[shard], &c.handovers[shard]
+	if expired := memory.expiredOffers(c.now, state, units); len(expired) > 0 {
+		memory.pausedUntil = c.now + pauseAfterWithdrawal
+		return state.Withdraw(expired)
 	}
-	most := offersAtOnce
+	limit := maxOffers
 	if len(fleet.Stopping) > 0 {
-		most = offersOfStopping
+		limit = maxOffersWhenStopping
 	}
-	quiet := c.now-c.carriersChanged >= quietBeforeMoves
-	if c.now < memory.pause || !quiet && len(fleet.Stopping) == 0 || c.diskMissing() {
+	quiet := c.now-c.carriersChangedAt >= quietBeforeOffers
+	if c.now < memory.pausedUntil || !quiet && len(fleet.Stopping) == 0 || c.diskMissing() {
 		return nil
 	}
-	return state.Balance(units, fleet, most)
+	return state.Balance(units, fleet, limit)
 }
 
-// late gives the units whose offers have stood for too long.
-func (m *moves) late(now time.Duration, state *ownership.State, units []string) []string {
+// expiredOffers returns the units whose offers have been open for longer than offerTimeout, and updates the observed
+// offers.
+func (m *handoverState) expiredOffers(now time.Duration, state *ownership.State, units []string) []string {
 	if m.since == nil {
-		m.since = map[string]offerSince{}
+		m.since = map[string]observedOffer{}
 	}
-	var late []string
+	var expired []string
 	for _, unit := range units {
 		owner := state.Owners()[unit]
 		if owner.Next == "" {
 			delete(m.since, unit)
 			continue
 		}
-		seen := m.since[unit]
-		if seen.number != owner.Offer {
-			m.since[unit] = offerSince{number: owner.Offer, at: now}
+		observed := m.since[unit]
+		if observed.number != owner.Offer {
+			m.since[unit] = observedOffer{number: owner.Offer, firstSeen: now}
 			continue
 		}
-		if now-seen.at > offerStands {
-			late = append(late, unit)
+		if now-observed.firstSeen > offerTimeout {
+			expired = append(expired, unit)
 		}
 	}
-	return late
+	return expired
 }
 
-// diskMissing tells whether some counted disk has no live store: a new owner would wait for it before it takes over.
+// diskMissing reports whether some counted disk has no live store. A new owner would have to wait for that store
+// before it can take over a unit.
 func (c *Core) diskMissing() bool {
 	live := map[string]bool{}
 	for _, member := range c.sessions.Members(session.Store) {
@@ -124,6 +130,7 @@
 	return false
 }
 
+// fleet returns the live carriers, and which of them are stopping.
 func (c *Core) fleet() ownership.Fleet {
 	fleet := ownership.Fleet{Stopping: map[string]bool{}}
 	for _, member := range c.sessions.Members(session.Carrier) {
@@ -135,8 +142,9 @@
 	return fleet
 }
 
-// ReleaseUnit hands a unit over at its owner's word. The answer is nil once a majority has synced it; the unit is the
-// next owner's from then on.
+// ReleaseUnit completes the handover of a unit that its owner, identified by its fencing token, releases to the
+// carrier of an offer. done gets nil once a majority has synced the change; from then on the unit belongs to the
+// next owner. It gets a StaleOfferError if the offer is no longer open.
 func (c *Core) ReleaseUnit(now time.Duration, unit string, token, offer uint64, done func(err error)) {
 	c.now = now
 	shard := c.shardOf(unit)
@@ -153,7 +161,8 @@
 	c.propose(firstOwnershipGroup+shard, data, done)
 }
 
-// Owner is the owner of a unit, as far as this keeper has applied its shard.
+// Owner returns the owner of a unit as of the last entry that this keeper has applied; the zero Owner if there is
+// none.
 func (c *Core) Owner(unit string) ownership.Owner {
 	if shard := c.shardOf(unit); shard >= 0 {
 		return c.owners[shard].Owners()[unit]
@@ -161,9 +170,10 @@
 	return ownership.Owner{}
 }
 
-// shardOf is the shard that a unit lies in, -1 where the name is no unit's.
+// shardOf returns the shard of a unit, or -1 if the name is not that of a unit.
 func (c *Core) shardOf(unit string) int { return ownership.Shard(unit, OwnershipShards) }
 
+// applyOwners applies committed ownership changes to a shard.
 func (c *Core) applyOwners(shard int, data []byte) error {
 	var changes []ownership.Change
 	if err := msgpack.Unmarshal(data, &changes); err != nil {
--- a/internal/system/role/keeper/retire.go
+++ b/internal/system/role/keeper/retire.go
@@ -11,38 +11,43 @@
 	"granitewing/internal/system/session"
 )
 
-// RetireMachine has a machine's disks emptied. A repeat is acknowledged again. The order is judged where it is applied, so that a refusal
-// stands on a majority's word and on all orders before it.
+// RetireMachine starts the retirement of a machine: its disks are drained and its keeper leaves all groups. A
+// repeated order is acknowledged again. The order is checked when it is applied, so that a refusal is confirmed by a
+// majority and takes all earlier orders into account.
 func (c *Core) RetireMachine(now time.Duration, node string, done func(err error)) {
 	c.now = now
-	c.orderRetirement(session.Command{Kind: session.Retire, Node: node}, done)
+	c.proposeRetirement(session.Command{Kind: session.Retire, Node: node}, done)
 }
 
-// CancelRetirement has a machine stay that is being emptied, or waits for it.
+// CancelRetirement cancels the retirement of a machine that is being drained or waits for it. The order is checked
+// when it is applied, as in RetireMachine.
 func (c *Core) CancelRetirement(now time.Duration, node string, done func(err error)) {
 	c.now = now
-	c.orderRetirement(session.Command{Kind: session.CancelRetire, Node: node}, done)
+	c.proposeRetirement(session.Command{Kind: session.CancelRetire, Node: node}, done)
 }
 
-func (c *Core) orderRetirement(command session.Command, done func(err error)) {
+// proposeRetirement proposes a retirement command, unless the session table has no tolerance yet.
+func (c *Core) proposeRetirement(command session.Command, done func(err error)) {
 	if c.sessions.Tolerance() == nil {
-		done(c.notLeader(SessionGroup)) // how many disks must stay is not known yet
+		done(c.notLeader(SessionGroup)) // without the tolerance it is unknown how many disks must stay
 		return
 	}
 	c.proposeSession(command, done)
 }
 
-// tellTolerance has the table of sessions know what may be lost, as this keeper's settings have it.
-func (c *Core) tellTolerance() {
-	if !c.groups[SessionGroup].node.Leading() || c.now < c.toleranceTold || reflect.DeepEqual(c.sessions.Tolerance(), c.options.Tolerance) {
+// proposeTolerance records the tolerance from this keeper's settings in the session table, if it differs from the
+// recorded one.
+func (c *Core) proposeTolerance() {
+	if !c.groups[SessionGroup].node.Leading() || c.now < c.toleranceDeadline || reflect.DeepEqual(c.sessions.Tolerance(), c.options.Tolerance) {
 		return
 	}
-	c.toleranceTold = c.now + orderWait
-	c.proposeSession(session.Command{Kind: session.Tolerate, Tolerance: c.options.Tolerance}, func(error) { c.toleranceTold = 0 })
+	c.toleranceDeadline = c.now + proposalTimeout
+	c.proposeSession(session.Command{Kind: session.Tolerate, Tolerance: c.options.Tolerance}, func(error) { c.toleranceDeadline = 0 })
 }
 
-// Retired tells whether a machine holds nothing any more: no message that would lie on too few disks without it, and no
-// place in a group. A majority has confirmed what is told.
+// Retired reports whether the retirement of a machine is complete: every message on its disks has enough replicas
+// elsewhere, and its keeper belongs to no group. The answer is confirmed by a majority. done gets an
+// UnknownMachineError for a machine that is unknown or not being retired.
 func (c *Core) Retired(now time.Duration, node string, done func(retired bool, err error)) {
 	c.now = now
 	c.confirm(SessionGroup, func(err error) {
@@ -61,24 +66,25 @@
 	})
 }
 
-// GroupLeft notes the word of a group's leader that the group does without a machine that is being emptied.
+// GroupLeft records that a group has removed the keeper on a machine that is being drained, as reported by the
+// group's leader.
 func (c *Core) GroupLeft(now time.Duration, node string, group int, done func(err error)) {
 	c.now = now
 	c.proposeSession(session.Command{Kind: session.GroupLeft, Node: node, Group: group}, done)
 }
 
-// Departure is a machine that is being emptied and that a group does without.
+// Departure states that a group has removed the keeper on a machine that is being drained.
 type Departure struct {
 	Node  string
 	Group int
 }
 
-// Departures gives what this keeper has to tell the leader of the sessions: of the groups that it leads, those that do
-// without a machine that is being emptied, by a committed change, and have their live voters without it.
+// Departures returns the departures that this keeper should report to the leader of the session group. They cover
+// the groups that it leads, if the removal is committed and the remaining voters are safe without the machine.
 func (c *Core) Departures(now time.Duration) []Departure {
 	c.now = now
 	var departures []Departure
-	if c.blind() {
+	if c.lacksSessions() {
 		return nil
 	}
 	for id, g := range c.groups {
@@ -86,7 +92,7 @@
 			continue
 		}
 		for node, address := range ordered.Map(c.sessions.NotLeft(id)) {
-			if !holdsPlace(g.node.Group(), address) {
+			if !hasMemberAt(g.node.Group(), address) {
 				departures = append(departures, Departure{Node: node, Group: id})
 			}
 		}
@@ -94,45 +100,46 @@
 	return departures
 }
 
-// holdsPlace tells whether the machine of a store has a keeper in a group.
-func holdsPlace(group agreement.Membership, store string) bool {
+// hasMemberAt reports whether the keeper on a store's machine is a member of a group.
+func hasMemberAt(group agreement.Membership, store string) bool {
 	return slices.ContainsFunc(append(slices.Clone(group.Voters), group.Learners...), func(id string) bool { return sameHost(AddressOf(id), store) })
 }
 
-// sameHost tells whether two addresses are of one machine.
-func sameHost(one, other string) bool {
-	host, _, err := net.SplitHostPort(one)
+// sameHost reports whether two addresses are on the same machine.
+func sameHost(a, b string) bool {
+	hostA, _, err := net.SplitHostPort(a)
 	if err != nil {
 		return false
 	}
-	another, _, err := net.SplitHostPort(other)
-	return err == nil && host == another
+	hostB, _, err := net.SplitHostPort(b)
+	return err == nil && hostA == hostB
 }
 
-// leaves tells whether a member's machine is being emptied.
-func (c *Core) leaves(id string) bool {
+// isLeaving reports whether the machine of a group member is being drained or was drained.
+func (c *Core) isLeaving(id string) bool {
 	return slices.ContainsFunc(c.sessions.LeavingAddresses(), func(store string) bool { return sameHost(AddressOf(id), store) })
 }
 
-// leavingVoter is a voter whose machine is being emptied, or empty.
+// leavingVoter returns a voter on a machine that is being drained, or an empty string.
 func (c *Core) leavingVoter(group agreement.Membership) string {
 	for _, id := range group.Voters {
-		if c.leaves(id) {
+		if c.isLeaving(id) {
 			return id
 		}
 	}
 	return ""
 }
 
-// MissingDiskError answers the word that a disk is empty while another is missing, of whose messages it may hold the only
-// copies that are left.
+// MissingDiskError refuses the report that a disk is drained while another counted disk is missing: the drained disk
+// may hold the last replicas of messages on the missing one.
 type MissingDiskError struct{ Disk string }
 
 func (e *MissingDiskError) Error() string {
-	return "disk " + e.Disk + " stays while another that counts has no live store"
+	return "disk " + e.Disk + " stays in the roster while another counted disk has no live store"
 }
 
-// DiskEmptied notes that all that lies on a leaving disk lies on enough others, by the roster of an epoch.
+// DiskEmptied records that a leaving disk is drained: all its messages have enough replicas on the other disks of
+// the roster with the given epoch.
 func (c *Core) DiskEmptied(now time.Duration, disk string, epoch uint64, done func(err error)) {
 	c.now = now
 	if c.sessions.Missing(c.sessions.Disks()[disk].Member.Node) {
--- a/internal/system/role/keeper/status.go
+++ b/internal/system/role/keeper/status.go
@@ -7,12 +7,12 @@
 	"granitewing/internal/system/session"
 )
 
-// Status is what one keeper knows of the fleet, for people.
+// Status is a keeper's view of the fleet, for operators. It is written out as JSON.
 type Status struct {
-	Keeper        string           `json:"keeper"` // its address
-	Configuration uint64           `json:"configuration"`
-	Roster        uint64           `json:"roster"`
-	CatalogAge    string           `json:"catalog_age,omitempty"` // of the list of workers; empty where it reads none
+	Keeper        string           `json:"keeper"`                // address of the reporting keeper
+	Configuration uint64           `json:"configuration"`         // version
+	Roster        uint64           `json:"roster"`                // epoch
+	CatalogAge    string           `json:"catalog_age,omitempty"` // age of the list of workers; empty if not read here
 	Groups        []GroupStatus    `json:"groups"`
 	Members       []MemberStatus   `json:"members"`
 	Disks         []DiskStatus     `json:"disks"`
@@ -22,7 +22,7 @@
 	Departed      []DepartedStatus `json:"departed"`
 }
 
-// GroupStatus is one replica group.
+// GroupStatus describes one replica group.
 type GroupStatus struct {
 	Name     string   `json:"name"`
 	Leader   string   `json:"leader"`
@@ -30,11 +30,11 @@
 	Applied  uint64   `json:"applied"`
 	Voters   []string `json:"voters"`
 	Learners []string `json:"learners"`
-	// Whole is told by the leader alone: whether the voters that it hears may lose what is tolerated.
+	// Whole is set by the leader only. It reports whether the group keeps a live majority through every tolerated loss.
 	Whole *bool `json:"whole,omitempty"`
 }
 
-// MemberStatus is one session.
+// MemberStatus describes a member with an open session.
 type MemberStatus struct {
 	Node        string `json:"node"`
 	Role        string `json:"role"`
@@ -44,7 +44,7 @@
 	Stopping    bool   `json:"stopping"`
 }
 
-// DiskStatus is one disk of the roster.
+// DiskStatus describes one disk of the roster.
 type DiskStatus struct {
 	Disk    string `json:"disk"`
 	Node    string `json:"node"`
@@ -53,39 +53,39 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// EmptyingStatus is one machine that is to be emptied.
+// EmptyingStatus describes a machine that is being drained or waits for it.
 type EmptyingStatus struct {
 	Node  string `json:"node"`
-	Age   string `json:"age"`   // since this keeper learned of the order, in this life
-	Begun bool   `json:"begun"` // its disks take no messages any more
-	Waits string `json:"waits_for"`
+	Age   string `json:"age"`       // since this keeper process first saw the order
+	Begun bool   `json:"begun"`     // its disks no longer accept messages
+	Waits string `json:"waits_for"` // what the drain waits for, as text
 }
 
-// UnitStatus is who owns a unit.
+// UnitStatus describes the owner of a unit.
 type UnitStatus struct {
 	Unit  string `json:"unit"`
-	Owner string `json:"owner"` // incarnation
+	Owner string `json:"owner"` // incarnation of a carrier
 	Token uint64 `json:"token"`
-	Next  string `json:"next,omitempty"`
+	Next  string `json:"next,omitempty"` // carrier to which the unit is offered
 }
 
-// ServiceStatus counts a service's workers.
+// ServiceStatus counts the workers of a service.
 type ServiceStatus struct {
 	Service  string `json:"service"`
 	Workers  int    `json:"workers"`
 	Draining int    `json:"draining"`
 }
 
-// DepartedStatus is a carrier that has gone and left messages.
+// DepartedStatus describes a carrier that has left while some of its messages were not complete.
 type DepartedStatus struct {
 	Incarnation string `json:"incarnation"`
 	Adopter     string `json:"adopter"`
 }
 
-// groupNames are what people call the groups.
+// groupNames are the display names of the groups, by number.
 var groupNames = [Groups]string{"configuration", "sessions", "owners-0", "owners-1"}
 
-// Status tells what this keeper knows; where it leads nothing, that may be old.
+// Status returns this keeper's view of the fleet. It may be outdated if this keeper leads no group.
 func (c *Core) Status(now time.Duration) Status {
 	c.now = now
 	status := Status{Keeper: c.options.Address, Roster: c.sessions.Epoch()}
@@ -97,15 +97,15 @@
 	}
 	for id, g := range c.groups {
 		group := g.node.Group()
-		told := GroupStatus{Name: groupNames[id], Leader: AddressOf(g.node.Leader()),
+		groupStatus := GroupStatus{Name: groupNames[id], Leader: AddressOf(g.node.Leader()),
 			Term: g.node.Term(), Applied: g.node.Applied(), Voters: group.Voters, Learners: group.Learners}
 		if whole, leads := c.Whole(id); leads {
-			told.Whole = &whole
+			groupStatus.Whole = &whole
 		}
-		status.Groups = append(status.Groups, told)
+		status.Groups = append(status.Groups, groupStatus)
 	}
 	status.Members, status.Disks = c.memberStatus(), c.diskStatus()
-	status.Emptyings = c.emptyingStatus()
+	status.Emptyings = c.drainStatus()
 	status.Units, status.Services = c.unitStatus(), c.serviceStatus()
 	for _, gone := range c.sessions.Departed() {
 		status.Departed = append(status.Departed, DepartedStatus{Incarnation: gone.Incarnation, Adopter: gone.Adopter})
@@ -139,17 +139,18 @@
 	return disks
 }
 
-func (c *Core) emptyingStatus() []EmptyingStatus {
-	var emptyings []EmptyingStatus
+// drainStatus describes the machines whose retirement is not complete.
+func (c *Core) drainStatus() []EmptyingStatus {
+	var drains []EmptyingStatus
 	for _, e := range c.sessions.Emptyings(Groups) {
 		age := (c.now - c.retiringSince[e.Node]).Round(time.Millisecond)
-		emptyings = append(emptyings, EmptyingStatus{Node: e.Node, Age: age.String(), Begun: e.Begun, Waits: e.Waits})
+		drains = append(drains, EmptyingStatus{Node: e.Node, Age: age.String(), Begun: e.Begun, Waits: e.Waits})
 	}
-	return emptyings
+	return drains
 }
 
-// noteRetiring remembers since when machines are known to be emptied.
-func (c *Core) noteRetiring() {
+// trackRetirements remembers since when this keeper knows of each machine that is being drained.
+func (c *Core) trackRetirements() {
 	since := map[string]time.Duration{}
 	for _, e := range c.sessions.Emptyings(Groups) {
 		began, known := c.retiringSince[e.Node]
--- a/internal/system/role/keeper/subscribers.go
+++ b/internal/system/role/keeper/subscribers.go
@@ -6,57 +6,60 @@
 	"granitewing/internal/system/wire"
 )
 
-// Subscriber is a member's connection, by a number of the driver's.
+// Subscriber identifies a member's connection by a number that the driver assigns.
 type Subscriber uint64
 
-// Push is a feed update for a subscriber, encoded. Those that lack the same share the bytes.
+// Push is an encoded feed update for a subscriber. Subscribers at the same position share the bytes.
 type Push struct {
 	To      Subscriber
 	Payload []byte
 }
 
-// subscription is how far a subscriber was brought.
+// subscription is how far a subscriber has got in the feed.
 type subscription struct {
-	pushed   feed.Position // to which updates were sent
-	reported feed.Position // that its latest heartbeat told
-	behind   int           // heartbeats in a row that told the same position, which is not the one pushed
+	pushed       feed.Position // up to which updates were sent
+	reported     feed.Position // from the latest heartbeat
+	staleReports int           // consecutive heartbeats with the same position, which differs from pushed
 }
 
-// reportsBehind is how many heartbeats in a row tell the same old position of a member that an update has not reached.
-const reportsBehind = 3
+// maxStaleReports is the number of consecutive heartbeats with the same old position after which an update counts as
+// lost.
+const maxStaleReports = 3
 
+// subscribe sends a subscriber all changes after a position from now on.
 func (c *Core) subscribe(subscriber Subscriber, position feed.Position) {
 	c.subscribers[subscriber] = &subscription{pushed: position}
 }
 
-// followReport takes a member's word of the position that it has reached: where it was forgotten it is subscribed, and where
-// an update was lost on its way it is sent again.
-func (c *Core) followReport(subscriber Subscriber, position feed.Position) {
+// handleReport handles the position that a member reports in a heartbeat. It subscribes a member whose subscription
+// is unknown, and resends updates that were lost on the way.
+func (c *Core) handleReport(subscriber Subscriber, position feed.Position) {
 	s := c.subscribers[subscriber]
 	if s == nil {
 		c.subscribe(subscriber, position)
 		return
 	}
 	if position == s.pushed || position != s.reported {
-		s.reported, s.behind = position, 0
+		s.reported, s.staleReports = position, 0
 		return
 	}
-	if s.behind++; s.behind >= reportsBehind {
-		s.pushed, s.behind = position, 0
+	if s.staleReports++; s.staleReports >= maxStaleReports {
+		s.pushed, s.staleReports = position, 0
 	}
 }
 
-// Unsubscribe forgets a connection.
+// Unsubscribe removes the subscription of a closed connection.
 func (c *Core) Unsubscribe(subscriber Subscriber) { delete(c.subscribers, subscriber) }
 
-// Pushes gives what subscribers lack. None are made unless this keeper leads the sessions: members follow the leader.
+// Pushes returns the updates that subscribers lack. It returns none unless this keeper leads the session group, as
+// members follow that leader.
 func (c *Core) Pushes() []Push {
 	if !c.groups[SessionGroup].node.Leading() {
 		return nil
 	}
 	var pushes []Push
 	latest := feed.Position{Epoch: c.options.FeedEpoch, Offset: c.feed.Offset()}
-	encoded := map[feed.Position][]byte{} // by the position that the changes follow, the zero one for the whole table
+	encoded := map[feed.Position][]byte{} // by the position after which the changes begin; the zero position for the whole table
 	for subscriber, s := range ordered.Map(c.subscribers) {
 		position := s.pushed
 		if position == latest {
--- a/internal/system/role/keeper/tables.go
+++ b/internal/system/role/keeper/tables.go
@@ -9,10 +9,10 @@
 	"granitewing/internal/system/wire"
 )
 
-// Keys of the feed. What follows a prefix is the name of the thing.
+// Keys of the feed. A prefix is followed by the name or identity of the item.
 const (
 	KeyConfiguration = "configuration"
-	KeyCatalog       = "catalog" // there once the list of workers was read
+	KeyCatalog       = "catalog" // set once the list of workers was read
 	KeyRoster        = "roster"  // epoch of the roster of disks
 	PrefixMember     = "member/"
 	PrefixDisk       = "disk/"
@@ -22,7 +22,7 @@
 	PrefixKeeper     = "keeper/"
 )
 
-// refreshFeed brings the feed's table to what the shards hold.
+// refreshFeed updates the feed to the state of all groups.
 func (c *Core) refreshFeed() {
 	if document := c.configuration.Current(); document != nil {
 		c.feed.Set(KeyConfiguration, document.Raw)
@@ -33,28 +33,29 @@
 			members[PrefixMember+member.Incarnation] = wire.Encode(&member)
 		}
 	}
-	c.replace(PrefixMember, members)
+	c.replaceFeedKeys(PrefixMember, members)
 	disks := map[string][]byte{}
 	for id, disk := range c.sessions.Disks() {
 		disks[PrefixDisk+id] = wire.Encode(&disk)
 	}
-	c.replace(PrefixDisk, disks)
+	c.replaceFeedKeys(PrefixDisk, disks)
 	c.feed.Set(KeyRoster, wire.Encode(c.sessions.Epoch()))
 	departed := map[string][]byte{}
 	for _, gone := range c.sessions.Departed() {
 		departed[PrefixDeparted+gone.Incarnation] = wire.Encode(&gone)
 	}
-	c.replace(PrefixDeparted, departed)
+	c.replaceFeedKeys(PrefixDeparted, departed)
 	owners := map[string][]byte{}
 	for _, shard := range c.owners {
 		for unit, owner := range shard.Owners() {
 			owners[PrefixOwner+unit] = wire.Encode(&owner)
 		}
 	}
-	c.replace(PrefixOwner, owners)
+	c.replaceFeedKeys(PrefixOwner, owners)
 }
 
-func (c *Core) replace(prefix string, values map[string][]byte) {
+// replaceFeedKeys replaces all feed entries with a prefix by values.
+func (c *Core) replaceFeedKeys(prefix string, values map[string][]byte) {
 	for _, key := range c.feed.Keys(prefix) {
 		if _, kept := values[key]; !kept {
 			c.feed.Delete(key)
@@ -70,21 +71,21 @@
 	}
 }
 
-// WantsCatalog tells whether the platform's list should be read now, and marks the reading as begun. Only the leader of
-// the sessions reads: it is the one that members follow.
+// WantsCatalog reports whether the driver should read the platform's list of workers now, and schedules the next
+// reading. Only the leader of the session group reads the list, as it is the one that members follow.
 func (c *Core) WantsCatalog(now time.Duration) bool {
 	c.now = now
-	if !c.groups[SessionGroup].node.Leading() || now < c.catalogDue {
+	if !c.groups[SessionGroup].node.Leading() || now < c.nextCatalogRead {
 		return false
 	}
-	c.catalogDue = now + catalogInterval
+	c.nextCatalogRead = now + catalogInterval
 	if c.lacksWorkers() {
-		c.catalogDue = now + catalogHurry
+		c.nextCatalogRead = now + catalogUrgentInterval
 	}
 	return true
 }
 
-// lacksWorkers tells whether some service that is not static has no worker that is ready.
+// lacksWorkers reports whether some service without a static address has no ready worker.
 func (c *Core) lacksWorkers() bool {
 	document := c.configuration.Current()
 	if document == nil {
@@ -102,24 +103,24 @@
 	return false
 }
 
-// CatalogRead takes a whole reading of the platform's list, begun at a time.
+// CatalogRead takes a complete reading of the platform's list of workers that started at begun.
 func (c *Core) CatalogRead(now, begun time.Duration, reading map[string]catalog.Instance) {
 	c.now = now
 	c.instances = catalog.Merge(c.instances, reading)
 	c.catalogKnown = true
-	c.catalogRead = begun
+	c.catalogReadAt = begun
 	values := make(map[string][]byte, len(c.instances))
 	for id, instance := range c.instances {
 		values[PrefixInstance+id] = wire.Encode(&instance)
 	}
-	c.replace(PrefixInstance, values)
+	c.replaceFeedKeys(PrefixInstance, values)
 	c.feed.Set(KeyCatalog, []byte{1})
 }
 
-// CatalogAge is the age of the list of workers; a long one where there is none.
+// CatalogAge returns the age of the list of workers, or one hour if there is none.
 func (c *Core) CatalogAge() time.Duration {
 	if !c.catalogKnown {
 		return time.Hour
 	}
-	return c.now - c.catalogRead
+	return c.now - c.catalogReadAt
 }
--- a/internal/system/role/keeper/units.go
+++ b/internal/system/role/keeper/units.go
@@ -8,29 +8,31 @@
 	"granitewing/internal/system/ownership"
 )
 
-// unitKeptAtLeast is for how long a unit that the configuration has no more use for keeps its record and its owner. Messages
-// that were accepted under an earlier configuration may still wait in it; none outlives its retention and its delay.
-const unitKeptAtLeast = 2 * time.Hour
+// minUnitRetention is the least time for which a unit that the configuration no longer needs keeps its record and
+// its owner. Messages that were accepted under an earlier configuration may still wait in it, none for longer than
+// its retention plus its delay.
+const minUnitRetention = 2 * time.Hour
 
-// retentions is how many times the longest retention such a unit is kept, for delays and for carriers that learn late.
-const retentions = 3
+// retentionFactor is the multiple of the longest retention for which such a unit is kept. The excess covers delays
+// and carriers that learn of the configuration late.
+const retentionFactor = 3
 
-// unneeded is what the leader of a shard remembers of the units that the configuration has no more use for; a new leader
-// begins anew, which keeps them for longer.
-type unneeded struct {
-	since     map[string]time.Duration
-	retention time.Duration // the longest that was seen
+// unneededState is what the leader of a shard remembers of units that the configuration no longer needs. A new
+// leader starts over, which keeps the units for longer.
+type unneededState struct {
+	since        map[string]time.Duration
+	maxRetention time.Duration // the longest retention of any configuration seen
 }
 
-// note keeps the longest retention of a configuration.
-func (u *unneeded) note(document *configuration.Document) {
+// noteRetention raises maxRetention to the longest retention in a configuration.
+func (u *unneededState) noteRetention(document *configuration.Document) {
 	for i := range document.Routes {
-		u.retention = max(u.retention, document.Routes[i].Retention)
+		u.maxRetention = max(u.maxRetention, document.Routes[i].Retention)
 	}
 }
 
-// over tells whether a unit that is not needed has been so for long enough.
-func (u *unneeded) over(now time.Duration, unit string) bool {
+// expired reports whether an unneeded unit has been so for long enough to be removed.
+func (u *unneededState) expired(now time.Duration, unit string) bool {
 	if u.since == nil {
 		u.since = map[string]time.Duration{}
 	}
@@ -39,28 +41,29 @@
 		u.since[unit] = now
 		return false
 	}
-	return now-since > max(unitKeptAtLeast, retentions*u.retention)
+	return now-since > max(minUnitRetention, retentionFactor*u.maxRetention)
 }
 
-// forget lets go of units that are not in the table.
-func (u *unneeded) forget(state *ownership.State) {
+// prune forgets units that are no longer in the ownership table.
+func (u *unneededState) prune(state *ownership.State) {
 	for unit := range u.since {
-		if _, there := state.Owners()[unit]; !there {
+		if _, exists := state.Owners()[unit]; !exists {
 			delete(u.since, unit)
 		}
 	}
 }
 
-// units gives the units of a shard that have an owner, or need one: those that the current configuration gives messages to,
-// and those that messages of an earlier one may still wait in. A change of the configuration never leaves a unit without an
-// owner, as what waits in it was accepted. The changes take out the units that nothing can wait in any more.
+// units returns the units of a shard that have or need an owner: those to which the current configuration sends
+// messages, and those where messages of an earlier one may still wait. A change of the configuration never leaves a
+// unit without an owner, as the messages in it were accepted. The returned changes remove the units in which no
+// message can wait any more.
 func (c *Core) units(shard int) (units []string, removals []ownership.Change) {
 	document := c.configuration.Current()
 	if document == nil {
 		return nil, nil
 	}
-	memory := &c.unneeded[shard]
-	memory.note(document)
+	memory := &c.unneededUnits[shard]
+	memory.noteRetention(document)
 	needed := neededUnits(document)
 	for unit := range needed {
 		if c.shardOf(unit) == shard {
@@ -72,19 +75,19 @@
 		if needed[unit] {
 			continue
 		}
-		if memory.over(c.now, unit) {
+		if memory.expired(c.now, unit) {
 			removals = append(removals, ownership.Change{Kind: ownership.Remove, Unit: unit, Token: owner.Token})
 			continue
 		}
 		units = append(units, unit)
 	}
-	memory.forget(c.owners[shard])
+	memory.prune(c.owners[shard])
 	sort.Strings(units)
 	sort.Slice(removals, func(i, j int) bool { return removals[i].Unit < removals[j].Unit })
 	return units, removals
 }
 
-// neededUnits gives the units that messages may come to under a configuration.
+// neededUnits returns the units to which a configuration may send messages.
 func neededUnits(document *configuration.Document) map[string]bool {
 	needed := map[string]bool{}
 	for i := range document.Routes {
--- a/internal/system/role/keeper/whole.go
+++ b/internal/system/role/keeper/whole.go
@@ -6,47 +6,51 @@
 	"granitewing/internal/system/agreement"
 )
 
-// live gives those of some members that hold all that is committed and were heard a moment ago, as their leader sees them.
-func live(node *agreement.Node, members []string) []string {
+// liveMembers returns the members that hold all committed entries and answered within memberLiveWindow, as seen by
+// the leader of their group.
+func liveMembers(node *agreement.Node, members []string) []string {
 	var found []string
 	for _, id := range members {
-		if quiet, caughtUp := node.Silence(id); caughtUp && quiet < memberHeard {
+		if silence, caughtUp := node.Silence(id); caughtUp && silence < memberLiveWindow {
 			found = append(found, id)
 		}
 	}
 	return found
 }
 
-// whole tells whether voters of a group that this keeper leads keep a live majority through every loss that is tolerated.
-// Where zones may be lost, one whose zone is not known may lie in any.
-func (c *Core) whole(node *agreement.Node, voters []string) bool {
+// survivesLoss reports whether voters of a group that this keeper leads keep a live majority through every tolerated
+// loss. If the loss of zones or regions is tolerated, a voter of unknown zone may be in any zone, so the result is
+// false.
+func (c *Core) survivesLoss(node *agreement.Node, voters []string) bool {
 	tolerance := c.options.Tolerance
-	zones := c.zonesOf(live(node, voters), "")
+	zones := c.zonesOf(liveMembers(node, voters), "")
 	if tolerance.Zones+tolerance.Regions > 0 && slices.Contains(zones, "") {
 		return false
 	}
 	return tolerance.SurvivesWith(zones, len(voters))
 }
 
-// safeWithout tells whether a live member may leave a group: the voters that stay keep a live majority through every
-// loss that is tolerated, or all of them are live, as many as there should be, where they lie too near each other for that.
+// safeWithout reports whether a live member may leave a group. The remaining voters must keep a live majority
+// through every tolerated loss. If they are too close together for that, all of them must be live and there must be
+// as many as the tolerance requires.
 func (c *Core) safeWithout(node *agreement.Node, member string) bool {
-	return c.safeWith(node, slices.DeleteFunc(slices.Clone(node.Group().Voters), func(id string) bool { return id == member }))
+	return c.safeWithVoters(node, slices.DeleteFunc(slices.Clone(node.Group().Voters), func(id string) bool { return id == member }))
 }
 
-// safeWith tells whether a group may do with some voters, as safeWithout says.
-func (c *Core) safeWith(node *agreement.Node, staying []string) bool {
-	if c.whole(node, staying) {
+// safeWithVoters reports whether the group is safe with only the given voters, by the rule of safeWithout.
+func (c *Core) safeWithVoters(node *agreement.Node, staying []string) bool {
+	if c.survivesLoss(node, staying) {
 		return true
 	}
-	return len(staying) >= c.options.Tolerance.Voters() && len(live(node, staying)) == len(staying)
+	return len(staying) >= c.options.Tolerance.Voters() && len(liveMembers(node, staying)) == len(staying)
 }
 
-// Whole tells whether this keeper leads a group, and whether the group as it is now may lose what is tolerated.
+// Whole reports whether this keeper leads a group, and whether the group with its current voters survives every
+// tolerated loss.
 func (c *Core) Whole(id int) (whole, leads bool) {
 	node := c.groups[id].node
 	if !node.Leading() || !node.Followed(ElectionTimeout) {
 		return false, false
 	}
-	return node.GroupSettled() && c.whole(node, node.Group().Voters), true
+	return node.GroupSettled() && c.survivesLoss(node, node.Group().Voters), true
 }
--- a/internal/system/session/emptying.go
+++ b/internal/system/session/emptying.go
@@ -5,40 +5,41 @@
 	"slices"
 )
 
-// Emptying is how far the emptying of a machine is, for people.
+// Emptying describes the progress of the drain of a machine, for operators.
 type Emptying struct {
 	Node  string
-	Begun bool   // its disks take no messages any more
-	Waits string // for what it waits now
+	Begun bool   // its disks no longer accept messages
+	Waits string // what the drain waits for, as text
 }
 
-// Emptyings gives the machines that are to be emptied, or are empty and belong to a control group still, of so many groups.
+// Emptyings returns the machines that are to be drained, and the drained ones that still belong to a control group.
+// groups is the number of control groups.
 func (s *State) Emptyings(groups int) []Emptying {
 	var found []Emptying
 	for _, node := range s.Retiring() {
-		found = append(found, Emptying{Node: node, Begun: !s.waits(node), Waits: s.awaited(node)})
+		found = append(found, Emptying{Node: node, Begun: !s.waitsForCapacity(node), Waits: s.waitReason(node)})
 	}
-	for _, node := range s.retired {
+	for _, node := range s.retiredMachines {
 		if left := len(s.retirements[node].Left); left < groups {
-			found = append(found, Emptying{Node: node, Begun: true, Waits: fmt.Sprintf("%d control groups to do without it", groups-left)})
+			found = append(found, Emptying{Node: node, Begun: true, Waits: fmt.Sprintf("%d control groups to remove its keeper", groups-left)})
 		}
 	}
 	return found
 }
 
-// awaited tells what the emptying of a machine waits for that holds something still.
-func (s *State) awaited(node string) string {
-	if s.waits(node) {
+// waitReason describes what the drain of a machine that is not complete waits for.
+func (s *State) waitReason(node string) string {
+	if s.waitsForCapacity(node) {
 		if s.tolerance == nil {
-			return "what may be lost to be known"
+			return "the loss tolerance to be recorded by the keepers"
 		}
-		return fmt.Sprintf("%d live disks to stay without it, in enough zones; there are %d", s.tolerance.Voters(), len(s.workingWithout(node)))
+		return fmt.Sprintf("%d live disks on other machines, in enough zones; there are %d", s.tolerance.Voters(), len(s.writableDisksWithout(node)))
 	}
-	if !slices.ContainsFunc(s.disksOf(node), s.live) {
-		return "its store, which is gone"
+	if !slices.ContainsFunc(s.disksOf(node), s.hasLiveStore) {
+		return "its store, which has no session"
 	}
-	if missing := s.missingNode(node); missing != "" {
-		return "the store of " + missing + ", which is gone: what lies here may be the last copy"
+	if missing := s.nodeMissingStore(node); missing != "" {
+		return "the store of " + missing + ", which has no session: this machine may hold the last replicas"
 	}
-	return "its disk to hand over what lies on too few others"
+	return "other disks to copy the messages that have too few replicas"
 }
--- a/internal/system/session/retire.go
+++ b/internal/system/session/retire.go
@@ -6,21 +6,21 @@
 	"granitewing/internal/system/ordered"
 )
 
-// Retirement is how far the emptying of a machine is.
+// Retirement is the stage that the drain of a machine has reached.
 type Retirement uint8
 
-// The stages.
+// The stages of a retirement.
 const (
-	UnknownMachine Retirement = iota
-	Staying
-	Running
-	Emptied
+	UnknownMachine Retirement = iota // no disk of the machine is in the roster
+	Staying                          // no retirement was ordered
+	Running                          // the drain waits to start, or is in progress
+	Emptied                          // all disks are drained
 )
 
-// Retirement tells how far the emptying of a machine's disks is.
+// Retirement returns the stage that the drain of a machine's disks has reached.
 func (s *State) Retirement(node string) Retirement {
 	switch _, known := s.retirements[node]; {
-	case known && slices.Contains(s.retired, node):
+	case known && slices.Contains(s.retiredMachines, node):
 		return Emptied
 	case known:
 		return Running
@@ -33,21 +33,21 @@
 	return UnknownMachine
 }
 
-// retirement is what is known of a machine that is being emptied, or was.
+// retirement describes a machine that is being retired or was retired.
 type retirement struct {
-	Address string // of its store
-	Left    []int  // control groups that do without it
-	Turn    uint64 // its place among all that were asked for
+	Address string // address of its store
+	Left    []int  // control groups that have removed its keeper
+	Turn    uint64 // position among all retirements ever ordered
 }
 
-// LeavingAddresses gives the addresses of the stores whose machines are being emptied, or were.
+// LeavingAddresses returns the sorted store addresses of the machines that are being retired or were retired.
 func (s *State) LeavingAddresses() []string {
 	var addresses []string
 	for _, entry := range s.retirements {
 		addresses = append(addresses, entry.Address)
 	}
 	for _, member := range s.members {
-		if member.Role == Store && slices.Contains(s.retired, member.Node) {
+		if member.Role == Store && slices.Contains(s.retiredMachines, member.Node) {
 			addresses = append(addresses, member.Address)
 		}
 	}
@@ -55,8 +55,8 @@
 	return slices.Compact(addresses)
 }
 
-// NotLeft gives the machines that are being emptied, or were, and of which it is not known that a control group does
-// without them: by name, with the addresses of their stores.
+// NotLeft returns the machines that are being retired or were retired and that a control group is not known to have
+// removed. It maps their names to the addresses of their stores.
 func (s *State) NotLeft(group int) map[string]string {
 	machines := map[string]string{}
 	for node, entry := range s.retirements {
@@ -67,12 +67,14 @@
 	return machines
 }
 
-// HasLeft tells whether some control groups are known to do without a machine that is being emptied, or was.
+// HasLeft reports whether a machine is being retired or was retired, and at least the given number of control groups
+// are known to have removed its keeper.
 func (s *State) HasLeft(node string, groups int) bool {
 	entry, known := s.retirements[node]
 	return known && len(entry.Left) >= groups
 }
 
+// groupLeft records that a control group has removed the keeper of a machine.
 func (s *State) groupLeft(node string, group int) {
 	entry, known := s.retirements[node]
 	if !known || slices.Contains(entry.Left, group) {
@@ -82,47 +84,50 @@
 	s.retirements[node] = entry
 }
 
-// emptied takes a leaving disk out of the roster, once all that lies on it lies on enough others. While another disk that
-// counts has no live store, what lies on the leaving one may be a copy that is needed: it stays. It stays, too, where the roster
-// has changed since its store looked: another of the disks that hold its messages may be leaving now, or it may have taken some itself
-// meanwhile. Epoch 0 is that of commands of earlier versions, which told none.
-func (s *State) emptied(id string, epoch uint64) {
+// removeDrainedDisk removes a leaving disk from the roster, once all its messages have enough replicas elsewhere.
+// The disk stays while another counted disk has no live store, as it may hold replicas that are still needed. It
+// also stays if the roster has changed since its store checked: another disk that holds the messages may be leaving
+// now, or this disk may have accepted messages meanwhile. Epoch 0 is that of commands from earlier versions, which
+// sent none, and skips this check.
+func (s *State) removeDrainedDisk(id string, epoch uint64) {
 	disk, known := s.disks[id]
 	if !known || !disk.Leaving || s.Missing(disk.Member.Node) || epoch != 0 && epoch != s.epoch {
 		return
 	}
-	s.remove(id)
+	s.removeDisk(id)
 	s.epoch++
 	if !disk.Spare {
-		s.needSpare()
+		s.consumeSpare()
 	}
-	s.noteRetired(disk.Member.Node)
+	s.markRetired(disk.Member.Node)
 }
 
-// noteRetired remembers that a machine holds nothing any more.
-func (s *State) noteRetired(node string) {
-	s.retired = append(s.retired, node)
-	for len(s.retired) > maxReplaced {
-		delete(s.retirements, s.retired[0])
-		s.retired = slices.Clone(s.retired[1:])
+// markRetired records that all disks of a machine are drained.
+func (s *State) markRetired(node string) {
+	s.retiredMachines = append(s.retiredMachines, node)
+	for len(s.retiredMachines) > maxReplaced {
+		delete(s.retirements, s.retiredMachines[0])
+		s.retiredMachines = slices.Clone(s.retiredMachines[1:])
 	}
 }
 
-// Missing tells whether a disk that counts and stays, of another machine than one, has no live store.
-func (s *State) Missing(besides string) bool { return s.missingNode(besides) != "" }
+// Missing reports whether a counted disk that isn't leaving, on another machine than except, has no live store.
+func (s *State) Missing(except string) bool { return s.nodeMissingStore(except) != "" }
 
-// missingNode is the machine of such a disk, empty where there is none.
-func (s *State) missingNode(besides string) string {
+// nodeMissingStore returns the machine of a counted disk that isn't leaving, is on another machine than except, and
+// has no live store. It returns an empty string if there is none.
+func (s *State) nodeMissingStore(except string) string {
 	for id, disk := range ordered.Map(s.disks) {
-		if disk.Counted && !disk.Leaving && !s.live(id) && disk.Member.Node != besides {
+		if disk.Counted && !disk.Leaving && !s.hasLiveStore(id) && disk.Member.Node != except {
 			return disk.Member.Node
 		}
 	}
 	return ""
 }
 
-// returned forgets that a machine was emptied: another of its name has come, at another address.
-func (s *State) returned(node string) {
-	s.retired = slices.DeleteFunc(slices.Clone(s.retired), func(other string) bool { return other == node })
+// forgetRetired forgets that a machine was drained, when a store joins under the same machine name at another
+// address.
+func (s *State) forgetRetired(node string) {
+	s.retiredMachines = slices.DeleteFunc(slices.Clone(s.retiredMachines), func(other string) bool { return other == node })
 	delete(s.retirements, node)
 }
--- a/internal/system/session/retire_test.go
+++ b/internal/system/session/retire_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("A machine that is emptied", func() {
+var _ = ginkgo.Describe("A machine that is drained", func() {
 	store := func(node, incarnation string) Member {
 		return Member{Incarnation: incarnation, Node: node, Role: Store, Address: node, Disk: "disk of " + node, Founder: true}
 	}
@@ -21,13 +21,13 @@
 		}
 	})
 
-	ginkgo.It("stays in the roster as leaving until all lies on enough other disks", func() {
+	ginkgo.It("stays in the roster as leaving until all its messages have enough replicas on other disks", func() {
 		epoch := state.Epoch()
 		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of storage-1"})
-		Expect(state.Retirement("storage-1")).To(Equal(Staying), "nobody asked for it")
+		Expect(state.Retirement("storage-1")).To(Equal(Staying), "no retirement was ordered")
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
 		Expect(state.Retirement("storage-1")).To(Equal(Running))
-		Expect(state.Epoch()).To(BeNumerically(">", epoch), "nothing more is put there")
+		Expect(state.Epoch()).To(BeNumerically(">", epoch), "nothing more is written there")
 		epoch = state.Epoch()
 		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of storage-1"})
 		Expect(state.Retirement("storage-1")).To(Equal(Emptied))
@@ -35,7 +35,7 @@
 		Expect(state.Disks()).To(HaveLen(3))
 	})
 
-	ginkgo.It("stays emptied when its store renews its session", func() {
+	ginkgo.It("stays drained when its store renews its session", func() {
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
 		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of storage-1"})
 		state.Apply(Command{Kind: Join, Member: store("storage-1", "storage-1+2")})
@@ -43,13 +43,13 @@
 		Expect(state.Disks()).To(HaveLen(3))
 	})
 
-	ginkgo.It("stays out with a fresh disk too, and joins as another from another address", func() {
+	ginkgo.It("stays out even with a new disk, and joins as a new machine from another address", func() {
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
 		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of storage-1"})
 		fresh := store("storage-1", "storage-1+2")
 		fresh.Disk, fresh.Founder = "another disk", false
 		state.Apply(Command{Kind: Join, Member: fresh})
-		Expect(state.Retirement("storage-1")).To(Equal(Emptied), "who asked for it still waits for the answer")
+		Expect(state.Retirement("storage-1")).To(Equal(Emptied), "the operator who ordered it still polls for the result")
 		Expect(state.Disks()).NotTo(HaveKey("another disk"))
 		fresh.Incarnation, fresh.Address = "storage-1+3", "another address"
 		state.Apply(Command{Kind: Join, Member: fresh})
@@ -57,7 +57,7 @@
 		Expect(state.Disks()).To(HaveKey("another disk"))
 	})
 
-	ginkgo.It("is known by its address when its store is gone, until it comes again at another address", func() {
+	ginkgo.It("is known by its address when its store has left, until it returns at another address", func() {
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
 		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of storage-1"})
 		state.Apply(Command{Kind: Leave, Incarnation: "storage-1+1"})
@@ -74,17 +74,17 @@
 		Expect(state.HasLeft("storage-1", 1)).To(BeFalse())
 	})
 
-	ginkgo.It("is known from snapshots of versions that kept no addresses", func() {
+	ginkgo.It("is known from snapshots of versions that stored no addresses", func() {
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
 		state.retirements = map[string]retirement{}
 		data, err := state.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
-		again := NewState()
-		Expect(again.Restore(data)).To(Succeed())
-		Expect(again.LeavingAddresses()).To(ConsistOf("storage-1"))
+		restored := NewState()
+		Expect(restored.Restore(data)).To(Succeed())
+		Expect(restored.LeavingAddresses()).To(ConsistOf("storage-1"))
 	})
 
-	ginkgo.It("takes the same of several lost disks of a machine away at every replica", func() {
+	ginkgo.It("removes the same one of several lost disks of a machine at every replica", func() {
 		for range 40 {
 			replica := NewState()
 			for i := range 3 {
@@ -105,7 +105,7 @@
 		}
 	})
 
-	ginkgo.It("is emptied again where it lost its disk meanwhile, and is never unknown", func() {
+	ginkgo.It("is drained again if it lost its disk meanwhile, and is never unknown", func() {
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
 		state.Apply(Command{Kind: Leave, Incarnation: "storage-1+1"})
 		fresh := store("storage-1", "storage-1+2")
@@ -144,7 +144,7 @@
 		return found
 	}
 
-	ginkgo.It("that is lost leaves its part to a live one, which can take its place", func() {
+	ginkgo.It("that is lost makes a live disk the spare, which can take its place", func() {
 		Expect(spares()).To(ConsistOf("disk of d"))
 		state.Apply(Command{Kind: Leave, Incarnation: "d+disk of d"})
 		Expect(spares()).To(ConsistOf("disk of a"))
@@ -154,7 +154,7 @@
 		Expect(spares()).To(BeEmpty())
 	})
 
-	ginkgo.It("is none any more once another was emptied", func() {
+	ginkgo.It("becomes a regular disk once another was drained", func() {
 		state.Apply(Command{Kind: Retire, Node: "b"})
 		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of b"})
 		Expect(spares()).To(BeEmpty())
--- a/internal/system/session/spare.go
+++ b/internal/system/session/spare.go
@@ -10,39 +10,40 @@
 	"granitewing/internal/system/tolerance"
 )
 
-// Which machines may be emptied is decided here, where the commands are applied, so that each order is judged by the roster that all orders
-// before it have left. A machine that was ordered to be emptied waits until it can be spared; one that is being emptied is taken back
-// where too few disks are left to take messages.
+// The rules in this file decide which machines may be drained. They run where commands are applied, so that each order
+// is judged by the roster that all earlier orders have left. A machine with an ordered drain waits until the other
+// disks are sufficient without it. A drain that has started is reversed if too few disks are left that accept messages.
 
-// UnknownMachineError answers an order about a machine that has no disk in the roster.
+// UnknownMachineError refuses an order about a machine that has no disk in the roster.
 type UnknownMachineError struct{ Node string }
 
-func (e *UnknownMachineError) Error() string { return "no store is known at machine " + e.Node }
+func (e *UnknownMachineError) Error() string { return "no store in the roster at machine " + e.Node }
 
-// TooFewError answers an order to empty a machine without which messages would find too few disks.
+// TooFewError refuses an order to drain a machine without which too few disks would remain for messages.
 type TooFewError struct {
-	Left, Needed int      // disks
-	Leaving      []string // machines that are ordered to be emptied already
+	Left, Needed int      // numbers of disks
+	Leaving      []string // machines whose drain was ordered before
 }
 
 func (e *TooFewError) Error() string {
-	text := fmt.Sprintf("%d disks would be left, %d are needed", e.Left, e.Needed)
+	text := fmt.Sprintf("%d disks would remain, %d are required", e.Left, e.Needed)
 	if len(e.Leaving) > 0 {
-		text += fmt.Sprintf(" (being emptied: %s)", strings.Join(e.Leaving, ", "))
+		text += fmt.Sprintf(" (being drained: %s)", strings.Join(e.Leaving, ", "))
 	}
-	return text + "; add a machine with a disk first, or cancel another emptying"
+	return text + "; add a machine with a disk first, or cancel another drain"
 }
 
-// AlreadyEmptiedError answers an order to keep a machine that holds nothing any more.
+// AlreadyEmptiedError refuses an order to keep a machine whose disks are drained.
 type AlreadyEmptiedError struct{ Node string }
 
-func (e *AlreadyEmptiedError) Error() string { return "machine " + e.Node + " is empty already" }
+func (e *AlreadyEmptiedError) Error() string { return "machine " + e.Node + " is already drained" }
 
-// Tolerance is what may be lost at one time, as the table has it; nil before the keepers have told it.
+// Tolerance returns the recorded tolerance: what may be lost at one time. It is nil until the keepers have recorded
+// it.
 func (s *State) Tolerance() *tolerance.Tolerance { return s.tolerance }
 
-// retire takes an order to empty a machine. It is refused where too few disks would be left even once those that are gone have come back
-// and those that are being filled count.
+// retire orders the drain of a machine. It is refused if too few disks would remain even after all lost disks have
+// returned and all disks that are being backfilled count. A repeated order succeeds and changes nothing.
 func (s *State) retire(node string) error {
 	switch s.Retirement(node) {
 	case UnknownMachine:
@@ -51,23 +52,23 @@
 		return nil
 	}
 	if s.tolerance != nil {
-		if expected := s.expectedWithout(node); !s.sparable(expected) {
+		if expected := s.expectedDisksWithout(node); !s.sufficient(expected) {
 			return &TooFewError{Left: len(expected), Needed: s.tolerance.Voters(), Leaving: s.Retiring()}
 		}
 	}
 	for _, disk := range ordered.Map(s.disks) {
 		if disk.Member.Node == node {
-			s.turns++
-			s.retirements[node] = retirement{Address: disk.Member.Address, Turn: s.turns}
+			s.retirementCount++
+			s.retirements[node] = retirement{Address: disk.Member.Address, Turn: s.retirementCount}
 		}
 	}
 	if s.tolerance == nil {
-		s.letGo(node)
+		s.startDrain(node)
 	}
 	return nil
 }
 
-// cancelRetirement has a machine stay that is being emptied, or waits for it.
+// cancelRetirement cancels the drain of a machine that is being drained or waits for it.
 func (s *State) cancelRetirement(node string) error {
 	switch s.Retirement(node) {
 	case UnknownMachine:
@@ -78,62 +79,65 @@
 	delete(s.retirements, node)
 	for id, disk := range ordered.Map(s.disks) {
 		if disk.Member.Node == node && disk.Leaving {
-			s.takeBack(id)
+			s.reclaimDisk(id)
 		}
 	}
 	return nil
 }
 
-// Retiring gives the machines that are ordered to be emptied and hold something still, those that were asked for first before the others.
+// Retiring returns the machines whose drain was ordered and is not complete, in the order in which they were
+// ordered.
 func (s *State) Retiring() []string {
 	var nodes []string
 	for node := range s.retirements {
-		if !slices.Contains(s.retired, node) {
+		if !slices.Contains(s.retiredMachines, node) {
 			nodes = append(nodes, node)
 		}
 	}
-	slices.SortFunc(nodes, func(one, other string) int {
-		if turn := cmp.Compare(s.retirements[one].Turn, s.retirements[other].Turn); turn != 0 {
-			return turn
+	slices.SortFunc(nodes, func(a, b string) int {
+		if order := cmp.Compare(s.retirements[a].Turn, s.retirements[b].Turn); order != 0 {
+			return order
 		}
-		return strings.Compare(one, other)
+		return strings.Compare(a, b)
 	})
 	return nodes
 }
 
-// settleRetirements takes back what the roster can't spare any more, and begins what it can spare now.
-func (s *State) settleRetirements() {
-	if s.tolerance == nil || len(s.retirements) == len(s.retired) {
+// reconcileRetirements completes drains, reverses those whose disks are needed again, and starts those that the
+// roster allows now. It does nothing until the tolerance is recorded.
+func (s *State) reconcileRetirements() {
+	if s.tolerance == nil || len(s.retirements) == len(s.retiredMachines) {
 		return
 	}
-	s.endRetirements()
-	s.takeBackNeeded()
+	s.finishRetirements()
+	s.reclaimDisks()
 	for _, node := range s.Retiring() {
-		if s.waits(node) && s.sparable(s.workingWithout(node)) {
-			s.letGo(node)
+		if s.waitsForCapacity(node) && s.sufficient(s.writableDisksWithout(node)) {
+			s.startDrain(node)
 		}
 	}
 }
 
-// endRetirements notes the machines that hold nothing that is counted on: another has taken their disk's place, or theirs was being
-// filled still.
-func (s *State) endRetirements() {
+// finishRetirements marks the machines as drained that have no counted disk: another disk has taken the place of
+// theirs, or theirs was still being backfilled.
+func (s *State) finishRetirements() {
 	for _, node := range s.Retiring() {
 		disks := s.disksOf(node)
 		if slices.ContainsFunc(disks, func(id string) bool { return s.disks[id].Counted }) {
 			continue
 		}
 		for _, id := range disks {
-			s.remove(id)
+			s.removeDisk(id)
 		}
-		s.noteRetired(node)
+		s.markRetired(node)
 	}
 }
 
-// takeBackNeeded has leaving disks take messages again where the others are too few for that, as few as are needed and those first that were
-// asked for last. Where all together are too few, nothing is gained by it.
-func (s *State) takeBackNeeded() {
-	working := s.zones(s.workingWithout(""))
+// reclaimDisks lets leaving disks accept messages again if the others are too few for that. It reclaims no more than
+// needed, those of the latest orders first. If all disks together are too few, reclaiming would not help and none is
+// reclaimed.
+func (s *State) reclaimDisks() {
+	working := s.zones(s.writableDisksWithout(""))
 	if s.tolerance.Enough(working) {
 		return
 	}
@@ -142,7 +146,7 @@
 	slices.Reverse(nodes)
 	for _, node := range nodes {
 		for _, id := range s.disksOf(node) {
-			if disk := s.disks[id]; disk.Counted && disk.Leaving && s.live(id) {
+			if disk := s.disks[id]; disk.Counted && disk.Leaving && s.hasLiveStore(id) {
 				leaving, zones = append(leaving, id), append(zones, disk.Member.Zone)
 			}
 		}
@@ -151,19 +155,20 @@
 		return
 	}
 	for _, pick := range s.tolerance.Choose(working, zones) {
-		s.takeBack(leaving[pick])
+		s.reclaimDisk(leaving[pick])
 	}
 }
 
-func (s *State) takeBack(id string) {
+// reclaimDisk lets a leaving disk accept messages again.
+func (s *State) reclaimDisk(id string) {
 	disk := s.disks[id]
 	disk.Leaving = false
 	s.disks[id] = disk
 	s.epoch++
 }
 
-// letGo has a machine's disks begin to leave.
-func (s *State) letGo(node string) {
+// startDrain marks all disks of a machine as leaving.
+func (s *State) startDrain(node string) {
 	for _, id := range s.disksOf(node) {
 		disk := s.disks[id]
 		if disk.Leaving {
@@ -175,30 +180,33 @@
 	}
 }
 
-// waits tells whether a machine that is to be emptied has a counted disk that takes messages still.
-func (s *State) waits(node string) bool {
+// waitsForCapacity reports whether a machine whose drain was ordered still has a counted disk that accepts messages.
+func (s *State) waitsForCapacity(node string) bool {
 	return slices.ContainsFunc(s.disksOf(node), func(id string) bool { return s.disks[id].Counted && !s.disks[id].Leaving })
 }
 
-// sparable tells whether some disks are as many, and at as many places, as should stay: messages find enough of them through the next loss.
-func (s *State) sparable(disks []string) bool {
+// sufficient reports whether the given disks are as many, and in as many zones, as should stay, so that messages
+// find enough disks even after the next loss.
+func (s *State) sufficient(disks []string) bool {
 	zones := s.zones(disks)
 	return len(zones) >= s.tolerance.Voters() && s.tolerance.Spread(zones)
 }
 
-// workingWithout gives the disks that take messages, without those of a machine: they count, stay and have a live store.
-func (s *State) workingWithout(node string) []string {
+// writableDisksWithout returns the disks that accept messages, except those of the given machine: counted disks with
+// a live store that aren't leaving.
+func (s *State) writableDisksWithout(node string) []string {
 	var found []string
 	for id, disk := range ordered.Map(s.disks) {
-		if disk.Counted && !disk.Leaving && disk.Member.Node != node && s.live(id) {
+		if disk.Counted && !disk.Leaving && disk.Member.Node != node && s.hasLiveStore(id) {
 			found = append(found, id)
 		}
 	}
 	return found
 }
 
-// expectedWithout gives the disks that take messages or will, without those of a machine: all but those of machines that are to be emptied.
-func (s *State) expectedWithout(node string) []string {
+// expectedDisksWithout returns the disks that accept messages now or are expected to, except those of the given
+// machine: all disks but those of machines that are being retired.
+func (s *State) expectedDisksWithout(node string) []string {
 	var found []string
 	for id, disk := range ordered.Map(s.disks) {
 		if _, leaves := s.retirements[disk.Member.Node]; !leaves && disk.Member.Node != node {
@@ -208,7 +216,7 @@
 	return found
 }
 
-// disksOf gives the disks of a machine.
+// disksOf returns the disks of a machine.
 func (s *State) disksOf(node string) []string {
 	var found []string
 	for id, disk := range ordered.Map(s.disks) {
@@ -219,7 +227,7 @@
 	return found
 }
 
-// zones gives the zones of some disks.
+// zones returns the zones of the given disks.
 func (s *State) zones(disks []string) []string {
 	zones := make([]string, 0, len(disks))
 	for _, id := range disks {
--- a/internal/system/session/state.go
+++ b/internal/system/session/state.go
@@ -1,5 +1,11 @@
-// Package session is the replicated table of who is in the fleet: members with a session, stores that ever joined, and
-// carriers that have gone, each with the carrier that adopted its messages.
+// Package session implements the replicated session table of the fleet. It records the members with an open session,
+// the roster of disks, the machines that are being retired, and the carriers that have left, each with the carrier
+// that adopted its messages.
+//
+// State is the table. The keepers of the session group apply Commands to it in log order; the result depends on the
+// commands alone, so that all replicas stay the same. Snapshot and Restore convert the table from and to bytes. The
+// table has no I/O and no clock; whether a session has expired is decided by the leading keeper, which then applies
+// Leave.
 package session
 
 import (
@@ -8,53 +14,53 @@
 	"granitewing/internal/system/tolerance"
 )
 
-// Role of a member.
+// Role is the role of a member.
 type Role string
 
-// The roles that keep sessions.
+// The roles whose members open sessions.
 const (
 	Carrier Role = "carrier"
 	Store   Role = "store"
 )
 
-// Member is one life of a process in the fleet.
+// Member is one incarnation of a process in the fleet.
 type Member struct {
 	_msgpack    struct{} `msgpack:",as_array"`
-	Incarnation string   // drawn at each start
-	Node        string   // the machine's name
+	Incarnation string   // drawn at random at each start
+	Node        string   // name of the machine
 	Role        Role
 	Zone        string
-	Address     string // of its peer listener
-	Disk        string // identity drawn on the disk, of stores
-	Founder     bool   // of stores: the disk is as old as the system
-	Replaces    string // incarnation that this process had before its session was lost
-	Stopping    bool   // it was asked to stop, and hands over what it owns
+	Address     string // of the process's peer listener
+	Disk        string // of stores: random identity that is stored on the disk
+	Founder     bool   // of stores: the disk is a bootstrap member of the roster, set up with the system
+	Replaces    string // earlier incarnation of this process, whose session was lost
+	Stopping    bool   // it is shutting down and hands over what it owns
 }
 
-// Departed is a carrier that has gone and left messages.
+// Departed is a carrier that has left while some of its messages were not complete.
 type Departed struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Incarnation string
-	Adopter     string // incarnation of the carrier that carries on; empty while there is none
+	Adopter     string // incarnation of the carrier that took over its messages; empty while there is none
 }
 
-// CommandKind tells commands apart.
+// CommandKind is the kind of a Command.
 type CommandKind uint8
 
-// The commands of the table.
+// The kinds of commands.
 const (
-	Join         CommandKind = iota + 1
-	Leave                    // by itself or by expiry
-	Settled                  // a departed carrier's messages have all ended
-	Count                    // a disk holds copies of all that the others hold, and counts from now on
-	Retire                   // a machine's disks are to be emptied
-	DiskEmptied              // all that lies on a leaving disk lies on enough others
-	GroupLeft                // a control group does without a machine that is being emptied
-	Tolerate                 // what may be lost at one time, as the keepers' settings have it
-	CancelRetire             // a machine that is being emptied is to stay
+	Join         CommandKind = iota + 1 // opens a session
+	Leave                               // ends a session, at its member's request or by expiry
+	Settled                             // all messages of a departed carrier are complete
+	Count                               // a disk is backfilled from the others, and counts toward the write quorum from now on
+	Retire                              // a machine's disks are to be drained
+	DiskEmptied                         // all messages on a leaving disk have enough replicas on other disks
+	GroupLeft                           // a control group has removed the keeper on a machine that is being retired
+	Tolerate                            // records the tolerance from the keepers' settings
+	CancelRetire                        // cancels the retirement of a machine
 )
 
-// Command changes the table.
+// Command is a change of the table. Which fields are set depends on the kind.
 type Command struct {
 	Kind        CommandKind
 	Member      Member
@@ -62,41 +68,42 @@
 	Disk        string
 	Node        string // of Retire, CancelRetire and GroupLeft
 	Group       int    // of GroupLeft
-	Epoch       uint64 // of DiskEmptied: of the roster by which the disk is empty
+	Epoch       uint64 // of DiskEmptied: epoch of the roster by which the disk is drained; 0 from versions that did not send it
 	Tolerance   *tolerance.Tolerance
 }
 
-// State is the replicated table.
+// State is the session table. It is not safe for concurrent use.
 type State struct {
-	members  map[string]Member
-	departed map[string]Departed
-	disks    map[string]Disk
-	epoch    uint64   // of the roster of disks: rises whenever a disk begins or ceases to count
-	replaced []string // disks that another took the place of, the latest last
-	retired  []string // machines whose disks are empty, the latest last
-	// retirements has the machines that are being emptied, or were, by name.
-	retirements map[string]retirement
-	turns       uint64 // retirements that were ever asked for
-	// tolerance says how many disks must stay; nil before the keepers have told it.
+	members         map[string]Member
+	departed        map[string]Departed
+	disks           map[string]Disk
+	epoch           uint64   // of the roster of disks: increases when a disk starts or ceases to count, or starts or stops leaving
+	replacedDisks   []string // disks removed from the roster, the most recent last
+	retiredMachines []string // machines whose disks are drained, the most recent last
+	// retirements holds the machines that are being retired or were retired, by name.
+	retirements     map[string]retirement
+	retirementCount uint64 // number of retirements ever ordered
+	// tolerance determines how many disks must stay, and where; nil until the keepers have recorded it.
 	tolerance *tolerance.Tolerance
 }
 
-// NewState is the empty table.
+// NewState returns an empty table.
 func NewState() *State {
 	return &State{members: map[string]Member{}, departed: map[string]Departed{}, disks: map[string]Disk{},
 		retirements: map[string]retirement{}}
 }
 
-// maxDeparted bounds the departed; past it the oldest name goes first, which no deployment reaches while adopters settle.
+// maxDeparted bounds the departed carriers. Beyond it the one with the lowest incarnation name is dropped. No
+// deployment reaches the bound while adopters complete the messages and settle.
 const maxDeparted = 4096
 
-// Member gives a live member.
+// Member returns the member with an open session under an incarnation.
 func (s *State) Member(incarnation string) (Member, bool) {
 	member, live := s.members[incarnation]
 	return member, live
 }
 
-// Members gives all live members of a role, sorted by node.
+// Members returns all members of a role with an open session, sorted by machine name.
 func (s *State) Members(role Role) []Member {
 	var found []Member
 	for _, member := range s.members {
@@ -113,13 +120,13 @@
 	return found
 }
 
-// Disks gives the roster by identity; it must not be changed.
+// Disks returns the roster by disk identity. Callers must not modify it.
 func (s *State) Disks() map[string]Disk { return s.disks }
 
-// Epoch is the roster's epoch.
+// Epoch returns the epoch of the roster.
 func (s *State) Epoch() uint64 { return s.epoch }
 
-// Departed gives the carriers that have gone and are not settled, sorted.
+// Departed returns the carriers that have left and are not settled, sorted by incarnation.
 func (s *State) Departed() []Departed {
 	found := make([]Departed, 0, len(s.departed))
 	for _, gone := range s.departed {
@@ -129,16 +136,17 @@
 	return found
 }
 
-// Apply carries out a command. The same commands in the same order give the same table everywhere. An error tells that the command
-// was refused and has changed nothing.
+// Apply executes a command. The same commands in the same order produce the same table at every replica. An error
+// means that the command was refused and has changed nothing.
 func (s *State) Apply(command Command) error {
-	err := s.carryOut(command)
-	s.settleRetirements()
+	err := s.execute(command)
+	s.reconcileRetirements()
 	s.adopt()
 	return err
 }
 
-func (s *State) carryOut(command Command) error {
+// execute executes a command without its consequences for retirements and adoptions.
+func (s *State) execute(command Command) error {
 	switch command.Kind {
 	case Join:
 		s.join(command.Member)
@@ -147,13 +155,13 @@
 	case Settled:
 		delete(s.departed, command.Incarnation)
 	case Count:
-		s.count(command.Disk)
+		s.countDisk(command.Disk)
 	case Retire:
 		return s.retire(command.Node)
 	case CancelRetire:
 		return s.cancelRetirement(command.Node)
 	case DiskEmptied:
-		s.emptied(command.Disk, command.Epoch)
+		s.removeDrainedDisk(command.Disk, command.Epoch)
 	case GroupLeft:
 		s.groupLeft(command.Node, command.Group)
 	case Tolerate:
@@ -162,6 +170,8 @@
 	return nil
 }
 
+// join opens a session. It ends other sessions of the same role and machine, and gives a carrier that lost its
+// session its messages back.
 func (s *State) join(member Member) {
 	for _, other := range s.Members(member.Role) {
 		if other.Node == member.Node && other.Incarnation != member.Incarnation {
@@ -178,6 +188,7 @@
 	}
 }
 
+// leave ends a session. A disk that does not count yet leaves the roster with its store. A carrier becomes departed.
 func (s *State) leave(incarnation string) {
 	member, live := s.members[incarnation]
 	if !live {
@@ -187,7 +198,7 @@
 	if disk, known := s.disks[member.Disk]; known && member.Role == Store && !disk.Counted {
 		delete(s.disks, member.Disk)
 	}
-	s.passSpare(member.Disk)
+	s.reassignSpare(member.Disk)
 	if member.Role == Carrier {
 		s.departed[incarnation] = Departed{Incarnation: incarnation}
 	}
@@ -196,8 +207,8 @@
 	}
 }
 
-// adopt gives each departed carrier without a live adopter to the carrier that adopted the fewest. An adopter that
-// lives keeps what it has: moving it would run messages twice.
+// adopt assigns each departed carrier that has no live adopter to the carrier with the fewest adoptions. A live
+// adopter keeps its adoptions, as moving them would run messages twice.
 func (s *State) adopt() {
 	carriers := s.Members(Carrier)
 	if len(carriers) == 0 {
--- a/internal/system/session/state_test.go
+++ b/internal/system/session/state_test.go
@@ -33,7 +33,7 @@
 		return ids
 	}
 
-	ginkgo.It("gives a departed carrier to the one that adopted the fewest, and leaves it there", func() {
+	ginkgo.It("assigns a departed carrier to the one with the fewest adoptions, and leaves it there", func() {
 		apply(join("a", "a1", Carrier), join("b", "b1", Carrier), join("c", "c1", Carrier))
 		apply(Command{Kind: Leave, Incarnation: "a1"})
 		first := state.Departed()[0].Adopter
@@ -47,22 +47,22 @@
 		}
 	})
 
-	ginkgo.It("ends a process's former life when it joins again", func() {
+	ginkgo.It("ends the earlier incarnation of a process when it joins again", func() {
 		apply(join("a", "a1", Carrier), join("a", "a2", Carrier))
 		Expect(state.Members(Carrier)).To(HaveLen(1))
 		Expect(state.Departed()).To(Equal([]Departed{{Incarnation: "a1", Adopter: "a2"}}))
 	})
 
-	ginkgo.It("gives a carrier back what it accepted, where its session was lost and the process lives", func() {
+	ginkgo.It("returns its messages to a carrier whose session was lost while the process was alive", func() {
 		apply(join("a", "a1", Carrier), join("b", "b1", Carrier), Command{Kind: Leave, Incarnation: "a1"})
 		Expect(state.Departed()[0].Adopter).To(Equal("b1"))
-		again := join("a", "a2", Carrier)
-		again.Member.Replaces = "a1"
-		apply(again)
+		rejoined := join("a", "a2", Carrier)
+		rejoined.Member.Replaces = "a1"
+		apply(rejoined)
 		Expect(state.Departed()[0].Adopter).To(Equal("a2"))
 	})
 
-	ginkgo.It("has somebody adopt once the first carrier comes", func() {
+	ginkgo.It("assigns an adopter once the first carrier joins", func() {
 		apply(join("a", "a1", Carrier), Command{Kind: Leave, Incarnation: "a1"})
 		Expect(state.Departed()[0].Adopter).To(BeEmpty())
 		apply(join("b", "b1", Carrier))
@@ -71,7 +71,7 @@
 		Expect(state.Departed()).To(BeEmpty())
 	})
 
-	ginkgo.It("counts founders' disks, and a new one only once it was filled, in the place of a lost one", func() {
+	ginkgo.It("counts bootstrap disks at once, and a new one only after its backfill, in place of a lost one", func() {
 		apply(joinStore("x", "d1", true), joinStore("y", "d2", true), joinStore("z", "d3", true))
 		Expect(counted()).To(ConsistOf("d1", "d2", "d3"))
 		epoch := state.Epoch()
@@ -82,20 +82,20 @@
 		Expect(state.Epoch()).To(BeNumerically(">", epoch))
 	})
 
-	ginkgo.It("does not take a replaced disk that returns for a founder's", func() {
+	ginkgo.It("does not take a replaced disk that returns for a bootstrap disk", func() {
 		apply(joinStore("x", "d1", true), joinStore("y", "d2", true), joinStore("z", "d3", true),
 			Command{Kind: Leave, Incarnation: "xd1"}, joinStore("w", "d4", false), Command{Kind: Count, Disk: "d4"})
 		apply(joinStore("x", "d1", true))
 		Expect(counted()).To(ConsistOf("d2", "d3", "d4"))
 	})
 
-	ginkgo.It("takes the lost disk of the same machine first", func() {
+	ginkgo.It("replaces the lost disk of the same machine first", func() {
 		apply(joinStore("x", "d1", true), joinStore("y", "d2", true), joinStore("z", "d3", true),
 			Command{Kind: Leave, Incarnation: "yd2"}, joinStore("x", "d4", false), Command{Kind: Count, Disk: "d4"})
 		Expect(counted()).To(ConsistOf("d2", "d3", "d4"))
 	})
 
-	ginkgo.It("lets a spare disk take the place of one that is lost later, and no other", func() {
+	ginkgo.It("lets a spare disk, and no other, take the place of one that is lost later", func() {
 		apply(joinStore("x", "d1", true), joinStore("y", "d2", true), joinStore("w", "d4", false), Command{Kind: Count, Disk: "d4"})
 		Expect(counted()).To(ConsistOf("d1", "d2", "d4"))
 		apply(Command{Kind: Leave, Incarnation: "xd1"}, Command{Kind: Count, Disk: "d2"})
@@ -104,12 +104,12 @@
 		Expect(counted()).To(ConsistOf("d2", "d4"))
 	})
 
-	ginkgo.It("forgets a disk that went before it was filled", func() {
+	ginkgo.It("forgets a disk that left before its backfill was complete", func() {
 		apply(joinStore("w", "d4", false), Command{Kind: Leave, Incarnation: "wd4"})
 		Expect(state.Disks()).To(BeEmpty())
 	})
 
-	ginkgo.It("is the same after a snapshot", func() {
+	ginkgo.It("is the same after a restored snapshot", func() {
 		apply(join("a", "a1", Carrier), joinStore("x", "d1", true), Command{Kind: Leave, Incarnation: "a1"})
 		data, err := state.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
