--- a/internal/system/role/keeper/core.go
+++ b/internal/system/role/keeper/core.go
@@ -28,17 +28,17 @@
 
 // Group numbers, and how many there are. The ownership groups follow the two single ones.
 const (
-	ConfigurationGroup  = 0
-	SessionGroup        = 1
+	ConfigurationGroup  = 0 // the group that replicates the configuration
+	SessionGroup        = 1 // the group that replicates the session table
 	firstOwnershipGroup = 2
-	OwnershipShards     = 2
-	Groups              = firstOwnershipGroup + OwnershipShards
+	OwnershipShards     = 2                                     // number of groups that replicate unit ownership
+	Groups              = firstOwnershipGroup + OwnershipShards // number of all groups
 )
 
 // Timeouts and intervals, all measured on the monotonic clock.
 const (
-	ElectionTimeout   = 500 * time.Millisecond
-	HeartbeatInterval = 120 * time.Millisecond
+	ElectionTimeout   = 500 * time.Millisecond // a group elects another leader after this long without one
+	HeartbeatInterval = 120 * time.Millisecond // between the heartbeats of a group's leader to its members
 	// SessionLife is how long a session lasts without a heartbeat.
 	SessionLife = 3 * time.Second
 	// MemberLease is how long a member may act on its session after it sent a heartbeat that was answered. It ends well
--- a/internal/system/role/keeper/tables.go
+++ b/internal/system/role/keeper/tables.go
@@ -11,15 +11,15 @@
 
 // Keys of the feed. A prefix is followed by the name or identity of the item.
 const (
-	KeyConfiguration = "configuration"
-	KeyCatalog       = "catalog" // set once the list of workers was read
-	KeyRoster        = "roster"  // epoch of the roster of disks
-	PrefixMember     = "member/"
-	PrefixDisk       = "disk/"
-	PrefixDeparted   = "departed/"
-	PrefixOwner      = "owner/"
-	PrefixInstance   = "instance/"
-	PrefixKeeper     = "keeper/"
+	KeyConfiguration = "configuration" // the configuration as it was sent
+	KeyCatalog       = "catalog"       // set once the list of workers was read
+	KeyRoster        = "roster"        // epoch of the roster of disks
+	PrefixMember     = "member/"       // by incarnation: session.Member
+	PrefixDisk       = "disk/"         // by disk identity: session.Disk
+	PrefixDeparted   = "departed/"     // by incarnation: session.Departed
+	PrefixOwner      = "owner/"        // by unit: ownership.Owner
+	PrefixInstance   = "instance/"     // by instance: catalog.Instance
+	PrefixKeeper     = "keeper/"       // by address of a keeper
 )
 
 // refreshFeed updates the feed to the state of all groups.
--- a/internal/system/session/state.go
+++ b/internal/system/session/state.go
@@ -19,8 +19,8 @@
 
 // The roles whose members open sessions.
 const (
-	Carrier Role = "carrier"
-	Store   Role = "store"
+	Carrier Role = "carrier" // accepts messages and delivers them to workers
+	Store   Role = "store"   // holds messages on a disk
 )
 
 // Member is one incarnation of a process in the fleet.
