--- a/internal/system/role/keeper/core.go
+++ b/internal/system/role/keeper/core.go
@@ -37,7 +37,9 @@
 
 // Timeouts and intervals, all measured on the monotonic clock.
 const (
-	ElectionTimeout   = 500 * time.Millisecond // the least silence of a leader before a member stands for election; up to twice that, at random
+	// ElectionTimeout is the least silence of a leader before a member stands for election. Members wait up to twice that,
+	// at random.
+	ElectionTimeout   = 500 * time.Millisecond
 	HeartbeatInterval = 120 * time.Millisecond // between the heartbeats of a group's leader to its members
 	// SessionLife is how long a session lasts without a heartbeat.
 	SessionLife = 3 * time.Second
