--- a/internal/system/message/message.go
+++ b/internal/system/message/message.go
@@ -1,4 +1,6 @@
-// Package message is what a message is to all roles: its bytes, its place in the fleet and the end it came to.
+// Package message defines the message that all roles exchange and stores keep on disk: an accepted client request
+// (Message), its state (Phase) and its outcome (End). The types are encoded as msgpack arrays, so the order of
+// their fields is part of the stored format.
 package message
 
 import (
@@ -8,10 +10,11 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// Version is the version of a configuration; 0 where it is not known.
+// Version is the version of a configuration; 0 if it is not known.
 type Version uint64
 
-// DecodeMsgpack reads a version. Earlier builds wrote the route's name in its place, which says nothing of a version.
+// DecodeMsgpack reads a version. Earlier builds wrote the name of the route in this position; such a value reads as
+// version 0.
 func (v *Version) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	code, err := decoder.PeekCode()
 	if err != nil {
@@ -26,57 +29,58 @@
 	return err
 }
 
-// Header is one header of the client's request that a delivery repeats.
+// Header is one header of the client's request, which is sent again on delivery.
 type Header struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Name, Value string
 }
 
-// Message is one accepted request, as it lies on the stores' disks.
+// Message is one accepted request in the form in which the stores keep it on disk.
 type Message struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string   // X-Request-Id
-	Unit     string   // what orders, paces and delivers it
-	Version  Version  // of the configuration under which it was accepted
+	Unit     string   // unit that orders, rate-limits and delivers the message
+	Version  Version  // of the configuration under which the message was accepted
 	Host     string
 	Method   string
 	Target   string // path and query, unchanged
 	Headers  []Header
 	Key      string // X-Ordering-Key on ordered routes
-	Callback string
+	Callback string // X-Callback-Url; empty if no callback is wanted
 	Body     []byte
-	// Token is the fencing token of the unit's owner that the carrier that accepted the message knew before any store was given it, 0
-	// where it knew none or the unit has no token: no owner under an earlier token was ever given the message. With Sequence, the count of
-	// the owner that gave the place, it orders the messages of a key.
+	// Token is the fencing token of the unit's owner that the accepting carrier knew before it sent the message to
+	// any store. It is 0 if the carrier knew none or the unit has no token. No owner with an earlier token was
+	// ever given the message. Token and Sequence together order the messages of a key; Sequence is the counter of
+	// the owner that assigned the position.
 	Token    uint64
 	Sequence uint64
-	// Accepted is the wall clock when the request was read, in milliseconds since 1970: for people who read a log. Clocks may
-	// be stepped and differ, so nothing is decided by it.
+	// Accepted is the wall clock time when the request was read, in milliseconds since 1970. It is meant for
+	// people who read a log. Clocks may be stepped and may differ between machines, so no decision uses it.
 	Accepted  int64
-	Delay     time.Duration
-	Retention time.Duration
+	Delay     time.Duration // X-Delay-Ms: the message is due this long after it was accepted
+	Retention time.Duration // how long the message may wait for delivery
 }
 
-// Phase of a message.
+// Phase is the state of a message: pending, or the kind of its outcome.
 type Phase string
 
-// The phases, in the words of the protocol.
+// The phases, with the values that the protocol uses.
 const (
 	Pending    Phase = "pending"
 	Succeeded  Phase = "succeeded"
 	DeadLetter Phase = "dead_letter"
 )
 
-// OwedTimes is for how many times the time for which states are asked a store keeps an end whose call-back is owed, and a carrier tries to
-// make that call-back.
+// OwedTimes is a multiple of the time for which message states can be queried. For that long a store keeps an
+// outcome whose callback is owed, and a carrier retries the callback.
 const OwedTimes = 2
 
-// End is the end of a message.
+// End is the outcome of a message.
 type End struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
 	Phase    Phase
 	Stamp    string // of the successful run
-	// CallbackOwed is set while the end has to be told to the message's call-back URL.
+	// CallbackOwed is set until the outcome has been delivered to the message's callback URL.
 	CallbackOwed bool
 }
--- a/internal/system/message/message_test.go
+++ b/internal/system/message/message_test.go
@@ -7,7 +7,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// earlierMessage is a message as earlier builds wrote it: with its route's name where the version is.
+// earlierMessage is a message as earlier builds wrote it, with the name of its route in the position of the version.
 type earlierMessage struct {
 	_msgpack  struct{} `msgpack:",as_array"`
 	ID, Unit  string
@@ -26,20 +26,20 @@
 	Retention time.Duration
 }
 
-func TestMessagesOfEarlierBuilds(t *testing.T) {
+func TestDecodesMessagesOfEarlierBuilds(t *testing.T) {
 	encoded, err := msgpack.Marshal(&earlierMessage{ID: "m", Unit: "key/s/3", Route: "r", Host: "h", Body: []byte("body"), Token: 4, Retention: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read Message
-	if err := msgpack.Unmarshal(encoded, &read); err != nil {
+	var decoded Message
+	if err := msgpack.Unmarshal(encoded, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	if read.ID != "m" || read.Unit != "key/s/3" || read.Version != 0 || read.Host != "h" || string(read.Body) != "body" || read.Token != 4 || read.Retention != time.Minute {
-		t.Errorf("read as %+v", read)
+	if decoded.ID != "m" || decoded.Unit != "key/s/3" || decoded.Version != 0 || decoded.Host != "h" || string(decoded.Body) != "body" || decoded.Token != 4 || decoded.Retention != time.Minute {
+		t.Errorf("decoded as %+v", decoded)
 	}
-	read.Version = 1 << 40
-	encoded, err = msgpack.Marshal(&read)
+	decoded.Version = 1 << 40
+	encoded, err = msgpack.Marshal(&decoded)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/ordered/ordered.go
+++ b/internal/system/ordered/ordered.go
@@ -1,5 +1,6 @@
-// Package ordered walks maps in the order of their keys. What a role does must not hang on the language's random order: a
-// replicated table has to come out alike at every replica, and a simulated day alike in every play of its seed.
+// Package ordered iterates over maps in ascending order of their keys. Go's map iteration order is random, and the
+// behaviour of a role must not depend on it: a replicated table has to be the same at every replica, and a
+// simulated run has to be the same each time its seed is run.
 package ordered
 
 import (
@@ -9,8 +10,8 @@
 	"slices"
 )
 
-// Map gives a map's entries, ascending by key. Entries may be deleted or added meanwhile: deleted ones are passed over, added
-// ones do not come.
+// Map iterates over the entries of a map in ascending order of the keys. The map may change during the iteration:
+// entries deleted before they are reached are skipped, and entries added are not visited.
 func Map[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, key := range slices.Sorted(maps.Keys(m)) {
--- a/internal/system/ordered/ordered_test.go
+++ b/internal/system/ordered/ordered_test.go
@@ -17,6 +17,6 @@
 		}
 	}
 	if want := []string{"a", "c"}; !slices.Equal(keys, want) {
-		t.Errorf("walked %v, want %v", keys, want)
+		t.Errorf("visited %v, want %v", keys, want)
 	}
 }
--- a/internal/system/role/store/batch.go
+++ b/internal/system/role/store/batch.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// pendingRecord is a record of the batch that is being gathered, and what happens once it is synced.
+// pendingRecord is a record of the batch being gathered, with what to do once it is synced or if the disk is full.
 type pendingRecord struct {
-	payload []byte
-	synced  func(position segment.Position)
-	refused func() // of records that need not be kept where the disk is full
+	payload    []byte
+	onSynced   func(position segment.Position)
+	onDiskFull func() // if not nil, the record is dropped when the disk is full, and this is called
 }
 
 func (c *Core) append(r record, synced func(segment.Position)) {
-	c.batch = append(c.batch, pendingRecord{payload: c.encode(r), synced: synced})
+	c.batch = append(c.batch, pendingRecord{payload: c.encode(r), onSynced: synced})
 }
 
 func (c *Core) encode(r record) []byte {
 	if r.At == 0 {
 		r.At = c.now
 	}
-	c.clock.written = max(c.clock.written, r.At)
+	c.clock.lastWritten = max(c.clock.lastWritten, r.At)
 	return r.encode()
 }
 
-// Full tells that a batch found no room on the disk. New messages are refused; what is known of others is kept, with its
-// answers, for the next batch.
+// Full reports that a batch did not fit on the disk. Records with an onDiskFull callback are dropped, which refuses
+// new messages. The other records and the answers are kept for the next batch.
 func (c *Core) Full(batch *Batch) {
 	var kept []pendingRecord
 	for _, r := range batch.records {
-		if r.refused != nil {
-			r.refused()
+		if r.onDiskFull != nil {
+			r.onDiskFull()
 			continue
 		}
 		kept = append(kept, r)
@@ -39,18 +39,19 @@
 	c.answers = append(batch.answers, c.answers...)
 }
 
-// Waiting tells whether a batch has gathered.
+// Waiting reports whether records or answers wait to be taken as a batch.
 func (c *Core) Waiting() bool { return len(c.batch) > 0 || len(c.answers) > 0 }
 
-// Batch is records that are written and synced together, and answers that go out after that.
+// Batch is a set of records that are written and synced together, and of answers that are sent after the sync.
 type Batch struct {
+	// Payloads are the encoded records, to be appended to the log in this order.
 	Payloads [][]byte
 	records  []pendingRecord
 	answers  []func()
-	epoch    uint64 // that the store followed when the batch was taken
+	epoch    uint64 // of the roster that the store followed when the batch was taken
 }
 
-// Take gives the batch that has gathered.
+// Take returns the gathered batch and begins a new one.
 func (c *Core) Take() *Batch {
 	batch := &Batch{records: c.batch, answers: c.answers, epoch: c.epoch}
 	for _, r := range batch.records {
@@ -60,16 +61,17 @@
 	return batch
 }
 
-// Synced tells that a batch lies on the disk.
+// Synced reports that a batch is durable on disk, at one position for each payload. It calls the callbacks of the
+// records and sends the answers.
 func (c *Core) Synced(now time.Duration, batch *Batch, positions []segment.Position) {
-	c.now = c.clock.read(now)
+	c.now = c.clock.timeAt(now)
 	for i, r := range batch.records {
-		c.count(positions[i], r.payload)
-		if r.synced != nil {
-			r.synced(positions[i])
+		c.addSize(positions[i], r.payload)
+		if r.onSynced != nil {
+			r.onSynced(positions[i])
 		}
 	}
-	c.settled = batch.epoch
+	c.syncedEpoch = batch.epoch
 	for _, answer := range batch.answers {
 		answer()
 	}
--- a/internal/system/role/store/census.go
+++ b/internal/system/role/store/census.go
@@ -9,17 +9,20 @@
 	"granitewing/internal/system/wire"
 )
 
-// census knows which disks hold what, from the lists of their stores. It has an entry for each message that any of them
-// knows, which the time for which states are asked bounds.
-type census struct {
-	tolerance *tolerance.Tolerance
-	disks     []string              // by number
-	numbers   map[string]diskNumber // of the disks
-	messages  map[string][]replica
-	sources   map[string]*heldSource // by incarnation: the places of a list are those of one life
+// replicaIndex records which disks hold a replica of which message, as read from the lists of their stores. It has
+// an entry for each message that any of them knows. Its size is bounded because stores forget messages once their
+// status can no longer be queried.
+type replicaIndex struct {
+	tolerance   *tolerance.Tolerance
+	disks       []string              // names, indexed by diskNumber
+	diskNumbers map[string]diskNumber // by name
+	messages    map[string][]replica  // by message id
+	// progress is by incarnation of a store's process, since the positions of a list are valid for one incarnation
+	// only.
+	progress map[string]*listProgress
 }
 
-// diskNumber is the place of a disk in a census.
+// diskNumber is the index of a disk in replicaIndex.disks.
 type diskNumber uint16
 
 // replica is what one disk holds of a message.
@@ -28,66 +31,67 @@
 	state wire.HeldState
 }
 
-// heldSource is how far the list of one store was read.
-type heldSource struct {
-	after uint64
-	epoch uint64 // as the store told it when it last had no more
-	done  bool   // it had no more
-	busy  bool
-	lost  bool // another disk's store answers at the machine's address
+// listProgress is how far the list of one store has been read.
+type listProgress struct {
+	after     uint64 // the list is read on from here
+	epoch     uint64 // that the store reported when it last had no more
+	atEnd     bool   // the store had no more to list
+	inFlight  bool   // a call for the next part is in flight
+	wrongDisk bool   // the store of another disk answers at the machine's address
 }
 
-func newCensus(tolerated *tolerance.Tolerance) *census {
-	return &census{tolerance: tolerated, numbers: map[string]diskNumber{}, messages: map[string][]replica{},
-		sources: map[string]*heldSource{}}
+func newReplicaIndex(tolerated *tolerance.Tolerance) *replicaIndex {
+	return &replicaIndex{tolerance: tolerated, diskNumbers: map[string]diskNumber{}, messages: map[string][]replica{},
+		progress: map[string]*listProgress{}}
 }
 
-// source gives how far a store's list was read.
-func (c *census) source(incarnation string) *heldSource {
-	source := c.sources[incarnation]
-	if source == nil {
-		source = &heldSource{}
-		c.sources[incarnation] = source
+// progressOf returns the progress of a store's list, and starts it at 0 if the store is new.
+func (x *replicaIndex) progressOf(incarnation string) *listProgress {
+	progress := x.progress[incarnation]
+	if progress == nil {
+		progress = &listProgress{}
+		x.progress[incarnation] = progress
 	}
-	return source
+	return progress
 }
 
-// told tells whether a store's list was read to its end, with all that was taken for rosters older than one.
-func (s *heldSource) told(epoch uint64) bool { return s.done && s.epoch >= epoch }
+// caughtUp reports whether the list was read to its end and includes everything that was accepted under rosters
+// older than epoch.
+func (p *listProgress) caughtUp(epoch uint64) bool { return p.atEnd && p.epoch >= epoch }
 
-// take adds a part of a store's list.
-func (c *census) take(disk string, source *heldSource, answer *wire.HeldAnswer) {
+// addPart adds one part of a store's list.
+func (x *replicaIndex) addPart(disk string, progress *listProgress, answer *wire.HeldAnswer) {
 	for i, id := range answer.IDs[:min(len(answer.IDs), len(answer.States))] {
-		c.note(disk, id, answer.States[i])
+		x.set(disk, id, answer.States[i])
 	}
-	source.after, source.done, source.epoch = answer.Next, !answer.More, answer.Epoch
+	progress.after, progress.atEnd, progress.epoch = answer.Next, !answer.More, answer.Epoch
 }
 
-// note has the census know what a disk holds of a message.
-func (c *census) note(disk, id string, state wire.HeldState) {
-	number, known := c.numbers[disk]
+// set records what a disk holds of a message.
+func (x *replicaIndex) set(disk, id string, state wire.HeldState) {
+	number, known := x.diskNumbers[disk]
 	if !known {
-		number = diskNumber(len(c.disks))
-		c.numbers[disk] = number
-		c.disks = append(c.disks, disk)
+		number = diskNumber(len(x.disks))
+		x.diskNumbers[disk] = number
+		x.disks = append(x.disks, disk)
 	}
-	replicas := c.messages[id]
+	replicas := x.messages[id]
 	for i := range replicas {
 		if replicas[i].disk == number {
 			replicas[i].state = state
 			return
 		}
 	}
-	c.messages[id] = append(replicas, replica{disk: number, state: state})
+	x.messages[id] = append(replicas, replica{disk: number, state: state})
 }
 
-// state is what a disk holds of a message.
-func (c *census) state(disk, id string) wire.HeldState {
-	number, known := c.numbers[disk]
+// state returns what a disk holds of a message, 0 if nothing is known.
+func (x *replicaIndex) state(disk, id string) wire.HeldState {
+	number, known := x.diskNumbers[disk]
 	if !known {
 		return 0
 	}
-	for _, r := range c.messages[id] {
+	for _, r := range x.messages[id] {
 		if r.disk == number {
 			return r.state
 		}
@@ -95,10 +99,10 @@
 	return 0
 }
 
-// wanted is what has to be held of a message on enough disks: what those hold that know most of it. A disk that has not
-// heard that an end was told knows less of it than one that has.
-func wanted(replicas []replica) wire.HeldState {
-	var pending, owed, told wire.HeldState
+// requiredState returns what enough disks have to hold of a message: the state of the disks that know most about
+// it. A disk that still has the callback marked as owed knows less than one that has recorded its delivery.
+func requiredState(replicas []replica) wire.HeldState {
+	var pending, owed, delivered wire.HeldState
 	for _, r := range replicas {
 		switch {
 		case r.state.Has(wire.HeldVoid):
@@ -106,67 +110,68 @@
 		case r.state.Has(wire.HeldEnd | wire.HeldOwed):
 			owed |= r.state
 		case r.state.Has(wire.HeldEnd):
-			told |= r.state
+			delivered |= r.state
 		default:
 			pending |= r.state
 		}
 	}
 	switch {
-	case told != 0:
-		return told
+	case delivered != 0:
+		return delivered
 	case owed != 0:
 		return owed
 	}
 	return pending
 }
 
-// shortage is a message that lies on too few disks.
-type shortage struct {
-	id      string
-	wanted  wire.HeldState
-	holders []string // disks of the roster that hold it and stay
+// underReplicatedMessage is a message that too few disks hold.
+type underReplicatedMessage struct {
+	id       string
+	required wire.HeldState
+	holders  []string // disks of the roster that hold it and are not leaving
 }
 
-// zones gives the zones of the holders.
-func (s *shortage) zones(view *member.View) []string {
-	zones := make([]string, 0, len(s.holders))
-	for _, disk := range s.holders {
+// holderZones returns the zones of the holders.
+func (m *underReplicatedMessage) holderZones(view *member.View) []string {
+	zones := make([]string, 0, len(m.holders))
+	for _, disk := range m.holders {
 		zones = append(zones, view.Disks[disk].Member.Zone)
 	}
 	return zones
 }
 
-// holds tells whether a disk of the roster holds messages that are counted on.
-func holds(disk session.Disk) bool { return disk.Counted && !disk.Leaving }
+// countsAsHolder reports whether replicas on a disk of the roster count: the disk counts toward the write quorum
+// and is not leaving.
+func countsAsHolder(disk session.Disk) bool { return disk.Counted && !disk.Leaving }
 
-// shortages gives the messages that lie on too few of a roster's disks, those on the fewest first. What disks knew that are
-// out of the roster is not asked for: nobody may have it any more.
-func (c *census) shortages(view *member.View) []shortage {
-	present, staying := make([]bool, len(c.disks)), make([]bool, len(c.disks))
-	for number, name := range c.disks {
+// underReplicated returns the messages that too few disks of a roster hold, those with the fewest holders first.
+// State known only to disks that have left the roster is not required: it may not exist any more.
+func (x *replicaIndex) underReplicated(view *member.View) []underReplicatedMessage {
+	inRoster, countable := make([]bool, len(x.disks)), make([]bool, len(x.disks))
+	for number, name := range x.disks {
 		disk, known := view.Disks[name]
-		present[number], staying[number] = known, holds(disk)
+		inRoster[number], countable[number] = known, countsAsHolder(disk)
 	}
-	var found []shortage
+	var found []underReplicatedMessage
 	var replicas []replica
-	for id, all := range c.messages {
+	for id, all := range x.messages {
 		replicas = replicas[:0]
 		for _, r := range all {
-			if present[r.disk] {
+			if inRoster[r.disk] {
 				replicas = append(replicas, r)
 			}
 		}
-		lacking := shortage{id: id, wanted: wanted(replicas)}
-		if lacking.wanted == 0 {
+		candidate := underReplicatedMessage{id: id, required: requiredState(replicas)}
+		if candidate.required == 0 {
 			continue
 		}
 		for _, r := range replicas {
-			if staying[r.disk] && r.state.Has(lacking.wanted) {
-				lacking.holders = append(lacking.holders, c.disks[r.disk])
+			if countable[r.disk] && r.state.Has(candidate.required) {
+				candidate.holders = append(candidate.holders, x.disks[r.disk])
 			}
 		}
-		if !c.tolerance.Enough(lacking.zones(view)) {
-			found = append(found, lacking)
+		if !x.tolerance.Enough(candidate.holderZones(view)) {
+			found = append(found, candidate)
 		}
 	}
 	sort.Slice(found, func(i, j int) bool {
--- a/internal/system/role/store/census_test.go
+++ b/internal/system/role/store/census_test.go
@@ -20,7 +20,7 @@
 	void       = wire.HeldVoid
 )
 
-// rosterOf is a view whose disks count, each in a zone of its own.
+// rosterOf returns a view in which all disks count, each in a zone of its own.
 func rosterOf(disks ...string) *member.View {
 	view := &member.View{Disks: map[string]session.Disk{}}
 	for i, disk := range disks {
@@ -29,7 +29,7 @@
 	return view
 }
 
-var _ = ginkgo.Describe("A census", func() {
+var _ = ginkgo.Describe("A replica index", func() {
 	view := rosterOf("a", "b", "c", "d")
 	uncounted := view.Disks["d"]
 	uncounted.Counted = false
@@ -38,65 +38,65 @@
 	leaving.Leaving = true
 	view.Disks["c"] = leaving
 
-	ginkgo.DescribeTable("knows what lies on too few disks, and what is wanted of it",
-		func(held map[string]wire.HeldState, lacks wire.HeldState, holders ...string) {
-			c := newCensus(&tolerance.Tolerance{Machines: 1})
+	ginkgo.DescribeTable("returns under-replicated messages with the required state and its holders",
+		func(held map[string]wire.HeldState, required wire.HeldState, holders ...string) {
+			x := newReplicaIndex(&tolerance.Tolerance{Machines: 1})
 			for _, disk := range []string{"a", "b", "c", "d", "lost"} {
-				if state, there := held[disk]; there {
-					c.note(disk, "m", state)
+				if state, known := held[disk]; known {
+					x.set(disk, "m", state)
 				}
 			}
-			found := c.shortages(view)
-			if lacks == 0 {
+			found := x.underReplicated(view)
+			if required == 0 {
 				Expect(found).To(BeEmpty())
 				return
 			}
 			Expect(found).To(HaveLen(1))
-			Expect(found[0].wanted).To(Equal(lacks))
+			Expect(found[0].required).To(Equal(required))
 			Expect(found[0].holders).To(ConsistOf(holders))
 		},
-		ginkgo.Entry("on two that stay", map[string]wire.HeldState{"a": pending, "b": pending}, wire.HeldState(0)),
-		ginkgo.Entry("on one", map[string]wire.HeldState{"a": pending}, pending, "a"),
-		ginkgo.Entry("on one and a lost one", map[string]wire.HeldState{"a": pending, "lost": pending}, pending, "a"),
-		ginkgo.Entry("on one and one that leaves", map[string]wire.HeldState{"a": pending, "c": pending}, pending, "a"),
-		ginkgo.Entry("on one and one that does not count", map[string]wire.HeldState{"a": pending, "d": pending}, pending, "a"),
-		ginkgo.Entry("ended as a lost one alone knew", map[string]wire.HeldState{"a": pending, "b": pending, "lost": succeeded}, wire.HeldState(0)),
-		ginkgo.Entry("on one that leaves alone", map[string]wire.HeldState{"c": pending}, pending),
-		ginkgo.Entry("ended at two", map[string]wire.HeldState{"a": succeeded, "b": succeeded}, wire.HeldState(0)),
-		ginkgo.Entry("ended at one, not told at the other yet", map[string]wire.HeldState{"a": succeeded, "b": pending}, succeeded, "a"),
-		ginkgo.Entry("a dead letter, whose bytes may be asked for", map[string]wire.HeldState{"a": deadLetter, "b": succeeded}, deadLetter, "a"),
-		ginkgo.Entry("ended, its call-back owed", map[string]wire.HeldState{"a": owed, "b": pending}, owed, "a"),
-		ginkgo.Entry("ended, its call-back told to the others", map[string]wire.HeldState{"a": succeeded, "b": succeeded, "c": owed},
+		ginkgo.Entry("on two disks that stay", map[string]wire.HeldState{"a": pending, "b": pending}, wire.HeldState(0)),
+		ginkgo.Entry("on one disk", map[string]wire.HeldState{"a": pending}, pending, "a"),
+		ginkgo.Entry("on one disk and a lost one", map[string]wire.HeldState{"a": pending, "lost": pending}, pending, "a"),
+		ginkgo.Entry("on one disk and one that is leaving", map[string]wire.HeldState{"a": pending, "c": pending}, pending, "a"),
+		ginkgo.Entry("on one disk and one that does not count", map[string]wire.HeldState{"a": pending, "d": pending}, pending, "a"),
+		ginkgo.Entry("completed only according to a lost disk", map[string]wire.HeldState{"a": pending, "b": pending, "lost": succeeded}, wire.HeldState(0)),
+		ginkgo.Entry("only on one that is leaving", map[string]wire.HeldState{"c": pending}, pending),
+		ginkgo.Entry("completed on two disks", map[string]wire.HeldState{"a": succeeded, "b": succeeded}, wire.HeldState(0)),
+		ginkgo.Entry("completed on one disk, still pending on the other", map[string]wire.HeldState{"a": succeeded, "b": pending}, succeeded, "a"),
+		ginkgo.Entry("a dead letter, whose bytes may be requested", map[string]wire.HeldState{"a": deadLetter, "b": succeeded}, deadLetter, "a"),
+		ginkgo.Entry("completed, with its callback owed", map[string]wire.HeldState{"a": owed, "b": pending}, owed, "a"),
+		ginkgo.Entry("completed, with its callback delivered according to the other disks", map[string]wire.HeldState{"a": succeeded, "b": succeeded, "c": owed},
 			wire.HeldState(0)),
-		ginkgo.Entry("ended, its call-back told at one", map[string]wire.HeldState{"a": succeeded, "c": owed}, succeeded, "a"),
-		ginkgo.Entry("void at one", map[string]wire.HeldState{"a": void, "b": pending}, void, "a"),
-		ginkgo.Entry("nothing any more", map[string]wire.HeldState{"a": 0, "b": 0}, wire.HeldState(0)),
+		ginkgo.Entry("completed, with its callback delivered according to one disk", map[string]wire.HeldState{"a": succeeded, "c": owed}, succeeded, "a"),
+		ginkgo.Entry("void on one disk", map[string]wire.HeldState{"a": void, "b": pending}, void, "a"),
+		ginkgo.Entry("no longer held", map[string]wire.HeldState{"a": 0, "b": 0}, wire.HeldState(0)),
 	)
 
-	ginkgo.It("gives those on the fewest disks first", func() {
-		c := newCensus(&tolerance.Tolerance{Machines: 2})
+	ginkgo.It("returns messages on the fewest disks first", func() {
+		x := newReplicaIndex(&tolerance.Tolerance{Machines: 2})
 		for i, holders := range [][]string{{"a", "b"}, {"a"}, {"b", "a"}, {}} {
 			for _, disk := range holders {
-				c.note(disk, fmt.Sprint("m", i), pending)
+				x.set(disk, fmt.Sprint("m", i), pending)
 			}
 		}
-		c.note("c", "m3", pending)
+		x.set("c", "m3", pending)
 		var ids []string
-		for _, lacking := range c.shortages(view) {
-			ids = append(ids, lacking.id)
+		for _, m := range x.underReplicated(view) {
+			ids = append(ids, m.id)
 		}
 		Expect(ids).To(Equal([]string{"m3", "m1", "m0", "m2"}))
 	})
 
-	ginkgo.It("follows what has changed", func() {
-		c := newCensus(&tolerance.Tolerance{Machines: 1})
-		source := c.source("life-1")
-		c.take("a", source, &wire.HeldAnswer{IDs: []string{"m"}, States: []wire.HeldState{pending}, Next: 5, More: true, Epoch: 2})
-		Expect(source.told(2)).To(BeFalse())
-		c.take("a", source, &wire.HeldAnswer{IDs: []string{"m"}, States: []wire.HeldState{succeeded}, Next: 6, Epoch: 2})
-		Expect(source.told(2)).To(BeTrue())
-		Expect(source.told(3)).To(BeFalse())
-		Expect(c.state("a", "m")).To(Equal(succeeded))
-		Expect(c.state("b", "m")).To(BeZero())
+	ginkgo.It("applies changed states and epochs", func() {
+		x := newReplicaIndex(&tolerance.Tolerance{Machines: 1})
+		progress := x.progressOf("incarnation-1")
+		x.addPart("a", progress, &wire.HeldAnswer{IDs: []string{"m"}, States: []wire.HeldState{pending}, Next: 5, More: true, Epoch: 2})
+		Expect(progress.caughtUp(2)).To(BeFalse())
+		x.addPart("a", progress, &wire.HeldAnswer{IDs: []string{"m"}, States: []wire.HeldState{succeeded}, Next: 6, Epoch: 2})
+		Expect(progress.caughtUp(2)).To(BeTrue())
+		Expect(progress.caughtUp(3)).To(BeFalse())
+		Expect(x.state("a", "m")).To(Equal(succeeded))
+		Expect(x.state("b", "m")).To(BeZero())
 	})
 })
--- a/internal/system/role/store/clean.go
+++ b/internal/system/role/store/clean.go
@@ -5,24 +5,26 @@
 	"granitewing/internal/system/segment"
 )
 
-// cleaning is the emptying of the log's oldest segments: what is needed of them is written again, and they are removed
-// once that is synced. On a full disk it waits for room, and nothing is removed before.
+// cleaning is the state of cleaning the log: the records still needed from the oldest segments are appended again,
+// and the segments are removed once those records are synced. On a full disk the records wait for space, and no
+// segment is removed before that.
 type cleaning struct {
-	running bool
-	upTo    uint64 // the last of the segments that are being emptied
-	emptied uint64 // segments up to this one hold nothing that is needed
+	running       bool
+	upTo          uint64 // the last of the segments that are being cleaned
+	removableUpTo uint64 // segments up to this one hold nothing that is needed
 }
 
-// cleanedPart is the part of the segments, the older ones, that is emptied at a time: one in so many.
-const cleanedPart = 2
+// cleanedDivisor sets how much is cleaned at a time: the oldest 1/cleanedDivisor of the segments.
+const cleanedDivisor = 2
 
-// Clean begins to empty the oldest of the log's segments where they have grown too many.
+// Clean begins to clean the oldest segments if the log has grown enough since the last cleaning. Segments are given
+// by number, oldest first. An error means that a message could not be read from the log.
 func (c *Core) Clean(segments []uint64) error {
-	grown := float64(c.bytes) > cleanGrowth*float64(c.cleaned)
-	if c.cleaning.running || len(segments) <= 2 || !grown || float64(c.bytes) <= cleanShare*float64(c.options.DiskBytes) {
+	grown := float64(c.logBytes) > minCleanGrowth*float64(c.bytesAfterCleaning)
+	if c.cleaning.running || len(segments) <= 2 || !grown || float64(c.logBytes) <= cleanThreshold*float64(c.options.DiskBytes) {
 		return nil
 	}
-	oldest := segments[len(segments)/cleanedPart-1]
+	oldest := segments[len(segments)/cleanedDivisor-1]
 	c.cleaning.running, c.cleaning.upTo = true, oldest
 	for _, e := range c.index.changedSince(0, len(c.index.entries)) {
 		if err := c.rewrite(e, oldest); err != nil {
@@ -32,49 +34,50 @@
 	for _, unit := range c.takenOver.order {
 		c.append(record{Kind: recordFenced, Unit: unit}, nil)
 	}
-	// Records are synced in their order, so this one is the last.
+	// Records are synced in the order in which they are appended, so all others are durable once this last one is.
 	c.append(c.startedRecord(), func(segment.Position) {
-		c.cleaning.running, c.cleaning.emptied = false, oldest
+		c.cleaning.running, c.cleaning.removableUpTo = false, oldest
 	})
 	return nil
 }
 
-// Removable gives those of the log's segments that hold nothing that is needed, oldest first; the newest is not among them.
+// Removable returns those of the log's segments that hold nothing that is needed, oldest first. The newest segment
+// is never among them.
 func (c *Core) Removable(segments []uint64) []uint64 {
 	count := 0
-	for count < len(segments)-1 && segments[count] <= c.cleaning.emptied {
+	for count < len(segments)-1 && segments[count] <= c.cleaning.removableUpTo {
 		count++
 	}
 	return segments[:count]
 }
 
-// rewrite appends an entry's message and end again. Ends are written for every entry whose message might be, since
-// where an end lies is not kept.
+// rewrite appends an entry's message again if it lies in a segment that is being cleaned, and its outcome in any
+// case: the index does not record in which segment an outcome lies.
 func (c *Core) rewrite(e *entry, oldest uint64) error {
 	if e.held && e.position.Segment <= oldest {
 		if !e.needsBytes() {
 			e.held = false
 		} else {
-			m, err := c.message(e)
+			m, err := c.readMessage(e)
 			if err != nil {
 				return err
 			}
-			c.append(record{Kind: recordMessage, Message: m, At: e.arrived}, func(position segment.Position) { e.position = position })
+			c.append(record{Kind: recordMessage, Message: m, At: e.arrivedAt}, func(position segment.Position) { e.position = position })
 		}
 	}
 	switch {
 	case e.void:
-		c.append(record{Kind: recordVoid, ID: e.id, Unit: e.unit, At: e.endedAt}, nil)
+		c.append(record{Kind: recordVoid, ID: e.id, Unit: e.unit, At: e.completedAt}, nil)
 	case e.phase != message.Pending:
 		end := message.End{ID: e.id, Phase: e.phase, Stamp: e.stamp, CallbackOwed: e.callbackOwed}
-		c.append(record{Kind: recordEnd, ID: e.id, Unit: e.unit, End: &end, At: e.endedAt}, nil)
+		c.append(record{Kind: recordEnd, ID: e.id, Unit: e.unit, End: &end, At: e.completedAt}, nil)
 	}
 	return nil
 }
 
-// Removed tells that a segment is gone.
+// Removed reports that a segment was deleted from the disk.
 func (c *Core) Removed(number uint64) {
-	c.bytes -= c.sizes[number]
-	c.cleaned = c.bytes
-	delete(c.sizes, number)
+	c.logBytes -= c.segmentSizes[number]
+	c.bytesAfterCleaning = c.logBytes
+	delete(c.segmentSizes, number)
 }
--- a/internal/system/role/store/clock_test.go
+++ b/internal/system/role/store/clock_test.go
@@ -11,51 +11,51 @@
 )
 
 var _ = ginkgo.Describe("The clock of a store's log", func() {
-	var b *bench
+	var f *fixture
 
 	ginkgo.BeforeEach(func() {
-		b = &bench{path: ginkgo.GinkgoT().TempDir()}
-		b.open(true)
+		f = &fixture{path: ginkgo.GinkgoT().TempDir()}
+		f.open(true)
 	})
 
-	ginkgo.It("counts only the time for which it runs, over several lives, and never more than that", func() {
-		Expect(b.put("a")).To(BeNil())
+	ginkgo.It("counts only uptime, over several incarnations, and never more", func() {
+		Expect(f.put("a")).To(BeNil())
 		age := func() time.Duration {
-			answer, err := b.core.List(wire.ListBody{Unit: "u"})
+			answer, err := f.core.List(wire.ListBody{Unit: "u"})
 			Expect(err).NotTo(HaveOccurred())
 			return answer.Messages[0].Age
 		}
-		for life := range 3 {
-			b.pass(5 * time.Second)
-			b.pass(700 * time.Millisecond) // nothing is written so soon: it is not known after the stop
-			b.now = 40 * time.Minute       // another life: its process's clock begins anywhere
-			b.open(false)
-			Expect(age()).To(Equal(time.Duration(life+1) * 5 * time.Second))
-			Expect(b.find("a").Phase).To(Equal(message.Pending))
-			b.now = b.now - time.Hour
-			b.open(false)
-			Expect(age()).To(Equal(time.Duration(life+1) * 5 * time.Second))
+		for incarnation := range 3 {
+			f.advance(5 * time.Second)
+			f.advance(700 * time.Millisecond) // below clockInterval: not recorded, and lost at the restart
+			f.now = 40 * time.Minute          // another incarnation: its monotonic clock has another origin
+			f.open(false)
+			Expect(age()).To(Equal(time.Duration(incarnation+1) * 5 * time.Second))
+			Expect(f.find("a").Phase).To(Equal(message.Pending))
+			f.now = f.now - time.Hour
+			f.open(false)
+			Expect(age()).To(Equal(time.Duration(incarnation+1) * 5 * time.Second))
 		}
 	})
 
-	ginkgo.It("writes its clock only while messages wait", func() {
-		Expect(b.put("a")).To(BeNil())
-		before := b.core.Bytes()
-		b.pass(2 * clockInterval)
-		Expect(b.core.Bytes()).To(BeNumerically(">", before))
-		b.end("a", message.Succeeded)
-		before = b.core.Bytes()
-		b.pass(2 * clockInterval)
-		Expect(b.core.Bytes()).To(Equal(before))
+	ginkgo.It("records its clock only while messages are pending", func() {
+		Expect(f.put("a")).To(BeNil())
+		before := f.core.Bytes()
+		f.advance(2 * clockInterval)
+		Expect(f.core.Bytes()).To(BeNumerically(">", before))
+		f.complete("a", message.Succeeded)
+		before = f.core.Bytes()
+		f.advance(2 * clockInterval)
+		Expect(f.core.Bytes()).To(Equal(before))
 	})
 
-	ginkgo.It("keeps the ages of copies, and of what is written again", func() {
-		other := &bench{path: ginkgo.GinkgoT().TempDir()}
+	ginkgo.It("preserves the ages of copies over a restart", func() {
+		other := &fixture{path: ginkgo.GinkgoT().TempDir()}
 		other.open(true)
-		Expect(b.put("a")).To(BeNil())
-		b.pass(7 * time.Second)
-		b.copyTo(other, []string{"a"})
-		other.pass(2 * time.Second)
+		Expect(f.put("a")).To(BeNil())
+		f.advance(7 * time.Second)
+		f.copyTo(other, []string{"a"})
+		other.advance(2 * time.Second)
 		other.open(false)
 		answer, err := other.core.List(wire.ListBody{Unit: "u"})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/system/role/store/copy.go
+++ b/internal/system/role/store/copy.go
@@ -6,14 +6,14 @@
 	"granitewing/internal/system/wire"
 )
 
-// TakeCopy takes copies of what another store holds.
+// TakeCopy adds copies of messages that another store holds.
 func (c *Core) TakeCopy(messages []wire.CopiedMessage) {
 	for i := range messages {
-		c.takeCopied(&messages[i])
+		c.addCopy(&messages[i])
 	}
 }
 
-func (c *Core) takeCopied(copied *wire.CopiedMessage) {
+func (c *Core) addCopy(copied *wire.CopiedMessage) {
 	id := copied.Message.ID
 	if copied.Void {
 		c.Void(id, func(*wire.RefusalBody) {})
@@ -24,30 +24,31 @@
 		return
 	}
 	if e == nil || !e.held && copied.Message.Method != "" {
-		c.keepCopy(e, copied)
+		c.storeCopy(e, copied)
 	}
 	if copied.End != nil {
 		c.Ends([]message.End{*copied.End}, func() {})
 	}
 }
 
-func (c *Core) keepCopy(e *entry, copied *wire.CopiedMessage) {
+func (c *Core) storeCopy(e *entry, copied *wire.CopiedMessage) {
 	m := &copied.Message
 	if e == nil {
 		e = c.index.add(m.ID, m.Unit, c.now-copied.Age)
 	}
-	c.index.join(e, m.Unit)
+	c.index.joinUnit(e, m.Unit)
 	if m.Method == "" {
-		return // only its end is known
+		return // only the outcome is known
 	}
-	e.retention, e.callback = m.Retention, m.Callback != ""
-	c.append(record{Kind: recordMessage, Message: m, At: e.arrived}, func(position segment.Position) {
+	e.retention, e.hasCallback = m.Retention, m.Callback != ""
+	c.append(record{Kind: recordMessage, Message: m, At: e.arrivedAt}, func(position segment.Position) {
 		e.held, e.shared, e.position = true, true, position
-		c.index.touch(e)
+		c.index.recordChange(e)
 	})
 }
 
-// CopyFinished tells that all was taken that lies on too few other disks: the store counts as if it had never lost anything.
+// CopyFinished reports that the store has copied everything that too few other disks hold. From now on the store is
+// complete, as if its disk had never lost anything.
 func (c *Core) CopyFinished() {
 	if c.complete {
 		return
--- a/internal/system/role/store/core.go
+++ b/internal/system/role/store/core.go
@@ -8,108 +8,112 @@
 	"granitewing/internal/system/wire"
 )
 
-// Options of a store.
+// Options configures a store.
 type Options struct {
-	// Status is how long after its end a message's state is asked for.
+	// Status is how long after its completion a message's state can be queried.
 	Status time.Duration
-	// DiskBytes is the size of the disk; part of it stays free for what removes things.
+	// DiskBytes is the size of the disk in bytes. Part of it is left free for the records that cleaning and
+	// outcomes need.
 	DiskBytes int64
 }
 
-// Shares of the disk.
+// Thresholds of disk use, as shares of Options.DiskBytes.
 const (
-	fullShare  = 0.85 // past it no message is taken
-	cleanShare = 0.30 // past it the oldest segments are cleaned
-	// cleanGrowth is by how much the log has to grow from one cleaning to the next: each writes again what is needed.
-	cleanGrowth = 1.3
+	fullThreshold  = 0.85 // above it new messages are refused
+	cleanThreshold = 0.30 // above it the oldest segments are cleaned
+	// minCleanGrowth is the factor by which the log has to grow from one cleaning to the next, since each cleaning
+	// writes the needed records again.
+	minCleanGrowth = 1.3
 )
 
-// Reader reads a record's payload from the log.
+// Reader reads the payload of a record from the log.
 type Reader interface {
 	Read(position segment.Position) ([]byte, error)
 }
 
-// Core is one store.
+// Core is the state machine of one store. It is not safe for concurrent use.
 type Core struct {
-	options  Options
-	reader   Reader
-	clock    logClock
-	now      time.Duration // on the log's clock
-	index    *index
-	batch    []pendingRecord
-	answers  []func()
-	disk     string
-	started  bool
-	complete bool
-	sealed   bool  // takes no ends: the disk is about to leave the roster
-	bytes    int64 // of all segments
-	cleaned  int64 // what the last cleaning left
-	sizes    map[uint64]int64
-	cleaning cleaning
-	epoch    uint64 // of the roster that this store follows
-	settled  uint64 // of a roster: all that was taken for an older one is synced
-	founder  bool
-	loader   *loader // nil once the log was read
-	// takenOver are the carriers' units that were listed by who takes them over.
-	takenOver units
+	options            Options
+	reader             Reader
+	clock              logClock
+	now                time.Duration // on the log's clock
+	index              *index
+	batch              []pendingRecord
+	answers            []func()
+	disk               string
+	started            bool
+	complete           bool
+	sealed             bool  // refuses outcomes: the disk is about to leave the roster
+	logBytes           int64 // size of all segments
+	bytesAfterCleaning int64 // size of the log after the last cleaning
+	segmentSizes       map[uint64]int64
+	cleaning           cleaning
+	epoch              uint64 // of the roster that this store follows
+	syncedEpoch        uint64 // everything accepted under rosters older than this epoch is synced
+	bootstrapDisk      bool
+	loader             *loader // nil once the log has been read
+	// takenOver holds the carriers' units that were listed by a node that takes them over.
+	takenOver takenOverUnits
 	repeats   Repeats
-	// expireDue is when messages are looked for that nobody ended within their retention.
-	expireDue time.Duration
+	// nextExpiry is when to look next for messages that did not complete within their retention.
+	nextExpiry time.Duration
 }
 
-// New makes a store whose log is about to be replayed.
+// New returns a store whose log has yet to be replayed with Load. now is the process's monotonic clock.
 func New(options Options, reader Reader, now time.Duration) *Core {
-	return &Core{options: options, reader: reader, clock: logClock{began: now}, index: newIndex(), sizes: map[uint64]int64{}}
+	return &Core{options: options, reader: reader, clock: logClock{openedAt: now}, index: newIndex(), segmentSizes: map[uint64]int64{}}
 }
 
-func (c *Core) count(position segment.Position, payload []byte) {
+func (c *Core) addSize(position segment.Position, payload []byte) {
 	const overhead = 16
 	size := int64(len(payload) + overhead)
-	c.sizes[position.Segment] += size
-	c.bytes += size
+	c.segmentSizes[position.Segment] += size
+	c.logBytes += size
 }
 
-// Start ends the replay. On an empty disk the store begins as complete where the whole system starts for the first
-// time, else as one whose disk was lost.
+// Start ends the replay. A store on an empty disk starts as complete if the whole system starts for the first time
+// (bootstrap), else as incomplete, like one that replaces a lost disk. disk is the identity to record on an empty
+// disk.
 func (c *Core) Start(bootstrap bool, disk string) {
 	c.loader = nil
-	c.now = c.clock.read(c.clock.began)
+	c.now = c.clock.timeAt(c.clock.openedAt)
 	if c.started {
 		return
 	}
-	c.started, c.complete, c.founder, c.disk = true, bootstrap, bootstrap, disk
+	c.started, c.complete, c.bootstrapDisk, c.disk = true, bootstrap, bootstrap, disk
 	c.appendStarted()
 }
 
 func (c *Core) appendStarted() { c.append(c.startedRecord(), nil) }
 
 func (c *Core) startedRecord() record {
-	return record{Kind: recordStarted, Incomplete: !c.complete, Founder: c.founder, Disk: c.disk}
+	return record{Kind: recordStarted, Incomplete: !c.complete, Founder: c.bootstrapDisk, Disk: c.disk}
 }
 
-// Founder tells whether the disk is as old as the system.
-func (c *Core) Founder() bool { return c.founder }
+// Founder reports whether the disk has been in use since the system was bootstrapped.
+func (c *Core) Founder() bool { return c.bootstrapDisk }
 
-// Follow tells the store the roster's epoch, and whether its disk is in it without counting. From then on it takes
-// nothing that was meant for an older roster. A disk that was replaced while it was away has to be filled again.
+// Follow sets the epoch of the roster, and whether the store's disk is in it without counting toward the write
+// quorum. From then on the store refuses messages that were sent under an older roster. A disk that was replaced
+// while it was away has to be backfilled again.
 func (c *Core) Follow(epoch uint64, uncounted bool) {
 	c.epoch = max(c.epoch, epoch)
 	if uncounted && c.complete {
-		c.complete, c.founder = false, false
+		c.complete, c.bootstrapDisk = false, false
 		c.appendStarted()
 	}
 }
 
-// Epoch is the epoch of the roster that this store follows.
+// Epoch returns the epoch of the roster that this store follows.
 func (c *Core) Epoch() uint64 { return c.epoch }
 
-// Disk is the identity that was drawn on the disk.
+// Disk returns the random identity that was recorded on the disk.
 func (c *Core) Disk() string { return c.disk }
 
-// Complete tells whether the store holds all that it ever acknowledged.
+// Complete reports whether the store holds everything that it ever acknowledged.
 func (c *Core) Complete() bool { return c.complete }
 
-// Counts tells how many messages the store knows, and how many of them are pending.
+// Counts returns how many messages the store knows, and how many of them are pending.
 func (c *Core) Counts() (known, pending int) {
 	for _, e := range c.index.entries {
 		if e.pending() {
@@ -119,27 +123,29 @@
 	return len(c.index.entries), pending
 }
 
-// Bytes is what the log holds.
-func (c *Core) Bytes() int64 { return c.bytes }
+// Bytes returns the size of the log in bytes.
+func (c *Core) Bytes() int64 { return c.logBytes }
 
-// Time tells the store the time of its process's monotonic clock.
+// Time sets the time of the process's monotonic clock, forgets old outcomes and completes overdue messages.
 func (c *Core) Time(now time.Duration) {
-	c.now = c.clock.read(now)
-	c.index.forget(c.now, c.options.Status)
+	c.now = c.clock.timeAt(now)
+	c.index.dropExpired(c.now, c.options.Status)
 	c.expire()
-	c.keepClock()
+	c.persistClock()
 }
 
-// keepClock has the log's clock outlive a stop while messages wait and nothing else is written.
-func (c *Core) keepClock() {
-	if c.now-c.clock.written < clockInterval || !c.index.anyPending() {
+// persistClock records the log's clock while messages are pending and nothing else is written, so that it survives
+// a restart.
+func (c *Core) persistClock() {
+	if c.now-c.clock.lastWritten < clockInterval || !c.index.anyPending() {
 		return
 	}
-	// A full disk need not keep it: the next one says more.
-	c.batch = append(c.batch, pendingRecord{payload: c.encode(record{Kind: recordClock}), refused: func() {}})
+	// A full disk may drop this record: the next one carries a later time.
+	c.batch = append(c.batch, pendingRecord{payload: c.encode(record{Kind: recordClock}), onDiskFull: func() {}})
 }
 
-// Put stores a message at the disks of a roster; the answer is nil once it is synced.
+// Put stores a message that was sent to the disks of the roster with the given epoch. done is called with nil once
+// the message is synced, or with the reason for a refusal.
 func (c *Core) Put(m *message.Message, epoch uint64, done func(refusal *wire.RefusalBody)) {
 	if epoch < c.epoch {
 		done(&wire.RefusalBody{Code: wire.StaleRoster, Reason: "the roster of disks has changed"})
@@ -158,27 +164,28 @@
 		c.answers = append(c.answers, func() { done(nil) })
 		return
 	}
-	if float64(c.bytes) > fullShare*float64(c.options.DiskBytes) {
+	if float64(c.logBytes) > fullThreshold*float64(c.options.DiskBytes) {
 		done(&wire.RefusalBody{Code: wire.Failed, Reason: "the disk is full"})
 		return
 	}
 	if e == nil {
 		e = c.index.add(m.ID, m.Unit, c.now)
 	}
-	c.index.join(e, m.Unit)
-	e.retention, e.callback, e.putting = m.Retention, m.Callback != "", true
+	c.index.joinUnit(e, m.Unit)
+	e.retention, e.hasCallback, e.writing = m.Retention, m.Callback != "", true
 	r := record{Kind: recordMessage, Message: m}
-	c.batch = append(c.batch, pendingRecord{payload: c.encode(r), synced: func(position segment.Position) {
-		e.held, e.putting, e.position = true, false, position
-		c.index.touch(e)
+	c.batch = append(c.batch, pendingRecord{payload: c.encode(r), onSynced: func(position segment.Position) {
+		e.held, e.writing, e.position = true, false, position
+		c.index.recordChange(e)
 		done(nil)
-	}, refused: func() {
-		e.putting = false
+	}, onDiskFull: func() {
+		e.writing = false
 		done(&wire.RefusalBody{Code: wire.Failed, Reason: "the disk is full"})
 	}})
 }
 
-// Void makes a message void: it never runs. That is refused where somebody else may know of the message already.
+// Void cancels a message: it never runs. The request is refused if another process may already know of the message.
+// done is called with nil once the cancellation is synced.
 func (c *Core) Void(id string, done func(refusal *wire.RefusalBody)) {
 	e := c.index.get(id)
 	if e != nil && e.void {
@@ -192,14 +199,14 @@
 	if e == nil {
 		e = c.index.add(id, "", c.now)
 	}
-	c.void(e, c.now)
+	c.markVoid(e, c.now)
 	c.append(record{Kind: recordVoid, ID: id, Unit: e.unit}, func(segment.Position) { done(nil) })
 }
 
-func (c *Core) void(e *entry, at time.Duration) {
+func (c *Core) markVoid(e *entry, at time.Duration) {
 	if e.void {
 		return
 	}
 	e.void = true
-	c.index.end(e, at)
+	c.index.complete(e, at)
 }
--- a/internal/system/role/store/empty.go
+++ b/internal/system/role/store/empty.go
@@ -9,38 +9,40 @@
 	"granitewing/internal/system/wire"
 )
 
-// Times of emptying a disk.
+// Intervals of draining a disk.
 const (
-	emptyInterval = 100 * time.Millisecond // between two steps
-	// sealedFor is how long a disk that is empty takes no ends while the keepers do not let it go. Who tells of one keeps it that long.
-	sealedFor = time.Second
+	drainInterval = 100 * time.Millisecond // between two steps
+	// maxSealTime is how long a drained disk refuses outcomes while the keepers do not remove it from the roster.
+	// A sender whose outcome is refused keeps it for that long.
+	maxSealTime = time.Second
 )
 
-// Emptier empties a leaving disk: it has other disks take copies of what would lie on too few without it, and tells the
-// keepers once nothing does.
+// Emptier drains a disk that leaves the roster. It copies to other disks the messages that too few disks would hold
+// without this one, and reports to the keepers once there are none left.
 type Emptier struct {
-	env       RepairEnvironment
-	session   *member.Client
-	disk      string // this store's
-	tolerance *tolerance.Tolerance
-	lists     *lists
-	throttle  throttle
-	sender    *sender // while the disk is being emptied
-	learning  int     // calls that are out
-	planned   bool    // copies were sent since the lists were read
-	sealed    bool    // the store takes no ends
-	sealing   bool    // the core is being told so, or otherwise
-	sealedAt  time.Duration
+	env             RepairEnvironment
+	session         *member.Client
+	disk            string // of this store
+	tolerance       *tolerance.Tolerance
+	lists           *listReader
+	throttle        throttle
+	sender          *sender // nil unless the disk is being drained
+	fetchesInFlight int
+	listsStale      bool // copies were sent or fetched since the lists were last read
+	sealed          bool // the store refuses outcomes
+	sealPending     bool // a change of sealed is on its way to the core
+	sealedAt        time.Duration
 }
 
-// NewEmptier makes an emptier for a disk, which moves so many bytes a second at the most (0: without a bound); Start begins.
+// NewEmptier returns an Emptier for a disk. It moves at most rate bytes per second; 0 means no limit. It does
+// nothing until Start.
 func NewEmptier(env RepairEnvironment, session *member.Client, disk string, tolerated *tolerance.Tolerance, rate float64) *Emptier {
 	return &Emptier{env: env, session: session, disk: disk, tolerance: tolerated, throttle: throttle{rate: rate}}
 }
 
-// Start begins.
+// Start begins to watch the roster, and drains the disk while the roster marks it as leaving.
 func (e *Emptier) Start() {
-	e.env.After(emptyInterval, e.Start)
+	e.env.After(drainInterval, e.Start)
 	view := e.session.View()
 	own, known := view.Disks[e.disk]
 	if !own.Leaving {
@@ -51,96 +53,100 @@
 		return
 	}
 	if e.lists == nil {
-		e.env.Report("this disk is being emptied", nil)
-		e.lists = newLists(e.env, e.session, e.disk, e.tolerance)
+		e.env.Report("this disk is leaving the roster: draining it to other disks", nil)
+		e.lists = newListReader(e.env, e.session, e.disk, e.tolerance)
 		e.sender = &sender{lists: e.lists, throttle: &e.throttle}
-		e.planned = false
+		e.listsStale = false
 	}
 	e.step(view)
 }
 
 func (e *Emptier) step(view *member.View) {
-	if e.sender.sending > 0 || e.learning > 0 || e.sealing || !e.throttle.free(e.env.Now()) {
+	if e.sender.inFlight > 0 || e.fetchesInFlight > 0 || e.sealPending || !e.throttle.ready(e.env.Now()) {
 		return
 	}
-	if e.planned {
-		e.planned = false
-		e.lists.again()
+	if e.listsStale {
+		e.listsStale = false
+		e.lists.readAllAgain()
 	}
-	// Of the others any list will do; of this disk all that it took before it was to leave must be told.
-	ownTold := e.lists.readOwn(view.Epoch)
-	told, asked, silent := e.lists.read(view, 0)
-	if !ownTold || told == 0 || asked > 0 || !e.tolerance.May(silent) {
+	// Any complete list of the other stores will do. This store's list must include everything that was accepted
+	// before the disk was marked as leaving.
+	ownCaughtUp := e.lists.readOwn(view.Epoch)
+	caughtUp, awaited, missingZones := e.lists.read(view, 0)
+	if !ownCaughtUp || caughtUp == 0 || awaited > 0 || !e.tolerance.May(missingZones) {
 		return
 	}
-	lacking, unlearned := e.lacking(view)
-	if len(lacking) == 0 && len(unlearned) == 0 {
+	held, outdated := e.underReplicated(view)
+	if len(held) == 0 && len(outdated) == 0 {
 		e.finish(view)
 		return
 	}
 	e.seal(false)
-	e.planned = true
-	e.learn(view, unlearned)
-	e.sender.send(view, lacking)
+	e.listsStale = true
+	e.fetchOutcomes(view, outdated)
+	e.sender.send(view, held)
 }
 
-// finish has the store take no ends any more, looks once more at what it took until then, and tells the keepers that the disk is empty. Whoever is
-// refused tells the end to the others once this disk is out of the roster.
+// finish seals the store, reads once more what it accepted until then, and reports to the keepers that the disk is
+// drained. A sender whose outcome is refused meanwhile sends it to the other stores once this disk is out of the
+// roster.
 func (e *Emptier) finish(view *member.View) {
 	switch {
 	case !e.sealed:
 		e.seal(true)
-	case e.env.Now()-e.sealedAt > sealedFor:
-		e.seal(false) // the keepers do not let it go yet
+	case e.env.Now()-e.sealedAt > maxSealTime:
+		e.seal(false) // the keepers have not removed the disk yet
 	default:
 		e.session.DiskEmptied(view.Epoch, func(error) {})
 	}
 }
 
-// seal has the core take no ends, or take them again; this store's list is read on after that.
+// seal makes the core refuse or accept outcomes. This store's list is then read for changes up to that point.
 func (e *Emptier) seal(sealed bool) {
-	if e.sealed == sealed || e.sealing {
+	if e.sealed == sealed || e.sealPending {
 		return
 	}
-	e.sealing = true
+	e.sealPending = true
 	e.env.Seal(sealed, func() {
-		e.sealing, e.sealed, e.sealedAt = false, sealed, e.env.Now()
+		e.sealPending, e.sealed, e.sealedAt = false, sealed, e.env.Now()
 		if e.lists != nil {
-			e.lists.againOwn()
+			e.lists.readOwnAgain()
 		}
 	})
 }
 
-// lacking gives the messages that this disk holds something of and that lie on too few of the others: those that it can hand
-// over, and those of which others know more, as an end that was told while this disk was cut off.
-func (e *Emptier) lacking(view *member.View) (held, unlearned []shortage) {
-	for _, s := range e.lists.census.shortages(view) {
-		own := e.lists.census.state(e.disk, s.id)
+// underReplicated returns the messages that this disk holds something of and that too few other disks hold. held
+// are those that this disk can copy to others. outdated are those whose outcome other disks know and this one does
+// not, for example one recorded while this disk was partitioned.
+func (e *Emptier) underReplicated(view *member.View) (held, outdated []underReplicatedMessage) {
+	for _, m := range e.lists.index.underReplicated(view) {
+		own := e.lists.index.state(e.disk, m.id)
 		switch {
 		case own == 0:
-		case own.Has(s.wanted):
-			held = append(held, s)
-		case s.wanted.Has(wire.HeldEnd) && !own.Has(wire.HeldEnd) && len(s.holders) > 0:
-			unlearned = append(unlearned, s)
+		case own.Has(m.required):
+			held = append(held, m)
+		case m.required.Has(wire.HeldEnd) && !own.Has(wire.HeldEnd) && len(m.holders) > 0:
+			outdated = append(outdated, m)
 		}
 	}
-	return held, unlearned
+	return held, outdated
 }
 
-// learn has this disk fetch what others know more of, so that it can be handed over then.
-func (e *Emptier) learn(view *member.View, unlearned []shortage) {
+// fetchOutcomes fetches from other disks what this one lacks of outdated messages, so that it can then copy them
+// on.
+func (e *Emptier) fetchOutcomes(view *member.View, outdated []underReplicatedMessage) {
 	byDisk := map[string][]string{}
-	for i, s := range unlearned {
-		from := s.holders[i%len(s.holders)]
-		if len(byDisk[from]) < copiesAtOnce {
-			byDisk[from] = append(byDisk[from], s.id)
+	for i, m := range outdated {
+		from := m.holders[i%len(m.holders)]
+		if len(byDisk[from]) < maxCopiesPerCall {
+			byDisk[from] = append(byDisk[from], m.id)
 		}
 	}
 	for disk, ids := range ordered.Map(byDisk) {
-		e.learning++
+		e.fetchesInFlight++
 		body := wire.FetchBody{IDs: ids}
 		e.env.Call(view.Disks[disk].Member.Address, wire.FetchCopies, wire.Encode(&body), repairTimeout, func(payload []byte, err error) {
-			e.learning--
+			e.fetchesInFlight--
 			var answer wire.CopiesBody
 			if err == nil {
 				err = wire.Decode(wire.FetchCopies, payload, &answer)
--- a/internal/system/role/store/empty_test.go
+++ b/internal/system/role/store/empty_test.go
@@ -11,40 +11,40 @@
 	"granitewing/internal/system/wire"
 )
 
-// idle is an environment in which nothing is ever answered; the calls for copies are kept.
-type idle struct {
+// silentEnvironment is an environment that answers no calls. It keeps the callbacks of Copies and Call.
+type silentEnvironment struct {
 	loop.Loop
 	loop.Peers
-	copies func(answer wire.CopiesBody, err error)
-	sent   func(payload []byte, err error)
+	onCopies func(answer wire.CopiesBody, err error)
+	onSent   func(payload []byte, err error)
 }
 
-func (i *idle) Now() time.Duration                                   { return 0 }
-func (i *idle) After(time.Duration, func())                          {}
-func (i *idle) Fill([]wire.CopiedMessage, bool)                      {}
-func (i *idle) Complete() bool                                       { return true }
-func (i *idle) Filling() bool                                        { return false }
-func (i *idle) Seal(bool, func())                                    {}
-func (i *idle) Held(wire.HeldBody, func(wire.HeldAnswer))            {}
-func (i *idle) Copies(_ []string, done func(wire.CopiesBody, error)) { i.copies = done }
-func (i *idle) Report(string, error)                                 {}
-func (i *idle) Call(_ string, _ wire.Kind, _ []byte, _ time.Duration, done func([]byte, error)) {
-	i.sent = done
+func (s *silentEnvironment) Now() time.Duration                                   { return 0 }
+func (s *silentEnvironment) After(time.Duration, func())                          {}
+func (s *silentEnvironment) Fill([]wire.CopiedMessage, bool)                      {}
+func (s *silentEnvironment) Complete() bool                                       { return true }
+func (s *silentEnvironment) Filling() bool                                        { return false }
+func (s *silentEnvironment) Seal(bool, func())                                    {}
+func (s *silentEnvironment) Held(wire.HeldBody, func(wire.HeldAnswer))            {}
+func (s *silentEnvironment) Copies(_ []string, done func(wire.CopiesBody, error)) { s.onCopies = done }
+func (s *silentEnvironment) Report(string, error)                                 {}
+func (s *silentEnvironment) Call(_ string, _ wire.Kind, _ []byte, _ time.Duration, done func([]byte, error)) {
+	s.onSent = done
 }
 
-var _ = ginkgo.Describe("An emptier", func() {
-	ginkgo.It("takes an answer that comes after the emptying was called off", func() {
-		env := &idle{}
+var _ = ginkgo.Describe("A drain of a disk", func() {
+	ginkgo.It("handles an answer that arrives after the drain was cancelled", func() {
+		env := &silentEnvironment{}
 		e := NewEmptier(env, nil, "own", &tolerance.Tolerance{Machines: 1}, 0)
-		e.lists = newLists(env, nil, "own", e.tolerance)
+		e.lists = newListReader(env, nil, "own", e.tolerance)
 		e.sender = &sender{lists: e.lists, throttle: &e.throttle}
-		begun := e.sender
-		begun.copyTo("other", "10.0.0.2:7001", []string{"m"})
-		e.lists, e.sender = nil, nil // the disk is not to leave any more
-		env.copies(wire.CopiesBody{Messages: []wire.CopiedMessage{{Void: true}}}, nil)
-		env.sent(nil, nil)
-		Expect(begun.sending).To(BeZero())
+		sender := e.sender
+		sender.copyTo("other", "10.0.0.2:7001", []string{"m"})
+		e.lists, e.sender = nil, nil // the disk no longer leaves the roster
+		env.onCopies(wire.CopiesBody{Messages: []wire.CopiedMessage{{Void: true}}}, nil)
+		env.onSent(nil, nil)
+		Expect(sender.inFlight).To(BeZero())
 	})
 })
 
-var _ RepairEnvironment = (*idle)(nil)
+var _ RepairEnvironment = (*silentEnvironment)(nil)
--- a/internal/system/role/store/ends.go
+++ b/internal/system/role/store/ends.go
@@ -10,59 +10,62 @@
 	"granitewing/internal/system/wire"
 )
 
+// Times of querying other stores for outcomes.
 const (
-	askInterval = 2 * time.Second
-	askTimeout  = 2 * time.Second
+	outcomeQueryInterval = 2 * time.Second
+	outcomeQueryTimeout  = 2 * time.Second
 )
 
-// EndsEnvironment is what the driver or the simulation gives an EndsAsker.
+// EndsEnvironment is what an EndsAsker needs from its driver or from the simulation.
 type EndsEnvironment interface {
 	loop.Loop
 	loop.Peers
 }
 
-// EndsAsker asks the other stores for the ends of messages that have been pending here for long: their carriers may not
-// know that they lie here too.
+// EndsAsker queries the other stores for the outcomes of messages that have been pending here for long. The
+// carriers of such messages may not know that this store holds them too.
 type EndsAsker struct {
-	env     EndsEnvironment
-	session *member.Client
-	disk    string
-	pending func(done func(ids []string)) // asks the core for messages that have been pending for long
-	ended   func(ends []message.End)
+	env         EndsEnvironment
+	session     *member.Client
+	disk        string                        // of this store
+	longPending func(done func(ids []string)) // requests the ids of long-pending messages from the core
+	onOutcomes  func(ends []message.End)      // passes found outcomes to the core
 }
 
-// NewEndsAsker makes one; Start begins.
-func NewEndsAsker(env EndsEnvironment, session *member.Client, disk string, pending func(done func(ids []string)),
-	ended func(ends []message.End)) *EndsAsker {
-	return &EndsAsker{env: env, session: session, disk: disk, pending: pending, ended: ended}
+// NewEndsAsker returns an EndsAsker, which does nothing until Start. longPending requests the ids of long-pending
+// messages from the core; onOutcomes passes the outcomes found to it.
+func NewEndsAsker(env EndsEnvironment, session *member.Client, disk string, longPending func(done func(ids []string)),
+	onOutcomes func(ends []message.End)) *EndsAsker {
+	return &EndsAsker{env: env, session: session, disk: disk, longPending: longPending, onOutcomes: onOutcomes}
 }
 
-// Start begins.
+// Start begins to query every outcomeQueryInterval.
 func (a *EndsAsker) Start() {
-	a.env.After(askInterval, a.Start)
-	a.pending(func(ids []string) {
+	a.env.After(outcomeQueryInterval, a.Start)
+	a.longPending(func(ids []string) {
 		if len(ids) == 0 {
 			return
 		}
 		body := wire.Encode(&wire.FindEndsBody{IDs: ids})
 		for id, other := range ordered.Map(a.session.View().Disks) {
 			if id != a.disk && a.env.Up(other.Member.Address) {
-				a.ask(other.Member.Address, body)
+				a.query(other.Member.Address, body)
 			}
 		}
 	})
 }
 
-func (a *EndsAsker) ask(address string, body []byte) {
-	a.env.Call(address, wire.FindEnds, body, askTimeout, func(payload []byte, err error) {
+func (a *EndsAsker) query(address string, body []byte) {
+	a.env.Call(address, wire.FindEnds, body, outcomeQueryTimeout, func(payload []byte, err error) {
 		var answer wire.FoundEnds
 		if err == nil && wire.Decode(wire.FindEnds, payload, &answer) == nil && len(answer.Ends) > 0 {
-			a.ended(answer.Ends)
+			a.onOutcomes(answer.Ends)
 		}
 	})
 }
 
-// Ends records ends of messages.
+// Ends records outcomes of messages. A message keeps its first outcome. done is called once all outcomes are
+// synced.
 func (c *Core) Ends(ends []message.End, done func()) {
 	for _, end := range ends {
 		e := c.index.get(end.ID)
@@ -70,26 +73,26 @@
 			e = c.index.add(end.ID, "", c.now)
 		}
 		if e.phase != message.Pending {
-			c.compare(e, end)
+			c.countRepeat(e, end)
 			continue
 		}
-		c.end(e, end, c.now)
+		c.setOutcome(e, end, c.now)
 		c.append(record{Kind: recordEnd, ID: end.ID, Unit: e.unit, End: &end}, nil)
 	}
 	c.answers = append(c.answers, done)
 }
 
-// Repeats is the messages that ran again after a success, as far as this store was told of both ends.
+// Repeats counts the messages that ran again after a success, as far as this store received both outcomes.
 type Repeats struct {
 	Count  uint64
-	Latest string // id of a message
+	Latest string // id of the latest such message
 }
 
-// Repeats gives those that were told of in this life of the store.
+// Repeats returns those seen by this incarnation of the store.
 func (c *Core) Repeats() Repeats { return c.repeats }
 
-// compare counts an end that tells of another successful run than the one that is kept.
-func (c *Core) compare(e *entry, end message.End) {
+// countRepeat counts an outcome that reports another successful run than the recorded one.
+func (c *Core) countRepeat(e *entry, end message.End) {
 	if e.phase != message.Succeeded || end.Phase != message.Succeeded || e.stamp == end.Stamp {
 		return
 	}
@@ -97,15 +100,16 @@
 	c.repeats.Latest = e.id
 }
 
-func (c *Core) end(e *entry, end message.End, at time.Duration) {
+func (c *Core) setOutcome(e *entry, end message.End, at time.Duration) {
 	if e.phase != message.Pending {
 		return
 	}
 	e.phase, e.stamp, e.callbackOwed = end.Phase, end.Stamp, end.CallbackOwed
-	c.index.end(e, at)
+	c.index.complete(e, at)
 }
 
-// CallbackDone records that ends were told.
+// CallbackDone records that the outcomes of messages were delivered to their callback URLs. done is called once
+// that is synced.
 func (c *Core) CallbackDone(ids []string, done func()) {
 	for _, id := range ids {
 		e := c.index.get(id)
@@ -113,33 +117,33 @@
 			continue
 		}
 		e.callbackOwed = false
-		c.index.touch(e)
+		c.index.recordChange(e)
 		c.append(record{Kind: recordCallbackDone, ID: id}, nil)
 	}
 	c.answers = append(c.answers, done)
 }
 
-// expire ends messages that nobody ended within their retention and a margin: their carriers and owners are gone, or
-// the end could not be recorded here.
+// expire completes messages as dead letters that got no outcome within their retention plus a margin: their
+// carriers and owners are gone, or the outcome could not be recorded here.
 func (c *Core) expire() {
 	const interval = 500 * time.Millisecond
 	const margin = 30 * time.Second
-	const mostAtOnce = 64
-	if c.now < c.expireDue {
+	const maxPerCall = 64
+	if c.now < c.nextExpiry {
 		return
 	}
-	c.expireDue = c.now + interval
+	c.nextExpiry = c.now + interval
 	count := 0
 	for _, unit := range ordered.Map(c.index.units) {
 		for _, e := range unit.entries {
-			if !e.pending() || c.now-e.arrived < e.retention+margin {
+			if !e.pending() || c.now-e.arrivedAt < e.retention+margin {
 				break
 			}
-			if count++; count > mostAtOnce {
+			if count++; count > maxPerCall {
 				return
 			}
-			end := message.End{ID: e.id, Phase: message.DeadLetter, CallbackOwed: e.callback}
-			c.end(e, end, c.now)
+			end := message.End{ID: e.id, Phase: message.DeadLetter, CallbackOwed: e.hasCallback}
+			c.setOutcome(e, end, c.now)
 			c.append(record{Kind: recordEnd, ID: e.id, Unit: e.unit, End: &end}, nil)
 		}
 	}
--- a/internal/system/role/store/expire_test.go
+++ b/internal/system/role/store/expire_test.go
@@ -10,24 +10,24 @@
 	"granitewing/internal/system/wire"
 )
 
-// Guards against a call-back that is not owed any more: the message was ended by its store, since nobody had ended it within its retention, also where
-// the store has started anew meanwhile or has its message as a copy.
-func TestCallbackOfAMessageThatItsStoreEnds(t *testing.T) {
-	b := newListedBench(t)
-	called := newMessage("m1")
-	called.Callback = "http://10.8.0.1:80/done"
-	b.core.Put(called, 0, func(*wire.RefusalBody) {})
-	b.flush()
-	Expect(b.put("m2")).To(BeNil(), "one without a call-back")
+// Guards against a lost callback of a message that its store completes itself, because it got no outcome within its
+// retention. This includes a store that has restarted since and a message that is a copy.
+func TestOwesCallbackOfMessageExpiredByStore(t *testing.T) {
+	f := newFixture(t)
+	withCallback := newMessage("m1")
+	withCallback.Callback = "http://10.8.0.1:80/done"
+	f.core.Put(withCallback, 0, func(*wire.RefusalBody) {})
+	f.flush()
+	Expect(f.put("m2")).To(BeNil(), "a message without a callback")
 	copied := newMessage("m3")
-	copied.Callback = called.Callback
-	b.core.TakeCopy([]wire.CopiedMessage{{Message: *copied}})
-	b.flush()
-	b.open(false)
-	b.pass(called.Retention + time.Minute)
-	Expect(b.find("m1").Phase).To(Equal(message.DeadLetter))
-	Expect(b.listed()).To(Equal([]string{"m1", "m3"}))
-	b.core.CallbackDone([]string{"m1", "m3"}, func() {})
-	b.flush()
-	Expect(b.listed()).To(BeEmpty())
+	copied.Callback = withCallback.Callback
+	f.core.TakeCopy([]wire.CopiedMessage{{Message: *copied}})
+	f.flush()
+	f.open(false)
+	f.advance(withCallback.Retention + time.Minute)
+	Expect(f.find("m1").Phase).To(Equal(message.DeadLetter))
+	Expect(f.listed()).To(Equal([]string{"m1", "m3"}))
+	f.core.CallbackDone([]string{"m1", "m3"}, func() {})
+	f.flush()
+	Expect(f.listed()).To(BeEmpty())
 }
--- a/internal/system/role/store/handle.go
+++ b/internal/system/role/store/handle.go
@@ -2,22 +2,23 @@
 
 import "granitewing/internal/system/wire"
 
-// sealedRefusal answers who tells a sealed store of an end.
+// sealedRefusal answers a sender of outcomes while the store is sealed.
 var sealedRefusal = wire.RefusalBody{Code: wire.Failed, Reason: "this disk is empty and about to leave the roster"}
 
-// Seal has the store refuse ends and call-backs that it is told of, or take them again: its disk is about to leave the roster, and what it would
-// take now would lie on it alone.
+// Seal makes the store refuse outcomes and completed callbacks, or accept them again. It is set while the disk is
+// about to leave the roster, since the disk would be the only one to hold what it accepts.
 func (c *Core) Seal(sealed bool) { c.sealed = sealed }
 
-// Handle carries out a call. What it writes is answered once its batch is synced. An error means that nothing was begun.
+// Handle executes a call. A call that writes is answered once its batch is synced. An error means that the call had
+// no effect.
 func (c *Core) Handle(kind wire.Kind, payload []byte, answerer wire.Answerer) error {
-	taken := func() { answerer.Answer(&struct{}{}) }
-	settled := func(refusal *wire.RefusalBody) {
+	accepted := func() { answerer.Answer(&struct{}{}) }
+	answer := func(refusal *wire.RefusalBody) {
 		if refusal != nil {
 			answerer.Refuse(*refusal)
 			return
 		}
-		taken()
+		accepted()
 	}
 	switch kind {
 	case wire.PutMessage:
@@ -25,13 +26,13 @@
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		c.Put(&body.Message, body.Epoch, settled)
+		c.Put(&body.Message, body.Epoch, answer)
 	case wire.VoidMessage:
 		var body wire.VoidBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		c.Void(body.ID, settled)
+		c.Void(body.ID, answer)
 	case wire.PutEnds:
 		var body wire.EndsBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
@@ -41,7 +42,7 @@
 			answerer.Refuse(sealedRefusal)
 			return nil
 		}
-		c.Ends(body.Ends, taken)
+		c.Ends(body.Ends, accepted)
 	case wire.CallbackDone:
 		var body wire.CallbackDoneBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
@@ -51,21 +52,21 @@
 			answerer.Refuse(sealedRefusal)
 			return nil
 		}
-		c.CallbackDone(body.IDs, taken)
+		c.CallbackDone(body.IDs, accepted)
 	case wire.PutCopies:
 		var body wire.CopiesBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
 		c.TakeCopy(body.Messages)
-		c.answers = append(c.answers, taken)
+		c.answers = append(c.answers, accepted)
 	default:
 		return c.handleRead(kind, payload, answerer)
 	}
 	return nil
 }
 
-// handleRead carries out the calls that write nothing.
+// handleRead executes the calls that do not change messages.
 func (c *Core) handleRead(kind wire.Kind, payload []byte, answerer wire.Answerer) error {
 	switch kind {
 	case wire.ListUnit:
--- a/internal/system/role/store/held.go
+++ b/internal/system/role/store/held.go
@@ -5,17 +5,17 @@
 	"granitewing/internal/system/wire"
 )
 
-// heldRecords is how many messages one part of a list of what is held names at the most.
-const heldRecords = 8000
+// maxListedEntries is the maximum number of changed entries that one part of a Held list covers.
+const maxListedEntries = 8000
 
-// Held lists a part of what the store holds, in the order of the latest changes.
+// Held lists one part of what the store holds, ordered by latest change.
 func (c *Core) Held(body wire.HeldBody) wire.HeldAnswer {
-	answer := wire.HeldAnswer{Next: body.After, Epoch: c.settled, Disk: c.disk}
-	changed := c.index.changedSince(body.After, heldRecords)
-	answer.More = len(changed) == heldRecords
+	answer := wire.HeldAnswer{Next: body.After, Epoch: c.syncedEpoch, Disk: c.disk}
+	changed := c.index.changedSince(body.After, maxListedEntries)
+	answer.More = len(changed) == maxListedEntries
 	for _, e := range changed {
-		answer.Next = e.changed
-		if state := e.state(); state != 0 {
+		answer.Next = e.changeNumber
+		if state := e.heldState(); state != 0 {
 			answer.IDs = append(answer.IDs, e.id)
 			answer.States = append(answer.States, state)
 		}
@@ -23,8 +23,8 @@
 	return answer
 }
 
-// state is what is held of a message; 0 where that is nothing that another store could want.
-func (e *entry) state() wire.HeldState {
+// heldState returns what is held of a message, 0 if nothing that another store could need.
+func (e *entry) heldState() wire.HeldState {
 	if e.void {
 		return wire.HeldVoid
 	}
@@ -41,17 +41,18 @@
 	return state
 }
 
-// Copies gives copies of those of some messages that the store holds something of, up to the size of an answer.
+// Copies returns copies of the given messages, as far as the store holds something of them and an answer has space.
+// More is set if the answer was cut short. An error means that a message could not be read from the log.
 func (c *Core) Copies(ids []string) (wire.CopiesBody, error) {
 	var answer wire.CopiesBody
 	size := 0
 	for _, id := range ids {
-		if size > answerBytes {
+		if size > maxAnswerBytes {
 			answer.More = true
 			break
 		}
 		e := c.index.get(id)
-		if e == nil || e.state() == 0 {
+		if e == nil || e.heldState() == 0 {
 			continue
 		}
 		copied, err := c.copyOf(e)
@@ -64,9 +65,9 @@
 	return answer, nil
 }
 
-// copyOf is one entry as it is copied.
+// copyOf returns one entry in the form in which it is copied.
 func (c *Core) copyOf(e *entry) (*wire.CopiedMessage, error) {
-	copied := &wire.CopiedMessage{Void: e.void, Age: c.now - e.arrived}
+	copied := &wire.CopiedMessage{Void: e.void, Age: c.now - e.arrivedAt}
 	copied.Message.ID, copied.Message.Unit = e.id, e.unit
 	if e.void {
 		return copied, nil
@@ -76,7 +77,7 @@
 	}
 	if e.needsBytes() {
 		e.shared = true
-		m, err := c.message(e)
+		m, err := c.readMessage(e)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/system/role/store/index.go
+++ b/internal/system/role/store/index.go
@@ -15,58 +15,60 @@
 type entry struct {
 	id           string
 	unit         string
-	place        uint64 // in its unit's list, in the order of joining; 0 while no unit is known
-	changed      uint64 // in the order of changes
-	older, newer *entry // those that changed just before and just after
+	sequence     uint64 // position in its unit's list, in the order of joining; 0 while the unit is not known
+	changeNumber uint64 // position in the order of changes
+	older, newer *entry // neighbours in the order of changes
 	position     segment.Position
 	size         uint32
 	held         bool // the message's record is on disk at position
-	putting      bool // its record is on its way there
+	writing      bool // the message's record is waiting to be synced
 	void         bool
-	shared       bool // another process was told of it, or may have been in an earlier life: it can't be made void
+	// shared is set once another process was told of the message, or may have been by an earlier incarnation of
+	// the store. Such a message can't be voided.
+	shared       bool
 	phase        message.Phase
 	stamp        string
-	callback     bool          // its end is owed to a receiver
-	callbackOwed bool          // the end is known and was not told
-	arrived      time.Duration // on the log's clock, as endedAt
+	hasCallback  bool          // the outcome is to be delivered to a callback URL
+	callbackOwed bool          // the outcome is known and not yet delivered to the callback URL
+	arrivedAt    time.Duration // on the log's clock, as is completedAt
 	retention    time.Duration
-	endedAt      time.Duration
+	completedAt  time.Duration
 }
 
 func (e *entry) pending() bool { return e.held && !e.void && e.phase == message.Pending }
 
-// listed tells whether a unit's owner still has something to do for the message.
+// listed reports whether a unit's owner still has work to do for the message.
 func (e *entry) listed() bool {
 	return e.held && !e.void && (e.phase == message.Pending || e.callbackOwed)
 }
 
-// needsBytes tells whether the message's record has to stay.
+// needsBytes reports whether the message's record must be kept.
 func (e *entry) needsBytes() bool { return e.listed() || e.held && e.phase == message.DeadLetter }
 
 // unitIndex is the messages of a unit in the order in which they joined it.
 type unitIndex struct {
-	entries []*entry // ascending by place
-	gone    int      // of them, those that the index has forgotten
+	entries []*entry // ascending by sequence
+	dropped int      // how many of the entries the index has dropped
 }
 
-// segmentUse counts what of a segment is needed.
+// segmentUse counts the records and bytes of a segment that are still needed.
 type segmentUse struct{ records, bytes int }
 
-// index is all that a store knows of its messages, in memory.
+// index is everything that a store knows of its messages, in memory.
 type index struct {
-	entries map[string]*entry
-	units   map[string]*unitIndex
-	expiry  []*entry // ended and void ones, ascending by the time of their end
-	place   uint64
-	change  uint64
-	newest  *entry // of those that have changed
+	entries      map[string]*entry
+	units        map[string]*unitIndex
+	expiry       []*entry // completed and void entries, ascending by completion
+	lastSequence uint64
+	lastChange   uint64
+	newest       *entry // the entry that changed last
 }
 
-// touch notes that an entry has changed, so that whoever follows the changes is told of it again.
-func (x *index) touch(e *entry) {
+// recordChange moves an entry to the end of the order of changes, so that readers of the changes see it again.
+func (x *index) recordChange(e *entry) {
 	x.unlink(e)
-	x.change++
-	e.changed = x.change
+	x.lastChange++
+	e.changeNumber = x.lastChange
 	e.older = x.newest
 	if x.newest != nil {
 		x.newest.newer = e
@@ -74,7 +76,7 @@
 	x.newest = e
 }
 
-// unlink takes an entry out of the order of changes.
+// unlink removes an entry from the order of changes.
 func (x *index) unlink(e *entry) {
 	if e.older != nil {
 		e.older.newer = e.newer
@@ -90,7 +92,7 @@
 
 func newIndex() *index { return &index{entries: map[string]*entry{}, units: map[string]*unitIndex{}} }
 
-// anyPending tells whether some message waits for its end.
+// anyPending reports whether any message is pending.
 func (x *index) anyPending() bool {
 	for _, e := range x.entries {
 		if e.pending() {
@@ -102,17 +104,18 @@
 
 func (x *index) get(id string) *entry { return x.entries[id] }
 
-// add makes an entry for an id that is not known; its unit may be empty.
+// add creates an entry for an id that is not known. Its unit may be empty.
 func (x *index) add(id, unit string, arrived time.Duration) *entry {
-	e := &entry{id: id, arrived: arrived, phase: message.Pending}
+	e := &entry{id: id, arrivedAt: arrived, phase: message.Pending}
 	x.entries[id] = e
-	x.touch(e)
-	x.join(e, unit)
+	x.recordChange(e)
+	x.joinUnit(e, unit)
 	return e
 }
 
-// join puts an entry at the end of its unit's list once the unit is known. An end may come before its message, and names no unit.
-func (x *index) join(e *entry, name string) {
+// joinUnit appends an entry to its unit's list once the unit is known. An outcome, which may arrive before its
+// message, does not name the unit.
+func (x *index) joinUnit(e *entry, name string) {
 	if name == "" || e.unit != "" {
 		return
 	}
@@ -121,24 +124,24 @@
 		unit = &unitIndex{}
 		x.units[name] = unit
 	}
-	x.place++
-	e.unit, e.place = name, x.place
+	x.lastSequence++
+	e.unit, e.sequence = name, x.lastSequence
 	unit.entries = append(unit.entries, e)
 }
 
-// end marks an entry as ended or void, to be forgotten later.
-func (x *index) end(e *entry, at time.Duration) {
-	e.endedAt = at
-	x.touch(e)
+// complete records that an entry has completed or is void, so that it is dropped later.
+func (x *index) complete(e *entry, at time.Duration) {
+	e.completedAt = at
+	x.recordChange(e)
 	x.expiry = append(x.expiry, e)
 }
 
-// forget drops the entries that ended longer ago than their status is asked for.
-func (x *index) forget(now, status time.Duration) {
+// dropExpired drops the entries that completed longer ago than their status can be queried.
+func (x *index) dropExpired(now, status time.Duration) {
 	count := 0
-	for count < len(x.expiry) && now-x.expiry[count].endedAt > status {
-		if e := x.expiry[count]; e.callbackOwed && now-e.endedAt < message.OwedTimes*status {
-			break // its call-back is still tried
+	for count < len(x.expiry) && now-x.expiry[count].completedAt > status {
+		if e := x.expiry[count]; e.callbackOwed && now-e.completedAt < message.OwedTimes*status {
+			break // its callback is still being tried
 		}
 		x.drop(x.expiry[count])
 		count++
@@ -158,9 +161,9 @@
 	if unit == nil {
 		return
 	}
-	unit.gone++
+	unit.dropped++
 	e.held, e.void = false, true
-	if 2*unit.gone < len(unit.entries) {
+	if 2*unit.dropped < len(unit.entries) {
 		return
 	}
 	var kept []*entry
@@ -169,33 +172,33 @@
 			kept = append(kept, other)
 		}
 	}
-	unit.entries, unit.gone = kept, 0
+	unit.entries, unit.dropped = kept, 0
 	if len(kept) == 0 {
 		delete(x.units, e.unit)
 	}
 }
 
-// after gives the entries of a unit behind a place.
-func (x *index) after(unit string, place uint64) []*entry {
+// entriesAfter returns the entries of a unit after a sequence number.
+func (x *index) entriesAfter(unit string, sequence uint64) []*entry {
 	found := x.units[unit]
 	if found == nil {
 		return nil
 	}
-	first := sort.Search(len(found.entries), func(i int) bool { return found.entries[i].place > place })
+	first := sort.Search(len(found.entries), func(i int) bool { return found.entries[i].sequence > sequence })
 	return found.entries[first:]
 }
 
-// changedSince gives the entries that have changed behind a point, in the order of their changes, and no more than most.
-func (x *index) changedSince(point uint64, most int) []*entry {
+// changedSince returns at most limit entries that changed after a change number, in the order of their changes.
+func (x *index) changedSince(after uint64, limit int) []*entry {
 	first := x.newest
-	if first == nil || first.changed <= point {
+	if first == nil || first.changeNumber <= after {
 		return nil
 	}
-	for first.older != nil && first.older.changed > point {
+	for first.older != nil && first.older.changeNumber > after {
 		first = first.older
 	}
 	var found []*entry
-	for e := first; e != nil && len(found) < most; e = e.newer {
+	for e := first; e != nil && len(found) < limit; e = e.newer {
 		found = append(found, e)
 	}
 	return found
--- a/internal/system/role/store/listed_test.go
+++ b/internal/system/role/store/listed_test.go
@@ -14,42 +14,42 @@
 	"granitewing/internal/system/wire"
 )
 
-// What was seen: a message was done, and its call-back never came. The carrier that had to make it stopped, and who took its messages over listed
-// them at the stores, which held the message and its owed end and did not list it.
-func TestListsACopyThatComesAfterItsEnd(t *testing.T) {
-	b := newListedBench(t)
+// Guards against a lost callback: a message had completed, and the carrier that had to make its callback stopped. The
+// stores held the message and its outcome with the callback owed, but did not list it for the node that took over.
+func TestListsCopyThatArrivesAfterItsOutcome(t *testing.T) {
+	f := newFixture(t)
 	end := message.End{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
-	b.core.Ends([]message.End{end}, func() {})
-	b.flush()
-	b.core.TakeCopy([]wire.CopiedMessage{{Message: *newMessage("m1"), End: &end}})
-	b.flush()
-	Expect(b.listed()).To(Equal([]string{"m1"}))
-}
-
-// What was seen: a list in parts told the same part again and again, or passed messages over. Those whose ends were known before their bytes had
-// joined their unit out of order.
-func TestListsLateMessagesOnceOverManyParts(t *testing.T) {
-	b := newListedBench(t)
-	b.core.options.DiskBytes = 64 << 20
-	for _, id := range []string{"late1", "late2"} {
-		b.core.Ends([]message.End{{ID: id, Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}}, func() {})
+	f.core.Ends([]message.End{end}, func() {})
+	f.flush()
+	f.core.TakeCopy([]wire.CopiedMessage{{Message: *newMessage("m1"), End: &end}})
+	f.flush()
+	Expect(f.listed()).To(Equal([]string{"m1"}))
+}
+
+// Guards against a list in several parts that repeats a part forever or skips messages. Messages whose outcomes arrived
+// before their bytes had joined their unit out of order.
+func TestListsMessagesWithEarlyOutcomesOnceAcrossParts(t *testing.T) {
+	f := newFixture(t)
+	f.core.options.DiskBytes = 64 << 20
+	for _, id := range []string{"early1", "early2"} {
+		f.core.Ends([]message.End{{ID: id, Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}}, func() {})
 	}
-	ids := []string{"m1", "m2", "m3", "late1", "m4", "m5", "m6", "late2"}
+	ids := []string{"m1", "m2", "m3", "early1", "m4", "m5", "m6", "early2"}
 	for _, id := range ids {
 		m := newMessage(id)
-		m.Body = make([]byte, answerBytes/2)
-		b.core.Put(m, 0, func(*wire.RefusalBody) {})
-		b.flush()
+		m.Body = make([]byte, maxAnswerBytes/2)
+		f.core.Put(m, 0, func(*wire.RefusalBody) {})
+		f.flush()
 	}
-	Expect(b.listedInParts(len(ids))).To(Equal(ids))
+	Expect(f.listedInParts(len(ids))).To(Equal(ids))
 }
 
-// listedInParts lists the unit, and gives up after so many parts.
-func (b *bench) listedInParts(most int) []string {
+// listedInParts lists the unit in at most maxParts parts. It appends a marker if the list does not end within them.
+func (f *fixture) listedInParts(maxParts int) []string {
 	var ids []string
 	body := wire.ListBody{Unit: "u"}
-	for range most {
-		answer, err := b.core.List(body)
+	for range maxParts {
+		answer, err := f.core.List(body)
 		Expect(err).NotTo(HaveOccurred())
 		for i := range answer.Messages {
 			ids = append(ids, answer.Messages[i].Message.ID)
@@ -59,155 +59,155 @@
 		}
 		body.After = answer.Next
 	}
-	return append(ids, "and no end")
+	return append(ids, "unfinished")
 }
 
-func newListedBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	RegisterTestingT(t)
-	b := &bench{path: t.TempDir()}
-	b.open(true)
-	return b
+	f := &fixture{path: t.TempDir()}
+	f.open(true)
+	return f
 }
 
-// TestListsWhatWaitsOrIsOwed guards the invariant that a message that waits, or whose end is owed to a receiver, is in the list of its unit, whatever order
-// calls, copies and restarts come in.
-func TestListsWhatWaitsOrIsOwed(t *testing.T) {
+// TestListsPendingMessagesAndOwedCallbacks checks the invariant that a message that is pending, or whose callback is
+// owed, is in the list of its unit, in whatever order calls, copies and restarts come.
+func TestListsPendingMessagesAndOwedCallbacks(t *testing.T) {
 	RegisterTestingT(t)
 	folder := t.TempDir()
 	rapid.Check(t, func(t *rapid.T) {
-		path, err := os.MkdirTemp(folder, "drawn")
+		path, err := os.MkdirTemp(folder, "random")
 		Expect(err).NotTo(HaveOccurred())
 		defer os.RemoveAll(path)
-		d := &drawnStore{bench: &bench{path: path, unsynced: true}, model: map[string]*modelMessage{}}
-		d.bench.open(true)
+		s := &randomStore{fixture: &fixture{path: path, skipSync: true}, model: map[string]*modelMessage{}}
+		s.fixture.open(true)
 		t.Repeat(map[string]func(*rapid.T){
-			"put": d.put, "end": d.end, "copy": d.copy, "callback done": d.callbackDone, "void": d.void, "restart": d.restart,
-			"clean": d.clean, "pass": d.pass, "": d.compare,
+			"put": s.put, "outcome": s.putOutcome, "copy": s.copy, "callback done": s.callbackDone, "void": s.void, "restart": s.restart,
+			"clean": s.clean, "advance": s.advance, "": s.compare,
 		})
 	})
 }
 
-// modelMessage is what a store has to know of a message.
+// modelMessage is the model of what a store knows of a message.
 type modelMessage struct {
 	held, void, owed bool
 	phase            message.Phase
 }
 
-// listed tells whether who takes the message's unit over has to hear of it.
+// listed reports whether a list of the message's unit must include it.
 func (m *modelMessage) listed() bool {
 	return m.held && !m.void && (m.phase == message.Pending || m.owed)
 }
 
-// drawnStore is a store under drawn calls, beside a model that is a plain map.
-type drawnStore struct {
-	bench *bench
-	model map[string]*modelMessage
+// randomStore is a store under random calls, with a plain map as its model.
+type randomStore struct {
+	fixture *fixture
+	model   map[string]*modelMessage
 }
 
-const drawnUnits = 2
+const randomUnits = 2
 
-// drawnMessage draws a message; its unit hangs on its id.
-func (d *drawnStore) drawnMessage(t *rapid.T) (*message.Message, *modelMessage) {
+// drawMessage draws a message; its id determines its unit.
+func (s *randomStore) drawMessage(t *rapid.T) (*message.Message, *modelMessage) {
 	number := rapid.IntRange(0, 7).Draw(t, "message")
 	m := newMessage(fmt.Sprintf("m%d", number))
-	m.Unit = drawnUnit(number)
-	if d.model[m.ID] == nil {
-		d.model[m.ID] = &modelMessage{phase: message.Pending}
+	m.Unit = unitOf(number)
+	if s.model[m.ID] == nil {
+		s.model[m.ID] = &modelMessage{phase: message.Pending}
 	}
-	return m, d.model[m.ID]
+	return m, s.model[m.ID]
 }
 
-func drawnUnit(number int) string { return fmt.Sprintf("u%d", number%drawnUnits) }
+func unitOf(number int) string { return fmt.Sprintf("u%d", number%randomUnits) }
 
-func drawnEnd(t *rapid.T, id string) message.End {
+func drawOutcome(t *rapid.T, id string) message.End {
 	phase := rapid.SampledFrom([]message.Phase{message.Succeeded, message.DeadLetter}).Draw(t, "phase")
 	return message.End{ID: id, Phase: phase, Stamp: "s", CallbackOwed: rapid.Bool().Draw(t, "owed")}
 }
 
-func (m *modelMessage) end(end message.End) {
+func (m *modelMessage) complete(end message.End) {
 	if m.phase == message.Pending {
 		m.phase, m.owed = end.Phase, end.CallbackOwed
 	}
 }
 
-func (d *drawnStore) put(t *rapid.T) {
-	m, known := d.drawnMessage(t)
-	taken := false
-	d.bench.core.Put(m, d.bench.core.Epoch(), func(refusal *wire.RefusalBody) { taken = refusal == nil })
-	d.flush()
-	if taken == known.void {
-		t.Fatalf("%s is void: %t, and its put is taken: %t", m.ID, known.void, taken)
+func (s *randomStore) put(t *rapid.T) {
+	m, known := s.drawMessage(t)
+	accepted := false
+	s.fixture.core.Put(m, s.fixture.core.Epoch(), func(refusal *wire.RefusalBody) { accepted = refusal == nil })
+	s.flush()
+	if accepted == known.void {
+		t.Fatalf("%s is void: %t, and its put was accepted: %t", m.ID, known.void, accepted)
 	}
-	known.held = known.held || taken
+	known.held = known.held || accepted
 }
 
-func (d *drawnStore) end(t *rapid.T) {
-	m, known := d.drawnMessage(t)
-	end := drawnEnd(t, m.ID)
-	d.bench.core.Ends([]message.End{end}, func() {})
-	d.flush()
-	known.end(end)
+func (s *randomStore) putOutcome(t *rapid.T) {
+	m, known := s.drawMessage(t)
+	end := drawOutcome(t, m.ID)
+	s.fixture.core.Ends([]message.End{end}, func() {})
+	s.flush()
+	known.complete(end)
 }
 
-func (d *drawnStore) copy(t *rapid.T) {
-	m, known := d.drawnMessage(t)
+func (s *randomStore) copy(t *rapid.T) {
+	m, known := s.drawMessage(t)
 	copied := wire.CopiedMessage{Message: *m}
 	withBytes := rapid.Bool().Draw(t, "with its bytes")
 	if !withBytes {
 		copied.Message = message.Message{ID: m.ID, Unit: rapid.SampledFrom([]string{"", m.Unit}).Draw(t, "unit")}
 	}
-	if !withBytes || rapid.Bool().Draw(t, "ended") {
-		end := drawnEnd(t, m.ID)
+	if !withBytes || rapid.Bool().Draw(t, "with its outcome") {
+		end := drawOutcome(t, m.ID)
 		copied.End = &end
 	}
-	d.bench.core.TakeCopy([]wire.CopiedMessage{copied})
-	d.flush()
+	s.fixture.core.TakeCopy([]wire.CopiedMessage{copied})
+	s.flush()
 	if known.void {
 		return
 	}
 	known.held = known.held || withBytes
 	if copied.End != nil {
-		known.end(*copied.End)
+		known.complete(*copied.End)
 	}
 }
 
-func (d *drawnStore) callbackDone(t *rapid.T) {
-	m, known := d.drawnMessage(t)
-	d.bench.core.CallbackDone([]string{m.ID}, func() {})
-	d.flush()
+func (s *randomStore) callbackDone(t *rapid.T) {
+	m, known := s.drawMessage(t)
+	s.fixture.core.CallbackDone([]string{m.ID}, func() {})
+	s.flush()
 	known.owed = false
 }
 
-func (d *drawnStore) void(t *rapid.T) {
-	m, known := d.drawnMessage(t)
+func (s *randomStore) void(t *rapid.T) {
+	m, known := s.drawMessage(t)
 	voided := false
-	d.bench.core.Void(m.ID, func(refusal *wire.RefusalBody) { voided = refusal == nil })
-	d.flush()
+	s.fixture.core.Void(m.ID, func(refusal *wire.RefusalBody) { voided = refusal == nil })
+	s.flush()
 	known.void = known.void || voided
 }
 
-func (d *drawnStore) restart(*rapid.T) { d.bench.open(false) }
+func (s *randomStore) restart(*rapid.T) { s.fixture.open(false) }
 
-func (d *drawnStore) clean(*rapid.T) {
-	d.bench.core.cleaned = 0 // however little there is to win
-	d.bench.clean()
+func (s *randomStore) clean(*rapid.T) {
+	s.fixture.core.bytesAfterCleaning = 0 // clean however little the log has grown
+	s.fixture.clean()
 }
 
-func (d *drawnStore) pass(t *rapid.T) {
-	d.bench.pass(time.Duration(rapid.IntRange(0, 1000).Draw(t, "milliseconds")) * time.Millisecond)
+func (s *randomStore) advance(t *rapid.T) {
+	s.fixture.advance(time.Duration(rapid.IntRange(0, 1000).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-func (d *drawnStore) flush() { d.bench.flush() }
+func (s *randomStore) flush() { s.fixture.flush() }
 
-func (d *drawnStore) compare(t *rapid.T) {
+func (s *randomStore) compare(t *rapid.T) {
 	var wanted, found []string
-	for id, known := range d.model {
+	for id, known := range s.model {
 		if known.listed() {
 			wanted = append(wanted, id)
 		}
 	}
-	for number := range drawnUnits {
-		answer, err := d.bench.core.List(wire.ListBody{Unit: drawnUnit(number)})
+	for number := range randomUnits {
+		answer, err := s.fixture.core.List(wire.ListBody{Unit: unitOf(number)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -218,6 +218,6 @@
 	slices.Sort(wanted)
 	slices.Sort(found)
 	if !slices.Equal(wanted, found) {
-		t.Fatalf("listed are %v, and %v wait or are owed", found, wanted)
+		t.Fatalf("listed messages are %v, want %v, which are pending or have an owed callback", found, wanted)
 	}
 }
--- a/internal/system/role/store/load.go
+++ b/internal/system/role/store/load.go
@@ -12,41 +12,41 @@
 	"granitewing/internal/system/segment"
 )
 
-// loadedRecord is what a start reads of a record. A message's bytes, which are most of the log, are passed over: every
-// start reads the whole log, and what is accepted waits for it.
+// loadedRecord is what a start reads of a record. The bytes of messages, which are most of the log, are skipped:
+// every start reads the whole log, and no message is accepted until that is done.
 type loadedRecord struct {
 	Kind       recordKind
 	Incomplete bool
 	Founder    bool
 	Disk       string
-	ID         string // of the message, whichever kind of record it is
+	ID         string // of the message, for every kind of record
 	Unit       string
-	Callback   bool // the message has a call-back URL
+	Callback   bool // the message has a callback URL
 	Retention  time.Duration
 	End        message.End
 	At         time.Duration // on the log's clock
 }
 
-// Numbers of fields: the records are arrays, in the order of the fields of record and of message.Message.
+// Numbers of fields. Records are arrays of the fields of record and of message.Message, in their order.
 const (
 	recordFields         = 9
 	messageFields        = 15
-	fieldsBeforeCallback = 6 // behind the unit
-	fieldsBehindCallback = 5 // before the retention
+	fieldsBeforeCallback = 6 // after the unit
+	fieldsAfterCallback  = 5 // before the retention
 )
 
-// FieldsError tells of a record with other fields than this program's.
+// FieldsError reports a record whose number of fields differs from this program's.
 type FieldsError struct{ Found, Wanted int }
 
 func (e *FieldsError) Error() string {
-	return fmt.Sprintf("%d fields instead of %d", e.Found, e.Wanted)
+	return fmt.Sprintf("array has %d fields, want %d", e.Found, e.Wanted)
 }
 
-// loader reads records of the log, one after the other.
+// loader decodes records of the log, one after the other.
 type loader struct {
 	reader  bytes.Reader
 	decoder *msgpack.Decoder
-	units   map[string]string // one string for all messages of a unit
+	units   map[string]string // interns unit names, so that all messages of a unit share one string
 }
 
 func newLoader() *loader {
@@ -63,10 +63,10 @@
 	return r, nil
 }
 
-// field is one field of an array, read into its place.
-type field func() error
+// fieldReader reads the next field of an array into its destination.
+type fieldReader func() error
 
-func inOrder(fields ...field) error {
+func readFields(fields ...fieldReader) error {
 	for _, read := range fields {
 		if err := read(); err != nil {
 			return err
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func (l *loader) arrayOf(wanted int) error {
+func (l *loader) expectArray(wanted int) error {
 	found, err := l.decoder.DecodeArrayLen()
 	if err == nil && found != wanted {
 		return &FieldsError{Found: found, Wanted: wanted}
@@ -84,7 +84,7 @@
 }
 
 func (l *loader) readRecord(r *loadedRecord) error {
-	if err := l.arrayOf(recordFields); err != nil {
+	if err := l.expectArray(recordFields); err != nil {
 		return err
 	}
 	d := l.decoder
@@ -93,38 +93,38 @@
 		return err
 	}
 	r.Kind = recordKind(kind)
-	return inOrder(
+	return readFields(
 		func() (err error) { r.Incomplete, err = d.DecodeBool(); return err },
 		func() (err error) { r.Founder, err = d.DecodeBool(); return err },
 		func() (err error) { r.Disk, err = d.DecodeString(); return err },
 		func() error { return l.readMessage(r) },
-		func() error { return l.readName(&r.ID) },
+		func() error { return l.readNonEmptyString(&r.ID) },
 		func() error { return l.readUnit(r) },
 		func() error { return l.readEnd(r) },
-		func() error { return l.readTime(&r.At) },
+		func() error { return l.readDuration(&r.At) },
 	)
 }
 
-// readMessage reads what the index keeps of a message; most kinds of records have none.
+// readMessage reads what the index keeps of a message. Most kinds of records have no message.
 func (l *loader) readMessage(r *loadedRecord) error {
-	if done, err := l.nothing(); done || err != nil {
+	if done, err := l.skipNil(); done || err != nil {
 		return err
 	}
-	if err := l.arrayOf(messageFields); err != nil {
+	if err := l.expectArray(messageFields); err != nil {
 		return err
 	}
-	return inOrder(
-		func() error { return l.readName(&r.ID) },
+	return readFields(
+		func() error { return l.readNonEmptyString(&r.ID) },
 		func() error { return l.readUnit(r) },
-		func() error { return l.pass(fieldsBeforeCallback) },
+		func() error { return l.skipFields(fieldsBeforeCallback) },
 		func() error { return l.readCallback(r) },
-		func() error { return l.pass(fieldsBehindCallback) },
-		func() error { return l.readTime(&r.Retention) },
+		func() error { return l.skipFields(fieldsAfterCallback) },
+		func() error { return l.readDuration(&r.Retention) },
 	)
 }
 
-// pass passes over so many fields.
-func (l *loader) pass(fields int) error {
+// skipFields skips a number of fields.
+func (l *loader) skipFields(fields int) error {
 	for range fields {
 		if err := l.decoder.Skip(); err != nil {
 			return err
@@ -142,7 +142,7 @@
 	return l.decoder.ReadFull(make([]byte, max(0, length)))
 }
 
-func (l *loader) nothing() (bool, error) {
+func (l *loader) skipNil() (bool, error) {
 	code, err := l.decoder.PeekCode()
 	if err != nil || code != msgpcode.Nil {
 		return false, err
@@ -150,14 +150,14 @@
 	return true, l.decoder.DecodeNil()
 }
 
-func (l *loader) readTime(at *time.Duration) error {
+func (l *loader) readDuration(at *time.Duration) error {
 	nanoseconds, err := l.decoder.DecodeInt64()
 	*at = time.Duration(nanoseconds)
 	return err
 }
 
-// readName reads a text, which an empty one does not replace.
-func (l *loader) readName(name *string) error {
+// readNonEmptyString reads a string and leaves the destination unchanged if the string is empty.
+func (l *loader) readNonEmptyString(name *string) error {
 	text, err := l.decoder.DecodeString()
 	if text != "" {
 		*name = text
@@ -166,26 +166,27 @@
 }
 
 func (l *loader) readUnit(r *loadedRecord) error {
-	if err := l.readName(&r.Unit); err != nil {
+	if err := l.readNonEmptyString(&r.Unit); err != nil {
 		return err
 	}
-	known, there := l.units[r.Unit]
-	if !there {
+	interned, found := l.units[r.Unit]
+	if !found {
 		l.units[r.Unit] = r.Unit
 		return nil
 	}
-	r.Unit = known
+	r.Unit = interned
 	return nil
 }
 
 func (l *loader) readEnd(r *loadedRecord) error {
-	if done, err := l.nothing(); done || err != nil {
+	if done, err := l.skipNil(); done || err != nil {
 		return err
 	}
 	return l.decoder.Decode(&r.End)
 }
 
-// Load takes a record of the log at the start.
+// Load applies a record of the log during the replay at start. It returns a RecordError if the record can't be
+// decoded.
 func (c *Core) Load(position segment.Position, payload []byte) error {
 	if c.loader == nil {
 		c.loader = newLoader()
@@ -194,24 +195,24 @@
 	if err != nil {
 		return err
 	}
-	c.count(position, payload)
-	c.clock.loaded(r.At)
+	c.addSize(position, payload)
+	c.clock.advanceTo(r.At)
 	switch r.Kind {
 	case recordStarted:
 		c.started = true
 		c.disk = r.Disk
-		c.complete, c.founder = !r.Incomplete, r.Founder
+		c.complete, c.bootstrapDisk = !r.Incomplete, r.Founder
 	case recordComplete:
 		c.complete = true
 	case recordMessage:
 		c.loadMessage(position, uint32(len(payload)), &r)
 	case recordVoid:
-		c.void(c.loadedEntry(&r), r.At)
+		c.markVoid(c.entryFor(&r), r.At)
 	case recordEnd:
-		c.end(c.loadedEntry(&r), r.End, r.At)
+		c.setOutcome(c.entryFor(&r), r.End, r.At)
 	case recordFenced:
 		c.takenOver.add(r.Unit)
-		c.takenOver.synced(r.Unit)
+		c.takenOver.markDurable(r.Unit)
 	case recordCallbackDone:
 		if e := c.index.get(r.ID); e != nil {
 			e.callbackOwed = false
@@ -220,8 +221,8 @@
 	return nil
 }
 
-// loadedEntry is the entry of a record's message, which may be known by that record alone.
-func (c *Core) loadedEntry(r *loadedRecord) *entry {
+// entryFor returns the entry of a record's message, and creates it if the record is the first for that message.
+func (c *Core) entryFor(r *loadedRecord) *entry {
 	if e := c.index.get(r.ID); e != nil {
 		return e
 	}
@@ -229,8 +230,8 @@
 }
 
 func (c *Core) loadMessage(position segment.Position, size uint32, r *loadedRecord) {
-	e := c.loadedEntry(r)
-	c.index.join(e, r.Unit)
-	e.held, e.position, e.size, e.retention, e.callback = true, position, size, r.Retention, r.Callback
+	e := c.entryFor(r)
+	c.index.joinUnit(e, r.Unit)
+	e.held, e.position, e.size, e.retention, e.hasCallback = true, position, size, r.Retention, r.Callback
 	e.shared = true
 }
--- a/internal/system/role/store/read.go
+++ b/internal/system/role/store/read.go
@@ -8,20 +8,20 @@
 	"granitewing/internal/system/wire"
 )
 
-// Bounds of asking others for ends.
+// Bounds of querying other stores for outcomes.
 const (
-	askEndsAfter = 4 * time.Second
-	maxAsked     = 500
+	longPendingAfter = 4 * time.Second
+	maxLongPending   = 500
 )
 
-// Sizes of one answer.
+// Maximum sizes of one answer.
 const (
-	answerBytes   = 512 << 10
-	answerRecords = 4000
+	maxAnswerBytes   = 512 << 10
+	maxAnswerRecords = 4000
 )
 
-// message reads a message from the disk.
-func (c *Core) message(e *entry) (*message.Message, error) {
+// readMessage reads a message from the disk.
+func (c *Core) readMessage(e *entry) (*message.Message, error) {
 	payload, err := c.reader.Read(e.position)
 	if err != nil {
 		return nil, err
@@ -33,32 +33,34 @@
 	return r.Message, nil
 }
 
-// List gives a part of a unit's messages that have not ended or whose call-back is owed.
+// List returns one part of a unit's messages that are pending or whose callback is owed. An error means that a
+// message could not be read from the log.
 func (c *Core) List(body wire.ListBody) (wire.ListAnswer, error) {
 	answer := wire.ListAnswer{Complete: c.complete, Next: body.After}
 	size := 0
-	for _, e := range c.index.after(body.Unit, body.After) {
-		if size > answerBytes || len(answer.Messages) > answerRecords {
+	for _, e := range c.index.entriesAfter(body.Unit, body.After) {
+		if size > maxAnswerBytes || len(answer.Messages) > maxAnswerRecords {
 			answer.More = true
 			break
 		}
-		answer.Next = e.place
+		answer.Next = e.sequence
 		if !e.listed() {
 			continue
 		}
 		e.shared = true
-		m, err := c.message(e)
+		m, err := c.readMessage(e)
 		if err != nil {
 			return answer, err
 		}
 		size += len(m.Body) + len(m.Target)
 		answer.Messages = append(answer.Messages, wire.ListedMessage{Message: *m, Phase: e.phase, Stamp: e.stamp,
-			Age: c.now - e.arrived})
+			Age: c.now - e.arrivedAt})
 	}
 	return answer, nil
 }
 
-// Find tells what the store knows of a message.
+// Find returns what the store knows of a message, with its body on request. An error means that the message could
+// not be read from the log.
 func (c *Core) Find(body wire.FindBody) (wire.FindAnswer, error) {
 	answer := wire.FindAnswer{Complete: c.complete}
 	e := c.index.get(body.ID)
@@ -67,7 +69,7 @@
 	}
 	answer.Known, answer.Phase, answer.Stamp = true, e.phase, e.stamp
 	if body.WithBody && e.held && e.phase != message.Succeeded {
-		m, err := c.message(e)
+		m, err := c.readMessage(e)
 		if err != nil {
 			return answer, err
 		}
@@ -76,7 +78,7 @@
 	return answer, nil
 }
 
-// FindEnds gives the ends of those of some messages that have ended.
+// FindEnds returns the outcomes of those of the given messages that have completed.
 func (c *Core) FindEnds(ids []string) []message.End {
 	var ends []message.End
 	for _, id := range ids {
@@ -87,15 +89,16 @@
 	return ends
 }
 
-// LongPending gives some messages that have been pending for long: others may know of their ends.
+// LongPending returns at most maxLongPending ids of messages that have been pending for at least longPendingAfter.
+// Other stores may know their outcomes.
 func (c *Core) LongPending() []string {
 	var ids []string
 	for _, unit := range ordered.Map(c.index.units) {
 		for _, e := range unit.entries {
-			if len(ids) >= maxAsked {
+			if len(ids) >= maxLongPending {
 				return ids
 			}
-			if c.now-e.arrived < askEndsAfter {
+			if c.now-e.arrivedAt < longPendingAfter {
 				break
 			}
 			if e.pending() {
--- a/internal/system/role/store/record.go
+++ b/internal/system/role/store/record.go
@@ -1,6 +1,13 @@
-// Package store is the role that keeps messages on disks: their bytes, their ends, and which of them are void. It is a
-// state machine without I/O or clocks; its driver writes the records of a batch, syncs them, and only then lets the
-// answers of the batch go.
+// Package store implements the store role, which keeps messages on disk: their bytes, their outcomes, and which of
+// them are void (cancelled before any delivery; a void message never runs).
+//
+// Core is a state machine without I/O or clocks of its own. Its driver replays the log into Load and calls Start.
+// It then passes calls to Handle, takes a batch of records with Take, writes and syncs it, and reports it with
+// Synced. Only then do the answers of the batch go out.
+//
+// Filler copies to a new disk what too few other disks hold. Emptier does the reverse for a disk that leaves the
+// roster. EndsAsker queries other stores for the outcomes of messages that have been pending for long. These three
+// run on an event loop and reach the core through RepairEnvironment or callbacks.
 package store
 
 import (
@@ -12,21 +19,21 @@
 	"granitewing/internal/system/segment"
 )
 
-// recordKind tells records apart.
+// recordKind is the type of a record in the log.
 type recordKind uint8
 
 const (
-	recordStarted  recordKind = iota + 1 // the disk is in use; Incomplete where another was lost
-	recordComplete                       // all that the lost disk held was copied from the other stores
+	recordStarted  recordKind = iota + 1 // the disk is in use; Incomplete is set if it replaces a lost disk
+	recordComplete                       // everything that the lost disk held has been copied from other stores
 	recordMessage
 	recordVoid
 	recordEnd
 	recordCallbackDone
-	recordClock  // nothing but its time: the log's clock goes on while nothing else is written
-	recordFenced // a carrier's unit was taken over: nothing more is taken for it
+	recordClock  // carries only its time, so that the log's clock advances while nothing else is written
+	recordFenced // a carrier's unit was taken over: no more messages are accepted for it
 )
 
-// record is one record of the log.
+// record is one record of the log. It is encoded as an array: the order of its fields is part of the stored format.
 type record struct {
 	_msgpack   struct{} `msgpack:",as_array"`
 	Kind       recordKind
@@ -37,19 +44,21 @@
 	ID         string
 	Unit       string
 	End        *message.End
-	// At is the log's time (see logClock) of what the record tells: an arrival, an end, or its writing.
+	// At is the log's time (see logClock) of the recorded event: the arrival, the completion, or the writing of
+	// the record.
 	At time.Duration
 }
 
 func (r *record) encode() []byte {
 	payload, err := msgpack.Marshal(r)
 	if err != nil {
-		panic(err) // a record of ours that msgpack doesn't know: a fault of the program
+		panic(err) // msgpack can encode every field of a record, so this is a bug
 	}
 	return payload
 }
 
-// RecordError tells of a record that can't be read although its checksum holds: another program's, or a later version's.
+// RecordError reports a record that can't be decoded although its checksum is valid: it was written by another
+// program or a later version.
 type RecordError struct {
 	Position segment.Position
 	Err      error
--- a/internal/system/role/store/repair.go
+++ b/internal/system/role/store/repair.go
@@ -11,107 +11,107 @@
 	"granitewing/internal/system/wire"
 )
 
-// RepairEnvironment is what the driver or the simulation gives a Filler and an Emptier.
+// RepairEnvironment is what a Filler and an Emptier need from their driver or from the simulation.
 type RepairEnvironment interface {
 	loop.Loop
 	loop.Peers
-	// Fill hands copies to the core; last is the end of the filling.
+	// Fill passes copies to the core; last marks the end of a backfill.
 	Fill(messages []wire.CopiedMessage, last bool)
-	// Complete tells whether the store holds all that its disk has to hold.
+	// Complete reports whether the store holds everything that its disk has to hold.
 	Complete() bool
-	// Filling tells whether copies wait for the disk.
+	// Filling reports whether copies are waiting to be written to disk.
 	Filling() bool
-	// Held asks the core for a part of what this store holds.
+	// Held requests a part of this store's list from the core.
 	Held(body wire.HeldBody, done func(answer wire.HeldAnswer))
-	// Copies asks the core for copies of messages.
+	// Copies requests copies of messages from the core.
 	Copies(ids []string, done func(answer wire.CopiesBody, err error))
-	// Seal has the core refuse ends and call-backs that it is told of, or take them again.
+	// Seal makes the core refuse outcomes and completed callbacks, or accept them again.
 	Seal(sealed bool, done func())
-	// Report logs what an operator should know.
+	// Report logs an event for the operator.
 	Report(event string, err error)
 }
 
-// Times and sizes of a repair.
+// Intervals and sizes of a backfill or drain.
 const (
-	repairInterval = 60 * time.Millisecond
-	repairTimeout  = 2 * time.Second
-	copiesAtOnce   = 256 // messages in one call
+	repairInterval   = 60 * time.Millisecond
+	repairTimeout    = 2 * time.Second
+	maxCopiesPerCall = 256 // messages
 )
 
-// lists reads the lists of what stores hold into a census.
-type lists struct {
+// listReader reads the lists of what each store holds into a replicaIndex.
+type listReader struct {
 	env     RepairEnvironment
 	session *member.Client
-	disk    string // this store's
-	census  *census
+	disk    string // of this store
+	index   *replicaIndex
 }
 
-func newLists(env RepairEnvironment, client *member.Client, disk string, tolerated *tolerance.Tolerance) *lists {
-	return &lists{env: env, session: client, disk: disk, census: newCensus(tolerated)}
+func newListReader(env RepairEnvironment, client *member.Client, disk string, tolerated *tolerance.Tolerance) *listReader {
+	return &listReader{env: env, session: client, disk: disk, index: newReplicaIndex(tolerated)}
 }
 
-// read asks each store of the counted disks, this one's among them, for the next part of its list. told is how many of the
-// others have told all that was taken for rosters older than one, asked how many are being asked, silent are the zones of
-// those that have not told.
-func (l *lists) read(view *member.View, epoch uint64) (told, asked int, silent []string) {
+// read requests the next part of the list from the store of each counted disk except this one. Of these stores,
+// caughtUp is how many have listed everything accepted under rosters older than epoch, awaited is how many are
+// being queried, and missingZones are the zones of those that are not caught up.
+func (l *listReader) read(view *member.View, epoch uint64) (caughtUp, awaited int, missingZones []string) {
 	for id, other := range ordered.Map(view.Disks) {
 		if id == l.disk || !other.Counted {
 			continue
 		}
-		source := l.census.source(other.Member.Incarnation)
-		if source.told(epoch) {
-			told++
+		progress := l.index.progressOf(other.Member.Incarnation)
+		if progress.caughtUp(epoch) {
+			caughtUp++
 			continue
 		}
-		silent = append(silent, other.Member.Zone)
-		if !source.lost && l.env.Up(other.Member.Address) {
-			asked++
-			l.ask(id, other, source)
+		missingZones = append(missingZones, other.Member.Zone)
+		if !progress.wrongDisk && l.env.Up(other.Member.Address) {
+			awaited++
+			l.requestPart(id, other, progress)
 		}
 	}
-	return told, asked, silent
+	return caughtUp, awaited, missingZones
 }
 
-func (l *lists) ask(id string, other session.Disk, source *heldSource) {
-	if source.busy {
+func (l *listReader) requestPart(id string, other session.Disk, progress *listProgress) {
+	if progress.inFlight {
 		return
 	}
-	source.busy = true
-	body := wire.HeldBody{After: source.after}
+	progress.inFlight = true
+	body := wire.HeldBody{After: progress.after}
 	l.env.Call(other.Member.Address, wire.ListHeld, wire.Encode(&body), repairTimeout, func(payload []byte, err error) {
-		source.busy = false
+		progress.inFlight = false
 		var answer wire.HeldAnswer
 		if err == nil {
 			err = wire.Decode(wire.ListHeld, payload, &answer)
 		}
 		if err != nil {
-			return // it is asked again
+			return // the next read asks again
 		}
 		if answer.Disk != id {
-			source.lost = true
+			progress.wrongDisk = true
 			return
 		}
-		l.census.take(id, source, &answer)
+		l.index.addPart(id, progress, &answer)
 		if answer.More {
-			l.ask(id, other, source)
+			l.requestPart(id, other, progress)
 		}
 	})
 }
 
-// readOwn asks this store's core for the next part of its list; it tells whether all was told that was taken for rosters
-// older than one.
-func (l *lists) readOwn(epoch uint64) bool {
-	source := l.census.source(l.session.Incarnation())
-	if source.told(epoch) {
+// readOwn requests the next part of this store's list from the core. It reports whether everything accepted under
+// rosters older than epoch has been listed.
+func (l *listReader) readOwn(epoch uint64) bool {
+	progress := l.index.progressOf(l.session.Incarnation())
+	if progress.caughtUp(epoch) {
 		return true
 	}
-	if source.busy {
+	if progress.inFlight {
 		return false
 	}
-	source.busy = true
-	l.env.Held(wire.HeldBody{After: source.after}, func(answer wire.HeldAnswer) {
-		source.busy = false
-		l.census.take(l.disk, source, &answer)
+	progress.inFlight = true
+	l.env.Held(wire.HeldBody{After: progress.after}, func(answer wire.HeldAnswer) {
+		progress.inFlight = false
+		l.index.addPart(l.disk, progress, &answer)
 		if answer.More {
 			l.readOwn(epoch)
 		}
@@ -119,29 +119,29 @@
 	return false
 }
 
-// againOwn has this store's list be read on for what has changed since.
-func (l *lists) againOwn() { l.census.source(l.session.Incarnation()).done = false }
+// readOwnAgain makes the next readOwn read the changes since the last part.
+func (l *listReader) readOwnAgain() { l.index.progressOf(l.session.Incarnation()).atEnd = false }
 
-// again has all lists be read on for what has changed since.
-func (l *lists) again() {
-	for _, source := range l.census.sources {
-		source.done = false
+// readAllAgain makes the next reads of all lists read the changes since the last part.
+func (l *listReader) readAllAgain() {
+	for _, progress := range l.index.progress {
+		progress.atEnd = false
 	}
 }
 
-// noteCopies has the census know of copies that a disk was given, and gives their messages.
-func (l *lists) noteCopies(disk string, copies []wire.CopiedMessage) map[string]bool {
+// recordCopies records in the index the copies that a disk was given, and returns the set of their message ids.
+func (l *listReader) recordCopies(disk string, copies []wire.CopiedMessage) map[string]bool {
 	copied := map[string]bool{}
 	for i := range copies {
 		id := copies[i].Message.ID
 		copied[id] = true
-		l.census.note(disk, id, stateOf(&copies[i]))
+		l.index.set(disk, id, copiedState(&copies[i]))
 	}
 	return copied
 }
 
-// stateOf is what a disk holds of a message by a copy.
-func stateOf(copied *wire.CopiedMessage) wire.HeldState {
+// copiedState returns what a disk holds of a message once it has this copy.
+func copiedState(copied *wire.CopiedMessage) wire.HeldState {
 	if copied.Void {
 		return wire.HeldVoid
 	}
--- a/internal/system/role/store/seal_test.go
+++ b/internal/system/role/store/seal_test.go
@@ -7,40 +7,41 @@
 	"granitewing/internal/system/wire"
 )
 
-// refusals keeps what a call was answered with.
-type refusals struct{ taken, refused int }
+// replyCounter counts the answers and refusals of a call.
+type replyCounter struct{ accepted, refused int }
 
-func (r *refusals) Answer(any)              { r.taken++ }
-func (r *refusals) Refuse(wire.RefusalBody) { r.refused++ }
+func (c *replyCounter) Answer(any)              { c.accepted++ }
+func (c *replyCounter) Refuse(wire.RefusalBody) { c.refused++ }
 
-// A store whose disk is about to leave the roster takes no end: it would go with the disk, and its teller would take it for kept.
-func TestSealedStoreTakesNoEnds(t *testing.T) {
+// Checks that a store whose disk is about to leave the roster refuses outcomes: an accepted outcome would be lost with
+// the disk, while its sender would consider it stored.
+func TestSealedStoreRefusesOutcomes(t *testing.T) {
 	core := New(Options{}, nil, 0)
 	core.Start(true, "own")
 	ends := wire.Encode(&wire.EndsBody{Ends: []message.End{{ID: "m", Phase: message.Succeeded}}})
 	done := wire.Encode(&wire.CallbackDoneBody{IDs: []string{"m"}})
-	tell := func(kind wire.Kind, payload []byte) *refusals {
-		answered := &refusals{}
+	send := func(kind wire.Kind, payload []byte) *replyCounter {
+		answered := &replyCounter{}
 		if err := core.Handle(kind, payload, answered); err != nil {
 			t.Fatal(err)
 		}
 		return answered
 	}
 	core.Seal(true)
-	if got := tell(wire.PutEnds, ends); got.refused != 1 {
-		t.Errorf("an end at a sealed store: %+v, want one refusal", got)
+	if got := send(wire.PutEnds, ends); got.refused != 1 {
+		t.Errorf("an outcome at a sealed store: %+v, want one refusal", got)
 	}
-	if got := tell(wire.CallbackDone, done); got.refused != 1 {
-		t.Errorf("a call-back at a sealed store: %+v, want one refusal", got)
+	if got := send(wire.CallbackDone, done); got.refused != 1 {
+		t.Errorf("a completed callback at a sealed store: %+v, want one refusal", got)
 	}
 	if held := core.Held(wire.HeldBody{}); len(held.IDs) != 0 {
-		t.Errorf("a sealed store holds %v", held.IDs)
+		t.Errorf("a sealed store holds %v, want nothing", held.IDs)
 	}
 	core.Seal(false)
-	if got := tell(wire.PutEnds, ends); got.refused != 0 {
-		t.Errorf("an end at a store that takes ends again: %+v", got)
+	if got := send(wire.PutEnds, ends); got.refused != 0 {
+		t.Errorf("an outcome at an unsealed store: %+v, want no refusal", got)
 	}
 	if held := core.Held(wire.HeldBody{}); len(held.IDs) != 1 {
-		t.Errorf("a store that takes ends again holds %v", held.IDs)
+		t.Errorf("an unsealed store holds %v, want one message", held.IDs)
 	}
 }
--- a/internal/system/role/store/send.go
+++ b/internal/system/role/store/send.go
@@ -8,27 +8,28 @@
 	"granitewing/internal/system/wire"
 )
 
-// sender has other disks take copies of messages that lie here and on too few others.
+// sender copies messages that this disk and too few others hold to other disks.
 type sender struct {
-	lists    *lists
+	lists    *listReader
 	throttle *throttle
-	sending  int // calls that are out
+	inFlight int // number of calls
 }
 
-// send gives each message to as many disks as it lacks, one call to a disk.
-func (s *sender) send(view *member.View, lacking []shortage) (begun int) {
+// send copies each message to as many disks as it lacks, with one call for each disk. It returns the number of
+// calls begun.
+func (s *sender) send(view *member.View, messages []underReplicatedMessage) (calls int) {
 	batches := map[string][]string{}
 	candidates := s.candidates(view)
-	for turn := range lacking {
-		short := &lacking[turn]
-		without := s.without(candidates, short.holders, turn)
-		zones := make([]string, 0, len(without))
-		for _, disk := range without {
+	for i := range messages {
+		m := &messages[i]
+		targets := s.nonHolders(candidates, m.holders, i)
+		zones := make([]string, 0, len(targets))
+		for _, disk := range targets {
 			zones = append(zones, view.Disks[disk].Member.Zone)
 		}
-		for _, pick := range s.lists.census.tolerance.Choose(short.zones(view), zones) {
-			if disk := without[pick]; len(batches[disk]) < copiesAtOnce {
-				batches[disk] = append(batches[disk], short.id)
+		for _, pick := range s.lists.index.tolerance.Choose(m.holderZones(view), zones) {
+			if disk := targets[pick]; len(batches[disk]) < maxCopiesPerCall {
+				batches[disk] = append(batches[disk], m.id)
 			}
 		}
 	}
@@ -38,12 +39,12 @@
 	return len(batches)
 }
 
-// candidates gives the disks that can take copies, those of this zone first.
+// candidates returns the disks that can take copies, those of this disk's zone first.
 func (s *sender) candidates(view *member.View) []string {
 	zone := view.Disks[s.lists.disk].Member.Zone
 	var disks []string
 	for id, other := range view.Disks {
-		if id != s.lists.disk && holds(other) && s.lists.env.Up(other.Member.Address) {
+		if id != s.lists.disk && countsAsHolder(other) && s.lists.env.Up(other.Member.Address) {
 			disks = append(disks, id)
 		}
 	}
@@ -57,8 +58,9 @@
 	return disks
 }
 
-// without gives candidates that do not hold a message; those of this zone take turns.
-func (s *sender) without(candidates, holders []string, turn int) []string {
+// nonHolders returns the candidates that do not hold a message, those of this disk's zone first. The candidates are
+// rotated by offset, so that those of a zone take turns.
+func (s *sender) nonHolders(candidates, holders []string, offset int) []string {
 	held := map[string]bool{}
 	for _, disk := range holders {
 		held[disk] = true
@@ -67,7 +69,7 @@
 	zone := view.Disks[s.lists.disk].Member.Zone
 	var near, far []string
 	for i := range candidates {
-		disk := candidates[(i+turn)%len(candidates)]
+		disk := candidates[(i+offset)%len(candidates)]
 		switch {
 		case held[disk]:
 		case view.Disks[disk].Member.Zone == zone:
@@ -79,23 +81,23 @@
 	return append(near, far...)
 }
 
-// copyTo has a store keep copies of messages.
+// copyTo sends copies of messages to the store of a disk.
 func (s *sender) copyTo(disk, address string, ids []string) {
-	s.sending++
-	read := s.lists // others may have been begun when the answer comes
+	s.inFlight++
+	reader := s.lists // the backfill or drain may have begun again with a new reader by the time of the answer
 	s.lists.env.Copies(ids, func(body wire.CopiesBody, err error) {
 		if err != nil {
-			s.sending--
-			s.lists.env.Report("messages that lie on too few disks can't be read", err)
+			s.inFlight--
+			s.lists.env.Report("can't read under-replicated messages to copy them to other disks", err)
 			return
 		}
 		body.More = false
 		payload := wire.Encode(&body)
-		s.throttle.moved(s.lists.env.Now(), len(payload))
+		s.throttle.add(s.lists.env.Now(), len(payload))
 		s.lists.env.Call(address, wire.PutCopies, payload, repairTimeout, func(_ []byte, err error) {
-			s.sending--
+			s.inFlight--
 			if err == nil {
-				read.noteCopies(disk, body.Messages)
+				reader.recordCopies(disk, body.Messages)
 			}
 		})
 	})
--- a/internal/system/role/store/store_test.go
+++ b/internal/system/role/store/store_test.go
@@ -13,214 +13,214 @@
 )
 
 var _ = ginkgo.Describe("A store", func() {
-	var b *bench
+	var f *fixture
 
 	ginkgo.BeforeEach(func() {
-		b = &bench{path: ginkgo.GinkgoT().TempDir()}
-		b.open(true)
+		f = &fixture{path: ginkgo.GinkgoT().TempDir()}
+		f.open(true)
 	})
 
 	ginkgo.It("answers a put only once it is synced", func() {
 		answered := false
-		b.core.Put(newMessage("a"), 0, func(*wire.RefusalBody) { answered = true })
+		f.core.Put(newMessage("a"), 0, func(*wire.RefusalBody) { answered = true })
 		Expect(answered).To(BeFalse())
-		Expect(b.listed()).To(BeEmpty())
-		b.flush()
+		Expect(f.listed()).To(BeEmpty())
+		f.flush()
 		Expect(answered).To(BeTrue())
-		Expect(b.listed()).To(Equal([]string{"a"}))
+		Expect(f.listed()).To(Equal([]string{"a"}))
 	})
 
-	ginkgo.It("holds messages, ends and voids over a start", func() {
-		Expect(b.put("a")).To(BeNil())
-		Expect(b.put("b")).To(BeNil())
-		Expect(b.put("c")).To(BeNil())
-		Expect(b.void("c")).To(BeNil())
-		b.end("b", message.Succeeded)
-		b.open(false)
-		Expect(b.core.Complete()).To(BeTrue())
-		Expect(b.listed()).To(Equal([]string{"a"}))
-		Expect(b.find("b").Stamp).To(Equal("stamp"))
-		Expect(b.find("c").Known).To(BeFalse())
-		Expect(b.put("c")).NotTo(BeNil(), "a void message that comes late")
+	ginkgo.It("keeps messages, outcomes and voids over a restart", func() {
+		Expect(f.put("a")).To(BeNil())
+		Expect(f.put("b")).To(BeNil())
+		Expect(f.put("c")).To(BeNil())
+		Expect(f.void("c")).To(BeNil())
+		f.complete("b", message.Succeeded)
+		f.open(false)
+		Expect(f.core.Complete()).To(BeTrue())
+		Expect(f.listed()).To(Equal([]string{"a"}))
+		Expect(f.find("b").Stamp).To(Equal("stamp"))
+		Expect(f.find("c").Known).To(BeFalse())
+		Expect(f.put("c")).NotTo(BeNil(), "a void message that arrives late")
 	})
 
-	ginkgo.It("makes void what has not come yet", func() {
-		Expect(b.void("a")).To(BeNil())
-		refusal := b.put("a")
+	ginkgo.It("voids a message that has not arrived yet", func() {
+		Expect(f.void("a")).To(BeNil())
+		refusal := f.put("a")
 		Expect(refusal.Code).To(Equal(wire.Voided))
 	})
 
-	ginkgo.It("does not make void what others may know of: listed, copied, ended, or loaded from an earlier life", func() {
-		for _, id := range []string{"listed", "ended", "loaded"} {
-			Expect(b.put(id)).To(BeNil())
+	ginkgo.It("refuses to void a message that others may know: listed, copied, completed or loaded from the log", func() {
+		for _, id := range []string{"listed", "completed", "loaded"} {
+			Expect(f.put(id)).To(BeNil())
 		}
-		b.end("ended", message.Succeeded)
-		Expect(b.void("ended")).NotTo(BeNil())
-		_ = b.listed()
-		Expect(b.void("listed")).NotTo(BeNil())
-		Expect(b.put("copied")).To(BeNil())
-		_, err := b.core.Copies([]string{"copied"})
+		f.complete("completed", message.Succeeded)
+		Expect(f.void("completed")).NotTo(BeNil())
+		_ = f.listed()
+		Expect(f.void("listed")).NotTo(BeNil())
+		Expect(f.put("copied")).To(BeNil())
+		_, err := f.core.Copies([]string{"copied"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(b.void("copied")).NotTo(BeNil())
-		b.open(false)
-		Expect(b.void("loaded")).NotTo(BeNil())
+		Expect(f.void("copied")).NotTo(BeNil())
+		f.open(false)
+		Expect(f.void("loaded")).NotTo(BeNil())
 	})
 
-	ginkgo.It("takes nothing that is meant for an older roster", func() {
-		b.core.Follow(4, false)
+	ginkgo.It("refuses messages sent under an older roster", func() {
+		f.core.Follow(4, false)
 		var refusal *wire.RefusalBody
-		b.core.Put(newMessage("a"), 3, func(r *wire.RefusalBody) { refusal = r })
+		f.core.Put(newMessage("a"), 3, func(r *wire.RefusalBody) { refusal = r })
 		Expect(refusal.Code).To(Equal(wire.StaleRoster))
 	})
 
-	ginkgo.It("is not complete on an empty disk of a system that runs, until it was filled; and again once it was replaced", func() {
-		fresh := &bench{path: ginkgo.GinkgoT().TempDir()}
+	ginkgo.It("is incomplete on an empty disk of a running system until backfilled, and again once the disk was replaced", func() {
+		fresh := &fixture{path: ginkgo.GinkgoT().TempDir()}
 		fresh.open(false)
 		Expect(fresh.core.Complete()).To(BeFalse())
 		for i := range 50 {
-			Expect(b.put(fmt.Sprintf("m%02d", i))).To(BeNil())
+			Expect(f.put(fmt.Sprintf("m%02d", i))).To(BeNil())
 		}
-		b.end("m00", message.Succeeded)
-		Expect(b.put("void")).To(BeNil())
-		Expect(b.void("void")).To(BeNil())
-		held := b.core.Held(wire.HeldBody{})
+		f.complete("m00", message.Succeeded)
+		Expect(f.put("void")).To(BeNil())
+		Expect(f.void("void")).To(BeNil())
+		held := f.core.Held(wire.HeldBody{})
 		Expect(held.IDs).To(HaveLen(51))
 		Expect(held.More).To(BeFalse())
-		Expect(b.copyTo(fresh, held.IDs)).To(Equal(51))
+		Expect(f.copyTo(fresh, held.IDs)).To(Equal(51))
 		fresh.core.CopyFinished()
 		fresh.flush()
 		Expect(fresh.core.Complete()).To(BeTrue())
 		Expect(fresh.listed()).To(HaveLen(49))
 		Expect(fresh.find("m00").Phase).To(Equal(message.Succeeded))
 		Expect(fresh.put("void")).NotTo(BeNil())
-		b.end("m07", message.DeadLetter)
-		held = b.core.Held(wire.HeldBody{After: held.Next})
-		Expect(held.IDs).To(Equal([]string{"m07"}), "what changed since is told again")
-		Expect(held.States).To(Equal([]wire.HeldState{wire.HeldBytes | wire.HeldEnd}), "bytes of a dead letter may be asked for")
+		f.complete("m07", message.DeadLetter)
+		held = f.core.Held(wire.HeldBody{After: held.Next})
+		Expect(held.IDs).To(Equal([]string{"m07"}), "what has changed since is listed again")
+		Expect(held.States).To(Equal([]wire.HeldState{wire.HeldBytes | wire.HeldEnd}), "the bytes of a dead letter may be requested")
 		fresh.core.Follow(9, true)
 		Expect(fresh.core.Complete()).To(BeFalse())
 	})
 
-	ginkgo.It("tells a roster's epoch only once all that was taken for older ones is synced", func() {
-		b.core.Follow(3, false)
-		b.flush()
-		b.core.Put(newMessage("a"), 3, func(*wire.RefusalBody) {})
-		unsynced := b.core.Take()
-		b.core.Follow(4, false)
-		Expect(b.core.Held(wire.HeldBody{}).Epoch).To(BeNumerically("<", 4))
-		positions, err := b.log.Append(unsynced.Payloads...)
+	ginkgo.It("reports a roster's epoch only once everything accepted under older rosters is synced", func() {
+		f.core.Follow(3, false)
+		f.flush()
+		f.core.Put(newMessage("a"), 3, func(*wire.RefusalBody) {})
+		unsynced := f.core.Take()
+		f.core.Follow(4, false)
+		Expect(f.core.Held(wire.HeldBody{}).Epoch).To(BeNumerically("<", 4))
+		positions, err := f.log.Append(unsynced.Payloads...)
 		Expect(err).NotTo(HaveOccurred())
-		b.core.Synced(b.now, unsynced, positions)
-		Expect(b.core.Held(wire.HeldBody{}).Epoch).To(BeNumerically("<", 4), "the batch was taken under the former roster")
-		b.flush()
-		held := b.core.Held(wire.HeldBody{})
+		f.core.Synced(f.now, unsynced, positions)
+		Expect(f.core.Held(wire.HeldBody{}).Epoch).To(BeNumerically("<", 4), "the batch was taken under the previous roster")
+		f.flush()
+		held := f.core.Held(wire.HeldBody{})
 		Expect(held.Epoch).To(BeNumerically("==", 4))
 		Expect(held.IDs).To(Equal([]string{"a"}))
 	})
 
-	ginkgo.It("tells all that it holds in parts, whatever changes meanwhile", func() {
-		big := &bench{path: ginkgo.GinkgoT().TempDir()}
+	ginkgo.It("lists everything it holds in parts, including changes between the parts", func() {
+		big := &fixture{path: ginkgo.GinkgoT().TempDir()}
 		big.open(true)
 		big.core.options.DiskBytes = 64 << 20
-		const count = heldRecords + 500
+		const count = maxListedEntries + 500
 		for i := range count {
 			big.core.Put(newMessage(fmt.Sprintf("m%05d", i)), 0, func(*wire.RefusalBody) {})
 		}
 		big.flush()
 		first := big.core.Held(wire.HeldBody{})
 		Expect(first.More).To(BeTrue())
-		big.end("m00000", message.Succeeded)
+		big.complete("m00000", message.Succeeded)
 		second := big.core.Held(wire.HeldBody{After: first.Next})
 		Expect(second.More).To(BeFalse())
-		Expect(first.IDs).To(HaveLen(heldRecords))
+		Expect(first.IDs).To(HaveLen(maxListedEntries))
 		Expect(second.IDs).To(HaveLen(501))
 		Expect(second.IDs[500]).To(Equal("m00000"))
 		Expect(second.States[500]).To(Equal(wire.HeldEnd))
 	})
 
-	ginkgo.It("tells a message's age by its own clocks, whatever the acceptor's said", func() {
+	ginkgo.It("measures a message's age by its own clock, not by the wall clock of the accepting carrier", func() {
 		m := newMessage("a")
 		m.Accepted = 5
-		b.core.Put(m, 0, func(*wire.RefusalBody) {})
-		b.flush()
-		b.pass(3 * time.Second)
-		b.open(false)
-		answer, err := b.core.List(wire.ListBody{Unit: "u"})
+		f.core.Put(m, 0, func(*wire.RefusalBody) {})
+		f.flush()
+		f.advance(3 * time.Second)
+		f.open(false)
+		answer, err := f.core.List(wire.ListBody{Unit: "u"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Messages[0].Age).To(Equal(3 * time.Second))
 	})
 
-	ginkgo.It("refuses messages while the disk is full, and keeps ends for later", func() {
-		Expect(b.put("a")).To(BeNil())
+	ginkgo.It("refuses messages while the disk is full, and keeps outcomes for a later batch", func() {
+		Expect(f.put("a")).To(BeNil())
 		var refusal *wire.RefusalBody
-		ended := false
-		b.core.Put(newMessage("b"), 0, func(r *wire.RefusalBody) { refusal = r })
-		b.core.Ends([]message.End{{ID: "a", Phase: message.Succeeded, Stamp: "s"}}, func() { ended = true })
-		b.core.Full(b.core.Take())
+		recorded := false
+		f.core.Put(newMessage("b"), 0, func(r *wire.RefusalBody) { refusal = r })
+		f.core.Ends([]message.End{{ID: "a", Phase: message.Succeeded, Stamp: "s"}}, func() { recorded = true })
+		f.core.Full(f.core.Take())
 		Expect(refusal.Code).To(Equal(wire.Failed))
-		Expect(ended).To(BeFalse())
-		b.flush()
-		Expect(ended).To(BeTrue())
-		b.open(false)
-		Expect(b.find("a").Phase).To(Equal(message.Succeeded))
+		Expect(recorded).To(BeFalse())
+		f.flush()
+		Expect(recorded).To(BeTrue())
+		f.open(false)
+		Expect(f.find("a").Phase).To(Equal(message.Succeeded))
 	})
 
-	ginkgo.It("forgets ends after their status was due, and ends what nobody ended within its retention", func() {
-		Expect(b.put("a")).To(BeNil())
-		Expect(b.put("b")).To(BeNil())
-		b.end("a", message.Succeeded)
-		b.pass(119 * time.Second)
-		Expect(b.find("a").Known).To(BeTrue())
-		b.pass(2 * time.Second)
-		Expect(b.find("a").Known).To(BeFalse())
-		Expect(b.find("b").Phase).To(Equal(message.DeadLetter))
+	ginkgo.It("forgets outcomes after the status time, and completes messages without an outcome after their retention", func() {
+		Expect(f.put("a")).To(BeNil())
+		Expect(f.put("b")).To(BeNil())
+		f.complete("a", message.Succeeded)
+		f.advance(119 * time.Second)
+		Expect(f.find("a").Known).To(BeTrue())
+		f.advance(2 * time.Second)
+		Expect(f.find("a").Known).To(BeFalse())
+		Expect(f.find("b").Phase).To(Equal(message.DeadLetter))
 	})
 
-	ginkgo.It("wins space back from segments whose messages have ended, and loses none that has not", func() {
+	ginkgo.It("reclaims space from segments of completed messages without losing pending ones", func() {
 		for i := range 400 {
 			if i%100 == 99 {
-				b.pass(20 * time.Second) // ends are forgotten in time
+				f.advance(20 * time.Second) // old outcomes are forgotten
 			}
 			id := fmt.Sprintf("m%03d", i)
-			Expect(b.put(id)).To(BeNil())
+			Expect(f.put(id)).To(BeNil())
 			if i%40 != 0 {
-				b.end(id, message.Succeeded)
+				f.complete(id, message.Succeeded)
 			}
-			b.clean()
-			b.pass(time.Millisecond)
+			f.clean()
+			f.advance(time.Millisecond)
 		}
-		names, err := os.ReadDir(b.path)
+		names, err := os.ReadDir(f.path)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(names)).To(BeNumerically("<", 12))
-		b.open(false)
-		Expect(b.listed()).To(HaveLen(10))
+		f.open(false)
+		Expect(f.listed()).To(HaveLen(10))
 	})
 
-	ginkgo.It("removes no segment while there is no room for what is needed of it", func() {
+	ginkgo.It("removes no segment while the disk has no space for the records still needed from it", func() {
 		pending := 0
-		for i := 0; float64(b.core.Bytes()) < 0.5*160*(1<<10); i++ {
+		for i := 0; float64(f.core.Bytes()) < 0.5*160*(1<<10); i++ {
 			id := fmt.Sprintf("m%03d", i)
-			Expect(b.put(id)).To(BeNil())
+			Expect(f.put(id)).To(BeNil())
 			if i%10 != 0 {
-				b.end(id, message.Succeeded)
+				f.complete(id, message.Succeeded)
 			} else {
 				pending++
 			}
 		}
-		b.full = true
+		f.full = true
 		for range 5 {
-			Expect(b.clean()).To(BeZero())
-			b.pass(500 * time.Millisecond)
+			Expect(f.clean()).To(BeZero())
+			f.advance(500 * time.Millisecond)
 		}
-		waiting := len(b.core.batch)
-		Expect(b.clean()).To(BeZero())
-		Expect(b.core.batch).To(HaveLen(waiting), "what waits for room is gathered once")
-		b.open(false) // the process is killed
-		Expect(b.listed()).To(HaveLen(pending))
-		Expect(b.clean()).To(BeZero())
-		b.full = false
-		Expect(b.clean()).To(BeNumerically(">", 0))
-		b.open(false)
-		Expect(b.listed()).To(HaveLen(pending))
+		waiting := len(f.core.batch)
+		Expect(f.clean()).To(BeZero())
+		Expect(f.core.batch).To(HaveLen(waiting), "records that wait for space are appended only once")
+		f.open(false) // the process is killed
+		Expect(f.listed()).To(HaveLen(pending))
+		Expect(f.clean()).To(BeZero())
+		f.full = false
+		Expect(f.clean()).To(BeNumerically(">", 0))
+		f.open(false)
+		Expect(f.listed()).To(HaveLen(pending))
 	})
 })
--- a/internal/system/role/store/takeover.go
+++ b/internal/system/role/store/takeover.go
@@ -8,66 +8,68 @@
 	"granitewing/internal/system/segment"
 )
 
-// maxTakenOver bounds the units that are remembered as taken over, the latest last.
+// maxTakenOver limits the units that are remembered as taken over. The oldest are dropped first.
 const maxTakenOver = 4096
 
-// carrierUnits begins the names of units of carriers, which have no owner by a token.
-var carrierUnits = ownership.CarrierUnit("")
+// carrierUnitPrefix is the prefix of the units of carriers, which have no owner with a fencing token.
+var carrierUnitPrefix = ownership.CarrierUnit("")
 
-// takeOver prepares the listing of a unit by who takes it over. A carrier that does not know yet that its session is over may
-// still put messages into its unit: what it has put is listed, once it is synced, and nothing more is taken for the unit
-// afterwards, in this life of the store or a later one. So a message that its carrier accepts is known to who delivers it.
+// takeOver prepares the listing of a unit for a node that takes it over. A carrier that does not know yet that its
+// session has expired may still put messages into its unit. What it has put so far is listed once it is synced, and
+// no more messages are accepted for the unit, by this incarnation of the store or a later one. So every message
+// that the carrier accepts is known to the node that delivers it.
 func (c *Core) takeOver(unit string, list func()) {
-	if !strings.HasPrefix(unit, carrierUnits) {
+	if !strings.HasPrefix(unit, carrierUnitPrefix) {
 		list()
 		return
 	}
 	if !c.takenOver.has(unit) {
 		c.fence(unit)
 	}
-	if !c.takenOver.known[unit] || slices.ContainsFunc(c.index.after(unit, 0), func(e *entry) bool { return e.putting }) {
+	if !c.takenOver.durable[unit] || slices.ContainsFunc(c.index.entriesAfter(unit, 0), func(e *entry) bool { return e.writing }) {
 		c.answers = append(c.answers, list)
 		return
 	}
 	list()
 }
 
-// fence has nothing more be taken for a unit. On a full disk that holds for this life of the store alone: a list is not to wait for room.
+// fence refuses all further messages for a unit. On a full disk the fence lasts only for this incarnation of the
+// store, since a listing must not wait for disk space.
 func (c *Core) fence(unit string) {
 	c.takenOver.add(unit)
-	synced := func() { c.takenOver.synced(unit) }
+	synced := func() { c.takenOver.markDurable(unit) }
 	c.batch = append(c.batch, pendingRecord{payload: c.encode(record{Kind: recordFenced, Unit: unit}),
-		synced: func(segment.Position) { synced() }, refused: synced})
+		onSynced: func(segment.Position) { synced() }, onDiskFull: synced})
 }
 
-// units is a set of the names of units that were added last.
-type units struct {
-	known map[string]bool // by name: whether the unit's record is synced
-	order []string
+// takenOverUnits is the set of the unit names that were added last, bounded by maxTakenOver.
+type takenOverUnits struct {
+	durable map[string]bool // by name: whether the unit's fence is synced, or was dropped on a full disk
+	order   []string        // of adding
 }
 
-func (u *units) has(name string) bool {
-	_, known := u.known[name]
+func (u *takenOverUnits) has(name string) bool {
+	_, known := u.durable[name]
 	return known
 }
 
-func (u *units) add(name string) {
+func (u *takenOverUnits) add(name string) {
 	if u.has(name) {
 		return
 	}
-	if u.known == nil {
-		u.known = map[string]bool{}
+	if u.durable == nil {
+		u.durable = map[string]bool{}
 	}
-	u.known[name] = false
+	u.durable[name] = false
 	u.order = append(u.order, name)
 	for len(u.order) > maxTakenOver {
-		delete(u.known, u.order[0])
+		delete(u.durable, u.order[0])
 		u.order = u.order[1:]
 	}
 }
 
-func (u *units) synced(name string) {
+func (u *takenOverUnits) markDurable(name string) {
 	if u.has(name) {
-		u.known[name] = true
+		u.durable[name] = true
 	}
 }
--- a/internal/system/role/store/takeover_test.go
+++ b/internal/system/role/store/takeover_test.go
@@ -11,73 +11,73 @@
 	"granitewing/internal/system/wire"
 )
 
-var _ = ginkgo.Describe("A store whose unit is taken over", func() {
-	var b *bench
+var _ = ginkgo.Describe("A store with a unit that is taken over", func() {
+	var f *fixture
 
 	ginkgo.BeforeEach(func() {
-		b = &bench{path: ginkgo.GinkgoT().TempDir()}
-		b.open(true)
+		f = &fixture{path: ginkgo.GinkgoT().TempDir()}
+		f.open(true)
 	})
 
-	ginkgo.It("takes nothing more for a carrier's unit that was listed, and lists what was being put then", func() {
+	ginkgo.It("refuses messages for a listed carrier's unit, and lists those being written at that time", func() {
 		put := func(id string) *wire.RefusalBody {
 			m := newMessage(id)
-			m.Unit = carrierUnits + "a"
+			m.Unit = carrierUnitPrefix + "a"
 			var refusal *wire.RefusalBody
-			b.core.Put(m, 0, func(r *wire.RefusalBody) { refusal = r })
+			f.core.Put(m, 0, func(r *wire.RefusalBody) { refusal = r })
 			return refusal
 		}
 		Expect(put("early")).To(BeNil())
-		var told []string
+		var listed []string
 		list := func() {
-			b.core.takeOver(carrierUnits+"a", func() {
-				answer, err := b.core.List(wire.ListBody{Unit: carrierUnits + "a"})
+			f.core.takeOver(carrierUnitPrefix+"a", func() {
+				answer, err := f.core.List(wire.ListBody{Unit: carrierUnitPrefix + "a"})
 				Expect(err).NotTo(HaveOccurred())
 				for _, m := range answer.Messages {
-					told = append(told, m.Message.ID)
+					listed = append(listed, m.Message.ID)
 				}
 			})
 		}
 		list()
-		Expect(told).To(BeEmpty(), "the answer waits for the sync")
+		Expect(listed).To(BeEmpty(), "the answer waits for the sync")
 		Expect(put("late").Code).To(Equal(wire.NotOwner))
-		b.flush()
-		Expect(told).To(ConsistOf("early"))
+		f.flush()
+		Expect(listed).To(ConsistOf("early"))
 		list()
-		Expect(told).To(HaveLen(2), "with nothing on its way it is answered at once")
-		Expect(b.put("of another unit")).To(BeNil())
+		Expect(listed).To(HaveLen(2), "the list is answered at once if no message is being written")
+		Expect(f.put("of another unit")).To(BeNil())
 		for i := range 2 * maxTakenOver {
-			b.core.takeOver(fmt.Sprint(carrierUnits, i), func() {})
+			f.core.takeOver(fmt.Sprint(carrierUnitPrefix, i), func() {})
 		}
-		Expect(b.core.takenOver.known).To(HaveLen(maxTakenOver))
-		Expect(b.core.takenOver.order).To(HaveLen(maxTakenOver))
+		Expect(f.core.takenOver.durable).To(HaveLen(maxTakenOver))
+		Expect(f.core.takenOver.order).To(HaveLen(maxTakenOver))
 	})
 })
 
-// Guards against a message that is accepted for nobody: its carrier's unit was taken over and settled, and the stores that had fenced the unit have
-// started anew, or cleaned their logs, since.
+// Guards against a message that is accepted but never delivered: its carrier's unit was taken over and the takeover
+// had finished, and the stores that had fenced the unit have since restarted or cleaned their logs.
 func TestFencedUnitsSurviveARestart(t *testing.T) {
-	b := newListedBench(t)
+	f := newFixture(t)
 	listed := 0
-	b.core.takeOver(carrierUnits+"a", func() { listed++ })
+	f.core.takeOver(carrierUnitPrefix+"a", func() { listed++ })
 	Expect(listed).To(BeZero(), "the answer waits for the sync of the fence")
-	b.flush()
+	f.flush()
 	Expect(listed).To(Equal(1))
 	late := newMessage("late")
-	late.Unit = carrierUnits + "a"
+	late.Unit = carrierUnitPrefix + "a"
 	refusal := func() *wire.RefusalBody {
 		var refusal *wire.RefusalBody
-		b.core.Put(late, 0, func(r *wire.RefusalBody) { refusal = r })
-		b.flush()
+		f.core.Put(late, 0, func(r *wire.RefusalBody) { refusal = r })
+		f.flush()
 		return refusal
 	}
-	b.open(false)
+	f.open(false)
 	Expect(refusal()).NotTo(BeNil())
-	for i := 0; b.clean() == 0; i++ {
+	for i := 0; f.clean() == 0; i++ {
 		id := fmt.Sprint("m", i)
-		Expect(b.put(id)).To(BeNil())
-		b.end(id, message.Succeeded)
+		Expect(f.put(id)).To(BeNil())
+		f.complete(id, message.Succeeded)
 	}
-	b.open(false)
+	f.open(false)
 	Expect(refusal()).NotTo(BeNil())
 }
--- a/internal/system/role/store/throttle.go
+++ b/internal/system/role/store/throttle.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// throttle bounds how many bytes a second a repair moves. Work is let go while the rate allows, and what it moved is told
-// afterwards.
+// throttle limits how many bytes per second a backfill or drain moves. Work may start whenever the limit allows,
+// and the bytes that it moved are added afterwards.
 type throttle struct {
-	rate   float64 // bytes a second; 0 is without a bound
-	freeAt time.Duration
+	rate    float64 // bytes per second; 0 means no limit
+	readyAt time.Duration
 }
 
-// free tells whether more may be moved now.
-func (t *throttle) free(now time.Duration) bool { return now >= t.freeAt }
+// ready reports whether more work may start now.
+func (t *throttle) ready(now time.Duration) bool { return now >= t.readyAt }
 
-// moved tells how many bytes were moved.
-func (t *throttle) moved(now time.Duration, bytes int) {
+// add accounts for bytes that were moved.
+func (t *throttle) add(now time.Duration, bytes int) {
 	if t.rate <= 0 {
 		return
 	}
-	t.freeAt = max(t.freeAt, now) + time.Duration(float64(bytes)/t.rate*float64(time.Second))
+	t.readyAt = max(t.readyAt, now) + time.Duration(float64(bytes)/t.rate*float64(time.Second))
 }
