--- a/internal/system/role/carrier/accept.go
+++ b/internal/system/role/carrier/accept.go
@@ -10,63 +10,63 @@
 	"granitewing/internal/system/wire"
 )
 
-// Submission is a client's request on its way in.
+// Submission is a client's request to accept a message.
 type Submission struct {
-	Message message.Message // without unit, route and order
-	Path    string          // of the target, decoded as little as the client sent it
-	// Left is how long the client waits, as it said, or 0.
+	Message message.Message // without unit, route and sequence number; Submit fills them in
+	Path    string          // path of the target URL, escaped as the client sent it
+	// Left is how long the client still waits for an answer, as stated in its request; 0 if it stated nothing.
 	Left time.Duration
 }
 
-// Verdict is the answer to a submission.
+// Verdict classifies the answer to a submission.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Accepted Verdict = iota + 1
-	NoRoute          // 404
-	Refused          // 503: not taken, never runs
-	Unclear          // 504: it may run
+	NoRoute          // no route matches; HTTP status 404
+	Refused          // not accepted, the message never runs; HTTP status 503
+	Unclear          // not known whether it was accepted, the message may run; HTTP status 504
 )
 
-// Answer goes to the client.
+// Answer is the answer to a client's submission. RetryAfter is set for Refused only; Reason is empty for Accepted.
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
 	Reason     string
 }
 
-// Times of accepting.
+// Durations of accepting a message.
 const (
-	hedgeAfter     = 70 * time.Millisecond  // a store that is silent for so long is joined by another
-	holdAtMost     = 900 * time.Millisecond // a submission is answered by then
-	holdPart       = 0.40                   // of the time that the client gave
-	answerPart     = 0.48                   // of that time: by then it has an answer, whatever the stores say
-	holdOfTarget   = 4                      // times the target, where the client gave no time
-	reserveTimeout = 250 * time.Millisecond
-	confirmTimeout = 250 * time.Millisecond
-	voidTimeout    = 150 * time.Millisecond
-	leastVoidTime  = 25 * time.Millisecond
-	retryAfterBlip = time.Second
+	hedgeDelay         = 70 * time.Millisecond  // a store that has not answered by then is backed up by a put at another store
+	maxHold            = 900 * time.Millisecond // upper bound on the time until a submission is answered or given up
+	holdShare          = 0.40                   // share of the client's stated time after which a submission is given up
+	answerShare        = 0.48                   // share of the client's stated time by which it is answered, whatever the stores report
+	holdTargetMultiple = 4                      // multiple of the route's acknowledgement target, used if the client stated no time
+	reserveTimeout     = 250 * time.Millisecond
+	confirmTimeout     = 250 * time.Millisecond
+	maxCancelTimeout   = 150 * time.Millisecond
+	minCancelTimeout   = 25 * time.Millisecond
+	defaultRetryAfter  = time.Second
 )
 
-// acceptance is a submission that is being stored.
+// acceptance is a submission whose message is being stored.
 type acceptance struct {
-	core    *Core
-	message *message.Message
-	route   *configuration.Route
-	answer  func(Answer)
-	at      time.Duration
-	left    time.Duration // that the client waits, or 0
-	until   time.Duration
-	tried   []string // disks that may have it
-	holders []string // disks that have it synced
-	open    int      // puts without answer
-	stored  bool
-	done    bool
+	core          *Core
+	message       *message.Message
+	route         *configuration.Route
+	answer        func(Answer)
+	received      time.Duration
+	clientTimeout time.Duration // as stated by the client, or 0
+	deadline      time.Duration
+	attempted     []string // disks that may hold the message
+	holders       []string // disks that hold the message synced
+	pendingPuts   int      // puts that have not been answered
+	stored        bool
+	done          bool
 }
 
-// Submit takes a submission; answer is called once.
+// Submit accepts a message for delivery. It calls answer once, possibly later and possibly before it returns.
 func (c *Core) Submit(s *Submission, answer func(Answer)) {
 	view := c.session.View()
 	if view.Table == nil || !c.session.Joined() || c.paused {
@@ -82,7 +82,7 @@
 		c.refuseBusy(answer, 0, "too much is waiting")
 		return
 	}
-	if pause := c.overloaded(view.Table.Service(route), route); pause > 0 {
+	if pause := c.serviceRetryAfter(view.Table.Service(route), route); pause > 0 {
 		c.refuseBusy(answer, pause, "what waits for the service takes too long")
 		return
 	}
@@ -90,43 +90,44 @@
 		c.refuse(answer, "too few stores are reachable")
 		return
 	}
-	a := &acceptance{core: c, message: &s.Message, route: route, answer: answer, at: c.env.Now(), left: s.Left}
-	a.until = a.at + holdTime(s.Left, route)
+	a := &acceptance{core: c, message: &s.Message, route: route, answer: answer, received: c.env.Now(), clientTimeout: s.Left}
+	a.deadline = a.received + holdDuration(s.Left, route)
 	a.message.Version = message.Version(view.Table.Document.Version)
 	a.message.Retention = route.Retention
-	a.place(view.Table.Service(route))
+	a.assignUnit(view.Table.Service(route))
 }
 
-func holdTime(left time.Duration, route *configuration.Route) time.Duration {
-	hold := time.Duration(holdOfTarget) * route.TargetAck
+func holdDuration(left time.Duration, route *configuration.Route) time.Duration {
+	hold := time.Duration(holdTargetMultiple) * route.TargetAck
 	if left > 0 {
-		hold = time.Duration(holdPart * float64(left))
+		hold = time.Duration(holdShare * float64(left))
 	}
-	return min(max(hold, 50*time.Millisecond), holdAtMost)
+	return min(max(hold, 50*time.Millisecond), maxHold)
 }
 
-// voidTime is how long the stores may take to make a submission void that is given up now: whoever waits for the answer
-// may not wait for half of its time.
-func (a *acceptance) voidTime() time.Duration {
-	if a.left == 0 {
-		return voidTimeout
+// cancelTimeout returns how long the stores may take to cancel a submission that is given up now. The client must
+// have its answer before half of its stated time has passed.
+func (a *acceptance) cancelTimeout() time.Duration {
+	if a.clientTimeout == 0 {
+		return maxCancelTimeout
 	}
-	answerBy := a.at + time.Duration(answerPart*float64(a.left))
-	return min(voidTimeout, max(leastVoidTime, answerBy-a.core.env.Now()))
+	answerBy := a.received + time.Duration(answerShare*float64(a.clientTimeout))
+	return min(maxCancelTimeout, max(minCancelTimeout, answerBy-a.core.env.Now()))
 }
 
 func (c *Core) refuse(answer func(Answer), reason string) {
-	c.refuseFor(answer, retryAfterBlip, reason)
+	c.refuseFor(answer, defaultRetryAfter, reason)
 }
 
-// refuseFor refuses a submission, which may come again after a pause.
+// refuseFor refuses a submission, which the client may repeat after a pause.
 func (c *Core) refuseFor(answer func(Answer), pause time.Duration, reason string) {
 	c.figures.Refused++
 	answer(Answer{Verdict: Refused, RetryAfter: pause, Reason: reason})
 }
 
-// place decides the message's unit, and asks for its place in an order where it needs one.
-func (a *acceptance) place(service *configuration.Service) {
+// assignUnit determines the message's unit. A message of an ordered route first needs a sequence number from the
+// owner of its unit; any other message is stored at once.
+func (a *acceptance) assignUnit(service *configuration.Service) {
 	m := a.message
 	if !a.route.Callback {
 		m.Callback = ""
@@ -135,8 +136,9 @@
 	if !a.route.Ordered {
 		m.Key = ""
 	}
-	// An order belongs to its key and to nothing that a change of the configuration may change: who has given places in it knows all
-	// that waits in it, whichever service that was meant for when it was accepted.
+	// The unit of an ordered message depends on its key alone, never on anything that a configuration change may
+	// alter. The carrier that assigns sequence numbers for the key therefore knows every message that waits for it,
+	// whichever service the message was for when it was accepted.
 	switch {
 	case ordered:
 		m.Unit = ownership.KeyUnit(m.Key)
@@ -153,48 +155,49 @@
 	a.store()
 }
 
-// reserve asks the unit's owner for a place in its order. Nothing is stored yet, so that a refusal is a promise kept.
+// reserve requests a sequence number from the unit's owner. Nothing is stored yet, so a refusal guarantees that
+// the message never runs.
 func (a *acceptance) reserve(service string) {
 	c := a.core
 	body := wire.ReserveBody{Unit: a.message.Unit, ID: a.message.ID, Service: service, Retention: a.message.Retention}
-	c.reserve(body, func(place wire.ReserveAnswer, err error) {
-		if err != nil && ownerChanges(err) && c.env.Now()-a.at < placeRetryFor {
-			c.env.After(placeRetry, func() { a.reserve(service) })
+	c.reserve(body, func(reservation wire.ReserveAnswer, err error) {
+		if err != nil && isOwnerChanging(err) && c.env.Now()-a.received < reserveRetryPeriod {
+			c.env.After(reserveRetry, func() { a.reserve(service) })
 			return
 		}
 		if err != nil {
 			c.refuse(a.answer, "the order's owner is not reachable")
 			return
 		}
-		if place.RetryAfter > 0 {
-			c.refuseBusy(a.answer, place.RetryAfter, "what waits for the service takes too long")
+		if reservation.RetryAfter > 0 {
+			c.refuseBusy(a.answer, reservation.RetryAfter, "what waits for the service takes too long")
 			return
 		}
-		a.message.Token, a.message.Sequence = place.Token, place.Sequence
+		a.message.Token, a.message.Sequence = reservation.Token, reservation.Sequence
 		a.store()
 	})
 }
 
-// confirm hands the stored message to who delivers it. One of an order is accepted only once the owner of the order
-// knows it, so that nothing that is sent afterwards can be ahead of it.
+// confirm passes the stored message to the carrier that delivers it. An ordered message is accepted only once the
+// owner of its key has it, so that no message sent afterwards can get ahead of it.
 func (a *acceptance) confirm() {
 	c := a.core
 	m := a.message
 	if m.Unit == c.own.name {
-		c.take(c.own, m, a.holders, a.at)
+		c.addMessage(c.own, m, a.holders, a.received)
 		a.accept()
 		return
 	}
-	if strings.HasPrefix(m.Unit, departedPrefix) {
-		// The session under which it came was lost meanwhile. Whoever took that unit over may have listed it before this
-		// message was stored, so that nobody would ever deliver it: it is not accepted.
+	if strings.HasPrefix(m.Unit, carrierUnitPrefix) {
+		// The session under which the message arrived was lost in the meantime. The carrier that took the unit over may
+		// have listed it before this message was stored, and then no carrier would deliver it. It is not accepted.
 		a.stored = false
 		a.giveUp()
 		return
 	}
 	if m.Key == "" {
 		a.accept()
-		c.forward(m, a.holders, a.at)
+		c.forward(m, a.holders, a.received)
 		return
 	}
 	c.confirmAtOwner(a)
@@ -206,7 +209,7 @@
 	a.answer(Answer{Verdict: Accepted})
 }
 
-// MaxBody is the configuration's bound on a body, or otherwise where there is none yet.
+// MaxBody returns the configured limit on a message body in bytes, or otherwise while no configuration is known.
 func (c *Core) MaxBody(otherwise int64) int64 {
 	if table := c.session.View().Table; table != nil {
 		return int64(table.Document.Limits.MaxBodyBytes)
--- a/internal/system/role/carrier/accept_store.go
+++ b/internal/system/role/carrier/accept_store.go
@@ -1,27 +1,27 @@
 package carrier
 
-// store sends the message to as many stores as it has to lie on.
+// store sends the message to as many stores as it must be stored on.
 func (a *acceptance) store() {
 	c := a.core
 	for _, disk := range c.stores.choose() {
 		a.put(disk)
 	}
-	if !c.enough(a.tried) {
+	if !c.enough(a.attempted) {
 		a.giveUp()
 		return
 	}
-	c.env.After(hedgeAfter, a.hedge)
-	c.env.After(a.until-c.env.Now(), a.expire)
+	c.env.After(hedgeDelay, a.hedge)
+	c.env.After(a.deadline-c.env.Now(), a.expire)
 }
 
 func (a *acceptance) put(disk string) {
 	c := a.core
-	a.tried = append(a.tried, disk)
-	a.open++
+	a.attempted = append(a.attempted, disk)
+	a.pendingPuts++
 	c.stores.put(disk, a.message, func(err error) {
-		a.open--
+		a.pendingPuts--
 		if err != nil {
-			a.failedPut()
+			a.putFailed()
 			return
 		}
 		a.holders = append(a.holders, disk)
@@ -32,17 +32,17 @@
 	})
 }
 
-// failedPut goes to another store at once.
-func (a *acceptance) failedPut() {
+// putFailed sends the message to another store at once.
+func (a *acceptance) putFailed() {
 	if a.done || a.stored {
 		return
 	}
 	c := a.core
-	if another := c.stores.another(a.tried, a.holders); another != "" {
+	if another := c.stores.another(a.attempted, a.holders); another != "" {
 		a.put(another)
 		return
 	}
-	if a.open == 0 {
+	if a.pendingPuts == 0 {
 		a.giveUp()
 	}
 }
@@ -51,7 +51,7 @@
 	if a.done || a.stored {
 		return
 	}
-	if another := a.core.stores.another(a.tried, a.holders); another != "" {
+	if another := a.core.stores.another(a.attempted, a.holders); another != "" {
 		a.put(another)
 	}
 }
@@ -62,41 +62,41 @@
 	}
 }
 
-// giveUp answers a submission that could not be stored in time. Where every store that may have it has made it void, it
-// never runs, and the client is told so; else nothing is promised.
+// giveUp answers a submission that could not be stored in time. If every store that may hold the message has
+// cancelled it, the message never runs and the submission is refused. Otherwise the answer is Unclear.
 func (a *acceptance) giveUp() {
 	c := a.core
 	a.done = true
-	if len(a.tried) == 0 {
+	if len(a.attempted) == 0 {
 		c.refuse(a.answer, "too few stores are reachable")
 		return
 	}
 	if a.stored {
-		// It lies on enough disks, and runs; only its owner has not taken it yet.
-		a.unclear()
+		// The message is on enough disks and will run; only its owner has not confirmed it yet.
+		a.answerUnclear()
 		return
 	}
-	left, failed, answered := len(a.tried), false, false
+	remaining, failed, answered := len(a.attempted), false, false
 	settle := func(err error) {
-		left--
+		remaining--
 		failed = failed || err != nil
-		if left > 0 || answered {
+		if remaining > 0 || answered {
 			return
 		}
 		answered = true
 		if failed {
-			a.unclear()
+			a.answerUnclear()
 			return
 		}
 		c.refuse(a.answer, "it could not be stored in time")
 	}
-	timeout := a.voidTime()
-	for _, disk := range a.tried {
-		c.stores.void(disk, a.message.ID, timeout, settle)
+	timeout := a.cancelTimeout()
+	for _, disk := range a.attempted {
+		c.stores.cancel(disk, a.message.ID, timeout, settle)
 	}
 }
 
-func (a *acceptance) unclear() {
+func (a *acceptance) answerUnclear() {
 	a.core.figures.Unclear++
 	a.answer(Answer{Verdict: Unclear, Reason: "it could not be stored in time"})
 }
--- a/internal/system/role/carrier/admission.go
+++ b/internal/system/role/carrier/admission.go
@@ -8,73 +8,76 @@
 	"granitewing/internal/system/ownership"
 )
 
-// A message is taken only if it can be kept and can still run. What it costs is memory, on top of its bytes and head; and
-// one whose service's backlog would take longer than a quarter of the message's retention to clear is refused, since a 202 would
-// be a promise that its dead letter breaks. Late messages that can run within their retention are taken: they are worth
-// less than those in time, and more than a refusal.
+// A message is accepted only if it can be kept in memory and is able to run in time. It uses memory for its body,
+// its other fields and bookkeeping. It is refused if its service's backlog would take longer than a quarter of the
+// message's retention to clear, since the 202 answer is a promise that expiry as a dead letter would break.
+// Messages that will miss their target but can run within their retention are accepted: they are worth less than
+// messages in time, but more than a refusal.
 const (
-	maxMemoryShare  = 0.30 // of the memory limit, for what waits; past it nothing is taken
-	keepBodiesShare = 0.15 // past it bodies are left on the stores
-	itemBytes       = 700  // of memory that a waiting message takes without its head and bytes
-	maxWaitShare    = 0.25 // of a message's retention, that its service's backlog may last
-	drainWindow     = 2 * time.Second
-	drainFresh      = 3 * drainWindow // a pace that was measured longer ago tells nothing
-	leastRetryAfter = time.Second
-	mostRetryAfter  = 30 * time.Second
+	maxMemoryShare    = 0.30 // of the memory limit, for waiting messages; above it nothing is accepted
+	keepBodiesShare   = 0.15 // of the memory limit, for bodies; above it bodies are left on the stores
+	itemOverheadBytes = 700  // memory of a waiting message besides its header fields and its body
+	maxWaitShare      = 0.25 // of a message's retention, that its service's backlog may take to clear
+	rateWindow        = 2 * time.Second
+	rateMaxAge        = 3 * rateWindow // a rate that was measured longer ago is not used
+	minRetryAfter     = time.Second
+	maxRetryAfter     = 30 * time.Second
 )
 
-// backlog is the due messages of a service that a carrier is responsible for, and how fast they end while there are any.
+// backlog counts a service's due messages that a carrier is responsible for, and measures how fast they complete
+// while there are any.
 type backlog struct {
-	owed     int
-	running  int           // of all messages of the service: those with an attempt out
-	ends     int           // in the running window
-	begun    time.Duration // of the running window
-	lastEnd  time.Duration
-	pace     float64       // messages a second, over the last whole window; 0 before the first
-	measured time.Duration // end of that window
+	due            int
+	running        int           // messages of the service with an attempt in flight
+	completed      int           // messages completed in the current window
+	windowStart    time.Duration // of the current window
+	lastCompletion time.Duration
+	rate           float64       // messages per second over the last full window; 0 before the first
+	measuredAt     time.Duration // end of that window
 }
 
 // add counts a message that is due.
 func (b *backlog) add(now time.Duration) {
-	if b.owed == 0 {
-		b.begun, b.ends = now, 0
+	if b.due == 0 {
+		b.windowStart, b.completed = now, 0
 	}
-	b.owed++
+	b.due++
 }
 
-// remove takes a message away; ended tells whether it has ended, and has not only gone to another carrier. A window
-// closes with an end: while none ends, nothing is known of the pace, and a pause as long as a window, such as an outage, is
-// no part of one.
+// remove takes a message out of the backlog. ended reports whether the message completed, as opposed to having
+// moved to another carrier. A window closes only when a message completes, since without completions the rate is
+// unknown. A pause as long as a window, such as an outage, is not part of any window.
 func (b *backlog) remove(now time.Duration, ended bool) {
-	b.owed--
+	b.due--
 	if !ended {
 		return
 	}
-	paused := now-b.lastEnd >= drainWindow
-	b.lastEnd = now
+	paused := now-b.lastCompletion >= rateWindow
+	b.lastCompletion = now
 	if paused {
-		b.begun, b.ends = now, 0
+		b.windowStart, b.completed = now, 0
 		return
 	}
-	b.ends++
-	if lasted := now - b.begun; lasted >= drainWindow {
-		b.pace = float64(b.ends) / lasted.Seconds()
-		b.measured, b.begun, b.ends = now, now, 0
+	b.completed++
+	if lasted := now - b.windowStart; lasted >= rateWindow {
+		b.rate = float64(b.completed) / lasted.Seconds()
+		b.measuredAt, b.windowStart, b.completed = now, now, 0
 	}
 }
 
-// wait is how long a message that comes now waits at the latest pace, before it runs; 0 where that is not known.
+// wait estimates how long a message that arrives now waits before it runs, at the last measured rate; 0 if the
+// rate is unknown.
 func (b *backlog) wait(now time.Duration) time.Duration {
-	if b.pace == 0 || now-b.measured > drainFresh {
+	if b.rate == 0 || now-b.measuredAt > rateMaxAge {
 		return 0
 	}
-	waiting := max(0, b.owed-b.running)
-	return time.Duration(float64(waiting) / b.pace * float64(time.Second))
+	waiting := max(0, b.due-b.running)
+	return time.Duration(float64(waiting) / b.rate * float64(time.Second))
 }
 
-// count counts a message into its service's backlog once it is due, or waits behind others of its key.
+// count adds a message to its service's backlog once the message is due or waits behind others of its key.
 func (c *Core) count(it *item) {
-	if it.counted != nil || it.ended || it.unit.dropped {
+	if it.backlog != nil || it.ended || it.unit.dropped {
 		return
 	}
 	table := c.session.View().Table
@@ -82,51 +85,51 @@
 		return
 	}
 	if route := c.routeOf(table, it.message); route != nil {
-		it.counted = &c.queue(route.Service).backlog
-		it.counted.add(c.env.Now())
+		it.backlog = &c.queue(route.Service).backlog
+		it.backlog.add(c.env.Now())
 	}
 }
 
-// uncount takes it out again.
+// uncount removes a message from its service's backlog. ended reports whether it completed.
 func (c *Core) uncount(it *item, ended bool) {
-	if it.counted != nil {
-		it.counted.remove(c.env.Now(), ended)
-		it.counted = nil
+	if it.backlog != nil {
+		it.backlog.remove(c.env.Now(), ended)
+		it.backlog = nil
 	}
 }
 
-// headBytes is the memory that a message takes without its body.
+// headBytes returns the memory that a message uses without its body.
 func headBytes(m *message.Message) int64 {
-	size := itemBytes + len(m.ID) + len(m.Target) + len(m.Key) + len(m.Callback)
+	size := itemOverheadBytes + len(m.ID) + len(m.Target) + len(m.Key) + len(m.Callback)
 	for _, header := range m.Headers {
 		size += len(header.Name) + len(header.Value)
 	}
 	return int64(size)
 }
 
-// memoryFull tells whether what waits takes all memory that it may.
+// memoryFull reports whether waiting messages use all the memory that they may.
 func (c *Core) memoryFull() bool {
 	return float64(c.bodyBytes+c.waitingBytes) > maxMemoryShare*c.memoryLimit()
 }
 
-// bodiesFull tells whether bodies are left on the stores.
+// bodiesFull reports whether new bodies are left on the stores.
 func (c *Core) bodiesFull() bool { return float64(c.bodyBytes) > keepBodiesShare*c.memoryLimit() }
 
 func (c *Core) memoryLimit() float64 { return float64(c.settings.Limits.MemoryMB) * (1 << 20) }
 
-// refuseBusy refuses a submission because too much waits, for a pause and a random share of it: those who are refused
-// together don't return together.
+// refuseBusy refuses a submission because of the backlog. It adds a random share to the pause, so that clients
+// refused at the same time do not return at the same time.
 func (c *Core) refuseBusy(answer func(Answer), pause time.Duration, reason string) {
-	pause = max(leastRetryAfter, pause)
+	pause = max(minRetryAfter, pause)
 	c.refuseFor(answer, pause+time.Duration(c.env.Random(int64(pause))), reason)
 }
 
-// overloaded tells when a message of a route may be sent again where too much waits for its service: here, or at the owner
-// of the service's one unit as far as that has told; 0 where it is taken. Owners of ordered units tell when they are asked
-// for a place.
-func (c *Core) overloaded(service *configuration.Service, route *configuration.Route) time.Duration {
+// serviceRetryAfter returns when a message of a route may be submitted again if the backlog of its service is too
+// long; 0 if the message is accepted. It considers the backlog of this carrier and the latest report of the owner
+// of the service's paced unit. Owners of ordered units report theirs when a sequence number is requested.
+func (c *Core) serviceRetryAfter(service *configuration.Service, route *configuration.Route) time.Duration {
 	now := c.env.Now()
-	if until := c.fullUntil[ownership.PacedUnit(service.Name)]; until > now {
+	if until := c.ownerBusyUntil[ownership.PacedUnit(service.Name)]; until > now {
 		return until - now
 	}
 	if route.Ordered || service.Rate > 0 || service.Static != "" {
@@ -135,8 +138,8 @@
 	return c.retryAfter(service.Name, route.Retention)
 }
 
-// ownerOverloaded tells the same of a message of a unit that this carrier owns.
-func (c *Core) ownerOverloaded(m *message.Message) time.Duration {
+// ownerRetryAfter returns the same for a message of a unit that this carrier owns.
+func (c *Core) ownerRetryAfter(m *message.Message) time.Duration {
 	table := c.session.View().Table
 	if table == nil {
 		return 0
@@ -148,26 +151,26 @@
 	return c.retryAfter(route.Service, m.Retention)
 }
 
-// retryAfter is when the backlog of a service will have fallen to half of what a message with some retention bears; 0 where
-// such a message is taken.
+// retryAfter returns the time until the service's backlog will have fallen to half of what a message with the
+// given retention tolerates; 0 if such a message is accepted now.
 func (c *Core) retryAfter(service string, retention time.Duration) time.Duration {
 	q := c.queues[service]
 	if q == nil {
 		return 0
 	}
-	most := time.Duration(maxWaitShare * float64(retention))
+	maxWait := time.Duration(maxWaitShare * float64(retention))
 	wait := q.backlog.wait(c.env.Now())
-	if wait <= most {
+	if wait <= maxWait {
 		return 0
 	}
-	return min(wait-most/2, mostRetryAfter)
+	return min(wait-maxWait/2, maxRetryAfter)
 }
 
-// ownerTold keeps for how long the owner of a paced unit would rather have no more messages.
-func (c *Core) ownerTold(unit string, pause time.Duration) {
+// setOwnerBusy records for how long the owner of a paced unit wants no more messages; a pause of 0 clears it.
+func (c *Core) setOwnerBusy(unit string, pause time.Duration) {
 	if pause <= 0 {
-		delete(c.fullUntil, unit)
+		delete(c.ownerBusyUntil, unit)
 		return
 	}
-	c.fullUntil[unit] = c.env.Now() + pause
+	c.ownerBusyUntil[unit] = c.env.Now() + pause
 }
--- a/internal/system/role/carrier/bytes.go
+++ b/internal/system/role/carrier/bytes.go
@@ -6,30 +6,31 @@
 	"granitewing/internal/system/wire"
 )
 
-// limitBytes leaves a message's bytes on the stores while much is waiting here; they are read back when it is due.
-func (c *Core) limitBytes(it *item) {
+// releaseBodyIfFull drops a message's body from memory while bodies use too much of it. The stores keep the body,
+// and it is read back when the message is due.
+func (c *Core) releaseBodyIfFull(it *item) {
 	if !c.bodiesFull() || len(it.message.Body) == 0 {
 		return
 	}
-	c.forgetBytes(it)
-	it.fetching = true
-	c.env.After(max(0, it.due-c.env.Now()), func() { c.fetch(it, 0) })
+	c.releaseBody(it)
+	it.fetchingBody = true
+	c.env.After(max(0, it.due-c.env.Now()), func() { c.fetchBody(it, 0) })
 }
 
-const fetchPause = 200 * time.Millisecond
+const fetchRetry = 200 * time.Millisecond
 
-// fetch reads a message's bytes back from one of its holders.
-func (c *Core) fetch(it *item, turn int) {
+// fetchBody reads a message's body back from one of the disks that hold it.
+func (c *Core) fetchBody(it *item, attempt int) {
 	if it.ended || it.unit.dropped {
 		return
 	}
 	holders := c.stores.recipients(it.holders)
-	retry := func() { c.env.After(fetchPause, func() { c.fetch(it, turn+1) }) }
+	retry := func() { c.env.After(fetchRetry, func() { c.fetchBody(it, attempt+1) }) }
 	if len(holders) == 0 {
 		retry()
 		return
 	}
-	disk := holders[turn%len(holders)]
+	disk := holders[attempt%len(holders)]
 	if c.bodiesFull() || !c.stores.isUp(disk) {
 		retry()
 		return
@@ -44,11 +45,11 @@
 			retry()
 			return
 		}
-		whole := *it.message
-		whole.Body = answer.Body
-		it.message = &whole
-		it.fetching = false
-		c.bodyBytes += int64(len(whole.Body))
+		complete := *it.message
+		complete.Body = answer.Body
+		it.message = &complete
+		it.fetchingBody = false
+		c.bodyBytes += int64(len(complete.Body))
 		c.ready(it)
 	})
 }
--- a/internal/system/role/carrier/callback.go
+++ b/internal/system/role/carrier/callback.go
@@ -9,69 +9,70 @@
 	"granitewing/internal/system/message"
 )
 
-// Bounds of call-backs.
+// Limits of call-backs.
 const (
 	callbackTimeout     = 2 * time.Second
-	callbackPause       = 150 * time.Millisecond
-	callbackPauseMost   = 2 * time.Second
-	receiverConnections = 40 // of the fleet, to one receiver
-	maxRefusals         = 3  // answers 400 that end a call-back
+	callbackBackoff     = 150 * time.Millisecond
+	maxCallbackBackoff  = 2 * time.Second
+	receiverConnections = 40 // of all carriers together, to one receiver
+	maxRejections       = 3  // answers with status 400 after which a call-back is abandoned
 	maxReceivers        = 1024
 )
 
-// callback is one end that is owed to a URL.
+// callback is a message's outcome that has to be sent to its call-back URL.
 type callback struct {
-	unit     *unit
-	url      string
-	end      message.End
-	holders  []string
-	since    time.Duration // when it came to be owed here
-	tries    int
-	refusals int
+	unit       *unit
+	url        string
+	end        message.End
+	holders    []string
+	queuedAt   time.Duration // when this carrier queued it
+	attempts   int
+	rejections int
 }
 
-// bytes is the memory that a call-back takes, as what waits is counted.
+// bytes returns the memory of a call-back, which counts as memory of waiting messages.
 func (c *callback) bytes() int64 {
 	const bookkeeping = 256
 	return int64(bookkeeping + len(c.url) + len(c.end.ID) + len(c.end.Stamp))
 }
 
-// receiver is the queue of one receiver, by its host.
+// receiver is the queue of call-backs for one host.
 type receiver struct {
-	waiting  []*callback
-	later    int // call-backs that failed and pause before they wait again
-	open     int
-	failures int // in a row
-	pausedTo time.Duration
-	waking   bool
+	waiting       []*callback
+	backingOff    int // failed call-backs that wait out a pause before they are queued again
+	inFlight      int
+	failures      int // consecutive
+	pausedUntil   time.Duration
+	wakeScheduled bool
 }
 
-// idle tells whether nothing is owed to the receiver.
-func (r *receiver) idle() bool { return r.open == 0 && r.later == 0 && len(r.waiting) == 0 }
+// idle reports whether no call-back is queued, in flight or pausing for the receiver.
+func (r *receiver) idle() bool { return r.inFlight == 0 && r.backingOff == 0 && len(r.waiting) == 0 }
 
-// GivenUpError tells of a call-back that no receiver took.
+// GivenUpError reports a call-back that was abandoned because its receiver never accepted it.
 type GivenUpError struct {
 	ID     string // of the message
 	Tries  int
-	Status int   // of the latest answer; 0 where there was none
-	Err    error // of the latest try
+	Status int   // of the last answer; 0 if there was none
+	Err    error // of the last attempt
 }
 
 func (e *GivenUpError) Error() string {
-	return fmt.Sprintf("message %s: %d tries, latest status %d, %v", e.ID, e.Tries, e.Status, e.Err)
+	return fmt.Sprintf("message %s: %d attempts, last status %d, last error: %v", e.ID, e.Tries, e.Status, e.Err)
 }
 
 func (e *GivenUpError) Unwrap() error { return e.Err }
 
-type callbackForm struct {
+type callbackBody struct {
 	ID    string        `json:"id"`
 	Phase message.Phase `json:"phase"`
 	Stamp string        `json:"stamp"`
 }
 
-// tell queues an end for its call-back URL. One that waits already, as its unit is listed again, is the unit's from now on.
-func (c *Core) tell(u *unit, address string, end message.End, holders []string) {
-	if waiting := c.owed[end.ID]; waiting != nil {
+// queueCallback queues an outcome for its call-back URL. A call-back that is queued already, because its unit was
+// listed again, is reassigned to the given unit.
+func (c *Core) queueCallback(u *unit, address string, end message.End, holders []string) {
+	if waiting := c.callbacks[end.ID]; waiting != nil {
 		waiting.unit.unrecorded--
 		u.unrecorded++
 		waiting.unit, waiting.holders = u, holders
@@ -85,20 +86,20 @@
 	r := c.receivers[parsed.Host]
 	if r == nil {
 		if len(c.receivers) >= maxReceivers {
-			c.forgetReceivers()
+			c.removeIdleReceivers()
 		}
 		r = &receiver{}
 		c.receivers[parsed.Host] = r
 	}
 	u.unrecorded++
-	call := &callback{unit: u, url: address, end: end, holders: holders, since: c.env.Now()}
-	c.owed[end.ID] = call
+	call := &callback{unit: u, url: address, end: end, holders: holders, queuedAt: c.env.Now()}
+	c.callbacks[end.ID] = call
 	c.waitingBytes += call.bytes()
 	r.waiting = append(r.waiting, call)
-	c.callOut(r)
+	c.sendCallbacks(r)
 }
 
-func (c *Core) forgetReceivers() {
+func (c *Core) removeIdleReceivers() {
 	for host, r := range c.receivers {
 		if r.idle() {
 			delete(c.receivers, host)
@@ -106,7 +107,7 @@
 	}
 }
 
-func (c *Core) callbacksWait() bool {
+func (c *Core) hasCallbacks() bool {
 	for _, r := range c.receivers {
 		if !r.idle() {
 			return true
@@ -115,96 +116,98 @@
 	return false
 }
 
-// callOut sends what waits for a receiver over its few connections; one alone while it fails.
-func (c *Core) callOut(r *receiver) {
+// sendCallbacks sends queued call-backs to a receiver over a few connections, or one at a time while the receiver
+// fails.
+func (c *Core) sendCallbacks(r *receiver) {
 	now := c.env.Now()
-	if now < r.pausedTo {
-		c.wakeReceiver(r, r.pausedTo-now)
+	if now < r.pausedUntil {
+		c.wakeReceiver(r, r.pausedUntil-now)
 		return
 	}
-	most := max(1, receiverConnections/max(1, c.session.View().Carriers()))
+	limit := max(1, receiverConnections/max(1, c.session.View().Carriers()))
 	if r.failures > 0 {
-		most = 1
+		limit = 1
 	}
-	for len(r.waiting) > 0 && r.open < most {
+	for len(r.waiting) > 0 && r.inFlight < limit {
 		next := r.waiting[0]
 		r.waiting[0] = nil
 		r.waiting = r.waiting[1:]
-		r.open++
-		c.post(r, next)
+		r.inFlight++
+		c.postCallback(r, next)
 	}
 }
 
 func (c *Core) wakeReceiver(r *receiver, wait time.Duration) {
-	if r.waking {
+	if r.wakeScheduled {
 		return
 	}
-	r.waking = true
+	r.wakeScheduled = true
 	c.env.After(wait, func() {
-		r.waking = false
-		c.callOut(r)
+		r.wakeScheduled = false
+		c.sendCallbacks(r)
 	})
 }
 
-func (c *Core) post(r *receiver, call *callback) {
-	body, err := json.Marshal(&callbackForm{ID: call.end.ID, Phase: call.end.Phase, Stamp: call.end.Stamp})
+func (c *Core) postCallback(r *receiver, call *callback) {
+	body, err := json.Marshal(&callbackBody{ID: call.end.ID, Phase: call.end.Phase, Stamp: call.end.Stamp})
 	if err != nil {
 		return
 	}
-	call.tries++
-	// Where the fleet has more carriers than a receiver takes connections, none may rest.
+	call.attempts++
+	// With more carriers than a receiver accepts connections, no connection may be kept idle.
 	keep := c.session.View().Carriers() <= receiverConnections
 	c.env.Post(call.url, body, keep, callbackTimeout, func(status int, err error) {
-		r.open--
-		c.posted(r, call, status, err)
-		c.callOut(r)
+		r.inFlight--
+		c.callbackAnswered(r, call, status, err)
+		c.sendCallbacks(r)
 	})
 }
 
-// posted takes an answer of a receiver. What it did not take pauses by itself, so that it holds up no other.
-func (c *Core) posted(r *receiver, call *callback, status int, err error) {
-	const taken, malformed = 200, 400
+// callbackAnswered handles a receiver's answer. A call-back that was not accepted pauses on its own, so that it
+// does not delay others.
+func (c *Core) callbackAnswered(r *receiver, call *callback, status int, err error) {
+	const accepted, malformed = 200, 400
 	if status == malformed {
-		call.refusals++
+		call.rejections++
 	}
 	switch {
-	case err == nil && status == taken:
+	case err == nil && status == accepted:
 		r.failures = 0
 		c.figures.Callbacks++
-		c.callbackOver(call)
-	case call.refusals >= maxRefusals || c.env.Now()-call.since > message.OwedTimes*c.settings.Bounds.Status:
+		c.finishCallback(call)
+	case call.rejections >= maxRejections || c.env.Now()-call.queuedAt > message.OwedTimes*c.settings.Bounds.Status:
 		r.failures = 0
-		c.env.Report("a call-back is given up", &GivenUpError{ID: call.end.ID, Tries: call.tries, Status: status, Err: err})
-		c.callbackOver(call)
+		c.env.Report("call-back abandoned", &GivenUpError{ID: call.end.ID, Tries: call.attempts, Status: status, Err: err})
+		c.finishCallback(call)
 	default:
 		r.failures++
 		if r.failures > 1 {
-			r.pausedTo = c.env.Now() + c.callbackPause(r.failures-1)
+			r.pausedUntil = c.env.Now() + c.callbackBackoff(r.failures-1)
 		}
-		c.callLater(r, call)
+		c.retryCallback(r, call)
 	}
 }
 
-// callbackOver has the stores record that nothing is owed any more.
-func (c *Core) callbackOver(call *callback) {
-	delete(c.owed, call.end.ID)
+// finishCallback has the stores record that no call-back is due any more.
+func (c *Core) finishCallback(call *callback) {
+	delete(c.callbacks, call.end.ID)
 	call.unit.unrecorded--
 	c.waitingBytes -= call.bytes()
 	c.stores.recordCallback(call.unit, call.holders, call.end.ID)
 }
 
-// callbackPause is a pause after so many failures, by lot.
-func (c *Core) callbackPause(failures int) time.Duration {
-	pause := min(callbackPause<<min(failures-1, 5), callbackPauseMost)
+// callbackBackoff returns a random pause that grows with the number of failures.
+func (c *Core) callbackBackoff(failures int) time.Duration {
+	pause := min(callbackBackoff<<min(failures-1, 5), maxCallbackBackoff)
 	return pause/2 + time.Duration(c.env.Random(int64(pause)))
 }
 
-// callLater has a call-back that failed wait again after a pause.
-func (c *Core) callLater(r *receiver, call *callback) {
-	r.later++
-	c.env.After(c.callbackPause(call.tries), func() {
-		r.later--
+// retryCallback queues a failed call-back again after a pause.
+func (c *Core) retryCallback(r *receiver, call *callback) {
+	r.backingOff++
+	c.env.After(c.callbackBackoff(call.attempts), func() {
+		r.backingOff--
 		r.waiting = append(r.waiting, call)
-		c.callOut(r)
+		c.sendCallbacks(r)
 	})
 }
--- a/internal/system/role/carrier/callback_test.go
+++ b/internal/system/role/carrier/callback_test.go
@@ -12,17 +12,17 @@
 )
 
 // handedWithCallback gives a message whose end is owed to a receiver.
-func handedWithCallback(id string, token uint64) wire.DeliverBody {
-	body := handed(id, pacedUnit, token)
+func deliverBodyWithCallback(id string, token uint64) wire.DeliverBody {
+	body := deliverBody(id, pacedUnit, token)
 	body.Message.Callback = "http://10.8.0.1:80/done"
 	return body
 }
 
 // runs has the carrier take and run messages, each to its success, one after the other.
-func (r *rig) runs(t *testing.T, ids ...string) {
+func (r *fixture) runMessages(t *testing.T, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
-		if refusal := r.core.Deliver(handedWithCallback(id, ownToken)); refusal != nil {
+		if refusal := r.core.Deliver(deliverBodyWithCallback(id, ownedToken)); refusal != nil {
 			t.Fatal(refusal.Reason)
 		}
 		r.Pass(100 * time.Millisecond)
@@ -33,19 +33,19 @@
 // Guards against a call-back that nobody makes: an owner that is handed a message that had ended under a former owner, and that took the unit over while
 // no store listed the message.
 func TestMessageThatHadEndedBeforeItWasHandedOver(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.receive = func(string) int { return http.StatusOK }
-	r.store("disk-2").ends["m1"] = message.End{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
-	r.core.Deliver(handedWithCallback("m1", ownToken-1))
+	r.store("disk-2").outcomes["m1"] = message.End{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
+	r.core.Deliver(deliverBodyWithCallback("m1", ownedToken-1))
 	r.Pass(time.Second)
-	if !slices.Equal(r.told, []string{"m1"}) || len(r.sent) > 0 {
-		t.Errorf("told were %v, sent were %v", r.told, r.sent)
+	if !slices.Equal(r.calledBack, []string{"m1"}) || len(r.sent) > 0 {
+		t.Errorf("told were %v, sent were %v", r.calledBack, r.sent)
 	}
 }
 
 // Guards against one call-back that is never taken and holds up all others of its receiver.
 func TestCallbackThatIsNotTakenHoldsUpNoOther(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.receive = func(id string) int {
 		if id == "m0" {
 			return http.StatusServiceUnavailable
@@ -56,18 +56,18 @@
 	for number := 1; number <= 20; number++ {
 		others = append(others, fmt.Sprintf("m%d", number))
 	}
-	r.runs(t, append([]string{"m0"}, others...)...)
+	r.runMessages(t, append([]string{"m0"}, others...)...)
 	r.Pass(5 * time.Second)
-	slices.Sort(r.told)
+	slices.Sort(r.calledBack)
 	slices.Sort(others)
-	if !slices.Equal(r.told, others) {
-		t.Errorf("told were %v", r.told)
+	if !slices.Equal(r.calledBack, others) {
+		t.Errorf("told were %v", r.calledBack)
 	}
 }
 
 // Guards against a call-back that counts as told after a number of tries, while the stores still keep its end.
 func TestCallbackIsTriedForAsLongAsItsEndIsKept(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	begin := r.Now()
 	r.receive = func(string) int {
 		if r.Now()-begin < r.core.settings.Bounds.Status {
@@ -75,28 +75,28 @@
 		}
 		return http.StatusOK
 	}
-	r.runs(t, "m1", "m2", "m3")
+	r.runMessages(t, "m1", "m2", "m3")
 	r.Pass(r.core.settings.Bounds.Status + 10*time.Second)
-	slices.Sort(r.told)
-	if !slices.Equal(r.told, []string{"m1", "m2", "m3"}) {
-		t.Errorf("told were %v, reported %v", r.told, r.reports)
+	slices.Sort(r.calledBack)
+	if !slices.Equal(r.calledBack, []string{"m1", "m2", "m3"}) {
+		t.Errorf("told were %v, reported %v", r.calledBack, r.reports)
 	}
 }
 
 // Guards against an endless series of tries: a call-back that nobody takes is given up, and said to be, once the stores no longer keep its end.
 func TestCallbackIsGivenUp(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	r.receive = func(string) int { return http.StatusServiceUnavailable }
-	r.runs(t, "m1")
+	r.runMessages(t, "m1")
 	r.Pass(3 * r.core.settings.Bounds.Status)
-	if r.core.callbacksWait() || len(r.reports) != 1 {
-		t.Errorf("reported %v, call-backs wait: %t", r.reports, r.core.callbacksWait())
+	if r.core.hasCallbacks() || len(r.reports) != 1 {
+		t.Errorf("reported %v, call-backs wait: %t", r.reports, r.core.hasCallbacks())
 	}
 }
 
 // Guards against a carrier that stops and leaves call-backs to whoever takes its messages over, though its receivers take them in time.
 func TestStoppingCarrierMakesItsCallbacks(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	failUntil := r.Now() + 2*time.Second
 	r.receive = func(string) int {
 		if r.Now() < failUntil {
@@ -104,20 +104,20 @@
 		}
 		return http.StatusOK
 	}
-	r.runs(t, "m1", "m2", "m3", "m4")
+	r.runMessages(t, "m1", "m2", "m3", "m4")
 	stopped := false
 	r.core.Drain(r.Now(), func() { stopped = true })
 	for !stopped {
 		r.Pass(50 * time.Millisecond)
 	}
-	if len(r.told) != 4 {
-		t.Errorf("told were %v when the carrier had stopped", r.told)
+	if len(r.calledBack) != 4 {
+		t.Errorf("told were %v when the carrier had stopped", r.calledBack)
 	}
 }
 
 // Guards against a list of owed call-backs without a bound: they count for the memory that what waits may take.
 func TestOwedCallbacksCountForMemory(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	failUntil := r.Now() + 10*time.Second
 	r.receive = func(string) int {
 		if r.Now() < failUntil {
@@ -126,7 +126,7 @@
 		return http.StatusOK
 	}
 	before := r.core.waitingBytes
-	r.runs(t, "m1", "m2", "m3")
+	r.runMessages(t, "m1", "m2", "m3")
 	if owed := r.core.waitingBytes - before; owed < 3*256 {
 		t.Errorf("three owed call-backs count as %d bytes", owed)
 	}
@@ -139,7 +139,7 @@
 // Guards against a queue that grows with each listing of a unit: a call-back that waits already is not queued again, and belongs to the unit that was
 // listed last.
 func TestCallbackThatWaitsIsNotQueuedAgain(t *testing.T) {
-	r := newRig()
+	r := newFixture()
 	failing := true
 	r.receive = func(string) int {
 		if failing {
@@ -148,10 +148,10 @@
 		return http.StatusOK
 	}
 	end := message.End{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
-	listed := wire.ListedMessage{Message: handedWithCallback("m1", 1).Message, Phase: end.Phase, Stamp: end.Stamp}
-	r.store("disk-1").listed, r.store("disk-1").ends["m1"] = []wire.ListedMessage{listed}, end
+	listed := wire.ListedMessage{Message: deliverBodyWithCallback("m1", 1).Message, Phase: end.Phase, Stamp: end.Stamp}
+	r.store("disk-1").listed, r.store("disk-1").outcomes["m1"] = []wire.ListedMessage{listed}, end
 	for turn := range uint64(5) {
-		r.own(ownToken + 1 + turn)
+		r.own(ownedToken + 1 + turn)
 		r.Pass(time.Second)
 	}
 	if u := r.core.units[pacedUnit]; u.unrecorded != 1 {
@@ -159,7 +159,7 @@
 	}
 	failing = false
 	r.Pass(5 * time.Second)
-	if !slices.Equal(r.told, []string{"m1"}) || r.core.callbacksWait() || r.core.units[pacedUnit].unrecorded != 0 {
-		t.Errorf("told were %v, call-backs wait: %t, records: %d", r.told, r.core.callbacksWait(), r.core.units[pacedUnit].unrecorded)
+	if !slices.Equal(r.calledBack, []string{"m1"}) || r.core.hasCallbacks() || r.core.units[pacedUnit].unrecorded != 0 {
+		t.Errorf("told were %v, call-backs wait: %t, records: %d", r.calledBack, r.core.hasCallbacks(), r.core.units[pacedUnit].unrecorded)
 	}
 }
--- a/internal/system/role/carrier/core.go
+++ b/internal/system/role/carrier/core.go
@@ -1,9 +1,16 @@
-// Package carrier is the role that carries the clients' traffic: it takes messages, has them stored, delivers them by the
-// policy and sees them to their end. It is a state machine without I/O or clocks.
+// Package carrier implements the carrier role. It accepts messages from clients, stores them on several stores,
+// delivers them to workers by the delivery policy, and records and calls back their outcomes. It is a state
+// machine without I/O or clocks.
 //
-// Each message belongs to a unit. What needs no order and no pace belongs to the carrier that accepted it; the keys of an
-// ordered service are spread over units, and a service with a pace or a single endpoint is one unit, each with an owner
-// among the carriers. An owner that is gone is followed by another, which reads the unit's messages from the stores.
+// Each message belongs to a unit, and each unit has one owner among the carriers. Messages without order or rate
+// limit belong to the unit of the carrier that accepted them. The keys of ordered services are spread over a set
+// of units. A service with a rate limit or a single static endpoint has a unit of its own, its paced unit.
+// Ownership is guarded by fencing tokens. If an owner departs, another carrier takes the unit over and recovers
+// its messages from the stores.
+//
+// Core is one carrier. A driver or a simulation implements Environment, creates the core with New, calls Start,
+// passes on events of its connections (PeerUp, PeerDown, FeedUpdate, Handle) and submits client requests with
+// Submit and Find. Drain shuts it down gracefully. All methods must be called from one goroutine or event loop.
 package carrier
 
 import (
@@ -22,64 +29,65 @@
 	"granitewing/internal/system/settings"
 )
 
-// Environment is what the driver or the simulation gives a carrier.
+// Environment is what a carrier needs from its driver or from the simulation.
 type Environment interface {
 	loop.Loop
 	loop.Peers
-	// Deliver sends a message to a worker; done is called once, later.
+	// Deliver sends an attempt to a worker and calls done once, later.
 	Deliver(attempt Attempt, done func(outcome Outcome))
-	// Post tells a call-back URL about an end; keep has the connection be kept for the next.
+	// Post sends an outcome to a call-back URL; keep allows the connection to be reused. It calls done with the HTTP
+	// status, or with an error if there was no answer.
 	Post(url string, body []byte, keep bool, timeout time.Duration, done func(status int, err error))
 	// ReadCatalog reads the platform's list of workers.
 	ReadCatalog(done func(instances map[string]catalog.Instance, err error))
-	// Report logs what an operator should know.
+	// Report logs an event that an operator should see. err may be nil.
 	Report(event string, err error)
-	// Inform logs an ordinary step of the carrier's life.
+	// Inform logs a normal event in the carrier's operation.
 	Inform(event string)
 }
 
-// Core is one carrier.
+// Core is the state machine of one carrier.
 type Core struct {
 	env      Environment
 	settings *settings.Settings
 	session  *member.Client
 	policy   *delivery.Policy
 
-	own       *unit            // of what this carrier accepted and delivers itself
-	units     map[string]*unit // all units that it is responsible for, own among them
+	own       *unit            // messages that this carrier accepted and delivers itself
+	units     map[string]*unit // all units that this carrier is responsible for, including own
 	queues    map[string]*queue
-	inFlight  map[string]*item // by message id: those with an attempt out
-	recent    *recentEnds
+	inFlight  map[string]*item // by message ID: messages with an attempt in flight
+	recent    *recentOutcomes
 	stores    *storage
 	receivers map[string]*receiver
-	owed      map[string]*callback // by message id: call-backs that were not made yet
+	callbacks map[string]*callback // by message ID: call-backs that are not finished
 
-	bodyBytes    int64                    // of the messages that this carrier is responsible for and has in memory
-	waitingBytes int64                    // memory of their other parts, and of messages on their way to their owner
-	fullUntil    map[string]time.Duration // by paced unit, as its owner told
-	lackedStores time.Duration
-	lacking      bool
-	catalogBusy  bool
-	draining     bool
-	paused       bool // no new delivery begins
-	relisting    bool
-	figures      Figures
-	// endedBeforeNoted is set for a while after a message had ended before it came here.
-	endedBeforeNoted bool
+	bodyBytes          int64                    // of the messages that this carrier is responsible for and holds in memory
+	waitingBytes       int64                    // memory of their other parts, of pending call-backs, and of messages being passed to their owner
+	ownerBusyUntil     map[string]time.Duration // by paced unit, as reported by its owner
+	storesLackingSince time.Duration
+	storesLacking      bool
+	catalogBusy        bool
+	draining           bool
+	paused             bool // no new delivery starts
+	relistScheduled    bool
+	figures            Figures
+	// endedBeforeLogged is set while a log line about messages that completed before they arrived here is pending.
+	endedBeforeLogged bool
 }
 
-// Figures counts what happened in a carrier's life.
+// Figures counts events since the carrier started.
 type Figures struct {
 	Accepted, Refused, Unclear, Delivered, Failed, Ended, Callbacks uint64
-	// EndedBefore is messages that were handed to the carrier after they had ended under a former owner.
+	// EndedBefore counts messages that were passed to this carrier after they had completed under a former owner.
 	EndedBefore uint64
 }
 
-// New makes a carrier.
+// New returns a carrier. Start starts it.
 func New(env Environment, s *settings.Settings) *Core {
 	c := &Core{env: env, settings: s, policy: delivery.NewPolicy(s.Zone), units: map[string]*unit{},
-		queues: map[string]*queue{}, inFlight: map[string]*item{}, recent: newRecentEnds(),
-		receivers: map[string]*receiver{}, owed: map[string]*callback{}, fullUntil: map[string]time.Duration{}}
+		queues: map[string]*queue{}, inFlight: map[string]*item{}, recent: newRecentOutcomes(),
+		receivers: map[string]*receiver{}, callbacks: map[string]*callback{}, ownerBusyUntil: map[string]time.Duration{}}
 	c.stores = newStorage(c)
 	self := session.Member{Incarnation: member.NewIncarnation(env, s.NodeName), Node: s.NodeName, Role: session.Carrier,
 		Zone: s.Zone, Address: s.CarrierAddress()}
@@ -91,25 +99,25 @@
 	return c
 }
 
-// Times of a carrier's own work.
+// Durations of the carrier's periodic work.
 const (
 	housekeepingInterval = 150 * time.Millisecond
-	catalogTooOld        = 1600 * time.Millisecond
-	storesLackedFor      = 1500 * time.Millisecond
+	maxCatalogAge        = 1600 * time.Millisecond
+	storesLackingGrace   = 1500 * time.Millisecond
 )
 
-// Start begins.
+// Start opens the session with the keepers and starts the periodic work.
 func (c *Core) Start() {
 	c.connect()
 	c.session.Start()
 	c.housekeep()
-	c.reviewTaken()
+	c.reviewTakenOver()
 }
 
 func (c *Core) housekeep() {
 	c.checkCatalog()
 	c.stores.flushAll()
-	c.stores.breakSilent()
+	c.stores.reconnectUnresponsive()
 	c.settleDeparted()
 	for _, u := range ordered.Map(c.units) {
 		if !u.active && !u.recovering {
@@ -128,7 +136,7 @@
 	c.units[c.own.name] = c.own
 }
 
-// connect names the peers that connections are kept to.
+// connect sets the peers to which connections are kept open: keepers, stores and other carriers.
 func (c *Core) connect() {
 	addresses := append([]string(nil), c.session.Keepers()...)
 	view := c.session.View()
@@ -143,27 +151,27 @@
 	c.env.Connect(addresses)
 }
 
-// SeedsChanged tells that the settings name other seeds.
+// SeedsChanged applies a changed list of seed keepers from the settings.
 func (c *Core) SeedsChanged() {
 	c.session.SetSeeds(c.settings.SeedKeepers())
 	c.connect()
 }
 
-// PeerUp tells that a connection to a peer came about.
+// PeerUp reports that a connection to a peer was established.
 func (c *Core) PeerUp(address string) {
 	c.session.Up(address)
-	c.stores.up(address)
+	c.stores.peerUp(address)
 	for _, u := range ordered.Map(c.units) {
 		if u.recovering {
-			u.recovery.askStores()
+			u.recovery.listStores()
 		}
 	}
 }
 
-// PeerDown tells that a connection to a peer broke.
+// PeerDown reports that a connection to a peer broke.
 func (c *Core) PeerDown(address string) { c.session.Down(address) }
 
-// FeedUpdate takes a push of a keeper.
+// FeedUpdate applies a feed update that a keeper pushed.
 func (c *Core) FeedUpdate(address string, payload []byte) { c.session.Push(address, payload) }
 
 func (c *Core) viewChanged(before, after *member.View) {
@@ -174,16 +182,16 @@
 		c.policy.SetCarriers(after.Carriers())
 	}
 	if before.Table != after.Table {
-		c.takeConfiguration(now, after.Table)
+		c.applyConfiguration(now, after.Table)
 		c.env.Inform(fmt.Sprintf("configuration %d is in force", after.Table.Document.Version))
 	}
 	if before.Epoch != after.Epoch {
-		c.env.Inform(fmt.Sprintf("%d disks count, roster %d", len(after.Counted()), after.Epoch))
+		c.env.Inform(fmt.Sprintf("%d disks count toward the write quorum, disk roster %d", len(after.Counted()), after.Epoch))
 	}
 	if !sameMap(before.Instances, after.Instances) {
 		c.policy.SetInstances(now, after.Instances)
 	}
-	c.takeUnits(before, after)
+	c.applyOwnership(before, after)
 	for _, q := range ordered.Map(c.queues) {
 		c.dispatch(q)
 	}
@@ -194,32 +202,32 @@
 		return false
 	}
 	for key, value := range a {
-		if other, there := b[key]; !there || other != value {
+		if other, ok := b[key]; !ok || other != value {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Core) takeConfiguration(now time.Duration, table *configuration.Table) {
-	clear(c.fullUntil) // it may name services that are no more
+func (c *Core) applyConfiguration(now time.Duration, table *configuration.Table) {
+	clear(c.ownerBusyUntil) // it may name services that no longer exist
 	services := table.Document.Services
 	c.policy.KeepServices(func(service string) bool { return services[service] != nil })
 	for name, service := range services {
 		c.policy.SetService(now, name, service.MaxConnections, service.Static)
 		c.queue(name).pace.SetRate(service.Rate)
 	}
-	c.policy.SetInstances(now, c.session.View().Instances) // a service may have lost its one endpoint
+	c.policy.SetInstances(now, c.session.View().Instances) // a service may have lost its static endpoint
 	for name, q := range c.queues {
-		if services[name] == nil && q.empty() && now > q.pace.Due()+drainWindow {
+		if services[name] == nil && q.empty() && now > q.pace.Due()+rateWindow {
 			delete(c.queues, name)
 		}
 	}
 }
 
-// checkCatalog reads the platform's list itself while no keeper gives a fresh one.
+// checkCatalog reads the platform's list of workers directly while the keepers provide no fresh one.
 func (c *Core) checkCatalog() {
-	if c.catalogBusy || c.session.CatalogAge() < catalogTooOld {
+	if c.catalogBusy || c.session.CatalogAge() < maxCatalogAge {
 		return
 	}
 	if c.session.View().Table == nil {
@@ -227,12 +235,12 @@
 	}
 	c.catalogBusy = true
 	begun := c.env.Now()
-	pause := time.Duration(c.env.Random(int64(catalogTooOld / 4)))
+	pause := time.Duration(c.env.Random(int64(maxCatalogAge / 4)))
 	c.env.After(pause, func() {
 		c.env.ReadCatalog(func(instances map[string]catalog.Instance, err error) {
 			c.catalogBusy = false
 			if err != nil {
-				c.env.Report("list of workers can't be read", err)
+				c.env.Report("cannot read the platform's list of workers", err)
 				return
 			}
 			c.session.SetInstances(begun, func(view *member.View) {
@@ -243,56 +251,56 @@
 	})
 }
 
-// Ready tells the platform whether to send clients here: a configuration is there, a session was opened, and enough
-// stores are connected, but for a short while.
+// Ready reports whether the platform should send clients to this carrier. It needs a configuration, an open
+// session and connections to enough stores; a brief lack of stores is ignored.
 func (c *Core) Ready() bool {
 	if c.draining || c.session.View().Table == nil || !c.session.Joined() {
 		return false
 	}
 	if c.stores.enoughReachable() {
-		c.lacking = false
+		c.storesLacking = false
 		return true
 	}
-	if !c.lacking {
-		c.lacking, c.lackedStores = true, c.env.Now()
+	if !c.storesLacking {
+		c.storesLacking, c.storesLackingSince = true, c.env.Now()
 	}
-	return c.env.Now()-c.lackedStores < storesLackedFor
+	return c.env.Now()-c.storesLackingSince < storesLackingGrace
 }
 
-// enough tells whether a message outlives every tolerated loss on some disks.
+// enough reports whether a message on the given disks survives every tolerated loss.
 func (c *Core) enough(disks []string) bool { return c.settings.Tolerance.Enough(c.stores.zones(disks)) }
 
-// Incarnation is that of this carrier's session.
+// Incarnation returns the incarnation of this carrier's session.
 func (c *Core) Incarnation() string { return c.session.Incarnation() }
 
-// Figures gives the counts.
+// Figures returns the current counts.
 func (c *Core) Figures() Figures { return c.figures }
 
 // item is a message that this carrier is responsible for.
 type item struct {
-	message  *message.Message
-	unit     *unit
-	holders  []string // disks that hold it, or may
-	accepted time.Duration
-	due      time.Duration
-	failures int // attempts that a worker answered as failed
-	tries    int
-	lastTry  string // worker that it was last sent to
-	taken    bool   // it was taken over from another carrier
-	takenDue bool   // and was due then
-	queued   bool
-	flying   bool
-	ended    bool
-	fetching bool
+	message      *message.Message
+	unit         *unit
+	holders      []string // disks that hold it, or may hold it
+	accepted     time.Duration
+	due          time.Duration
+	failures     int // attempts that a worker answered as failed
+	attempts     int
+	lastWorker   string // worker of the latest attempt
+	takenOver    bool   // taken over from another carrier
+	takenOverDue bool   // it was due when it was taken over
+	queued       bool
+	inFlight     bool
+	ended        bool
+	fetchingBody bool
 
-	waitsIn   *queue    // the latest queue that it joined; it waits there while queued is set
-	lateIn    *lateHeap // heap of late messages that it is in; nil where it is in none
-	latePlace int       // its place there, from 1
-	counted   *backlog  // that it is in; nil in none
-	head      int64     // bytes of memory that it counts for, without its body
+	queue     *queue    // the queue that it joined last; it waits there while queued is set
+	lateHeap  *lateHeap // heap of late messages that contains it, or nil
+	lateIndex int       // position in that heap, counted from 1
+	backlog   *backlog  // backlog in which it is counted, or nil
+	headBytes int64     // memory for which it counts, without its body
 }
 
-// ConfigurationVersion is the version in force at this carrier, 0 before the first.
+// ConfigurationVersion returns the version of the configuration in force at this carrier, or 0 before the first.
 func (c *Core) ConfigurationVersion() uint64 {
 	if table := c.session.View().Table; table != nil {
 		return table.Document.Version
--- a/internal/system/role/carrier/dispatch.go
+++ b/internal/system/role/carrier/dispatch.go
@@ -8,95 +8,96 @@
 	"granitewing/internal/system/message"
 )
 
-// Attempt is one delivery to a worker.
+// Attempt is one delivery of a message to a worker.
 type Attempt struct {
 	Message  *message.Message
 	Address  string
-	Instance string // the worker that is meant; empty for a static endpoint
+	Instance string // the intended worker; empty for a static endpoint
 	Deadline time.Duration
-	Repeat   bool // an earlier attempt was sent, or may have been: an answer to it may still come
+	Repeat   bool // an earlier attempt was sent, or may have been, and its answer may still arrive
 }
 
-// OutcomeKind tells how an attempt ended.
+// OutcomeKind classifies the outcome of an attempt.
 type OutcomeKind uint8
 
 // The kinds.
 const (
 	RunSucceeded OutcomeKind = iota + 1
 	RunFailed                // this attempt failed
-	RunRefused               // it can never be done
-	NotRun                   // the worker said so
+	RunRefused               // the worker refused the message for good
+	NotRun                   // the worker reported that it did not run the message
 	RunUnknown               // it may have run
-	NotSent                  // no byte of it left
+	NotSent                  // no byte of the request was sent
 )
 
-// Outcome of an attempt.
+// Outcome is the outcome of an attempt.
 type Outcome struct {
 	Kind   OutcomeKind
 	Stamp  string
-	Silent bool // of RunUnknown: no answer came by the deadline
+	Silent bool // with RunUnknown: no answer arrived by the deadline
 	Load   delivery.Load
 	Took   time.Duration
 }
 
-// Pauses before a message is tried again.
+// Pauses before a message is attempted again.
 const (
-	pauseNotRun    = 25 * time.Millisecond
-	pauseFailed    = 80 * time.Millisecond
-	pauseUnknown   = 60 * time.Millisecond
-	pauseMost      = 1500 * time.Millisecond
-	wakeWhenFull   = 25 * time.Millisecond
-	defaultTimeout = time.Second
-	pacedRefused   = 60 * time.Millisecond
-	// newerTablePause is how often a message is looked at that waits for a newer configuration.
-	newerTablePause = 50 * time.Millisecond
+	backoffNotRun        = 25 * time.Millisecond
+	backoffFailed        = 80 * time.Millisecond
+	backoffUnknown       = 60 * time.Millisecond
+	maxBackoff           = 1500 * time.Millisecond
+	retryWhenFull        = 25 * time.Millisecond
+	defaultTimeout       = time.Second
+	rateHoldAfterRefusal = 60 * time.Millisecond
+	// newerTableRetry is how often a message that waits for a newer configuration is checked.
+	newerTableRetry = 50 * time.Millisecond
 )
 
-// ready puts a message that may be sent into its service's queue, and looks again where a wait has an end of its own. What is held otherwise comes here
-// again with what holds it: the outcome of an attempt, the end of the one ahead of it, the end of a handover, or its bytes.
+// ready queues a message if it may be sent. If it is blocked for a time that is known or must be polled, ready
+// checks again then. Every other block ends with an event that calls ready: the outcome of an attempt, the
+// completion of the message ahead, the end of a handover, or the arrival of the body.
 func (c *Core) ready(it *item) {
 	if it.queued {
 		return
 	}
-	hold := c.holdOf(it)
-	if hold.due() {
+	hold := c.blockOf(it)
+	if hold.countsAsDue() {
 		c.count(it)
 	}
-	again := func(wait time.Duration) { c.env.After(wait, func() { c.ready(it) }) }
+	readyAfter := func(wait time.Duration) { c.env.After(wait, func() { c.ready(it) }) }
 	switch hold {
 	case mayBeSent:
 		c.enqueue(it)
-	case heldNotDue:
-		again(it.due - c.env.Now())
-	case heldNoTable:
-		again(wakeWhenFull)
-	case heldOlderTable:
-		again(newerTablePause)
+	case blockedNotDue:
+		readyAfter(it.due - c.env.Now())
+	case blockedNoConfiguration:
+		readyAfter(retryWhenFull)
+	case blockedOlderConfiguration:
+		readyAfter(newerTableRetry)
 	}
 }
 
-// enqueue puts a message into its service's queue; one whose route is gone ends.
+// enqueue adds a message to its service's queue. A message whose route no longer exists becomes a dead letter.
 func (c *Core) enqueue(it *item) {
 	route := c.routeOf(c.session.View().Table, it.message)
 	if route == nil {
-		c.end(it, message.DeadLetter, "")
+		c.complete(it, message.DeadLetter, "")
 		return
 	}
-	if it.tries == 0 {
+	if it.attempts == 0 {
 		c.policy.Arrive(c.env.Now(), route.Service, route.Name, route.TargetStart)
 	}
 	q := c.queue(route.Service)
-	q.join(it, it.takenDue && it.tries == 0)
+	q.add(it, it.takenOverDue && it.attempts == 0)
 	c.dispatch(q)
 }
 
-// leads tells whether it is the message's turn in its key's order.
-func (c *Core) leads(it *item) bool {
+// firstOfKey reports whether the message is first in the order of its key. A message without a key always is.
+func (c *Core) firstOfKey(it *item) bool {
 	key := it.message.Key
 	return key == "" || len(it.unit.keys[key]) > 0 && it.unit.keys[key][0] == it
 }
 
-// routeOf is the message's route under a configuration, nil where that has dropped it.
+// routeOf returns the message's route in a configuration, or nil if the configuration no longer has it.
 func (c *Core) routeOf(table *configuration.Table, m *message.Message) *configuration.Route {
 	return table.Match(m.Host, pathOf(m.Target))
 }
@@ -110,64 +111,64 @@
 	return target
 }
 
-// dispatch sends what is due of a service, as long as workers take it.
+// dispatch sends a service's due messages as long as workers accept them.
 func (c *Core) dispatch(q *queue) {
 	table := c.session.View().Table
 	if table == nil || c.paused {
 		return
 	}
 	now := c.env.Now()
-	aim := func(it *item) time.Duration {
+	startBy := func(it *item) time.Duration {
 		if route := c.routeOf(table, it.message); route != nil {
 			return it.accepted + it.message.Delay + route.TargetStart
 		}
 		return now
 	}
 	for {
-		it := q.next(now, aim)
+		it := q.next(now, startBy)
 		if it == nil {
 			return
 		}
-		if !c.dispatchOne(now, q, table, it, aim(it)) {
+		if !c.dispatchOne(now, q, table, it, startBy(it)) {
 			return
 		}
 	}
 }
 
-// dispatchOne sends one message; false where the queue has to wait.
-func (c *Core) dispatchOne(now time.Duration, q *queue, table *configuration.Table, it *item, aim time.Duration) bool {
+// dispatchOne sends one message. It returns false if the queue has to wait.
+func (c *Core) dispatchOne(now time.Duration, q *queue, table *configuration.Table, it *item, startBy time.Duration) bool {
 	route := c.routeOf(table, it.message)
 	switch {
 	case route == nil || now-it.accepted > it.message.Retention+it.message.Delay:
-		q.take(it)
-		c.end(it, message.DeadLetter, "")
+		q.remove(it)
+		c.complete(it, message.DeadLetter, "")
 		return true
 	case route.Service != q.service:
-		q.take(it)
+		q.remove(it)
 		c.ready(it)
 		return true
-	case c.holdOf(it) != mayBeSent:
-		q.take(it)
+	case c.blockOf(it) != mayBeSent:
+		q.remove(it)
 		c.ready(it)
 		return true
 	}
 	service := table.Service(route)
-	if service.Rate > 0 && !c.hasTurn(now, q) {
+	if service.Rate > 0 && !c.hasPermit(now, q) {
 		return false
 	}
-	worker := c.policy.Pick(now, q.service, route.Name, aim-now, it.lastTry)
+	worker := c.policy.Pick(now, q.service, route.Name, startBy-now, it.lastWorker)
 	if worker == nil {
 		next, known := c.policy.Wake(now, q.service)
-		if !known || next > now+wakeWhenFull {
-			next = now + wakeWhenFull
+		if !known || next > now+retryWhenFull {
+			next = now + retryWhenFull
 		}
 		c.wake(q, next)
 		return false
 	}
 	if service.Rate > 0 {
-		c.takeTurn(now, q)
+		c.usePermit(now, q)
 	}
-	q.take(it)
+	q.remove(it)
 	c.send(it, route, worker)
 	return true
 }
@@ -186,24 +187,25 @@
 	})
 }
 
-// send gives a message to a worker. Nothing else does, and only what may be sent comes here.
+// send delivers a message to a worker. It is the only place that does so, and its caller has checked that the
+// message may be sent.
 func (c *Core) send(it *item, route *configuration.Route, worker *delivery.Worker) {
 	now := c.env.Now()
-	it.flying = true
-	it.tries++
-	it.lastTry = worker.ID
+	it.inFlight = true
+	it.attempts++
+	it.lastWorker = worker.ID
 	c.inFlight[it.message.ID] = it
 	backlog := &c.queue(route.Service).backlog
 	backlog.running++
 	c.policy.Start(now, worker)
 	c.figures.Delivered++
-	attempt := Attempt{Message: it.message, Address: worker.Address, Deadline: route.Timeout, Repeat: it.tries > 1 || it.taken}
+	attempt := Attempt{Message: it.message, Address: worker.Address, Deadline: route.Timeout, Repeat: it.attempts > 1 || it.takenOver}
 	if !worker.Static {
 		attempt.Instance = worker.ID
 	}
 	c.env.Deliver(attempt, func(outcome Outcome) {
 		backlog.running--
-		c.finished(it, route, worker, outcome)
+		c.attemptFinished(it, route, worker, outcome)
 	})
 }
 
@@ -224,64 +226,64 @@
 	return delivery.Broken
 }
 
-func (c *Core) finished(it *item, route *configuration.Route, worker *delivery.Worker, outcome Outcome) {
+func (c *Core) attemptFinished(it *item, route *configuration.Route, worker *delivery.Worker, outcome Outcome) {
 	now := c.env.Now()
-	it.flying = false
+	it.inFlight = false
 	delete(c.inFlight, it.message.ID)
 	c.policy.Finish(now, worker, resultOf(outcome), outcome.Took, outcome.Load)
 	q := c.queue(route.Service)
 	switch outcome.Kind {
 	case RunSucceeded:
-		c.end(it, message.Succeeded, outcome.Stamp)
+		c.complete(it, message.Succeeded, outcome.Stamp)
 	case RunRefused:
-		c.end(it, message.DeadLetter, "")
+		c.complete(it, message.DeadLetter, "")
 	case RunFailed:
 		c.figures.Failed++
 		it.failures++
 		if it.failures >= route.Retries {
-			c.end(it, message.DeadLetter, "")
+			c.complete(it, message.DeadLetter, "")
 			break
 		}
-		c.again(it, pauseFailed)
+		c.retryLater(it, backoffFailed)
 	case NotRun:
 		if worker.Static {
-			q.pace.Hold(now + pacedRefused)
+			q.pace.Hold(now + rateHoldAfterRefusal)
 		}
-		c.again(it, pauseNotRun)
+		c.retryLater(it, backoffNotRun)
 	default:
-		c.again(it, pauseUnknown)
+		c.retryLater(it, backoffUnknown)
 	}
 	c.dispatch(q)
 }
 
-// again puts a message back after a pause that grows and spreads.
-func (c *Core) again(it *item, pause time.Duration) {
+// retryLater makes a message ready again after a random pause that grows with the number of attempts.
+func (c *Core) retryLater(it *item, pause time.Duration) {
 	if it.unit.dropped {
-		c.forget(it)
+		c.releaseMemory(it)
 		return
 	}
-	pause = min(pause<<min(it.tries-1, 5), pauseMost)
+	pause = min(pause<<min(it.attempts-1, 5), maxBackoff)
 	pause = pause/2 + time.Duration(c.env.Random(int64(pause)))
 	c.env.After(pause, func() { c.ready(it) })
 }
 
-// end ends a message, and has the stores record it.
-func (c *Core) end(it *item, phase message.Phase, stamp string) {
+// complete completes a message and has the stores record its outcome.
+func (c *Core) complete(it *item, phase message.Phase, stamp string) {
 	if it.ended {
 		return
 	}
 	c.figures.Ended++
-	c.conclude(it, message.End{ID: it.message.ID, Phase: phase, Stamp: stamp, CallbackOwed: it.message.Callback != ""})
+	c.recordOutcome(it, message.End{ID: it.message.ID, Phase: phase, Stamp: stamp, CallbackOwed: it.message.Callback != ""})
 }
 
-// conclude has the stores record a message's end, and lets go of it.
-func (c *Core) conclude(it *item, end message.End) {
+// recordOutcome has the stores record a message's outcome, queues its call-back and removes the message.
+func (c *Core) recordOutcome(it *item, end message.End) {
 	it.ended = true
 	it.queued = false
 	c.recent.add(c.env.Now(), end)
-	c.stores.recordEnd(it.unit, it.holders, end)
+	c.stores.recordOutcome(it.unit, it.holders, end)
 	if end.CallbackOwed && it.message.Callback != "" {
-		c.tell(it.unit, it.message.Callback, end, it.holders)
+		c.queueCallback(it.unit, it.message.Callback, end, it.holders)
 	}
-	c.leave(it)
+	c.removeItem(it)
 }
--- a/internal/system/role/carrier/drain.go
+++ b/internal/system/role/carrier/drain.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// Parts of the grace that a stopping carrier has.
+// Shares of the grace period after which a stopping carrier takes its next step.
 const (
 	drainPollInterval = 50 * time.Millisecond
-	pauseAtPart       = 0.50 // of the grace: no delivery begins after it, and call-backs that are owed by then are left
-	closeAtPart       = 0.85 // attempts that are out by then are left; ends that some disk lacks go to all
-	flushAtPart       = 0.92 // the session is given up by then
+	pauseAtShare      = 0.50 // no delivery starts after it, and call-backs still pending then are left to the next owner
+	abandonAtShare    = 0.85 // attempts still in flight are abandoned; outcomes that some disk lacks go to all disks
+	closeAtShare      = 0.92 // the session is closed by then, even if some records are not written
 )
 
-// StopReady has the platform send no more clients.
+// StopReady makes Ready report false, so that the platform sends no more clients, and tells the keepers that this
+// carrier is stopping.
 func (c *Core) StopReady() {
 	c.draining = true
 	c.session.Stopping()
 }
 
-// Drain ends the carrier's work in order: it serves on and makes the call-backs that it owes for a part of the grace, begins no more deliveries, lets
-// those that are out end, has all ends recorded, and gives up its session so that another carries on. What it owns for
-// the fleet is handed over meanwhile. done is called at its end.
-// began is when the stop was asked for.
+// Drain shuts the carrier down gracefully. For a share of the grace period it keeps serving and makes its pending
+// call-backs. Then it starts no more deliveries, waits for those in flight and for all outcomes to be recorded,
+// and closes its session so that another carrier takes over. Units that it owns are handed over in the meantime.
+// Drain calls done at the end. began is when the shutdown was requested.
 func (c *Core) Drain(began time.Duration, done func()) {
 	c.StopReady()
 	grace := c.settings.Bounds.Grace
-	part := func(share float64) time.Duration { return began + time.Duration(share*float64(grace)) }
+	deadline := func(share float64) time.Duration { return began + time.Duration(share*float64(grace)) }
 	now := c.env.Now()
-	if now < part(pauseAtPart) && c.work() {
+	if now < deadline(pauseAtShare) && c.hasWork() {
 		c.env.After(drainPollInterval, func() { c.Drain(began, done) })
 		return
 	}
 	c.paused = true
-	busy := len(c.inFlight) > 0 && now < part(closeAtPart)
-	if now >= part(closeAtPart) {
-		c.stores.spreadEnds()
+	busy := len(c.inFlight) > 0 && now < deadline(abandonAtShare)
+	if now >= deadline(abandonAtShare) {
+		c.stores.spreadOutcomes()
 	}
-	unwritten := c.stores.unwritten() > 0 && now < part(flushAtPart)
-	if busy || unwritten {
+	unrecorded := c.stores.unrecorded() > 0 && now < deadline(closeAtShare)
+	if busy || unrecorded {
 		c.env.After(drainPollInterval, func() { c.Drain(began, done) })
 		return
 	}
 	c.session.Close(func(err error) {
 		if err != nil {
-			c.env.Report("the session could not be closed", err)
+			c.env.Report("cannot close the session", err)
 		}
 		done()
 	})
 }
 
-// work tells whether anything waits to be delivered, or told, soon.
-func (c *Core) work() bool {
+// hasWork reports whether any message waits or is in flight, or any call-back is pending.
+func (c *Core) hasWork() bool {
 	for _, q := range c.queues {
 		if q.len() > 0 {
 			return true
 		}
 	}
-	return len(c.inFlight) > 0 || c.callbacksWait()
+	return len(c.inFlight) > 0 || c.hasCallbacks()
 }
--- a/internal/system/role/carrier/duplicate.go
+++ b/internal/system/role/carrier/duplicate.go
@@ -8,68 +8,70 @@
 	"granitewing/internal/system/wire"
 )
 
-// An owner hears of a message in two ways: from the stores, when it takes the unit over, and from the carrier that accepted the
-// message, which asks until it has an answer. The unit may change its owner in between, so that one owner ends a message and the next is
-// handed it. What an owner remembers tells nothing of former owners; the stores do, since a unit is released only once all of its
-// ends lie there, each on as many disks as a message has to. So a message that may be older than the ownership is taken only once the
-// stores, all but such as may be lost, have told that it has not ended.
-
-// Times and bounds of asking whether a message has ended.
+// An owner gets a message in two ways: from the stores, when it takes the unit over, and from the carrier that
+// accepted the message, which repeats its call until it has an answer. The unit may change its owner in between,
+// so that one owner completes a message and the next one is passed it again. An owner does not remember the
+// outcomes of former owners. The stores do: a unit is released only once all of its outcomes are stored, each on
+// as many disks as a message has to be. A message that may be older than the current ownership is therefore taken
+// only once all stores, except those that may be lost, have reported that they know of no outcome.
+
+// Durations and limits of the query for a message's outcome.
 const (
-	endQueryRetry = 50 * time.Millisecond
-	maxEndQueries = 2048 // of one unit; who hands over more is refused, and asks again
-	// recentMargin is by how much a message's age may be told as too little: the call may have been long on its way.
-	recentMargin = 5 * time.Second
+	outcomeQueryRetry = 50 * time.Millisecond
+	maxOutcomeQueries = 2048 // per unit; a carrier that passes on more messages is refused and tries again
+	// ageMargin is by how much the reported age of a message may be too low, since the call may have been in transit
+	// for a long time.
+	ageMargin = 5 * time.Second
 )
 
-// mayHaveEnded tells whether a message that was handed to this carrier may have ended without this carrier remembering it: under a
-// former owner, or so long ago that the end is forgotten.
-func (c *Core) mayHaveEnded(u *unit, body *wire.DeliverBody) bool {
+// mayHaveCompleted reports whether a message that was passed to this carrier may have completed without this
+// carrier remembering it: under a former owner, or so long ago that its outcome was discarded.
+func (c *Core) mayHaveCompleted(u *unit, body *wire.DeliverBody) bool {
 	if body.Message.Token != u.token {
 		return true
 	}
 	accepted := c.env.Now() - body.Age
-	return c.recent.forgotten > 0 && accepted-recentMargin <= c.recent.forgotten
+	return c.recent.forgottenUntil > 0 && accepted-ageMargin <= c.recent.forgottenUntil
 }
 
-// endQuery asks the stores whether a message has ended, and takes it where it has not.
-type endQuery struct {
-	core     *Core
-	unit     *unit
-	message  *message.Message
-	holders  []string
-	accepted time.Duration
-	began    time.Duration
-	told     map[string]bool // disks that know of no end
-	asking   map[string]bool // disks with a call that is out
-	over     bool
+// outcomeQuery asks the stores whether a message has completed, and takes the message if it has not.
+type outcomeQuery struct {
+	core      *Core
+	unit      *unit
+	message   *message.Message
+	holders   []string
+	accepted  time.Duration
+	began     time.Duration
+	noOutcome map[string]bool // disks that know of no outcome
+	pending   map[string]bool // disks with a call in flight
+	finished  bool
 }
 
-func (c *Core) askWhetherEnded(u *unit, body *wire.DeliverBody) {
+func (c *Core) queryOutcome(u *unit, body *wire.DeliverBody) {
 	m := body.Message
-	if u.endQueries[m.ID] != nil || len(u.endQueries) >= maxEndQueries {
+	if u.outcomeQueries[m.ID] != nil || len(u.outcomeQueries) >= maxOutcomeQueries {
 		return
 	}
 	now := c.env.Now()
-	q := &endQuery{core: c, unit: u, message: &m, holders: body.Holders, accepted: now - body.Age, began: now,
-		told: map[string]bool{}, asking: map[string]bool{}}
-	u.endQueries[m.ID] = q
+	q := &outcomeQuery{core: c, unit: u, message: &m, holders: body.Holders, accepted: now - body.Age, began: now,
+		noOutcome: map[string]bool{}, pending: map[string]bool{}}
+	u.outcomeQueries[m.ID] = q
 	c.waitingBytes += q.bytes()
-	q.ask()
+	q.askDisks()
 }
 
-func (q *endQuery) bytes() int64 { return headBytes(q.message) + int64(len(q.message.Body)) }
+func (q *outcomeQuery) bytes() int64 { return headBytes(q.message) + int64(len(q.message.Body)) }
 
 // finish ends the query.
-func (q *endQuery) finish() {
-	q.over = true
-	delete(q.unit.endQueries, q.message.ID)
+func (q *outcomeQuery) finish() {
+	q.finished = true
+	delete(q.unit.outcomeQueries, q.message.ID)
 	q.core.waitingBytes -= q.bytes()
 }
 
-// ask asks the disks that have not told, and again after a while.
-func (q *endQuery) ask() {
-	if q.over {
+// askDisks queries the disks that have not answered, and repeats this until the query is finished.
+func (q *outcomeQuery) askDisks() {
+	if q.finished {
 		return
 	}
 	if q.unit.dropped {
@@ -77,92 +79,94 @@
 		return
 	}
 	c := q.core
-	for _, disk := range c.stores.counted() {
-		if !q.told[disk] && !q.asking[disk] && c.stores.isUp(disk) {
+	for _, disk := range c.stores.votingDisks() {
+		if !q.noOutcome[disk] && !q.pending[disk] && c.stores.isUp(disk) {
 			q.askDisk(disk)
 		}
 	}
-	q.judge()
-	c.env.After(endQueryRetry, q.ask)
+	q.takeIfEnough()
+	c.env.After(outcomeQueryRetry, q.askDisks)
 }
 
-func (q *endQuery) askDisk(disk string) {
+func (q *outcomeQuery) askDisk(disk string) {
 	c := q.core
-	q.asking[disk] = true
+	q.pending[disk] = true
 	body := wire.FindEndsBody{IDs: []string{q.message.ID}}
 	c.env.Call(c.stores.address(disk), wire.FindEnds, wire.Encode(&body), listTimeout, func(payload []byte, err error) {
-		delete(q.asking, disk)
+		delete(q.pending, disk)
 		var answer wire.FoundEnds
 		if err == nil {
 			err = wire.Decode(wire.FindEnds, payload, &answer)
 		}
-		if q.over || err != nil {
+		if q.finished || err != nil {
 			return
 		}
 		for _, end := range answer.Ends {
 			if end.ID == q.message.ID {
-				q.ended(end)
+				q.foundOutcome(end)
 				return
 			}
 		}
 		if answer.Complete {
-			q.told[disk] = true
-			q.judge()
+			q.noOutcome[disk] = true
+			q.takeIfEnough()
 		}
 	})
 }
 
-// ended keeps an end that a store told. Disks that lack it are told. A call-back that is owed is made here, perhaps once more: when the unit was taken
-// over, the message may have lain on disks that were not heard.
-func (q *endQuery) ended(end message.End) {
+// foundOutcome handles an outcome that a store reported. Disks that lack it are sent it. A due call-back is made
+// here, possibly a second time: when the unit was taken over, the message may have been only on disks that did not
+// answer.
+func (q *outcomeQuery) foundOutcome(end message.End) {
 	c := q.core
 	q.finish()
 	if q.unit.dropped {
 		return
 	}
 	c.recent.add(c.env.Now(), end)
-	c.stores.recordEnd(q.unit, q.holders, end)
+	c.stores.recordOutcome(q.unit, q.holders, end)
 	if end.CallbackOwed && q.message.Callback != "" {
-		c.tell(q.unit, q.message.Callback, end, q.holders)
+		c.queueCallback(q.unit, q.message.Callback, end, q.holders)
 	}
-	c.endedBefore()
+	c.countCompletedBefore()
 }
 
-// judge takes the message once enough stores know of no end.
-func (q *endQuery) judge() {
-	if q.over || q.unit.dropped || !q.enough() {
+// takeIfEnough takes the message once enough stores have reported that they know of no outcome.
+func (q *outcomeQuery) takeIfEnough() {
+	if q.finished || q.unit.dropped || !q.enough() {
 		return
 	}
 	c, u := q.core, q.unit
 	q.finish()
-	if _, ended := c.recent.get(q.message.ID); ended || u.items[q.message.ID] != nil || u.rests() {
+	if _, ended := c.recent.get(q.message.ID); ended || u.items[q.message.ID] != nil || u.released() {
 		return
 	}
-	c.take(u, q.message, q.holders, q.accepted)
+	c.addMessage(u, q.message, q.holders, q.accepted)
 }
 
-func (q *endQuery) enough() bool {
-	late := q.core.env.Now()-q.began >= listAllWithin
-	return q.core.stores.heardEnough(late, func(disk string) hearing {
-		if q.told[disk] {
-			return heardWhole
+func (q *outcomeQuery) enough() bool {
+	late := q.core.env.Now()-q.began >= listAllPeriod
+	return q.core.stores.enoughAnswered(late, func(disk string) diskAnswer {
+		if q.noOutcome[disk] {
+			return answeredFully
 		}
-		return unheard
+		return notAnswered
 	})
 }
 
-// endedBeforeInterval is how often it is logged at most that messages had ended before they came.
-const endedBeforeInterval = time.Second
+// completedBeforeLogInterval is the minimum time between log lines about messages that completed before they
+// arrived.
+const completedBeforeLogInterval = time.Second
 
-// endedBefore counts a message that was handed to this carrier after its end.
-func (c *Core) endedBefore() {
+// countCompletedBefore counts a message that was passed to this carrier after it had completed.
+func (c *Core) countCompletedBefore() {
 	c.figures.EndedBefore++
-	if c.endedBeforeNoted {
+	if c.endedBeforeLogged {
 		return
 	}
-	c.endedBeforeNoted = true
-	c.env.After(endedBeforeInterval, func() {
-		c.endedBeforeNoted = false
-		c.env.Inform(fmt.Sprintf("%d messages had ended under a former owner before they were handed over", c.figures.EndedBefore))
+	c.endedBeforeLogged = true
+	c.env.After(completedBeforeLogInterval, func() {
+		c.endedBeforeLogged = false
+		c.env.Inform(fmt.Sprintf("%d messages had completed under a former owner before they were passed to this carrier", c.figures.EndedBefore))
 	})
 }
--- a/internal/system/role/carrier/ends_test.go
+++ b/internal/system/role/carrier/ends_test.go
@@ -16,16 +16,16 @@
 // Cause: an end lay on fewer disks than a message has to, so that who hears all disks but one might not hear of it. Proven by the
 // drawn schedule 5254 with each call logged, and by this test.
 func TestEndOfAMessageFoundOnOneDisk(t *testing.T) {
-	r := newRig()
-	r.store("disk-1").listed = []wire.ListedMessage{{Message: handed("m1", pacedUnit, 1).Message, Phase: message.Pending}}
-	r.own(ownToken + 1)
+	r := newFixture()
+	r.store("disk-1").listed = []wire.ListedMessage{{Message: deliverBody("m1", pacedUnit, 1).Message, Phase: message.Pending}}
+	r.own(ownedToken + 1)
 	r.Pass(time.Second)
 	if len(r.sent) != 1 {
 		t.Fatalf("sent %v", r.sent)
 	}
 	r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
 	r.Pass(time.Second)
-	told := r.toldEnds()
+	told := r.storesWithOutcomes()
 	if len(told) != len(r.stores) {
 		t.Errorf("the end of a message that was found on one disk was told to %v, not to all that count", told)
 	}
@@ -38,11 +38,11 @@
 // Cause: only a holder that was not in the roster at all had all disks be told that count. Proven by the drawn schedule 82 with each
 // call logged, and by this test.
 func TestEndOfAMessageWhoseHolderDoesNotCount(t *testing.T) {
-	r := newRigWithOneOut(t)
+	r := newFixtureWithAttempt(t)
 	r.setDisk("disk-2", false)
 	r.table.Set(keeper.KeyRoster, wire.Encode(uint64(2)))
 	r.push()
-	r.expectEndAt(t, "disk-1", "disk-3")
+	r.expectOutcomeAt(t, "disk-1", "disk-3")
 }
 
 // What was seen: on a drawn day on which several machines were emptied a message ran again 1.7 s after its end, at the next owner of its unit.
@@ -51,18 +51,18 @@
 // Cause: a disk that leaves was taken for one that keeps what it is told. Proven by the drawn schedule 39 of machines that are emptied together, with
 // what every disk holds of the message, and by this test.
 func TestEndOfAMessageWhoseHolderLeaves(t *testing.T) {
-	r := newRigWithOneOut(t)
+	r := newFixtureWithAttempt(t)
 	leaving := session.Disk{Counted: true, Leaving: true, Member: session.Member{Address: diskAddress("disk-2"), Disk: "disk-2", Zone: "a"}}
 	r.table.Set(keeper.PrefixDisk+"disk-2", wire.Encode(&leaving))
 	r.table.Set(keeper.KeyRoster, wire.Encode(uint64(2)))
 	r.push()
-	r.expectEndAt(t, "disk-1", "disk-3")
+	r.expectOutcomeAt(t, "disk-1", "disk-3")
 }
 
 // Guards against an end that is lost with a carrier that stops: all disks that hold its message are away until it has to go. Who takes the message over
 // would run it again.
 func TestStoppingCarrierTellsOtherDisksOfItsEnds(t *testing.T) {
-	r := newRigWithOneOut(t)
+	r := newFixtureWithAttempt(t)
 	for _, disk := range []string{"disk-1", "disk-2"} {
 		delete(r.Reachable, diskAddress(disk))
 	}
@@ -72,16 +72,16 @@
 	for !stopped {
 		r.Pass(50 * time.Millisecond)
 	}
-	if told := r.toldEnds(); !told[diskAddress("disk-3")] {
+	if told := r.storesWithOutcomes(); !told[diskAddress("disk-3")] {
 		t.Errorf("the end was told to %v when the carrier had stopped", told)
 	}
 }
 
 // newRigWithOneOut gives a carrier with an attempt of a message out that two disks hold.
-func newRigWithOneOut(t *testing.T) *rig {
+func newFixtureWithAttempt(t *testing.T) *fixture {
 	t.Helper()
-	r := newRig()
-	if refusal := r.core.Deliver(handed("m1", pacedUnit, ownToken)); refusal != nil {
+	r := newFixture()
+	if refusal := r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken)); refusal != nil {
 		t.Fatal(refusal.Reason)
 	}
 	r.Pass(time.Second)
@@ -89,11 +89,11 @@
 }
 
 // expectEndAt has the attempt succeed, and sees that disks are told the end.
-func (r *rig) expectEndAt(t *testing.T, disks ...string) {
+func (r *fixture) expectOutcomeAt(t *testing.T, disks ...string) {
 	t.Helper()
 	r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
 	r.Pass(time.Second)
-	told := r.toldEnds()
+	told := r.storesWithOutcomes()
 	for _, disk := range disks {
 		if !told[diskAddress(disk)] {
 			t.Errorf("%s was not told of the end; told were %v", disk, told)
--- a/internal/system/role/carrier/handed_test.go
+++ b/internal/system/role/carrier/handed_test.go
@@ -17,43 +17,43 @@
 // What was seen: a message ran again, at the next owner of its unit, after a success that a former owner's carrier had read.
 // How it came about and its cause: see the scenarios of the simulation's test of messages that are forwarded after their end.
 var _ = ginkgo.Describe("An owner that is handed a message", func() {
-	var r *rig
+	var r *fixture
 
-	ginkgo.BeforeEach(func() { r = newRig() })
+	ginkgo.BeforeEach(func() { r = newFixture() })
 
 	for _, unit := range []string{pacedUnit, keyUnit} {
 		ginkgo.It("does not run it where a former owner has ended it: "+unit, func() {
-			r.store("disk-2").ends["m1"] = succeeded
-			refusal := r.core.Deliver(handed("m1", unit, ownToken-1))
+			r.store("disk-2").outcomes["m1"] = succeeded
+			refusal := r.core.Deliver(deliverBody("m1", unit, ownedToken-1))
 			Expect(refusal).NotTo(BeNil(), "it is not known yet")
 			Expect(refusal.Code).To(Equal(wire.NotReady))
 			r.Pass(50 * time.Millisecond)
-			Expect(r.core.Deliver(handed("m1", unit, ownToken-1))).To(BeNil(), "it is done with")
+			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).To(BeNil(), "it is done with")
 			r.Pass(3 * time.Second)
 			Expect(r.sent).To(BeEmpty())
 			Expect(r.core.Figures().EndedBefore).To(BeEquivalentTo(1))
-			Expect(r.informs).To(ContainElement(ContainSubstring("had ended under a former owner")))
+			Expect(r.logged).To(ContainElement(ContainSubstring("had completed under a former owner")))
 		})
 
 		ginkgo.It("runs it once the stores that hold it know of no end: "+unit, func() {
-			Expect(r.core.Deliver(handed("m1", unit, ownToken-1))).NotTo(BeNil())
+			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).NotTo(BeNil())
 			Expect(r.sent).To(BeEmpty())
 			r.Pass(50 * time.Millisecond)
-			Expect(r.core.Deliver(handed("m1", unit, ownToken-1))).To(BeNil())
+			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).To(BeNil())
 			r.Pass(time.Second)
 			Expect(r.sent).To(Equal([]string{"m1"}))
 		})
 
 		ginkgo.It("asks nobody where it was accepted under this owner: "+unit, func() {
-			Expect(r.core.Deliver(handed("m1", unit, ownToken))).To(BeNil())
-			Expect(r.core.Deliver(handed("m1", unit, ownToken))).To(BeNil())
+			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken))).To(BeNil())
+			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken))).To(BeNil())
 			r.Pass(time.Second)
 			Expect(r.sent).To(Equal([]string{"m1"}))
-			Expect(r.store("disk-1").asked).To(BeZero())
+			Expect(r.store("disk-1").outcomeQueries).To(BeZero())
 		})
 
 		ginkgo.It("refuses it where it was accepted under a later owner: "+unit, func() {
-			refusal := r.core.Deliver(handed("m1", unit, ownToken+1))
+			refusal := r.core.Deliver(deliverBody("m1", unit, ownedToken+1))
 			Expect(refusal).NotTo(BeNil())
 			Expect(refusal.Code).To(Equal(wire.NotOwner))
 			r.Pass(time.Second)
@@ -62,28 +62,28 @@
 	}
 
 	ginkgo.It("waits for a store that is silent, and no longer than for one that may be lost", func() {
-		r.store("disk-1").silent = true
-		r.core.Deliver(handed("m1", pacedUnit, ownToken-1))
-		r.Pass(listAllWithin - 100*time.Millisecond)
+		r.store("disk-1").unresponsive = true
+		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
+		r.Pass(listAllPeriod - 100*time.Millisecond)
 		Expect(r.sent).To(BeEmpty())
 		r.Pass(300 * time.Millisecond)
 		Expect(r.sent).To(Equal([]string{"m1"}))
 	})
 
 	ginkgo.It("does not run it while no store that holds it answers", func() {
-		r.store("disk-1").silent, r.store("disk-2").silent = true, true
-		r.core.Deliver(handed("m1", pacedUnit, ownToken-1))
+		r.store("disk-1").unresponsive, r.store("disk-2").unresponsive = true, true
+		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
 		r.Pass(5 * time.Second)
 		Expect(r.sent).To(BeEmpty())
-		r.store("disk-1").silent, r.store("disk-2").silent = false, false
+		r.store("disk-1").unresponsive, r.store("disk-2").unresponsive = false, false
 		r.Pass(2 * time.Second)
 		Expect(r.sent).To(Equal([]string{"m1"}))
 	})
 
 	ginkgo.It("asks all stores that count, and again where one was not there", func() {
-		r.store("disk-3").ends["m1"] = succeeded
+		r.store("disk-3").outcomes["m1"] = succeeded
 		r.Reachable["10.0.0.2:703"] = false
-		r.core.Deliver(handed("m1", pacedUnit, ownToken-1))
+		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
 		r.Pass(200 * time.Millisecond)
 		Expect(r.sent).To(BeEmpty())
 		r.Reachable["10.0.0.2:703"] = true
@@ -93,21 +93,21 @@
 	})
 
 	ginkgo.It("asks where the message may be older than what it remembers of its own ends", func() {
-		for id := range maxRecentEnds + 1 {
+		for id := range maxRecentOutcomes + 1 {
 			r.core.recent.add(r.Now(), message.End{ID: string(rune(id)) + "x", Phase: message.Succeeded})
 		}
-		r.store("disk-1").ends["m1"] = succeeded
-		Expect(r.core.Deliver(handed("m1", pacedUnit, ownToken))).NotTo(BeNil())
+		r.store("disk-1").outcomes["m1"] = succeeded
+		Expect(r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken))).NotTo(BeNil())
 		r.Pass(time.Second)
 		Expect(r.sent).To(BeEmpty())
 	})
 
 	ginkgo.It("leaves it to the next owner where the unit goes meanwhile", func() {
-		r.store("disk-1").silent = true
-		r.core.Deliver(handed("m1", pacedUnit, ownToken-1))
+		r.store("disk-1").unresponsive = true
+		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
 		waiting := r.core.waitingBytes
 		Expect(waiting).To(BeNumerically(">", 0))
-		r.table.Set(keeper.PrefixOwner+pacedUnit, wire.Encode(&ownership.Owner{Incarnation: "edge-2+x", Token: ownToken + 1}))
+		r.table.Set(keeper.PrefixOwner+pacedUnit, wire.Encode(&ownership.Owner{Incarnation: "edge-2+x", Token: ownedToken + 1}))
 		r.push()
 		r.Pass(3 * time.Second)
 		Expect(r.sent).To(BeEmpty())
@@ -116,32 +116,32 @@
 
 	ginkgo.It("bounds the messages that it asks for at a time", func() {
 		for _, held := range r.stores {
-			held.silent = true
+			held.unresponsive = true
 		}
-		for id := range maxEndQueries + 10 {
-			Expect(r.core.Deliver(handed(string(rune(id))+"y", pacedUnit, ownToken-1))).NotTo(BeNil())
+		for id := range maxOutcomeQueries + 10 {
+			Expect(r.core.Deliver(deliverBody(string(rune(id))+"y", pacedUnit, ownedToken-1))).NotTo(BeNil())
 		}
-		Expect(r.core.units[pacedUnit].endQueries).To(HaveLen(maxEndQueries))
+		Expect(r.core.units[pacedUnit].outcomeQueries).To(HaveLen(maxOutcomeQueries))
 	})
 })
 
 var _ = ginkgo.Describe("A recovery", func() {
 	listed := func(id string) wire.ListedMessage {
-		return wire.ListedMessage{Message: handed(id, pacedUnit, 1).Message, Phase: message.Pending}
+		return wire.ListedMessage{Message: deliverBody(id, pacedUnit, 1).Message, Phase: message.Pending}
 	}
 
 	ginkgo.It("leaves out a list that comes while ends are asked for", func() {
-		r := newRig()
+		r := newFixture()
 		for _, held := range r.stores {
-			held.ends["m1"] = succeeded
+			held.outcomes["m1"] = succeeded
 		}
 		r.store("disk-2").listed = []wire.ListedMessage{listed("m2")}
 		late := r.store("disk-3")
 		late.listed = []wire.ListedMessage{listed("m1")}
-		late.silent = true
-		r.own(ownToken + 1)
+		late.unresponsive = true
+		r.own(ownedToken + 1)
 		u := r.core.units[pacedUnit]
-		for tries := 0; u.recovery.round == nil && tries < 3000; tries++ {
+		for tries := 0; u.recovery.outcomeRound == nil && tries < 3000; tries++ {
 			r.Pass(time.Millisecond) // until the lists of the two others are taken as enough
 		}
 		Expect(u.recovery.finished).To(BeFalse(), "their ends are asked for")
@@ -152,10 +152,10 @@
 	})
 
 	ginkgo.It("has counted disks that did not tell learn the ends of what it found", func() {
-		r := newRig()
+		r := newFixture()
 		r.store("disk-1").listed = []wire.ListedMessage{listed("m1")}
 		r.Reachable["10.0.0.2:702"] = false
-		r.own(ownToken + 1)
+		r.own(ownedToken + 1)
 		r.Pass(2 * time.Second)
 		Expect(r.sent).To(Equal([]string{"m1"}))
 		Expect(r.core.units[pacedUnit].items["m1"].holders).To(Equal([]string{"disk-1", "disk-2"}))
@@ -164,20 +164,20 @@
 
 var _ = ginkgo.Describe("A carrier that accepts a message for an owner", func() {
 	ginkgo.It("has the message bear the token that it knew before any store was given it", func() {
-		r := newRig()
+		r := newFixture()
 		var stored wire.PutBody
 		var answered Answer
 		r.core.Submit(&Submission{Message: message.Message{ID: "m1", Host: "h", Method: "POST", Target: "/x"}, Path: "/x"}, func(a Answer) { answered = a })
 		Expect(wire.Decode(wire.PutMessage, r.Last(wire.PutMessage).Payload, &stored)).To(Succeed())
 		Expect(stored.Message.Unit).To(Equal(pacedUnit))
-		Expect(stored.Message.Token).To(BeEquivalentTo(ownToken))
+		Expect(stored.Message.Token).To(BeEquivalentTo(ownedToken))
 		r.Pass(time.Second)
 		Expect(answered.Verdict).To(Equal(Accepted))
 		Expect(r.sent).To(Equal([]string{"m1"}))
 	})
 
 	ginkgo.It("forwards until it has an answer, and once", func() {
-		r := newRig()
+		r := newFixture()
 		const other = "10.0.1.2:7001"
 		r.Reachable[other] = true
 		refusals := 3
@@ -191,7 +191,7 @@
 			return wire.Encode(&wire.DeliverAnswer{}), nil
 		}
 		r.table.Set(keeper.PrefixMember+"edge-2+x", wire.Encode(&session.Member{Incarnation: "edge-2+x", Role: session.Carrier, Address: other}))
-		r.table.Set(keeper.PrefixOwner+pacedUnit, wire.Encode(&ownership.Owner{Incarnation: "edge-2+x", Token: ownToken + 1}))
+		r.table.Set(keeper.PrefixOwner+pacedUnit, wire.Encode(&ownership.Owner{Incarnation: "edge-2+x", Token: ownedToken + 1}))
 		r.push()
 		r.core.Submit(&Submission{Message: message.Message{ID: "m1", Host: "h", Method: "POST", Target: "/x"}, Path: "/x"}, func(Answer) {})
 		r.Pass(2 * time.Second)
--- a/internal/system/role/carrier/handle.go
+++ b/internal/system/role/carrier/handle.go
@@ -2,7 +2,8 @@
 
 import "granitewing/internal/system/wire"
 
-// Handle carries out a call of another carrier. An error means that the call can't be read.
+// Handle executes a call from another carrier. It returns an error if the call cannot be decoded or is of an
+// unknown kind.
 func (c *Core) Handle(kind wire.Kind, payload []byte, answerer wire.Answerer) error {
 	switch kind {
 	case wire.ReserveSequence:
@@ -10,23 +11,23 @@
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		place, refusal := c.Reserve(body)
+		reservation, refusal := c.Reserve(body)
 		if refusal != nil {
 			answerer.Refuse(*refusal)
 			return nil
 		}
-		answerer.Answer(&place)
+		answerer.Answer(&reservation)
 	case wire.TakeTurn:
 		var body wire.TakeTurnBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		turn, refusal := c.Turn(body)
+		permit, refusal := c.Turn(body)
 		if refusal != nil {
 			answerer.Refuse(*refusal)
 			return nil
 		}
-		answerer.Answer(&turn)
+		answerer.Answer(&permit)
 	case wire.ConfirmMessage, wire.ForwardMessage:
 		var body wire.DeliverBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
@@ -36,7 +37,7 @@
 			answerer.Refuse(*refusal)
 			return nil
 		}
-		answerer.Answer(&wire.DeliverAnswer{RetryAfter: c.ownerOverloaded(&body.Message)})
+		answerer.Answer(&wire.DeliverAnswer{RetryAfter: c.ownerRetryAfter(&body.Message)})
 	default:
 		return &wire.UnknownCallError{Kind: kind}
 	}
--- a/internal/system/role/carrier/handover.go
+++ b/internal/system/role/carrier/handover.go
@@ -11,46 +11,46 @@
 	"granitewing/internal/system/wire"
 )
 
-// Times of handing a unit over.
+// Durations of handing a unit over.
 const (
-	handoverPoll  = 20 * time.Millisecond
-	handoverMost  = 1500 * time.Millisecond // for what was begun to end; after it the unit is kept
-	releaseRetry  = 50 * time.Millisecond
-	placeRetry    = 15 * time.Millisecond
-	placeRetryFor = 60 * time.Millisecond // of asking again for a place in an order whose owner is changing
+	handoverPoll       = 20 * time.Millisecond
+	handoverTimeout    = 1500 * time.Millisecond // for started messages to complete; after it this carrier keeps the unit
+	releaseRetry       = 50 * time.Millisecond
+	reserveRetry       = 15 * time.Millisecond
+	reserveRetryPeriod = 60 * time.Millisecond // how long a sequence number is requested again while the unit changes its owner
 )
 
-// handover is a unit on its way to another carrier. No message of it is begun any more. Once those that were begun have
-// ended and their ends lie on the stores, the unit is released: from the first word about that to the keepers, this
-// carrier takes nothing more for it, whatever becomes of that word.
+// handover is a unit's transfer to another carrier. No attempt of a message that has had none is started any more.
+// Once all started messages have completed and their outcomes are stored, the unit is released. From the first
+// release call to the keepers on, this carrier takes no message for the unit, whether or not the call succeeds.
 type handover struct {
 	offer     uint64
-	next      string // incarnation
-	until     time.Duration
+	nextOwner string // incarnation
+	deadline  time.Duration
 	releasing bool
 }
 
-// followOffer begins, or ends, handing a unit over, as the keepers ask.
+// followOffer starts or ends the handover of a unit as the keepers request.
 func (c *Core) followOffer(u *unit, owner ownership.Owner) {
 	if u.handover != nil && owner.Offer > u.handover.offer {
 		c.keepUnit(u)
 	}
-	if owner.Next == "" || owner.Offer <= u.declined || u.handover != nil {
+	if owner.Next == "" || owner.Offer <= u.declinedOffer || u.handover != nil {
 		return
 	}
-	u.handover = &handover{offer: owner.Offer, next: owner.Next, until: c.env.Now() + handoverMost}
+	u.handover = &handover{offer: owner.Offer, nextOwner: owner.Next, deadline: c.env.Now() + handoverTimeout}
 	for _, it := range u.items {
-		if it.tries == 0 {
+		if it.attempts == 0 {
 			it.queued = false
 		}
 	}
 	c.pollHandover(u, u.handover)
 }
 
-// keepUnit goes on with a unit that is not handed over.
+// keepUnit ends a handover and resumes the unit.
 func (c *Core) keepUnit(u *unit) {
-	c.env.Inform(fmt.Sprintf("unit %s stays", u.name))
-	u.declined = u.handover.offer
+	c.env.Inform(fmt.Sprintf("handover of unit %s ended without release, this carrier keeps the unit", u.name))
+	u.declinedOffer = u.handover.offer
 	u.handover = nil
 	for _, it := range ordered.Map(u.items) {
 		c.ready(it)
@@ -64,27 +64,28 @@
 	case u.idle():
 		h.releasing = true
 		c.release(u, h)
-	case c.env.Now() > h.until:
+	case c.env.Now() > h.deadline:
 		c.keepUnit(u)
 	default:
 		c.env.After(handoverPoll, func() { c.pollHandover(u, h) })
 	}
 }
 
-// idle tells whether nothing of a unit was begun and has not ended, as far as the stores know.
+// idle reports whether no message of a unit has been started without its outcome being recorded on the stores.
 func (u *unit) idle() bool {
 	if u.unrecorded > 0 {
 		return false
 	}
 	for _, it := range u.items {
-		if it.tries > 0 {
+		if it.attempts > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// release tells the keepers until they have answered. The unit stays here, at rest, until the feed names its next owner.
+// release repeats the release call to the keepers until they answer. The unit stays here, inactive, until the feed
+// names its next owner.
 func (c *Core) release(u *unit, h *handover) {
 	if u.dropped || u.handover != h {
 		return
@@ -93,8 +94,8 @@
 		switch {
 		case u.dropped || u.handover != h:
 		case err == nil:
-			c.env.Inform(fmt.Sprintf("unit %s goes to %s", u.name, h.next))
-		case offerIsStale(err):
+			c.env.Inform(fmt.Sprintf("unit %s released to %s", u.name, h.nextOwner))
+		case isStaleOffer(err):
 			c.keepUnit(u)
 		default:
 			c.env.After(releaseRetry, func() { c.release(u, h) })
@@ -102,13 +103,13 @@
 	})
 }
 
-func offerIsStale(err error) bool {
+func isStaleOffer(err error) bool {
 	var refused member.RefusedError
 	return errors.As(err, &refused) && refused.Refusal().Code == wire.StaleOffer
 }
 
-// ownerChanges tells whether a carrier refused since a unit is on its way to it, or from it.
-func ownerChanges(err error) bool {
+// isOwnerChanging reports whether a carrier refused a call because the unit is being transferred to it or from it.
+func isOwnerChanging(err error) bool {
 	var refused member.RefusedError
 	if !errors.As(err, &refused) {
 		return false
@@ -117,8 +118,10 @@
 	return code == wire.NotReady || code == wire.NotOwner
 }
 
-// rests tells whether nothing may be taken for a unit.
-func (u *unit) rests() bool { return u.handover != nil && u.handover.releasing }
+// released reports whether no message may be taken for the unit, because its release has been requested.
+func (u *unit) released() bool { return u.handover != nil && u.handover.releasing }
 
-// waits tells whether a message of a unit that is being handed over is left to the next owner.
-func (it *item) waits() bool { return it.unit.handover != nil && (it.tries == 0 || it.unit.rests()) }
+// leftToNextOwner reports whether a message of a unit that is being handed over is left to the next owner.
+func (it *item) leftToNextOwner() bool {
+	return it.unit.handover != nil && (it.attempts == 0 || it.unit.released())
+}
--- a/internal/system/role/carrier/moved_queue_test.go
+++ b/internal/system/role/carrier/moved_queue_test.go
@@ -19,7 +19,7 @@
 	var items []*item
 	for range 8 {
 		it := &item{message: &message.Message{Retention: retention}, unit: u}
-		former.join(it, false)
+		former.add(it, false)
 		items = append(items, it)
 	}
 	if former.next(time.Second, late) == nil || former.late.Len() != len(items) {
@@ -27,20 +27,20 @@
 	}
 	moved := items[len(items)-1]
 	moved.queued = false
-	next.join(moved, false)
+	next.add(moved, false)
 	if got := next.next(retention, late); got != moved {
 		t.Fatalf("the next queue gives %p, not the message that joined it", got)
 	}
-	next.take(moved)
-	next.join(moved, false)
+	next.remove(moved)
+	next.add(moved, false)
 	other := &item{message: &message.Message{Retention: retention}, unit: u}
-	next.join(other, false)
+	next.add(other, false)
 	if next.next(time.Second, late) != moved || next.late.Len() != 2 {
 		t.Fatal("both are late there")
 	}
 	first := former.next(retention, late)
-	former.take(first) // the others change their places in its heap
-	next.take(moved)
+	former.remove(first) // the others change their places in its heap
+	next.remove(moved)
 	if got := next.next(retention, late); got != other {
 		t.Fatalf("the next queue gives %p, and another message is left there", got)
 	}
@@ -50,7 +50,7 @@
 			t.Fatal("the former queue gives a message that has left it, or one twice")
 		}
 		given[it] = true
-		former.take(it)
+		former.remove(it)
 	}
 	if len(given) != len(items)-1 {
 		t.Fatalf("%d of %d messages came", len(given), len(items)-1)
--- a/internal/system/role/carrier/outbox.go
+++ b/internal/system/role/carrier/outbox.go
@@ -9,93 +9,98 @@
 	"granitewing/internal/system/wire"
 )
 
-// Bounds of telling the stores about ends.
+// Limits of sending outcomes to the stores.
 const (
-	endsTimeout = 2 * time.Second
-	endsAtOnce  = 512
-	maxOutbox   = 100000
+	outcomesTimeout    = 2 * time.Second
+	maxOutcomesPerCall = 512
+	maxOutbox          = 100000
 )
 
-// owedRecord is an end that a store has to be told, or that was told to its call-back URL.
-type owedRecord struct {
+// pendingRecord is an outcome that a store has to record, or the fact that a call-back for it was made.
+type pendingRecord struct {
 	unit *unit
 	end  message.End
 }
 
-// owedRecords are to be told in order.
-type owedRecords struct {
-	records []owedRecord
-	out     int // number of the first ones, with the call that is out
+// recordQueue holds a disk's pending records, which are sent in order.
+type recordQueue struct {
+	records  []pendingRecord
+	inFlight int // number of records, from the front, in the current call
 }
 
-// add gives how many of the oldest were dropped for lack of room. The disk learns their ends from the others that hold the messages, and call-backs
-// that it takes for owed are made again by who lists them there.
-func (o *owedRecords) add(record owedRecord) (dropped int) {
+// add appends a record. If the queue is full, it drops the oldest half and returns its size. The disk gets the
+// dropped outcomes from the other disks that hold the messages. Call-backs that it considers due are made again by
+// the carrier that lists them there.
+func (o *recordQueue) add(record pendingRecord) (dropped int) {
 	if len(o.records) >= maxOutbox {
 		dropped = maxOutbox / 2
-		o.forget(dropped)
+		o.removeFirst(dropped)
 	}
 	record.unit.unrecorded++
 	o.records = append(o.records, record)
 	return dropped
 }
 
-// DroppedError tells of records that a disk was owed for so long that there is no room for them.
+// DroppedError reports that the queue of records for a disk was full and its oldest records were dropped.
 type DroppedError struct {
 	Disk  string
 	Count int
 }
 
-func (e *DroppedError) Error() string { return fmt.Sprintf("disk %s: %d records", e.Disk, e.Count) }
+func (e *DroppedError) Error() string {
+	return fmt.Sprintf("disk %s: %d records dropped", e.Disk, e.Count)
+}
 
-// begin gives the first ones, and counts them as being out.
-func (o *owedRecords) begin() []owedRecord {
-	o.out = min(len(o.records), endsAtOnce)
-	return o.records[:o.out]
+// nextBatch returns the first records and marks them as in flight.
+func (o *recordQueue) nextBatch() []pendingRecord {
+	o.inFlight = min(len(o.records), maxOutcomesPerCall)
+	return o.records[:o.inFlight]
 }
 
-// forget takes the first records out.
-func (o *owedRecords) forget(count int) {
+// removeFirst removes the first records.
+func (o *recordQueue) removeFirst(count int) {
 	for _, record := range o.records[:count] {
 		record.unit.unrecorded--
 	}
-	o.records = append([]owedRecord(nil), o.records[count:]...)
-	o.out = max(0, o.out-count)
+	o.records = append([]pendingRecord(nil), o.records[count:]...)
+	o.inFlight = max(0, o.inFlight-count)
 }
 
-// takeAll takes all records out, those with a call that is out among them.
-func (o *owedRecords) takeAll() []owedRecord {
+// takeAll removes and returns all records, including those in flight.
+func (o *recordQueue) takeAll() []pendingRecord {
 	records := o.records
 	for _, record := range records {
 		record.unit.unrecorded--
 	}
-	o.records, o.out = nil, 0
+	o.records, o.inFlight = nil, 0
 	return records
 }
 
-// outbox is what a store has to be told, until it has answered. Ends go first: a store has to know an end before it can
-// know that it was told.
+// outbox holds what a store has to record until the store has acknowledged it. Outcomes are sent first: a store
+// has to know an outcome before it can record that its call-back was made.
 type outbox struct {
-	ends      owedRecords
-	callbacks owedRecords
-	busy      bool
+	outcomes     recordQueue
+	callbacks    recordQueue
+	callInFlight bool
 }
 
-func (s *storage) box(disk string) *outbox {
-	box := s.boxes[disk]
+func (s *storage) outbox(disk string) *outbox {
+	box := s.outboxes[disk]
 	if box == nil {
 		box = &outbox{}
-		s.boxes[disk] = box
+		s.outboxes[disk] = box
 	}
 	return box
 }
 
-// recipients gives the disks to tell about a message: those that hold it. Where one of these does not count, is leaving or is out of the roster,
-// others were given copies of what lay on it, and all that count are told. So they are where too few are known to hold it: an end has to lie on as
-// many disks as its message, or who hears all but those that may be lost might not hear of it.
+// recipients returns the disks that record something about a message: normally the disks that hold it. If one of
+// these does not count toward the write quorum, is leaving or is no longer in the roster, other disks were given
+// copies of its messages, so all counting disks are returned. They are also returned if too few disks are known to
+// hold the message: an outcome has to be on as many disks as its message, or a reader of all disks except those
+// that may be lost could miss it.
 func (s *storage) recipients(holders []string) []string {
 	view := s.core.session.View()
-	counted := s.counted()
+	counted := s.votingDisks()
 	if len(counted) == 0 {
 		return holders
 	}
@@ -110,8 +115,8 @@
 	return holders
 }
 
-// counted gives the disks of the roster that count.
-func (s *storage) counted() []string {
+// votingDisks returns the disks of the roster that count toward the write quorum.
+func (s *storage) votingDisks() []string {
 	var disks []string
 	for disk := range ordered.Map(s.core.session.View().Counted()) {
 		disks = append(disks, disk)
@@ -119,72 +124,72 @@
 	return disks
 }
 
-// followRoster tells all disks that count what those that are out of the roster have not taken.
+// followRoster sends the records that disks outside the roster have not acknowledged to all counting disks.
 func (s *storage) followRoster() {
 	view := s.core.session.View()
-	if len(s.counted()) == 0 {
+	if len(s.votingDisks()) == 0 {
 		return // the roster is not known
 	}
-	for disk, box := range ordered.Map(s.boxes) {
+	for disk, box := range ordered.Map(s.outboxes) {
 		if _, there := view.Disks[disk]; there {
 			continue
 		}
-		ends, callbacks := box.ends.takeAll(), box.callbacks.takeAll()
-		delete(s.boxes, disk)
-		delete(s.calls, disk)
+		ends, callbacks := box.outcomes.takeAll(), box.callbacks.takeAll()
+		delete(s.outboxes, disk)
+		delete(s.putStates, disk)
 		for _, record := range ends {
-			s.recordEnd(record.unit, s.counted(), record.end)
+			s.recordOutcome(record.unit, s.votingDisks(), record.end)
 		}
 		for _, record := range callbacks {
-			s.recordCallback(record.unit, s.counted(), record.end.ID)
+			s.recordCallback(record.unit, s.votingDisks(), record.end.ID)
 		}
 	}
 }
 
-// recordEnd tells the holders about an end of a unit.
-func (s *storage) recordEnd(u *unit, holders []string, end message.End) {
+// recordOutcome sends the outcome of a message of a unit to the disks that hold the message.
+func (s *storage) recordOutcome(u *unit, holders []string, end message.End) {
 	for _, disk := range s.recipients(holders) {
-		s.owe(disk, &s.box(disk).ends, owedRecord{unit: u, end: end})
+		s.enqueue(disk, &s.outbox(disk).outcomes, pendingRecord{unit: u, end: end})
 	}
 }
 
-// owe has a disk be told of a record.
-func (s *storage) owe(disk string, records *owedRecords, record owedRecord) {
+// enqueue adds a record to a disk's outbox and starts sending.
+func (s *storage) enqueue(disk string, records *recordQueue, record pendingRecord) {
 	if dropped := records.add(record); dropped > 0 {
-		s.core.env.Report("records that a disk is owed are dropped", &DroppedError{Disk: disk, Count: dropped})
+		s.core.env.Report("outbox of a disk is full, oldest records dropped", &DroppedError{Disk: disk, Count: dropped})
 	}
 	s.flush(disk)
 }
 
-// spreadEnds tells all disks that count the ends that some disk has not taken: it may not come back in time. A disk that knows one already passes it
-// over.
-func (s *storage) spreadEnds() {
-	if s.spread {
+// spreadOutcomes sends the outcomes that some disk has not acknowledged to all counting disks, since that disk may
+// not return in time. A disk that has an outcome already ignores it.
+func (s *storage) spreadOutcomes() {
+	if s.outcomesSpread {
 		return
 	}
-	s.spread = true
-	lacking := map[string]owedRecord{}
-	for _, box := range s.boxes {
-		for _, record := range box.ends.records {
+	s.outcomesSpread = true
+	lacking := map[string]pendingRecord{}
+	for _, box := range s.outboxes {
+		for _, record := range box.outcomes.records {
 			lacking[record.end.ID] = record
 		}
 	}
 	for _, record := range ordered.Map(lacking) {
-		for _, disk := range s.counted() {
-			s.owe(disk, &s.box(disk).ends, record)
+		for _, disk := range s.votingDisks() {
+			s.enqueue(disk, &s.outbox(disk).outcomes, record)
 		}
 	}
 }
 
-// recordCallback tells the holders that an end of a unit was told.
+// recordCallback reports to the disks that hold a message that its call-back is done.
 func (s *storage) recordCallback(u *unit, holders []string, id string) {
 	for _, disk := range s.recipients(holders) {
-		s.owe(disk, &s.box(disk).callbacks, owedRecord{unit: u, end: message.End{ID: id}})
+		s.enqueue(disk, &s.outbox(disk).callbacks, pendingRecord{unit: u, end: message.End{ID: id}})
 	}
 }
 
-func (s *storage) up(address string) {
-	for disk := range ordered.Map(s.boxes) {
+func (s *storage) peerUp(address string) {
+	for disk := range ordered.Map(s.outboxes) {
 		if s.address(disk) == address {
 			s.flush(disk)
 		}
@@ -192,50 +197,51 @@
 }
 
 func (s *storage) flushAll() {
-	for disk := range ordered.Map(s.boxes) {
+	for disk := range ordered.Map(s.outboxes) {
 		s.flush(disk)
 	}
 }
 
-// flush sends what a store lacks; one call is out at a time, and what gathers meanwhile goes with the next.
+// flush sends the records that a store lacks. One call is in flight at a time; records added meanwhile go with the
+// next.
 func (s *storage) flush(disk string) {
-	box := s.box(disk)
-	if box.busy || !s.isUp(disk) {
+	box := s.outbox(disk)
+	if box.callInFlight || !s.isUp(disk) {
 		return
 	}
 	switch {
-	case len(box.ends.records) > 0:
+	case len(box.outcomes.records) > 0:
 		var body wire.EndsBody
-		for _, record := range box.ends.begin() {
+		for _, record := range box.outcomes.nextBatch() {
 			body.Ends = append(body.Ends, record.end)
 		}
-		s.send(disk, box, wire.PutEnds, wire.Encode(&body), &box.ends)
+		s.send(disk, box, wire.PutEnds, wire.Encode(&body), &box.outcomes)
 	case len(box.callbacks.records) > 0:
 		var body wire.CallbackDoneBody
-		for _, record := range box.callbacks.begin() {
+		for _, record := range box.callbacks.nextBatch() {
 			body.IDs = append(body.IDs, record.end.ID)
 		}
 		s.send(disk, box, wire.CallbackDone, wire.Encode(&body), &box.callbacks)
 	}
 }
 
-func (s *storage) send(disk string, box *outbox, kind wire.Kind, payload []byte, records *owedRecords) {
-	box.busy = true
-	s.core.env.Call(s.address(disk), kind, payload, endsTimeout, func(_ []byte, err error) {
-		box.busy = false
+func (s *storage) send(disk string, box *outbox, kind wire.Kind, payload []byte, records *recordQueue) {
+	box.callInFlight = true
+	s.core.env.Call(s.address(disk), kind, payload, outcomesTimeout, func(_ []byte, err error) {
+		box.callInFlight = false
 		if err != nil {
 			return // housekeeping or a new connection tries again
 		}
-		records.forget(records.out)
+		records.removeFirst(records.inFlight)
 		s.flush(disk)
 	})
 }
 
-// unwritten is the number of records that some store has not taken, of stores that are there.
-func (s *storage) unwritten() int {
+// unrecorded returns the number of records that some store in the roster has not acknowledged.
+func (s *storage) unrecorded() int {
 	count := 0
-	for _, box := range s.boxes {
-		count += len(box.ends.records) + len(box.callbacks.records)
+	for _, box := range s.outboxes {
+		count += len(box.outcomes.records) + len(box.callbacks.records)
 	}
 	return count
 }
--- a/internal/system/role/carrier/outbox_test.go
+++ b/internal/system/role/carrier/outbox_test.go
@@ -9,11 +9,11 @@
 
 // Guards against records that are dropped without a word: a disk that takes nothing for long is owed more than there is room for.
 func TestRecordsThatAreDroppedAreReported(t *testing.T) {
-	r := newRig()
-	r.store("disk-1").silent = true
+	r := newFixture()
+	r.store("disk-1").unresponsive = true
 	u := r.core.own
 	for range maxOutbox + 1 {
-		r.core.stores.recordEnd(u, []string{"disk-1", "disk-2"}, message.End{ID: "m", Phase: message.Succeeded})
+		r.core.stores.recordOutcome(u, []string{"disk-1", "disk-2"}, message.End{ID: "m", Phase: message.Succeeded})
 	}
 	var dropped *DroppedError
 	for _, err := range r.reports {
--- a/internal/system/role/carrier/owner.go
+++ b/internal/system/role/carrier/owner.go
@@ -8,7 +8,7 @@
 	"granitewing/internal/system/wire"
 )
 
-// reserve asks the owner of a unit for the next place in its order.
+// reserve requests the next sequence number from the owner of a unit.
 func (c *Core) reserve(body wire.ReserveBody, done func(wire.ReserveAnswer, error)) {
 	owner := c.session.View().Owners[body.Unit]
 	if owner.Incarnation == c.session.Incarnation() {
@@ -34,14 +34,15 @@
 	})
 }
 
-// Reserve gives a place in the order of a unit that this carrier owns, while its session holds: no other owner can be
-// giving places then. Where too much waits already it gives none, and tells when to ask again.
+// Reserve assigns the next sequence number of a unit that this carrier owns, while its session is valid, since no
+// other owner can assign numbers then. If the service's backlog is too long it assigns none and returns when to
+// try again. It refuses with NotOwner or NotReady if this carrier cannot assign one.
 func (c *Core) Reserve(body wire.ReserveBody) (wire.ReserveAnswer, *wire.RefusalBody) {
 	u := c.units[body.Unit]
 	if u == nil || !c.session.Holds() || c.paused {
 		return wire.ReserveAnswer{}, &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + body.Unit}
 	}
-	if !u.active || u.rests() {
+	if !u.active || u.released() {
 		return wire.ReserveAnswer{}, &wire.RefusalBody{Code: wire.NotReady, Reason: "the unit changes its owner"}
 	}
 	if pause := c.retryAfter(body.Service, body.Retention); pause > 0 {
@@ -51,10 +52,10 @@
 	return wire.ReserveAnswer{Token: u.token, Sequence: u.sequence}, nil
 }
 
-// confirmAtOwner hands a stored message to the owner of its order; it is accepted once the owner has it.
+// confirmAtOwner passes a stored message to the owner of its key. The message is accepted once the owner has it.
 func (c *Core) confirmAtOwner(a *acceptance) {
 	m := a.message
-	body := wire.DeliverBody{Message: *m, Holders: a.tried, Age: c.env.Now() - a.at}
+	body := wire.DeliverBody{Message: *m, Holders: a.attempted, Age: c.env.Now() - a.received}
 	owner := c.session.View().Owners[m.Unit]
 	finish := func(err error) {
 		if a.done {
@@ -87,30 +88,31 @@
 	forwardRetry = 100 * time.Millisecond
 )
 
-// Deliver takes a stored message for a unit that this carrier owns. The answer is nil once it is responsible for it, or it has ended; a
-// message that comes twice is taken once, also where it came to a former owner before.
+// Deliver takes a stored message for a unit that this carrier owns. It returns nil once this carrier is
+// responsible for the message or the message has completed; otherwise it returns a refusal, and the caller tries
+// again. A message that arrives twice is taken once, even if it arrived at a former owner before.
 func (c *Core) Deliver(body wire.DeliverBody) *wire.RefusalBody {
 	u := c.units[body.Message.Unit]
 	if u == nil || !c.session.Holds() || c.paused || u.token < body.Message.Token {
 		return &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + body.Message.Unit}
 	}
-	if !u.active || u.rests() {
+	if !u.active || u.released() {
 		return &wire.RefusalBody{Code: wire.NotReady, Reason: "the unit changes its owner"}
 	}
 	if _, ended := c.recent.get(body.Message.ID); ended || u.items[body.Message.ID] != nil {
 		return nil
 	}
-	if c.mayHaveEnded(u, &body) {
-		c.askWhetherEnded(u, &body)
+	if c.mayHaveCompleted(u, &body) {
+		c.queryOutcome(u, &body)
 		return &wire.RefusalBody{Code: wire.NotReady, Reason: "the stores are asked whether the message has ended"}
 	}
 	m := body.Message
-	c.take(u, &m, body.Holders, c.env.Now()-body.Age)
+	c.addMessage(u, &m, body.Holders, c.env.Now()-body.Age)
 	return nil
 }
 
-// forwarding is an accepted message on its way to the owner of its unit, however long that takes: until the owner has it
-// this carrier holds it.
+// forwarding is an accepted message that is being passed to the owner of its unit. This carrier keeps it until the
+// owner has it, however long that takes, within the message's retention.
 type forwarding struct {
 	core     *Core
 	message  *message.Message
@@ -121,34 +123,34 @@
 func (c *Core) forward(m *message.Message, holders []string, accepted time.Duration) {
 	f := &forwarding{core: c, message: m, holders: holders, accepted: accepted}
 	c.waitingBytes += f.bytes()
-	f.try()
+	f.attempt()
 }
 
 func (f *forwarding) bytes() int64 { return headBytes(f.message) + int64(len(f.message.Body)) }
 
-func (f *forwarding) done() { f.core.waitingBytes -= f.bytes() }
+func (f *forwarding) finish() { f.core.waitingBytes -= f.bytes() }
 
-func (f *forwarding) again() { f.core.env.After(forwardRetry, f.try) }
+func (f *forwarding) retry() { f.core.env.After(forwardRetry, f.attempt) }
 
-func (f *forwarding) try() {
+func (f *forwarding) attempt() {
 	c, m := f.core, f.message
 	owner := c.session.View().Owners[m.Unit]
 	body := wire.DeliverBody{Message: *m, Holders: f.holders, Age: c.env.Now() - f.accepted}
 	if owner.Incarnation == c.session.Incarnation() {
 		if refusal := c.Deliver(body); refusal != nil {
-			f.again()
+			f.retry()
 			return
 		}
-		f.done()
+		f.finish()
 		return
 	}
 	if c.env.Now()-f.accepted > m.Retention {
-		f.done()
+		f.finish()
 		return
 	}
 	address := c.session.View().Members[owner.Incarnation].Address
 	if address == "" || !c.env.Up(address) {
-		f.again()
+		f.retry()
 		return
 	}
 	c.env.Call(address, wire.ForwardMessage, wire.Encode(&body), confirmTimeout, func(payload []byte, err error) {
@@ -157,10 +159,10 @@
 			err = wire.Decode(wire.ForwardMessage, payload, &answer)
 		}
 		if err != nil {
-			f.again()
+			f.retry()
 			return
 		}
-		f.done()
-		c.ownerTold(m.Unit, answer.RetryAfter)
+		f.finish()
+		c.setOwnerBusy(m.Unit, answer.RetryAfter)
 	})
 }
--- a/internal/system/role/carrier/query.go
+++ b/internal/system/role/carrier/query.go
@@ -8,62 +8,63 @@
 	"granitewing/internal/system/wire"
 )
 
-// State is what a client is told of a message.
+// State is the state of a message as reported to a client.
 type State struct {
 	Known   bool
-	Unclear bool // not all stores that might know it have answered
+	Unclear bool // not all stores that might know the message have answered
 	Phase   message.Phase
 	Stamp   string
 	Body    []byte
 	HasBody bool
 }
 
-const queryTimeout = 1200 * time.Millisecond
+const findTimeout = 1200 * time.Millisecond
 
-// query gathers the stores' answers about a message.
-type query struct {
-	state    State
-	open     int
-	missing  int
-	answered bool
-	wantBody bool
-	done     func(State)
+// find collects the stores' answers about a message.
+type find struct {
+	state      State
+	pending    int
+	unanswered int
+	answered   bool
+	wantBody   bool
+	done       func(State)
 }
 
-// Find tells the state of a message, and its bytes where they are wanted.
+// Find reports the state of a message, with its body if withBody is set. It calls done once, with the first
+// definite state or once all stores have answered or failed to.
 func (c *Core) Find(id string, withBody bool, done func(State)) {
 	if end, known := c.recent.get(id); known && !withBody {
 		done(State{Known: true, Phase: end.Phase, Stamp: end.Stamp})
 		return
 	}
-	q := &query{wantBody: withBody, done: done}
+	q := &find{wantBody: withBody, done: done}
 	body := wire.Encode(&wire.FindBody{ID: id, WithBody: withBody})
-	var asked []string
+	var addresses []string
 	for id, disk := range ordered.Map(c.session.View().Disks) {
 		if c.stores.isUp(id) {
-			asked = append(asked, disk.Member.Address)
+			addresses = append(addresses, disk.Member.Address)
 			continue
 		}
-		q.missing++
+		q.unanswered++
 	}
-	q.open = len(asked)
-	if len(asked) == 0 {
+	q.pending = len(addresses)
+	if len(addresses) == 0 {
 		done(State{Unclear: true})
 		return
 	}
-	for _, address := range asked {
-		c.env.Call(address, wire.FindMessage, body, queryTimeout, func(payload []byte, err error) { q.take(payload, err) })
+	for _, address := range addresses {
+		c.env.Call(address, wire.FindMessage, body, findTimeout, func(payload []byte, err error) { q.take(payload, err) })
 	}
 }
 
-func (q *query) take(payload []byte, err error) {
-	q.open--
+func (q *find) take(payload []byte, err error) {
+	q.pending--
 	var answer wire.FindAnswer
 	if err == nil {
 		err = wire.Decode(wire.FindMessage, payload, &answer)
 	}
 	if err != nil || !answer.Complete && !answer.Known {
-		q.missing++
+		q.unanswered++
 	} else {
 		q.merge(answer)
 	}
@@ -71,15 +72,15 @@
 		return
 	}
 	enough := q.wantBody && q.state.HasBody || !q.wantBody && q.state.Known && q.state.Phase != message.Pending
-	if q.open > 0 && !enough {
+	if q.pending > 0 && !enough {
 		return
 	}
 	q.answered = true
-	q.state.Unclear = !q.state.Known && q.missing > 0
+	q.state.Unclear = !q.state.Known && q.unanswered > 0
 	q.done(q.state)
 }
 
-func (q *query) merge(answer wire.FindAnswer) {
+func (q *find) merge(answer wire.FindAnswer) {
 	if !answer.Known {
 		return
 	}
--- a/internal/system/role/carrier/queue.go
+++ b/internal/system/role/carrier/queue.go
@@ -7,30 +7,32 @@
 	"granitewing/internal/system/delivery"
 )
 
-// queue is the due messages of a service. Those that can still start within their aim go first, the oldest ahead; the
-// late ones follow with what capacity is left, those of keys with the fewest messages ahead of the others: a key that is
-// cleared lets its next messages start in their aim, while keys that all advance alike leave every message late.
+// queue holds a service's due messages. Messages that can still start within their target latency go first, the
+// oldest ahead. Late messages use the remaining capacity, those of the keys with the fewest messages first: once a
+// key is cleared, its next messages can start within their target, whereas if all keys advance alike, every
+// message stays late.
 //
-// A late message that has waited for half of its retention goes before the fresh ones: those would keep it waiting until it
-// ends by that, and it was accepted.
+// A late message that has waited for half of its retention goes before fresh ones. They would otherwise keep it
+// waiting until its retention ends, although it was accepted.
 //
-// Messages that were taken over when they were already due go before all: their former carrier may have had them run just
-// before it was lost, and a second run is excused soon after the trouble only.
+// Messages that were due when they were taken over go before all others. Their former carrier may have had them
+// run just before it was lost, and the delivery guarantee allows a second run only shortly after such a failure.
 type queue struct {
-	service string
-	taken   fifo
-	fresh   fifo
-	late    lateHeap
-	aged    fifo // the late ones in the order in which they came to be late
-	pace    delivery.Pace
-	turn    turn // of a service that another carrier spaces
-	// urgentUntil is until when messages wait that were not taken over, of a service that this carrier spaces: others have such.
+	service   string
+	takenOver fifo
+	fresh     fifo
+	late      lateHeap
+	lateByAge fifo // late messages in the order in which they became late
+	pace      delivery.Pace
+	permit    permit // for a service whose rate another carrier controls
+	// urgentUntil is set for a service whose rate this carrier controls, while another carrier has messages that it
+	// took over. Until then messages that were not taken over wait.
 	urgentUntil time.Duration
 	backlog     backlog
-	wakeAt      time.Duration // 0 while no wake-up is set
+	wakeAt      time.Duration // 0 if no wake-up is scheduled
 }
 
-// fifo is a queue whose front moves without copying.
+// fifo is a queue that removes its front without copying.
 type fifo struct {
 	items []*item
 	first int
@@ -53,10 +55,11 @@
 	return it
 }
 
-// live gives the front of what still waits in a queue, nil where nothing does.
-func (f *fifo) live(q *queue) *item {
+// liveFront returns the first item that still waits in q, and discards others before it. It returns nil if there
+// is none.
+func (f *fifo) liveFront(q *queue) *item {
 	for f.len() > 0 {
-		if it := f.front(); q.holds(it) {
+		if it := f.front(); q.contains(it) {
 			return it
 		}
 		f.pop()
@@ -64,14 +67,15 @@
 	return nil
 }
 
-// lateItem is a late message, with the number of messages of its key when it came here.
+// lateItem is a late message, with the number of messages of its key when it was added.
 type lateItem struct {
-	item   *item
-	behind int
-	order  uint64
+	item      *item
+	keyLength int
+	order     uint64
 }
 
-// lateHeap gives late messages of short keys first, and those of alike keys in the order in which they came.
+// lateHeap orders late messages by the number of messages of their key, fewest first, and by arrival if these are
+// equal.
 type lateHeap struct {
 	items []lateItem
 	order uint64
@@ -80,76 +84,78 @@
 func (h *lateHeap) Len() int { return len(h.items) }
 func (h *lateHeap) Less(i, j int) bool {
 	a, b := h.items[i], h.items[j]
-	return a.behind < b.behind || a.behind == b.behind && a.order < b.order
+	return a.keyLength < b.keyLength || a.keyLength == b.keyLength && a.order < b.order
 }
 func (h *lateHeap) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].item.latePlace, h.items[j].item.latePlace = i+1, j+1
+	h.items[i].item.lateIndex, h.items[j].item.lateIndex = i+1, j+1
 }
 func (h *lateHeap) Push(x any) {
 	h.items = append(h.items, x.(lateItem))
 	it := x.(lateItem).item
-	it.lateIn, it.latePlace = h, len(h.items)
+	it.lateHeap, it.lateIndex = h, len(h.items)
 }
 func (h *lateHeap) Pop() any {
 	last := h.items[len(h.items)-1]
-	last.item.lateIn, last.item.latePlace = nil, 0
+	last.item.lateHeap, last.item.lateIndex = nil, 0
 	h.items[len(h.items)-1] = lateItem{}
 	h.items = h.items[:len(h.items)-1]
 	return last
 }
 
-// leaveLate takes a message out of the heap of late ones that it is in; its service may be another now.
-func (it *item) leaveLate() {
-	if it.lateIn != nil {
-		heap.Remove(it.lateIn, it.latePlace-1)
+// removeFromLate removes a message from the heap of late messages that contains it, which may be that of a former
+// service.
+func (it *item) removeFromLate() {
+	if it.lateHeap != nil {
+		heap.Remove(it.lateHeap, it.lateIndex-1)
 	}
 }
 
 func (h *lateHeap) add(it *item) {
-	it.leaveLate()
+	it.removeFromLate()
 	h.order++
-	heap.Push(h, lateItem{item: it, behind: len(it.unit.keys[it.message.Key]), order: h.order})
+	heap.Push(h, lateItem{item: it, keyLength: len(it.unit.keys[it.message.Key]), order: h.order})
 }
 
-// holds tells whether a message waits in this queue. One that has left for the queue of another service may still be named here.
-func (q *queue) holds(it *item) bool { return !it.ended && it.queued && it.waitsIn == q }
+// contains reports whether a message waits in this queue. A message that has moved to the queue of another service
+// may still have an entry here.
+func (q *queue) contains(it *item) bool { return !it.ended && it.queued && it.queue == q }
 
-// join has a message wait; urgent ones were taken over when they were due already.
-func (q *queue) join(it *item, urgent bool) {
-	it.leaveLate()
-	it.queued, it.waitsIn = true, q
+// add queues a message. Urgent messages were due when they were taken over.
+func (q *queue) add(it *item, urgent bool) {
+	it.removeFromLate()
+	it.queued, it.queue = true, q
 	if urgent {
-		q.taken.push(it)
+		q.takenOver.push(it)
 		return
 	}
 	q.fresh.push(it)
 }
 
-// next gives the message whose turn it is, without taking it; nil where there is none. aim tells until when a message can
-// start within its aim.
-func (q *queue) next(now time.Duration, aim func(*item) time.Duration) *item {
-	if it := q.taken.live(q); it != nil {
+// next returns the message to send next without removing it, or nil if there is none. startBy returns until when a
+// message can start within its target.
+func (q *queue) next(now time.Duration, startBy func(*item) time.Duration) *item {
+	if it := q.takenOver.liveFront(q); it != nil {
 		return it
 	}
-	if it := q.aged.live(q); it != nil && now-it.due > overdueShare(it.message.Retention) {
+	if it := q.lateByAge.liveFront(q); it != nil && now-it.due > overdueShare(it.message.Retention) {
 		return it
 	}
 	for {
-		it := q.fresh.live(q)
+		it := q.fresh.liveFront(q)
 		if it == nil {
 			break
 		}
-		if now > aim(it) {
+		if now > startBy(it) {
 			q.late.add(it)
-			q.aged.push(q.fresh.pop())
+			q.lateByAge.push(q.fresh.pop())
 			continue
 		}
 		return it
 	}
 	for q.late.Len() > 0 {
 		it := q.late.items[0].item
-		if !q.holds(it) {
+		if !q.contains(it) {
 			heap.Pop(&q.late)
 			continue
 		}
@@ -158,29 +164,29 @@
 	return nil
 }
 
-// take removes the message that next gave.
-func (q *queue) take(it *item) {
+// remove removes the message that next returned.
+func (q *queue) remove(it *item) {
 	it.queued = false
-	if q.taken.len() > 0 && q.taken.front() == it {
-		q.taken.pop()
+	if q.takenOver.len() > 0 && q.takenOver.front() == it {
+		q.takenOver.pop()
 		return
 	}
 	if q.fresh.len() > 0 && q.fresh.front() == it {
 		q.fresh.pop()
 		return
 	}
-	it.leaveLate() // in q.aged it is passed over
+	it.removeFromLate() // its entry in q.lateByAge is skipped later
 }
 
-// overdueShare is how long of its retention a message waits before it goes ahead of fresh ones.
+// overdueShare returns how much of its retention a late message waits before it goes ahead of fresh ones.
 func overdueShare(retention time.Duration) time.Duration { return retention / 2 }
 
-// len is the number of messages that wait.
-func (q *queue) len() int { return q.taken.len() + q.fresh.len() + q.late.Len() }
+// len returns the number of waiting messages.
+func (q *queue) len() int { return q.takenOver.len() + q.fresh.len() + q.late.Len() }
 
-// empty tells whether nothing waits, runs or is awaited.
+// empty reports whether no message waits or runs, and no wake-up or send permit is pending.
 func (q *queue) empty() bool {
-	return q.len() == 0 && q.backlog.owed == 0 && q.backlog.running == 0 && q.wakeAt == 0 && !q.turn.asking
+	return q.len() == 0 && q.backlog.due == 0 && q.backlog.running == 0 && q.wakeAt == 0 && !q.permit.requesting
 }
 
 func (c *Core) queue(service string) *queue {
--- a/internal/system/role/carrier/queue_test.go
+++ b/internal/system/role/carrier/queue_test.go
@@ -30,7 +30,7 @@
 		if key != "" {
 			u.keys[key] = append(u.keys[key], it)
 		}
-		q.join(it, false)
+		q.add(it, false)
 		return it
 	}
 	order := func(now time.Duration) []string {
@@ -40,7 +40,7 @@
 			if it == nil {
 				return ids
 			}
-			q.take(it)
+			q.remove(it)
 			ids = append(ids, it.message.ID)
 		}
 	}
@@ -72,7 +72,7 @@
 		it := due("again", "", 0)
 		Expect(q.next(2*time.Second, func(it *item) time.Duration { return it.due + target })).To(Equal(it))
 		it.queued = true
-		q.join(it, false)
+		q.add(it, false)
 		Expect(order(6 * time.Second)).To(Equal([]string{"again"}))
 	})
 })
@@ -90,7 +90,7 @@
 			for comes += float64(coming) * step.Seconds(); comes >= 1; comes-- {
 				b.add(now)
 			}
-			for ends += float64(ending) * step.Seconds(); ends >= 1 && b.owed > 0; ends-- {
+			for ends += float64(ending) * step.Seconds(); ends >= 1 && b.due > 0; ends-- {
 				b.remove(now, true)
 			}
 		}
@@ -99,7 +99,7 @@
 
 	ginkgo.It("tells how long it lasts at the pace at which messages end", func() {
 		now := run(0, 10*time.Second, 200, 100)
-		Expect(b.owed).To(BeNumerically("~", 1000, 20))
+		Expect(b.due).To(BeNumerically("~", 1000, 20))
 		Expect(b.wait(now)).To(BeNumerically("~", 10*time.Second, 500*time.Millisecond))
 	})
 
@@ -115,7 +115,7 @@
 
 	ginkgo.It("leaves out what runs: long runs are no backlog", func() {
 		now := run(0, 10*time.Second, 200, 100)
-		b.running = b.owed
+		b.running = b.due
 		Expect(b.wait(now)).To(BeZero())
 	})
 
@@ -132,6 +132,6 @@
 			b.remove(now, false)
 		}
 		Expect(b.wait(now)).To(BeNumerically("<", before))
-		Expect(b.ends).To(BeNumerically("<", 150))
+		Expect(b.completed).To(BeNumerically("<", 150))
 	})
 })
--- a/internal/system/role/carrier/recent.go
+++ b/internal/system/role/carrier/recent.go
@@ -6,40 +6,41 @@
 	"granitewing/internal/system/message"
 )
 
-// recentEnds remembers the latest ends, so that what comes again is known and states are told without asking a store.
-type recentEnds struct {
-	ends  map[string]message.End
-	order []recentEnd
-	// forgotten is when the latest of those ends was added that are not remembered any more; 0 where all are.
-	forgotten time.Duration
+// recentOutcomes remembers the latest outcomes, so that repeated messages are recognized and states are reported
+// without a query to the stores.
+type recentOutcomes struct {
+	outcomes map[string]message.End
+	order    []recentOutcome
+	// forgottenUntil is when the newest of the discarded outcomes was added; 0 if none was discarded.
+	forgottenUntil time.Duration
 }
 
-// recentEnd is an end's place in the order of time.
-type recentEnd struct {
+// recentOutcome is an entry in the order in which outcomes were added.
+type recentOutcome struct {
 	id string
 	at time.Duration
 }
 
-const maxRecentEnds = 20000
+const maxRecentOutcomes = 20000
 
-func newRecentEnds() *recentEnds { return &recentEnds{ends: map[string]message.End{}} }
+func newRecentOutcomes() *recentOutcomes { return &recentOutcomes{outcomes: map[string]message.End{}} }
 
-func (r *recentEnds) add(now time.Duration, end message.End) {
-	if _, known := r.ends[end.ID]; !known {
-		r.order = append(r.order, recentEnd{id: end.ID, at: now})
+func (r *recentOutcomes) add(now time.Duration, end message.End) {
+	if _, known := r.outcomes[end.ID]; !known {
+		r.order = append(r.order, recentOutcome{id: end.ID, at: now})
 	}
-	r.ends[end.ID] = end
-	if len(r.order) > maxRecentEnds {
+	r.outcomes[end.ID] = end
+	if len(r.order) > maxRecentOutcomes {
 		half := len(r.order) / 2
 		for _, old := range r.order[:half] {
-			delete(r.ends, old.id)
+			delete(r.outcomes, old.id)
 		}
-		r.forgotten = r.order[half-1].at
-		r.order = append([]recentEnd(nil), r.order[half:]...)
+		r.forgottenUntil = r.order[half-1].at
+		r.order = append([]recentOutcome(nil), r.order[half:]...)
 	}
 }
 
-func (r *recentEnds) get(id string) (message.End, bool) {
-	end, known := r.ends[id]
+func (r *recentOutcomes) get(id string) (message.End, bool) {
+	end, known := r.outcomes[id]
 	return end, known
 }
--- a/internal/system/role/carrier/recovery.go
+++ b/internal/system/role/carrier/recovery.go
@@ -9,62 +9,63 @@
 	"granitewing/internal/system/wire"
 )
 
-// Times and sizes of a recovery.
+// Durations of a recovery.
 const (
-	listTimeout     = 1500 * time.Millisecond
-	listRetry       = 150 * time.Millisecond
-	listAllWithin   = 1200 * time.Millisecond // after it, the stores that have to answer are enough
-	relistAfterGone = 300 * time.Millisecond
-	incompleteAgain = 600 * time.Millisecond // between two listings of a store whose disk is being filled
+	listTimeout              = 1500 * time.Millisecond
+	listRetry                = 150 * time.Millisecond
+	listAllPeriod            = 1200 * time.Millisecond // after it, answers from all stores except those that may be lost are enough
+	relistDelay              = 300 * time.Millisecond
+	incompleteRelistInterval = 600 * time.Millisecond // between two listings of a store whose disk is being backfilled
 )
 
-// recovery reads a unit's messages from the stores.
+// recovery reads a unit's messages from the stores when this carrier takes the unit over. It lists the unit at the
+// stores, then queries the stores whose listings are complete for the outcomes of all listed messages.
 type recovery struct {
-	core     *Core
-	unit     *unit
-	began    time.Duration
-	listed   map[string]*listing // by disk
-	round    map[string]*listing // by disk, those that told everything before the ends were asked for; nil while none are asked for
-	againAt  time.Duration       // when incomplete stores are listed anew
-	finished bool
+	core         *Core
+	unit         *unit
+	began        time.Duration
+	listed       map[string]*listing // by disk
+	outcomeRound map[string]*listing // by disk: listings that were complete when the outcomes were queried; nil while no outcomes are queried
+	relistAt     time.Duration       // when incomplete stores are listed again
+	finished     bool
 }
 
-// listing is what one store told.
+// listing is what one store has listed.
 type listing struct {
-	messages []wire.ListedMessage
-	ended    []message.End
-	complete bool
-	done     bool
-	busy     bool
-	after    uint64
-	epoch    uint64 // of the roster of disks when its last part was asked for
+	messages     []wire.ListedMessage
+	outcomes     []message.End
+	complete     bool
+	done         bool
+	callInFlight bool
+	after        uint64
+	epoch        uint64 // epoch of the disk roster when its last part was requested
 }
 
 func (c *Core) recover(u *unit) {
 	u.recovering = true
-	r := &recovery{core: c, unit: u, began: c.env.Now(), againAt: c.env.Now() + incompleteAgain, listed: map[string]*listing{}}
+	r := &recovery{core: c, unit: u, began: c.env.Now(), relistAt: c.env.Now() + incompleteRelistInterval, listed: map[string]*listing{}}
 	u.recovery = r
-	r.ask()
+	r.listUntilFinished()
 }
 
-// ask lists at the stores, and looks again after a while.
-func (r *recovery) ask() {
+// listUntilFinished lists the unit at the stores, and repeats this until the recovery is finished.
+func (r *recovery) listUntilFinished() {
 	if r.finished || r.unit.dropped {
 		return
 	}
-	if now := r.core.env.Now(); now >= r.againAt {
-		r.againAt = now + incompleteAgain
-		r.forgetIncomplete()
+	if now := r.core.env.Now(); now >= r.relistAt {
+		r.relistAt = now + incompleteRelistInterval
+		r.resetIncomplete()
 	}
-	r.askStores()
-	r.judge()
-	r.core.env.After(listRetry, r.ask)
+	r.listStores()
+	r.queryOutcomesIfEnough()
+	r.core.env.After(listRetry, r.listUntilFinished)
 }
 
-// forgetIncomplete has the stores be listed anew whose disks were being filled when they told all: they may hold everything
-// by now, and without their word the messages may never be known whole.
-func (r *recovery) forgetIncomplete() {
-	if r.round != nil {
+// resetIncomplete restarts the listing of stores whose disks were being backfilled when they answered. They may
+// hold everything by now, and without them the set of messages may never be known to be complete.
+func (r *recovery) resetIncomplete() {
+	if r.outcomeRound != nil {
 		return
 	}
 	for _, l := range r.listed {
@@ -74,14 +75,15 @@
 	}
 }
 
-// told tells whether a store has told everything under the present roster of disks. What it told under an earlier one is worth
-// nothing: a message may have lain on disks that have left since, and been copied to this one after it had told.
-func (r *recovery) told(l *listing) bool {
+// isCurrent reports whether a store has listed everything under the current disk roster. A listing under an
+// earlier roster is not used: a message may have been on disks that have left since, and been copied to this disk
+// after its store had answered.
+func (r *recovery) isCurrent(l *listing) bool {
 	return l != nil && l.done && l.epoch == r.core.session.View().Epoch
 }
 
-// askStores lists at those that are there and have not told everything.
-func (r *recovery) askStores() {
+// listStores lists the unit at the reachable stores that have not listed everything.
+func (r *recovery) listStores() {
 	if r.finished || r.unit.dropped {
 		return
 	}
@@ -92,22 +94,22 @@
 			l = &listing{}
 			r.listed[disk] = l
 		}
-		if l.done && !r.told(l) && r.round == nil {
+		if l.done && !r.isCurrent(l) && r.outcomeRound == nil {
 			*l = listing{}
 		}
-		if !l.done && !l.busy && c.stores.isUp(disk) {
-			r.askStore(disk, l)
+		if !l.done && !l.callInFlight && c.stores.isUp(disk) {
+			r.listStore(disk, l)
 		}
 	}
 }
 
-func (r *recovery) askStore(disk string, l *listing) {
+func (r *recovery) listStore(disk string, l *listing) {
 	c := r.core
-	l.busy = true
+	l.callInFlight = true
 	epoch := c.session.View().Epoch
 	body := wire.ListBody{Unit: r.unit.name, After: l.after}
 	c.env.Call(c.stores.address(disk), wire.ListUnit, wire.Encode(&body), listTimeout, func(payload []byte, err error) {
-		l.busy = false
+		l.callInFlight = false
 		var answer wire.ListAnswer
 		if err == nil {
 			err = wire.Decode(wire.ListUnit, payload, &answer)
@@ -116,57 +118,58 @@
 			return
 		}
 		if err != nil {
-			// The store may have started anew, and counts its places anew then: ask lists it from the start.
+			// The store may have restarted, and then its list positions start anew: listUntilFinished lists it from the
+			// start.
 			*l = listing{}
 			return
 		}
 		l.messages = append(l.messages, answer.Messages...)
 		l.after, l.complete = answer.Next, answer.Complete
 		if answer.More {
-			r.askStore(disk, l)
+			r.listStore(disk, l)
 			return
 		}
 		l.done, l.epoch = true, epoch
-		r.judge()
+		r.queryOutcomesIfEnough()
 	})
 }
 
-// judge goes on once enough stores have told everything.
-func (r *recovery) judge() {
+// queryOutcomesIfEnough goes on to the outcomes once enough stores have listed everything.
+func (r *recovery) queryOutcomesIfEnough() {
 	if r.finished || r.unit.dropped || !r.enough(r.listed) {
 		return
 	}
-	r.askEnds()
+	r.queryOutcomes()
 }
 
-// enough tells whether some listings are those of all stores, or, after a while, of all but those that may be lost.
+// enough reports whether the listings cover all stores or, after listAllPeriod, all except those that may be lost.
 func (r *recovery) enough(listed map[string]*listing) bool {
-	late := r.core.env.Now()-r.began >= listAllWithin
-	return r.core.stores.heardEnough(late, func(disk string) hearing {
+	late := r.core.env.Now()-r.began >= listAllPeriod
+	return r.core.stores.enoughAnswered(late, func(disk string) diskAnswer {
 		l := listed[disk]
 		switch {
-		case !r.told(l):
-			return unheard
+		case !r.isCurrent(l):
+			return notAnswered
 		case !l.complete:
-			return heardInPart
+			return answeredInPart
 		}
-		return heardWhole
+		return answeredFully
 	})
 }
 
-// askEnds asks all that have told everything for the ends of what any of them lists: they may not agree. What another lists while they
-// are asked is no part of it.
-func (r *recovery) askEnds() {
-	if r.round != nil {
+// queryOutcomes queries all stores that have listed everything for the outcomes of all listed messages, since the
+// stores may not agree. A listing that arrives while the query is pending is not used.
+func (r *recovery) queryOutcomes() {
+	if r.outcomeRound != nil {
 		return
 	}
-	r.round = map[string]*listing{}
+	r.outcomeRound = map[string]*listing{}
 	ids := map[string]bool{}
 	for disk, l := range r.listed {
-		if !r.told(l) {
+		if !r.isCurrent(l) {
 			continue
 		}
-		r.round[disk] = l
+		r.outcomeRound[disk] = l
 		for i := range l.messages {
 			ids[l.messages[i].Message.ID] = true
 		}
@@ -182,41 +185,42 @@
 	}
 	sort.Strings(body.IDs)
 	payload := wire.Encode(&body)
-	open := len(r.round)
-	for disk := range ordered.Map(r.round) {
-		r.askEndsAt(disk, payload, func() {
+	open := len(r.outcomeRound)
+	for disk := range ordered.Map(r.outcomeRound) {
+		r.queryOutcomesAt(disk, payload, func() {
 			if open--; open == 0 {
-				r.asked()
+				r.outcomesAnswered()
 			}
 		})
 	}
 }
 
-func (r *recovery) askEndsAt(disk string, payload []byte, answered func()) {
+func (r *recovery) queryOutcomesAt(disk string, payload []byte, answered func()) {
 	c := r.core
-	l := r.round[disk]
+	l := r.outcomeRound[disk]
 	c.env.Call(c.stores.address(disk), wire.FindEnds, payload, listTimeout, func(payload []byte, err error) {
 		var answer wire.FoundEnds
 		if err == nil {
 			err = wire.Decode(wire.FindEnds, payload, &answer)
 		}
 		if err != nil || !answer.Complete {
-			delete(r.round, disk)
-			*l = listing{} // it is listed anew
+			delete(r.outcomeRound, disk)
+			*l = listing{} // listed again from the start
 		} else {
-			l.ended = answer.Ends
+			l.outcomes = answer.Ends
 		}
 		answered()
 	})
 }
 
-// asked goes on where all that told everything have told the ends as well, and back to listing where one has not.
-func (r *recovery) asked() {
+// outcomesAnswered finishes the recovery if enough stores have listed everything and reported outcomes. Otherwise
+// it goes back to listing.
+func (r *recovery) outcomesAnswered() {
 	if r.finished || r.unit.dropped {
 		return
 	}
-	if !r.enough(r.round) {
-		r.round = nil // ask comes again
+	if !r.enough(r.outcomeRound) {
+		r.outcomeRound = nil // listUntilFinished queries again
 		return
 	}
 	r.finished = true
--- a/internal/system/role/carrier/recovery_merge.go
+++ b/internal/system/role/carrier/recovery_merge.go
@@ -9,11 +9,11 @@
 	"granitewing/internal/system/wire"
 )
 
-// found is a message put together from what the stores told.
-type found struct {
+// recoveredMessage is a message merged from the stores' answers.
+type recoveredMessage struct {
 	listed  wire.ListedMessage
 	holders []string
-	end     *message.End
+	outcome *message.End
 }
 
 func (r *recovery) finish() {
@@ -25,16 +25,16 @@
 		ids = append(ids, id)
 	}
 	sort.Slice(ids, func(i, j int) bool {
-		one, other := &messages[ids[i]].listed, &messages[ids[j]].listed
-		a, b := &one.Message, &other.Message
+		first, second := &messages[ids[i]].listed, &messages[ids[j]].listed
+		a, b := &first.Message, &second.Message
 		if a.Token != b.Token {
 			return a.Token < b.Token
 		}
 		if a.Sequence != b.Sequence {
 			return a.Sequence < b.Sequence
 		}
-		if one.Age != other.Age {
-			return one.Age > other.Age
+		if first.Age != second.Age {
+			return first.Age > second.Age
 		}
 		return a.ID < b.ID
 	})
@@ -46,46 +46,47 @@
 		}
 	}
 	if len(u.items)+owed > 0 {
-		c.env.Inform(fmt.Sprintf("unit %s is taken over with %d messages and %d owed call-backs, after %s", u.name, len(u.items), owed,
+		c.env.Inform(fmt.Sprintf("took over unit %s with %d messages and %d pending call-backs in %s", u.name, len(u.items), owed,
 			c.env.Now()-r.began))
 	}
 	c.settleDeparted()
 }
 
-func (r *recovery) merge() map[string]*found {
+func (r *recovery) merge() map[string]*recoveredMessage {
 	c := r.core
 	ends := map[string]message.End{}
-	for _, l := range ordered.Map(r.round) {
-		for _, end := range l.ended {
+	for _, l := range ordered.Map(r.outcomeRound) {
+		for _, end := range l.outcomes {
 			if old, known := ends[end.ID]; !known || old.CallbackOwed {
 				ends[end.ID] = end
 			}
 		}
 	}
-	messages := map[string]*found{}
-	for disk, l := range ordered.Map(r.round) {
-		if !r.told(l) {
+	messages := map[string]*recoveredMessage{}
+	for disk, l := range ordered.Map(r.outcomeRound) {
+		if !r.isCurrent(l) {
 			continue
 		}
 		for _, listed := range l.messages {
 			f := messages[listed.Message.ID]
 			if f == nil {
-				f = &found{listed: listed}
+				f = &recoveredMessage{listed: listed}
 				messages[listed.Message.ID] = f
 			}
-			// Each store's age is no more than the true one, so the greatest is the nearest to it.
+			// Each store reports an age that is at most the true one, so the highest is the most accurate.
 			f.listed.Age = max(f.listed.Age, listed.Age)
 			f.holders = append(f.holders, disk)
 			if end, ended := ends[listed.Message.ID]; ended {
-				f.end = &end
+				f.outcome = &end
 			}
 		}
 	}
 	for disk := range ordered.Map(c.session.View().Counted()) {
-		if r.told(r.round[disk]) {
+		if r.isCurrent(r.outcomeRound[disk]) {
 			continue
 		}
-		// It may hold any of them. It has to learn their ends, or it would list them as pending when another disk is silent.
+		// The disk may hold any of these messages. It has to get their outcomes, or it would list them as pending when
+		// another disk does not respond.
 		for _, f := range messages {
 			f.holders = append(f.holders, disk)
 		}
@@ -93,25 +94,26 @@
 	return messages
 }
 
-// adopt takes a message that the stores hold; true where it has ended and its call-back is owed.
-func (r *recovery) adopt(f *found) (owed bool) {
+// adopt takes a message that the stores hold. It returns true if the message has completed and its call-back is
+// still due.
+func (r *recovery) adopt(f *recoveredMessage) (owed bool) {
 	c, u := r.core, r.unit
 	m := f.listed.Message
-	if f.end == nil {
+	if f.outcome == nil {
 		if end, known := c.recent.get(m.ID); known {
-			f.end = &end
+			f.outcome = &end
 		}
 	}
-	if f.end != nil {
-		c.stores.recordEnd(u, f.holders, *f.end)
-		owed = f.end.CallbackOwed && m.Callback != ""
+	if f.outcome != nil {
+		c.stores.recordOutcome(u, f.holders, *f.outcome)
+		owed = f.outcome.CallbackOwed && m.Callback != ""
 		if owed {
-			c.tell(u, m.Callback, *f.end, f.holders)
+			c.queueCallback(u, m.Callback, *f.outcome, f.holders)
 		}
 		return owed
 	}
 	if u.items[m.ID] == nil {
-		c.takeBack(u, &m, f.holders, c.env.Now()-f.listed.Age)
+		c.addTakenOver(u, &m, f.holders, c.env.Now()-f.listed.Age)
 	}
 	return false
 }
--- a/internal/system/role/carrier/review.go
+++ b/internal/system/role/carrier/review.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// reviewInterval bounds, with the time that a carrier needs to reach the stores again, how long after that an end of
-	// its is not known to who took its messages over. It has to be well within the time for which a trouble excuses a
-	// second run.
+	// reviewInterval, plus the time that a carrier needs to reach the stores again, bounds how long the new owner of
+	// a message does not know an outcome of the former owner. It has to be well below the period after a failure in
+	// which the delivery guarantee allows a second run.
 	reviewInterval = 800 * time.Millisecond
-	reviewMost     = 500 // messages in one call
+	maxReviewIDs   = 500 // message IDs in one call
 )
 
-// reviewTaken asks the stores for the ends of messages that were taken over and wait here: their former carrier may have
-// been cut off with an end that it could not tell, and tell it once it is back.
-func (c *Core) reviewTaken() {
-	c.env.After(reviewInterval, c.reviewTaken)
+// reviewTakenOver queries the stores for the outcomes of waiting messages that were taken over. Their former
+// carrier may have been cut off before it could report an outcome, and report it once it is back.
+func (c *Core) reviewTakenOver() {
+	c.env.After(reviewInterval, c.reviewTakenOver)
 	waiting := map[string]*item{}
 	byDisk := map[string][]string{}
 	for _, u := range c.units {
 		for id, it := range u.items {
-			if it.taken && !it.ended && !it.flying {
+			if it.takenOver && !it.ended && !it.inFlight {
 				waiting[id] = it
 			}
 		}
 	}
 	for id, it := range ordered.Map(waiting) {
 		for _, disk := range c.stores.recipients(it.holders) {
-			if len(byDisk[disk]) < reviewMost {
+			if len(byDisk[disk]) < maxReviewIDs {
 				byDisk[disk] = append(byDisk[disk], id)
 			}
 		}
@@ -48,20 +48,20 @@
 	c.env.Call(c.stores.address(disk), wire.FindEnds, wire.Encode(&body), listTimeout, func(payload []byte, err error) {
 		var answer wire.FoundEnds
 		if err != nil || wire.Decode(wire.FindEnds, payload, &answer) != nil {
-			return // it is asked again
+			return // the next review queries again
 		}
 		for _, end := range answer.Ends {
 			if it := waiting[end.ID]; it != nil {
-				c.endedElsewhere(it, end)
+				c.completedElsewhere(it, end)
 			}
 		}
 	})
 }
 
-// endedElsewhere lets go of a message that its former carrier saw to its end.
-func (c *Core) endedElsewhere(it *item, end message.End) {
-	if it.ended || it.flying || it.unit.dropped {
+// completedElsewhere records the outcome of a message that its former carrier completed, and removes the message.
+func (c *Core) completedElsewhere(it *item, end message.End) {
+	if it.ended || it.inFlight || it.unit.dropped {
 		return
 	}
-	c.conclude(it, end)
+	c.recordOutcome(it, end)
 }
--- a/internal/system/role/carrier/rig_test.go
+++ b/internal/system/role/carrier/rig_test.go
@@ -19,67 +19,67 @@
 
 // Addresses and names of the rig.
 const (
-	keeperAddress = "10.0.0.1:7000"
-	pacedUnit     = "paced/partner"
-	keyUnit       = "key/3"
-	ownToken      = 5
-	receiverTime  = 5 * time.Millisecond
+	keeperAddress   = "10.0.0.1:7000"
+	pacedUnit       = "paced/partner"
+	keyUnit         = "key/3"
+	ownedToken      = 5
+	receiverLatency = 5 * time.Millisecond
 )
 
 // rig is one carrier on simulated time, a keeper that takes everything, and stores that hold what a test says.
-type rig struct {
+type fixture struct {
 	*simulated.Loop
 	core    *Core
 	table   *feed.Table
-	stores  map[string]*heldStore // by address
+	stores  map[string]*storeStub // by address
 	sent    []string              // ids of messages that workers got
 	finish  func(Outcome)         // of the latest of them
-	informs []string
+	logged  []string
 	reports []error
 	// receive answers a call-back of a message; nil where none is answered.
-	receive func(id string) (status int)
-	told    []string // ids of messages whose call-back was taken
+	receive    func(id string) (status int)
+	calledBack []string // ids of messages whose call-back was taken
 }
 
 // heldStore is what a store tells.
-type heldStore struct {
-	listed []wire.ListedMessage
-	ends   map[string]message.End
-	silent bool
-	asked  int // for ends
+type storeStub struct {
+	listed         []wire.ListedMessage
+	outcomes       map[string]message.End
+	unresponsive   bool
+	outcomeQueries int // for ends
 }
 
-func (r *rig) Deliver(attempt Attempt, done func(Outcome)) {
+func (r *fixture) Deliver(attempt Attempt, done func(Outcome)) {
 	r.sent = append(r.sent, attempt.Message.ID)
 	r.finish = done
 }
-func (r *rig) Post(_ string, body []byte, _ bool, _ time.Duration, done func(int, error)) {
+func (r *fixture) Post(_ string, body []byte, _ bool, _ time.Duration, done func(int, error)) {
 	if r.receive == nil {
 		return
 	}
-	var form callbackForm
+	var form callbackBody
 	if err := json.Unmarshal(body, &form); err != nil {
 		panic(err) // a form of ours
 	}
-	r.After(receiverTime, func() {
+	r.After(receiverLatency, func() {
 		status := r.receive(form.ID)
 		if status == http.StatusOK {
-			r.told = append(r.told, form.ID)
+			r.calledBack = append(r.calledBack, form.ID)
 		}
 		done(status, nil)
 	})
 }
-func (r *rig) ReadCatalog(func(map[string]catalog.Instance, error)) {}
-func (r *rig) Report(_ string, err error)                           { r.reports = append(r.reports, err) }
-func (r *rig) Inform(event string)                                  { r.informs = append(r.informs, event) }
+func (r *fixture) ReadCatalog(func(map[string]catalog.Instance, error)) {}
+func (r *fixture) Report(_ string, err error)                           { r.reports = append(r.reports, err) }
+func (r *fixture) Inform(event string)                                  { r.logged = append(r.logged, event) }
 
 const document = `{"resource-version":3,"routes":[{"name":"r","host":"h","path-prefix":"/","kind":"async","timeout-ms":500,` +
 	`"target-latency-ms":100,"priority":1,"backend":"partner","retries":3,"ordered":false,"retention-s":60,"target-start-ms":900}],` +
 	`"services":[{"name":"partner","max-connections":9,"rate-per-s":100,"static":"10.9.0.1:80"}],"limits":{}}`
 
 // newRig gives a carrier that owns a paced unit and a unit of keys, with nothing on the stores.
-func newRig() *rig {
-	r := &rig{stores: map[string]*heldStore{}, table: feed.NewTable("life-1")}
+func newFixture() *fixture {
+	r := &fixture{stores: map[string]*storeStub{}, table: feed.NewTable("life-1")}
 	r.Loop = &simulated.Loop{Reachable: map[string]bool{keeperAddress: true}, Answer: r.answer}
 	r.core = New(r, &settings.Settings{NodeName: "edge-1", IP: "10.0.1.1", Zone: "a", FirstPort: 7000, LastPort: 7015, Seeds: []string{keeperAddress},
 		Tolerance: tolerance.Tolerance{Machines: 1}, Limits: settings.Limits{MemoryMB: 284}, Bounds: settings.Bounds{Grace: 6 * time.Second, Status: 120 * time.Second}})
@@ -88,39 +88,39 @@
 	r.table.Set(keeper.KeyConfiguration, []byte(document))
 	r.table.Set(keeper.KeyRoster, wire.Encode(uint64(1)))
 	for _, disk := range []string{"disk-1", "disk-2", "disk-3"} {
-		r.stores[diskAddress(disk)] = &heldStore{ends: map[string]message.End{}}
+		r.stores[diskAddress(disk)] = &storeStub{outcomes: map[string]message.End{}}
 		r.Reachable[diskAddress(disk)] = true
 		r.setDisk(disk, true)
 	}
-	r.own(ownToken)
+	r.own(ownedToken)
 	r.Pass(100 * time.Millisecond)
 	return r
 }
 
 // own makes the carrier the owner of its units under a token.
-func (r *rig) own(token uint64) {
+func (r *fixture) own(token uint64) {
 	for _, unit := range []string{pacedUnit, keyUnit} {
 		r.table.Set(keeper.PrefixOwner+unit, wire.Encode(&ownership.Owner{Incarnation: r.core.Incarnation(), Token: token}))
 	}
 	r.push()
 }
 
-func (r *rig) push() {
+func (r *fixture) push() {
 	update := r.table.Since(feed.Position{})
 	r.core.FeedUpdate(keeperAddress, wire.EncodeUpdate(&update))
 }
 
 func diskAddress(disk string) string { return "10.0.0.2:70" + disk[len(disk)-1:] }
 
-func (r *rig) setDisk(disk string, counted bool) {
+func (r *fixture) setDisk(disk string, counted bool) {
 	member := session.Member{Address: diskAddress(disk), Disk: disk, Zone: "a"}
 	r.table.Set(keeper.PrefixDisk+disk, wire.Encode(&session.Disk{Counted: counted, Member: member}))
 }
 
-func (r *rig) store(disk string) *heldStore { return r.stores[diskAddress(disk)] }
+func (r *fixture) store(disk string) *storeStub { return r.stores[diskAddress(disk)] }
 
 // toldEnds gives the addresses of the stores that were told of ends.
-func (r *rig) toldEnds() map[string]bool {
+func (r *fixture) storesWithOutcomes() map[string]bool {
 	told := map[string]bool{}
 	for _, call := range r.Calls {
 		if call.Kind == wire.PutEnds {
@@ -130,7 +130,7 @@
 	return told
 }
 
-func (r *rig) answer(address string, kind wire.Kind, payload []byte) ([]byte, error) {
+func (r *fixture) answer(address string, kind wire.Kind, payload []byte) ([]byte, error) {
 	if held := r.stores[address]; held != nil {
 		return held.answer(kind, payload)
 	}
@@ -143,8 +143,8 @@
 	return wire.Encode(&struct{}{}), nil
 }
 
-func (s *heldStore) answer(kind wire.Kind, payload []byte) ([]byte, error) {
-	if s.silent {
+func (s *storeStub) answer(kind wire.Kind, payload []byte) ([]byte, error) {
+	if s.unresponsive {
 		return nil, nil
 	}
 	switch kind {
@@ -161,14 +161,14 @@
 		}
 		return wire.Encode(&answer), nil
 	case wire.FindEnds:
-		s.asked++
+		s.outcomeQueries++
 		var body wire.FindEndsBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return nil, err
 		}
 		answer := wire.FoundEnds{Complete: true}
 		for _, id := range body.IDs {
-			if end, ended := s.ends[id]; ended {
+			if end, ended := s.outcomes[id]; ended {
 				answer.Ends = append(answer.Ends, end)
 			}
 		}
@@ -178,7 +178,7 @@
 }
 
 // handed gives a message that its acceptor stored while it knew the unit's owner by a token.
-func handed(id, unit string, token uint64) wire.DeliverBody {
+func deliverBody(id, unit string, token uint64) wire.DeliverBody {
 	m := message.Message{ID: id, Unit: unit, Host: "h", Method: "POST", Target: "/x", Token: token, Retention: time.Minute}
 	if unit == keyUnit {
 		m.Key, m.Sequence = "k", 1
--- a/internal/system/role/carrier/sendable.go
+++ b/internal/system/role/carrier/sendable.go
@@ -5,61 +5,64 @@
 	"granitewing/internal/system/message"
 )
 
-// hold is why a message may not be sent to a worker now, be it for the first time or again. Each attempt that is begun was asked for here: a message is
-// sent again only once its latest attempt has an outcome that does not end it.
-type hold uint8
+// sendBlock is the reason why a message may not be sent to a worker now, whether for the first time or again.
+// blockOf is checked before every attempt: a message is sent again only once its latest attempt has an outcome
+// that does not complete the message.
+type sendBlock uint8
 
-// The holds.
+// The reasons.
 const (
-	mayBeSent          hold = iota
-	heldEnded               // its end is known
-	heldOut                 // an attempt is out: its outcome decides
-	heldNotOurs             // its unit went to another carrier, whose recovery finds the message
-	heldHandover            // its unit is on its way to another carrier: what was not begun is left to it
-	heldNotDue              // its delay has not passed; pauses after an attempt come before it is asked for
-	heldBehind              // another of its ordering key is ahead of it
-	heldNoTable             // no configuration is known
-	heldOlderTable          // the configuration that is known is older than the one that accepted it
-	heldWithoutItsBody      // its bytes are on their way from a disk
+	mayBeSent                 sendBlock = iota
+	blockedCompleted                    // the message's outcome is known
+	blockedInFlight                     // an attempt is in flight and its outcome decides
+	blockedUnitDropped                  // its unit moved to another carrier, whose recovery finds the message
+	blockedByHandover                   // its unit is being handed over, and the message is left to the next owner
+	blockedNotDue                       // its delay has not passed; pauses after an attempt precede the check
+	blockedByOrder                      // another message of its ordering key is ahead
+	blockedNoConfiguration              // no configuration is known
+	blockedOlderConfiguration           // the known configuration is older than the one under which the message was accepted
+	blockedFetchingBody                 // its body is being read from a disk
 )
 
-// due tells whether a message waits for nothing but its turn, the configuration or its bytes: it counts as waiting then.
-func (h hold) due() bool {
+// countsAsDue reports whether a message waits only for capacity, its place in the key's order, the configuration
+// or its body. It then counts toward the backlog.
+func (h sendBlock) countsAsDue() bool {
 	switch h {
-	case mayBeSent, heldBehind, heldNoTable, heldOlderTable, heldWithoutItsBody:
+	case mayBeSent, blockedByOrder, blockedNoConfiguration, blockedOlderConfiguration, blockedFetchingBody:
 		return true
 	}
 	return false
 }
 
-// holdOf tells whether a message may be sent now.
-func (c *Core) holdOf(it *item) hold {
+// blockOf returns why a message may not be sent now, or mayBeSent.
+func (c *Core) blockOf(it *item) sendBlock {
 	table := c.session.View().Table
 	switch {
 	case it.ended:
-		return heldEnded
-	case it.flying:
-		return heldOut
+		return blockedCompleted
+	case it.inFlight:
+		return blockedInFlight
 	case it.unit.dropped:
-		return heldNotOurs
-	case it.waits():
-		return heldHandover
+		return blockedUnitDropped
+	case it.leftToNextOwner():
+		return blockedByHandover
 	case it.due > c.env.Now():
-		return heldNotDue
-	case !c.leads(it):
-		return heldBehind
+		return blockedNotDue
+	case !c.firstOfKey(it):
+		return blockedByOrder
 	case table == nil:
-		return heldNoTable
-	case older(table, it.message):
-		return heldOlderTable
-	case it.message.Body == nil && it.fetching:
-		return heldWithoutItsBody
+		return blockedNoConfiguration
+	case isOlderThanAcceptance(table, it.message):
+		return blockedOlderConfiguration
+	case it.message.Body == nil && it.fetchingBody:
+		return blockedFetchingBody
 	}
 	return mayBeSent
 }
 
-// older tells whether a configuration is older than the one under which a message was accepted: it decides nothing about it.
-// A carrier that has just started, and is given a message, may know only such a one yet.
-func older(table *configuration.Table, m *message.Message) bool {
+// isOlderThanAcceptance reports whether a configuration is older than the one under which a message was accepted.
+// Such a configuration must not be used for the message. A carrier that has just started may know only an older
+// one when it is passed a message.
+func isOlderThanAcceptance(table *configuration.Table, m *message.Message) bool {
 	return message.Version(table.Document.Version) < m.Version
 }
--- a/internal/system/role/carrier/storage.go
+++ b/internal/system/role/carrier/storage.go
@@ -10,32 +10,32 @@
 	"granitewing/internal/system/wire"
 )
 
-// Times and bounds of the stores' use.
+// Durations of calls to the stores.
 const (
-	putTimeout   = 3 * time.Second
-	suspectAfter = 150 * time.Millisecond // of a store's silence while puts wait for it: it is asked last
-	breakAfter   = 450 * time.Millisecond // of silence: the connection is tried anew
-	slowFor      = 2 * time.Second        // a store that was silent for so long is asked last for a while
+	putTimeout       = 3 * time.Second
+	suspectTimeout   = 150 * time.Millisecond // a store that leaves puts unanswered for so long is used last
+	reconnectTimeout = 450 * time.Millisecond // after so long without an answer the connection is reopened
+	slowPeriod       = 2 * time.Second        // how long a store whose put failed after suspectTimeout is used last
 )
 
-// storage is this carrier's side of the stores.
+// storage is the carrier's client of the stores.
 type storage struct {
-	core  *Core
-	boxes map[string]*outbox   // by disk
-	calls map[string]*putCalls // by disk
-	// spread is set once a stopping carrier has told all disks what some had not taken.
-	spread bool
+	core      *Core
+	outboxes  map[string]*outbox   // by disk
+	putStates map[string]*putState // by disk
+	// outcomesSpread is set once a stopping carrier has sent outcomes that some disk lacks to all counting disks.
+	outcomesSpread bool
 }
 
-// putCalls is how a store has answered lately.
-type putCalls struct {
-	waiting   int
-	since     time.Duration // of the latest answer, or of the first put that waits
-	slowUntil time.Duration // it is asked last
+// putState tracks how a store answers puts.
+type putState struct {
+	pending   int
+	since     time.Duration // when the last put was answered or, if later, the first pending one was sent
+	slowUntil time.Duration // until then the store is used last
 }
 
 func newStorage(core *Core) *storage {
-	return &storage{core: core, boxes: map[string]*outbox{}, calls: map[string]*putCalls{}}
+	return &storage{core: core, outboxes: map[string]*outbox{}, putStates: map[string]*putState{}}
 }
 
 func (s *storage) address(disk string) string {
@@ -47,25 +47,25 @@
 	return address != "" && s.core.env.Up(address)
 }
 
-func (s *storage) putCalls(disk string) *putCalls {
-	calls := s.calls[disk]
+func (s *storage) putState(disk string) *putState {
+	calls := s.putStates[disk]
 	if calls == nil {
-		calls = &putCalls{}
-		s.calls[disk] = calls
+		calls = &putState{}
+		s.putStates[disk] = calls
 	}
 	return calls
 }
 
-// silent is how long a store has let puts wait without answering any.
-func (s *storage) silent(disk string) time.Duration {
-	calls := s.calls[disk]
-	if calls == nil || calls.waiting == 0 {
+// unansweredFor returns how long a store has had pending puts without answering any.
+func (s *storage) unansweredFor(disk string) time.Duration {
+	calls := s.putStates[disk]
+	if calls == nil || calls.pending == 0 {
 		return 0
 	}
 	return s.core.env.Now() - calls.since
 }
 
-// zones gives the zones of disks; one that is not in the roster any more has none.
+// zones returns the zones of disks. Disks that are no longer in the roster are left out.
 func (s *storage) zones(disks []string) []string {
 	view := s.core.session.View()
 	zones := make([]string, 0, len(disks))
@@ -77,18 +77,19 @@
 	return zones
 }
 
-// enoughReachable tells whether messages can be stored: enough stores have a connection and are not silent.
+// enoughReachable reports whether messages can be stored: enough stores are connected and answer puts.
 func (s *storage) enoughReachable() bool {
 	var reachable []string
 	for disk, entry := range s.core.session.View().Counted() {
-		if !entry.Leaving && s.isUp(disk) && s.silent(disk) < suspectAfter {
+		if !entry.Leaving && s.isUp(disk) && s.unansweredFor(disk) < suspectTimeout {
 			reachable = append(reachable, disk)
 		}
 	}
 	return s.core.enough(reachable)
 }
 
-// choose gives the disks for a message: as few as are enough, the nearest first; fewer where they are too few.
+// choose returns the disks for a new message: the fewest that are enough, the nearest first; all usable ones if
+// they are not enough.
 func (s *storage) choose() []string {
 	ranked := s.ranked(nil)
 	var chosen []string
@@ -98,8 +99,8 @@
 	return chosen
 }
 
-// another gives one more disk for a message that was tried at some and is held by some: one that it lacks, where there is
-// one; empty where there is none at all.
+// another returns one more disk for a message that was sent to attempted and is stored on holders. It prefers a
+// disk that the message still needs, and returns an empty string if there is no other disk.
 func (s *storage) another(tried, holders []string) string {
 	ranked := s.ranked(tried)
 	if picks := s.core.settings.Tolerance.Choose(s.zones(holders), s.zones(ranked)); len(picks) > 0 {
@@ -111,21 +112,21 @@
 	return ""
 }
 
-// ranked gives the disks that messages can be put at, the best first, none of those in without.
-func (s *storage) ranked(without []string) []string {
+// ranked returns the disks to which messages can be sent, best first, except the excluded ones.
+func (s *storage) ranked(excluded []string) []string {
 	view := s.core.session.View()
 	var disks []string
 	for disk, entry := range view.Counted() {
-		if !entry.Leaving && s.isUp(disk) && !slices.Contains(without, disk) {
+		if !entry.Leaving && s.isUp(disk) && !slices.Contains(excluded, disk) {
 			disks = append(disks, disk)
 		}
 	}
 	now := s.core.env.Now()
 	rank := func(disk string) int {
 		switch {
-		case s.silent(disk) >= suspectAfter:
+		case s.unansweredFor(disk) >= suspectTimeout:
 			return 3
-		case now < s.putCalls(disk).slowUntil:
+		case now < s.putState(disk).slowUntil:
 			return 2
 		case view.Disks[disk].Member.Zone == s.core.settings.Zone:
 			return 0
@@ -134,72 +135,73 @@
 		}
 	}
 	sort.Strings(disks)
-	turn := int(s.core.env.Random(int64(len(disks) + 1)))
+	offset := int(s.core.env.Random(int64(len(disks) + 1)))
 	if len(disks) > 0 {
-		turn %= len(disks)
-		disks = append(append([]string(nil), disks[turn:]...), disks[:turn]...)
+		offset %= len(disks)
+		disks = append(append([]string(nil), disks[offset:]...), disks[:offset]...)
 	}
 	sort.SliceStable(disks, func(i, j int) bool { return rank(disks[i]) < rank(disks[j]) })
 	return disks
 }
 
-// hearing is what a disk has told of what all were asked for.
-type hearing uint8
+// diskAnswer is how completely a disk has answered a request that went to all disks.
+type diskAnswer uint8
 
 const (
-	unheard     hearing = iota
-	heardInPart         // it may lack something, since it is being filled
-	heardWhole
+	notAnswered    diskAnswer = iota
+	answeredInPart            // data may be missing, since the disk is being backfilled
+	answeredFully
 )
 
-// heardEnough tells whether all disks that count have told, or, once it is late, all but such as may be lost at one time.
-func (s *storage) heardEnough(late bool, heard func(disk string) hearing) bool {
-	var counted, silent []string
+// enoughAnswered reports whether all counting disks have answered. If late is set, those that may be lost at the
+// same time need not have answered. Partial answers count as missing data in both cases.
+func (s *storage) enoughAnswered(late bool, answerOf func(disk string) diskAnswer) bool {
+	var counting, missing []string
 	all := true
 	for disk, entry := range s.core.session.View().Counted() {
-		counted = append(counted, entry.Member.Zone)
-		told := heard(disk)
-		all = all && told != unheard
-		if told != heardWhole {
-			silent = append(silent, entry.Member.Zone)
+		counting = append(counting, entry.Member.Zone)
+		answer := answerOf(disk)
+		all = all && answer != notAnswered
+		if answer != answeredFully {
+			missing = append(missing, entry.Member.Zone)
 		}
 	}
 	tolerance := &s.core.settings.Tolerance
-	return tolerance.Enough(counted) && tolerance.May(silent) && (all || late)
+	return tolerance.Enough(counting) && tolerance.May(missing) && (all || late)
 }
 
 func (s *storage) put(disk string, m *message.Message, done func(err error)) {
 	c := s.core
-	calls := s.putCalls(disk)
-	if calls.waiting == 0 {
+	calls := s.putState(disk)
+	if calls.pending == 0 {
 		calls.since = c.env.Now()
 	}
-	calls.waiting++
+	calls.pending++
 	body := wire.PutBody{Message: *m, Epoch: c.session.View().Epoch}
 	c.env.Call(s.address(disk), wire.PutMessage, wire.Encode(&body), putTimeout, func(_ []byte, err error) {
-		calls.waiting--
-		if took := c.env.Now() - calls.since; err != nil && took > suspectAfter {
-			calls.slowUntil = c.env.Now() + slowFor
+		calls.pending--
+		if took := c.env.Now() - calls.since; err != nil && took > suspectTimeout {
+			calls.slowUntil = c.env.Now() + slowPeriod
 		}
 		calls.since = c.env.Now()
 		done(err)
 	})
 }
 
-// breakSilent tries anew to reach stores that have been silent for long.
-func (s *storage) breakSilent() {
-	for disk := range ordered.Map(s.calls) {
-		if s.silent(disk) > breakAfter && s.isUp(disk) {
+// reconnectUnresponsive reopens the connections of stores that have not answered for long.
+func (s *storage) reconnectUnresponsive() {
+	for disk := range ordered.Map(s.putStates) {
+		if s.unansweredFor(disk) > reconnectTimeout && s.isUp(disk) {
 			s.core.env.Break(s.address(disk))
 		}
 	}
 }
 
-func (s *storage) void(disk, id string, timeout time.Duration, done func(err error)) {
+func (s *storage) cancel(disk, id string, timeout time.Duration, done func(err error)) {
 	body := wire.VoidBody{ID: id}
 	s.core.env.Call(s.address(disk), wire.VoidMessage, wire.Encode(&body), timeout, func(_ []byte, err error) {
 		if err != nil {
-			s.core.env.Report("a message could not be made void", err)
+			s.core.env.Report("cannot cancel a stored message", err)
 		}
 		done(err)
 	})
--- a/internal/system/role/carrier/turn.go
+++ b/internal/system/role/carrier/turn.go
@@ -7,37 +7,40 @@
 	"granitewing/internal/system/wire"
 )
 
-// A service with a rate has one carrier that spaces what is sent to it, the owner of the service's paced unit. Most of what
-// goes to the service waits there. Some waits elsewhere: what has an order, which is with the owner of its key, and what was
-// accepted when its route went to another service. For each such message its carrier asks the owner for a turn.
+// A service with a rate has one carrier that limits it, the owner of the service's paced unit. Most messages for
+// the service wait there. Others wait elsewhere: ordered messages, which wait at the owner of their key, and
+// messages that were accepted while their route had another service. For each of these, the carrier that has the
+// message requests a send permit from the owner.
 
-// Times of turns.
+// Durations of send permits.
 const (
-	turnLasts   = 100 * time.Millisecond // past its time a turn that was not used is void
-	turnTimeout = 250 * time.Millisecond
-	turnRetry   = 50 * time.Millisecond
-	turnsAhead  = 500 * time.Millisecond // none is given for a time further ahead
-	urgentLasts = 150 * time.Millisecond // after an urgent request, others wait
+	permitValidity = 100 * time.Millisecond // a permit that is not used so long after its start is invalid
+	permitTimeout  = 250 * time.Millisecond
+	permitRetry    = 50 * time.Millisecond
+	maxPermitLead  = 500 * time.Millisecond // no permit is granted for a start further ahead
+	urgentPeriod   = 150 * time.Millisecond // after an urgent request, messages that are not urgent wait
 )
 
-// turn is the right to send one message to a service with a rate, from a time on and shortly after it.
-type turn struct {
-	asking bool
-	held   bool
-	from   time.Duration
+// permit is the right to send one message to a service with a rate, valid from a given time and for permitValidity
+// after it.
+type permit struct {
+	requesting bool
+	held       bool
+	from       time.Duration
 }
 
-// paces tells whether this carrier spaces what is sent to a service, and may act on it.
-func (c *Core) paces(service string) bool {
+// ownsRate reports whether this carrier limits the rate of a service and may act on it.
+func (c *Core) ownsRate(service string) bool {
 	u := c.units[ownership.PacedUnit(service)]
-	return u != nil && u.active && !u.rests() && c.session.Holds()
+	return u != nil && u.active && !u.released() && c.session.Holds()
 }
 
-// hasTurn tells whether a message may go to a service with a rate now. Where not, the queue is woken when one may.
-func (c *Core) hasTurn(now time.Duration, q *queue) bool {
-	if c.paces(q.service) {
+// hasPermit reports whether a message may be sent to a service with a rate now. If not, it schedules a wake-up of
+// the queue for when one may.
+func (c *Core) hasPermit(now time.Duration, q *queue) bool {
+	if c.ownsRate(q.service) {
 		due := q.pace.Due()
-		if now < q.urgentUntil && q.taken.live(q) == nil {
+		if now < q.urgentUntil && q.takenOver.liveFront(q) == nil {
 			due = max(due, q.urgentUntil)
 		}
 		if now < due {
@@ -46,32 +49,32 @@
 		}
 		return true
 	}
-	if q.turn.held && now > q.turn.from+turnLasts {
-		q.turn.held = false
+	if q.permit.held && now > q.permit.from+permitValidity {
+		q.permit.held = false
 	}
 	switch {
-	case !q.turn.held:
-		c.askTurn(q)
+	case !q.permit.held:
+		c.requestPermit(q)
 		return false
-	case now < q.turn.from:
-		c.wake(q, q.turn.from)
+	case now < q.permit.from:
+		c.wake(q, q.permit.from)
 		return false
 	}
 	return true
 }
 
-// takeTurn uses the turn that hasTurn found.
-func (c *Core) takeTurn(now time.Duration, q *queue) {
-	if c.paces(q.service) {
+// usePermit uses up the permit that hasPermit found.
+func (c *Core) usePermit(now time.Duration, q *queue) {
+	if c.ownsRate(q.service) {
 		q.pace.Take(now)
 		return
 	}
-	q.turn.held = false
+	q.permit.held = false
 }
 
-// askTurn asks the owner of a service's paced unit for a turn; one call is out at a time.
-func (c *Core) askTurn(q *queue) {
-	if q.turn.asking {
+// requestPermit requests a permit from the owner of a service's paced unit. One call is in flight at a time.
+func (c *Core) requestPermit(q *queue) {
+	if q.permit.requesting {
 		return
 	}
 	view := c.session.View()
@@ -79,44 +82,45 @@
 	owner := view.Owners[unit]
 	address := view.Members[owner.Incarnation].Address
 	if owner.Incarnation == c.session.Incarnation() || address == "" || !c.env.Up(address) {
-		c.wake(q, c.env.Now()+turnRetry)
+		c.wake(q, c.env.Now()+permitRetry)
 		return
 	}
-	q.turn.asking = true
-	body := wire.TakeTurnBody{Service: q.service, Urgent: q.taken.live(q) != nil}
-	c.env.Call(address, wire.TakeTurn, wire.Encode(&body), turnTimeout, func(payload []byte, err error) {
-		q.turn.asking = false
+	q.permit.requesting = true
+	body := wire.TakeTurnBody{Service: q.service, Urgent: q.takenOver.liveFront(q) != nil}
+	c.env.Call(address, wire.TakeTurn, wire.Encode(&body), permitTimeout, func(payload []byte, err error) {
+		q.permit.requesting = false
 		var answer wire.TakeTurnAnswer
 		if err == nil {
 			err = wire.Decode(wire.TakeTurn, payload, &answer)
 		}
 		now := c.env.Now()
 		if err != nil || !answer.Granted {
-			c.wake(q, now+max(turnRetry, answer.Wait))
+			c.wake(q, now+max(permitRetry, answer.Wait))
 			return
 		}
-		q.turn.held, q.turn.from = true, now+answer.Wait
+		q.permit.held, q.permit.from = true, now+answer.Wait
 		c.dispatch(q)
 	})
 }
 
-// Turn gives another carrier the next turn of a service that this carrier spaces. Messages that were taken over go before all
-// others, at whichever carrier they wait: a second run of one that had run just before its carrier was lost is excused soon
-// after the loss only.
+// Turn grants another carrier the next send permit of a service whose rate this carrier limits, or returns how
+// long to wait before the next request. Messages that were taken over go before all others, at whichever carrier
+// they wait: the delivery guarantee allows a second run of a message that ran just before its carrier was lost
+// only shortly after that loss.
 func (c *Core) Turn(body wire.TakeTurnBody) (wire.TakeTurnAnswer, *wire.RefusalBody) {
-	if !c.paces(body.Service) || c.paused {
+	if !c.ownsRate(body.Service) || c.paused {
 		return wire.TakeTurnAnswer{}, &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + ownership.PacedUnit(body.Service)}
 	}
 	now := c.env.Now()
 	q := c.queue(body.Service)
 	if body.Urgent {
-		q.urgentUntil = now + urgentLasts
-	} else if now < q.urgentUntil || q.taken.live(q) != nil {
-		return wire.TakeTurnAnswer{Wait: turnRetry}, nil
+		q.urgentUntil = now + urgentPeriod
+	} else if now < q.urgentUntil || q.takenOver.liveFront(q) != nil {
+		return wire.TakeTurnAnswer{Wait: permitRetry}, nil
 	}
 	wait := max(0, q.pace.Due()-now)
-	if wait > turnsAhead {
-		return wire.TakeTurnAnswer{Wait: wait - turnsAhead}, nil
+	if wait > maxPermitLead {
+		return wire.TakeTurnAnswer{Wait: wait - maxPermitLead}, nil
 	}
 	q.pace.Take(now + wait)
 	return wire.TakeTurnAnswer{Granted: true, Wait: wait}, nil
