--- a/internal/system/role/carrier/unit.go
+++ b/internal/system/role/carrier/unit.go
@@ -12,33 +12,35 @@
 
 // unit is a set of messages that one carrier is responsible for.
 type unit struct {
-	name       string
-	token      uint64 // fencing token of the ownership; 0 for what no token guards
-	active     bool   // all that former owners left is known
-	recovering bool
-	recovery   *recovery // the latest one
-	dropped    bool      // another carrier is responsible now
-	sequence   uint64
-	items      map[string]*item
-	keys       map[string][]*item // by ordering key, in order; the first is due or being delivered
-	settled    bool
-	settling   bool
-	unrecorded int       // records of its ends that some store has not taken
-	handover   *handover // nil unless the unit is on its way to another carrier
-	declined   uint64    // latest offer that was not followed
-	// endQueries are of messages that were handed to this carrier and may have ended under a former owner, by message id.
-	endQueries map[string]*endQuery
+	name          string
+	token         uint64 // fencing token of the ownership; 0 for units without one
+	active        bool   // all messages of former owners are known
+	recovering    bool
+	recovery      *recovery // the latest one
+	dropped       bool      // another carrier is responsible now
+	sequence      uint64
+	items         map[string]*item
+	keys          map[string][]*item // by ordering key, in order; the first is due or being delivered
+	settled       bool
+	settling      bool
+	unrecorded    int       // records of its outcomes and call-backs that some store has not acknowledged, and pending call-backs
+	handover      *handover // nil unless the unit is being handed over
+	declinedOffer uint64    // latest offer that was not followed
+	// outcomeQueries are, by message ID, of messages that were passed to this carrier and may have completed under a
+	// former owner.
+	outcomeQueries map[string]*outcomeQuery
 }
 
 func newUnit(name string) *unit {
-	return &unit{name: name, items: map[string]*item{}, keys: map[string][]*item{}, endQueries: map[string]*endQuery{}}
+	return &unit{name: name, items: map[string]*item{}, keys: map[string][]*item{}, outcomeQueries: map[string]*outcomeQuery{}}
 }
 
-// departedPrefix begins the units of carriers that have gone.
-var departedPrefix = ownership.CarrierUnit("")
+// carrierUnitPrefix is the common prefix of the units of single carriers, including departed ones.
+var carrierUnitPrefix = ownership.CarrierUnit("")
 
-// takeUnits follows the feed: units that came to this carrier are recovered, those that went are dropped.
-func (c *Core) takeUnits(before, after *member.View) {
+// applyOwnership follows the feed: it recovers units that were assigned to this carrier and drops those that were
+// taken away.
+func (c *Core) applyOwnership(before, after *member.View) {
 	self := c.session.Incarnation()
 	for name, owner := range ordered.Map(after.Owners) {
 		known := c.units[name]
@@ -52,99 +54,99 @@
 			if known != nil {
 				c.drop(known)
 			}
-			known = c.begin(name, owner.Token)
+			known = c.addUnit(name, owner.Token)
 		}
 		c.followOffer(known, owner)
 	}
-	for incarnation, gone := range ordered.Map(after.Departed) {
+	for incarnation, departed := range ordered.Map(after.Departed) {
 		name := ownership.CarrierUnit(incarnation)
-		if gone.Adopter == self && c.units[name] == nil {
-			c.begin(name, 0)
+		if departed.Adopter == self && c.units[name] == nil {
+			c.addUnit(name, 0)
 		}
-		if gone.Adopter != self && c.units[name] != nil && name != c.own.name {
+		if departed.Adopter != self && c.units[name] != nil && name != c.own.name {
 			c.drop(c.units[name])
 		}
 		if _, known := before.Departed[incarnation]; !known {
-			c.relistPaced()
+			c.relistPacedUnits()
 		}
 	}
 	for name, u := range ordered.Map(c.units) {
-		incarnation, adopted := strings.CutPrefix(name, departedPrefix)
-		if _, still := after.Departed[incarnation]; adopted && u != c.own && !still {
+		incarnation, adopted := strings.CutPrefix(name, carrierUnitPrefix)
+		if _, listed := after.Departed[incarnation]; adopted && u != c.own && !listed {
 			c.drop(u)
 		}
 	}
 }
 
-func (c *Core) begin(name string, token uint64) *unit {
+func (c *Core) addUnit(name string, token uint64) *unit {
 	u := newUnit(name)
 	u.token = token
 	c.units[name] = u
 	if service, paced := strings.CutPrefix(name, ownership.PacedUnit("")); paced {
-		// What the former owner sent last may still be on its way.
-		c.queue(service).pace.Hold(c.env.Now() + pacedHandover)
+		// A message that the former owner sent last may still be in transit.
+		c.queue(service).pace.Hold(c.env.Now() + rateHoldAfterTakeover)
 	}
 	c.recover(u)
 	return u
 }
 
-const pacedHandover = 100 * time.Millisecond
+const rateHoldAfterTakeover = 100 * time.Millisecond
 
-// drop stops being responsible for a unit. Attempts that are out go on, and their ends are recorded.
+// drop ends the responsibility for a unit. Attempts in flight continue, and their outcomes are recorded.
 func (c *Core) drop(u *unit) {
 	u.dropped = true
 	delete(c.units, u.name)
 	for _, it := range ordered.Map(u.items) {
 		it.queued = false
 		c.uncount(it, false)
-		if !it.flying {
-			c.forget(it)
+		if !it.inFlight {
+			c.releaseMemory(it)
 		}
 	}
 }
 
-// sessionLost gives up everything that was owned under the session; what this carrier accepted comes back to it by the
-// session that replaces it.
+// sessionLost gives up everything that was owned under the session. Messages that this carrier accepted return to
+// it with the session that replaces the lost one.
 func (c *Core) sessionLost() {
-	c.env.Report("the session was lost", nil)
+	c.env.Report("session lost", nil)
 	for _, u := range ordered.Map(c.units) {
 		c.drop(u)
 	}
 	c.newOwnUnit()
 }
 
-// takeBack makes this carrier responsible for a message that another was.
-func (c *Core) takeBack(u *unit, m *message.Message, holders []string, accepted time.Duration) {
+// addTakenOver makes this carrier responsible for a message that another carrier was responsible for.
+func (c *Core) addTakenOver(u *unit, m *message.Message, holders []string, accepted time.Duration) {
 	it := c.newItem(u, m, holders, accepted)
-	it.taken, it.takenDue = true, it.due <= c.env.Now()
-	c.keep(it)
+	it.takenOver, it.takenOverDue = true, it.due <= c.env.Now()
+	c.addItem(it)
 }
 
-// take makes this carrier responsible for a stored message.
-func (c *Core) take(u *unit, m *message.Message, holders []string, accepted time.Duration) {
-	c.keep(c.newItem(u, m, holders, accepted))
+// addMessage makes this carrier responsible for a stored message.
+func (c *Core) addMessage(u *unit, m *message.Message, holders []string, accepted time.Duration) {
+	c.addItem(c.newItem(u, m, holders, accepted))
 }
 
 func (c *Core) newItem(u *unit, m *message.Message, holders []string, accepted time.Duration) *item {
 	return &item{message: m, unit: u, holders: append([]string(nil), holders...), accepted: accepted, due: accepted + m.Delay}
 }
 
-func (c *Core) keep(it *item) {
+func (c *Core) addItem(it *item) {
 	u, m := it.unit, it.message
 	if old := c.inFlight[m.ID]; old != nil && old.unit.dropped {
-		// It came back while an attempt of ours is still out: that attempt counts.
+		// The message came back while an attempt of this carrier is still in flight: that attempt counts.
 		old.unit = u
 		u.items[m.ID] = old
-		c.joinKey(old)
+		c.insertByKey(old)
 		c.count(old)
 		return
 	}
 	u.items[m.ID] = it
-	it.head = headBytes(m)
-	c.waitingBytes += it.head
+	it.headBytes = headBytes(m)
+	c.waitingBytes += it.headBytes
 	c.bodyBytes += int64(len(m.Body))
-	c.limitBytes(it)
-	c.joinKey(it)
+	c.releaseBodyIfFull(it)
+	c.insertByKey(it)
 	if it.due <= c.env.Now() {
 		c.count(it)
 	}
@@ -153,69 +155,69 @@
 	}
 }
 
-// joinKey places a message in its key's order.
-func (c *Core) joinKey(it *item) {
+// insertByKey inserts a message at its position in the order of its key.
+func (c *Core) insertByKey(it *item) {
 	key := it.message.Key
 	if key == "" {
 		return
 	}
-	line := it.unit.keys[key]
-	at := len(line)
-	for at > 1 && before(it.message, line[at-1].message) {
+	waiting := it.unit.keys[key]
+	at := len(waiting)
+	for at > 1 && precedes(it.message, waiting[at-1].message) {
 		at--
 	}
-	if at == 1 && !line[0].flying && line[0].tries == 0 && before(it.message, line[0].message) {
-		line[0].queued = false
+	if at == 1 && !waiting[0].inFlight && waiting[0].attempts == 0 && precedes(it.message, waiting[0].message) {
+		waiting[0].queued = false
 		at = 0
 	}
-	line = append(line, nil)
-	copy(line[at+1:], line[at:])
-	line[at] = it
-	it.unit.keys[key] = line
+	waiting = append(waiting, nil)
+	copy(waiting[at+1:], waiting[at:])
+	waiting[at] = it
+	it.unit.keys[key] = waiting
 }
 
-func before(a, b *message.Message) bool {
+func precedes(a, b *message.Message) bool {
 	if a.Token != b.Token {
 		return a.Token < b.Token
 	}
 	return a.Sequence < b.Sequence
 }
 
-// leave takes an ended message out of its unit, and lets the next of its key go.
-func (c *Core) leave(it *item) {
+// removeItem removes a completed message from its unit and makes the next one of its key ready.
+func (c *Core) removeItem(it *item) {
 	u := it.unit
 	delete(u.items, it.message.ID)
 	c.uncount(it, true)
-	c.forget(it)
+	c.releaseMemory(it)
 	key := it.message.Key
 	if key == "" {
 		return
 	}
-	line := u.keys[key]
-	for i, other := range line {
+	waiting := u.keys[key]
+	for i, other := range waiting {
 		if other == it {
-			line = append(line[:i:i], line[i+1:]...)
+			waiting = append(waiting[:i:i], waiting[i+1:]...)
 			break
 		}
 	}
-	if len(line) == 0 {
+	if len(waiting) == 0 {
 		delete(u.keys, key)
 		return
 	}
-	u.keys[key] = line
+	u.keys[key] = waiting
 	if !u.dropped {
-		c.ready(line[0])
+		c.ready(waiting[0])
 	}
 }
 
-// forget takes a message that is no longer this carrier's out of the count of memory.
-func (c *Core) forget(it *item) {
-	c.forgetBytes(it)
-	c.waitingBytes -= it.head
-	it.head = 0
+// releaseMemory removes a message that this carrier is no longer responsible for from the memory counts.
+func (c *Core) releaseMemory(it *item) {
+	c.releaseBody(it)
+	c.waitingBytes -= it.headBytes
+	it.headBytes = 0
 }
 
-func (c *Core) forgetBytes(it *item) {
+func (c *Core) releaseBody(it *item) {
 	c.bodyBytes -= int64(len(it.message.Body))
 	it.message = withoutBody(it.message)
 }
@@ -224,19 +226,20 @@
 	if len(m.Body) == 0 {
 		return m
 	}
-	bare := *m
-	bare.Body = nil
-	return &bare
+	stripped := *m
+	stripped.Body = nil
+	return &stripped
 }
 
-// relistPaced looks for messages that a departed carrier had stored for an owner and not handed over.
-func (c *Core) relistPaced() {
-	if c.relisting {
+// relistPacedUnits looks for messages that a departed carrier stored for the owner of a paced unit but did not
+// pass on.
+func (c *Core) relistPacedUnits() {
+	if c.relistScheduled {
 		return
 	}
-	c.relisting = true
-	c.env.After(relistAfterGone, func() {
-		c.relisting = false
+	c.relistScheduled = true
+	c.env.After(relistDelay, func() {
+		c.relistScheduled = false
 		for name, u := range ordered.Map(c.units) {
 			if strings.HasPrefix(name, ownership.PacedUnit("")) && u.active && !u.recovering {
 				c.recover(u)
@@ -245,11 +248,11 @@
 	})
 }
 
-// settleDeparted tells the keepers of departed carriers whose messages have all ended.
+// settleDeparted reports departed carriers whose messages have all completed to the keepers.
 func (c *Core) settleDeparted() {
 	for name, u := range ordered.Map(c.units) {
-		incarnation, adopted := strings.CutPrefix(name, departedPrefix)
-		if !adopted || u == c.own || !u.active || u.settling || len(u.items) > 0 || c.stores.unwritten() > 0 || c.callbacksWait() {
+		incarnation, adopted := strings.CutPrefix(name, carrierUnitPrefix)
+		if !adopted || u == c.own || !u.active || u.settling || len(u.items) > 0 || c.stores.unrecorded() > 0 || c.hasCallbacks() {
 			continue
 		}
 		u.settling = true
