--- a/internal/system/role/carrier/accept.go
+++ b/internal/system/role/carrier/accept.go
@@ -38,11 +38,11 @@
 
 // Durations of accepting a message.
 const (
-	hedgeDelay         = 70 * time.Millisecond  // a store that has not answered by then is backed up by a put at another store
-	maxHold            = 900 * time.Millisecond // upper bound on the time until a submission is answered or given up
-	holdShare          = 0.40                   // share of the client's stated time after which a submission is given up
-	answerShare        = 0.48                   // share of the client's stated time by which it is answered, whatever the stores report
-	holdTargetMultiple = 4                      // multiple of the route's acknowledgement target, used if the client stated no time
+	hedgeDelay         = 70 * time.Millisecond  // if a put has not completed by then, another store is tried too
+	maxHold            = 900 * time.Millisecond // bound on the time until a submission is given up
+	holdShare          = 0.40                   // share of the client's time after which a submission is given up
+	answerShare        = 0.48                   // share of the client's time by which it must be answered
+	holdTargetMultiple = 4                      // times the route's acknowledgement target, if the client stated no time
 	reserveTimeout     = 250 * time.Millisecond
 	confirmTimeout     = 250 * time.Millisecond
 	maxCancelTimeout   = 150 * time.Millisecond
@@ -97,10 +97,10 @@
 	a.assignUnit(view.Table.Service(route))
 }
 
-func holdDuration(left time.Duration, route *configuration.Route) time.Duration {
+func holdDuration(clientTimeout time.Duration, route *configuration.Route) time.Duration {
 	hold := time.Duration(holdTargetMultiple) * route.TargetAck
-	if left > 0 {
-		hold = time.Duration(holdShare * float64(left))
+	if clientTimeout > 0 {
+		hold = time.Duration(holdShare * float64(clientTimeout))
 	}
 	return min(max(hold, 50*time.Millisecond), maxHold)
 }
--- a/internal/system/role/carrier/admission.go
+++ b/internal/system/role/carrier/admission.go
@@ -44,12 +44,12 @@
 	b.due++
 }
 
-// remove takes a message out of the backlog. ended reports whether the message completed, as opposed to having
+// remove takes a message out of the backlog. completed reports whether the message completed, as opposed to having
 // moved to another carrier. A window closes only when a message completes, since without completions the rate is
 // unknown. A pause as long as a window, such as an outage, is not part of any window.
-func (b *backlog) remove(now time.Duration, ended bool) {
+func (b *backlog) remove(now time.Duration, completed bool) {
 	b.due--
-	if !ended {
+	if !completed {
 		return
 	}
 	paused := now-b.lastCompletion >= rateWindow
@@ -77,7 +77,7 @@
 
 // count adds a message to its service's backlog once the message is due or waits behind others of its key.
 func (c *Core) count(it *item) {
-	if it.backlog != nil || it.ended || it.unit.dropped {
+	if it.backlog != nil || it.completed || it.unit.dropped {
 		return
 	}
 	table := c.session.View().Table
@@ -90,10 +90,10 @@
 	}
 }
 
-// uncount removes a message from its service's backlog. ended reports whether it completed.
-func (c *Core) uncount(it *item, ended bool) {
+// uncount removes a message from its service's backlog. completed reports whether it completed.
+func (c *Core) uncount(it *item, completed bool) {
 	if it.backlog != nil {
-		it.backlog.remove(c.env.Now(), ended)
+		it.backlog.remove(c.env.Now(), completed)
 		it.backlog = nil
 	}
 }
--- a/internal/system/role/carrier/bytes.go
+++ b/internal/system/role/carrier/bytes.go
@@ -21,7 +21,7 @@
 
 // fetchBody reads a message's body back from one of the disks that hold it.
 func (c *Core) fetchBody(it *item, attempt int) {
-	if it.ended || it.unit.dropped {
+	if it.completed || it.unit.dropped {
 		return
 	}
 	holders := c.stores.recipients(it.holders)
--- a/internal/system/role/carrier/callback.go
+++ b/internal/system/role/carrier/callback.go
@@ -23,7 +23,7 @@
 type callback struct {
 	unit       *unit
 	url        string
-	end        message.End
+	outcome    message.End
 	holders    []string
 	queuedAt   time.Duration // when this carrier queued it
 	attempts   int
@@ -33,7 +33,7 @@
 // bytes returns the memory of a call-back, which counts as memory of waiting messages.
 func (c *callback) bytes() int64 {
 	const bookkeeping = 256
-	return int64(bookkeeping + len(c.url) + len(c.end.ID) + len(c.end.Stamp))
+	return int64(bookkeeping + len(c.url) + len(c.outcome.ID) + len(c.outcome.Stamp))
 }
 
 // receiver is the queue of call-backs for one host.
@@ -71,8 +71,8 @@
 
 // queueCallback queues an outcome for its call-back URL. A call-back that is queued already, because its unit was
 // listed again, is reassigned to the given unit.
-func (c *Core) queueCallback(u *unit, address string, end message.End, holders []string) {
-	if waiting := c.callbacks[end.ID]; waiting != nil {
+func (c *Core) queueCallback(u *unit, address string, outcome message.End, holders []string) {
+	if waiting := c.callbacks[outcome.ID]; waiting != nil {
 		waiting.unit.unrecorded--
 		u.unrecorded++
 		waiting.unit, waiting.holders = u, holders
@@ -80,7 +80,7 @@
 	}
 	parsed, err := url.Parse(address)
 	if err != nil || parsed.Host == "" {
-		c.stores.recordCallback(u, holders, end.ID)
+		c.stores.recordCallback(u, holders, outcome.ID)
 		return
 	}
 	r := c.receivers[parsed.Host]
@@ -92,8 +92,8 @@
 		c.receivers[parsed.Host] = r
 	}
 	u.unrecorded++
-	call := &callback{unit: u, url: address, end: end, holders: holders, queuedAt: c.env.Now()}
-	c.callbacks[end.ID] = call
+	call := &callback{unit: u, url: address, outcome: outcome, holders: holders, queuedAt: c.env.Now()}
+	c.callbacks[outcome.ID] = call
 	c.waitingBytes += call.bytes()
 	r.waiting = append(r.waiting, call)
 	c.sendCallbacks(r)
@@ -129,11 +129,11 @@
 		limit = 1
 	}
 	for len(r.waiting) > 0 && r.inFlight < limit {
-		next := r.waiting[0]
+		call := r.waiting[0]
 		r.waiting[0] = nil
 		r.waiting = r.waiting[1:]
 		r.inFlight++
-		c.postCallback(r, next)
+		c.postCallback(r, call)
 	}
 }
 
@@ -149,7 +149,7 @@
 }
 
 func (c *Core) postCallback(r *receiver, call *callback) {
-	body, err := json.Marshal(&callbackBody{ID: call.end.ID, Phase: call.end.Phase, Stamp: call.end.Stamp})
+	body, err := json.Marshal(&callbackBody{ID: call.outcome.ID, Phase: call.outcome.Phase, Stamp: call.outcome.Stamp})
 	if err != nil {
 		return
 	}
@@ -177,7 +177,7 @@
 		c.finishCallback(call)
 	case call.rejections >= maxRejections || c.env.Now()-call.queuedAt > message.OwedTimes*c.settings.Bounds.Status:
 		r.failures = 0
-		c.env.Report("call-back abandoned", &GivenUpError{ID: call.end.ID, Tries: call.attempts, Status: status, Err: err})
+		c.env.Report("call-back abandoned", &GivenUpError{ID: call.outcome.ID, Tries: call.attempts, Status: status, Err: err})
 		c.finishCallback(call)
 	default:
 		r.failures++
@@ -190,10 +190,10 @@
 
 // finishCallback has the stores record that no call-back is due any more.
 func (c *Core) finishCallback(call *callback) {
-	delete(c.callbacks, call.end.ID)
+	delete(c.callbacks, call.outcome.ID)
 	call.unit.unrecorded--
 	c.waitingBytes -= call.bytes()
-	c.stores.recordCallback(call.unit, call.holders, call.end.ID)
+	c.stores.recordCallback(call.unit, call.holders, call.outcome.ID)
 }
 
 // callbackBackoff returns a random pause that grows with the number of failures.
--- a/internal/system/role/carrier/callback_test.go
+++ b/internal/system/role/carrier/callback_test.go
@@ -11,14 +11,14 @@
 	"granitewing/internal/system/wire"
 )
 
-// handedWithCallback gives a message whose end is owed to a receiver.
+// deliverBodyWithCallback returns the call that passes on a message with a call-back URL.
 func deliverBodyWithCallback(id string, token uint64) wire.DeliverBody {
 	body := deliverBody(id, pacedUnit, token)
 	body.Message.Callback = "http://10.8.0.1:80/done"
 	return body
 }
 
-// runs has the carrier take and run messages, each to its success, one after the other.
+// runMessages passes messages to the carrier and lets each one succeed before the next.
 func (r *fixture) runMessages(t *testing.T, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
@@ -30,21 +30,21 @@
 	}
 }
 
-// Guards against a call-back that nobody makes: an owner that is handed a message that had ended under a former owner, and that took the unit over while
-// no store listed the message.
-func TestMessageThatHadEndedBeforeItWasHandedOver(t *testing.T) {
+// Guards against a call-back that no carrier makes. An owner is passed a message that completed under a former
+// owner, and it took the unit over while no store listed the message.
+func TestMessageCompletedBeforeHandover(t *testing.T) {
 	r := newFixture()
 	r.receive = func(string) int { return http.StatusOK }
 	r.store("disk-2").outcomes["m1"] = message.End{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
 	r.core.Deliver(deliverBodyWithCallback("m1", ownedToken-1))
 	r.Pass(time.Second)
 	if !slices.Equal(r.calledBack, []string{"m1"}) || len(r.sent) > 0 {
-		t.Errorf("told were %v, sent were %v", r.calledBack, r.sent)
+		t.Errorf("call-backs made for %v, messages sent %v", r.calledBack, r.sent)
 	}
 }
 
-// Guards against one call-back that is never taken and holds up all others of its receiver.
-func TestCallbackThatIsNotTakenHoldsUpNoOther(t *testing.T) {
+// Guards against a call-back that is never accepted and delays all others of its receiver.
+func TestFailingCallbackDoesNotDelayOthers(t *testing.T) {
 	r := newFixture()
 	r.receive = func(id string) int {
 		if id == "m0" {
@@ -61,12 +61,13 @@
 	slices.Sort(r.calledBack)
 	slices.Sort(others)
 	if !slices.Equal(r.calledBack, others) {
-		t.Errorf("told were %v", r.calledBack)
+		t.Errorf("call-backs made for %v", r.calledBack)
 	}
 }
 
-// Guards against a call-back that counts as told after a number of tries, while the stores still keep its end.
-func TestCallbackIsTriedForAsLongAsItsEndIsKept(t *testing.T) {
+// Guards against a call-back that counts as made after a number of attempts while the stores still keep its
+// outcome.
+func TestCallbackIsRetriedWhileOutcomeIsKept(t *testing.T) {
 	r := newFixture()
 	begin := r.Now()
 	r.receive = func(string) int {
@@ -79,22 +80,24 @@
 	r.Pass(r.core.settings.Bounds.Status + 10*time.Second)
 	slices.Sort(r.calledBack)
 	if !slices.Equal(r.calledBack, []string{"m1", "m2", "m3"}) {
-		t.Errorf("told were %v, reported %v", r.calledBack, r.reports)
+		t.Errorf("call-backs made for %v, reported %v", r.calledBack, r.reports)
 	}
 }
 
-// Guards against an endless series of tries: a call-back that nobody takes is given up, and said to be, once the stores no longer keep its end.
-func TestCallbackIsGivenUp(t *testing.T) {
+// Guards against endless attempts: a call-back that its receiver never accepts is abandoned, and this is reported,
+// once the stores no longer keep its outcome.
+func TestCallbackIsAbandoned(t *testing.T) {
 	r := newFixture()
 	r.receive = func(string) int { return http.StatusServiceUnavailable }
 	r.runMessages(t, "m1")
 	r.Pass(3 * r.core.settings.Bounds.Status)
 	if r.core.hasCallbacks() || len(r.reports) != 1 {
-		t.Errorf("reported %v, call-backs wait: %t", r.reports, r.core.hasCallbacks())
+		t.Errorf("reported %v, call-backs pending: %t", r.reports, r.core.hasCallbacks())
 	}
 }
 
-// Guards against a carrier that stops and leaves call-backs to whoever takes its messages over, though its receivers take them in time.
+// Guards against a stopping carrier that leaves call-backs to the next owner although its receivers accept them in
+// time.
 func TestStoppingCarrierMakesItsCallbacks(t *testing.T) {
 	r := newFixture()
 	failUntil := r.Now() + 2*time.Second
@@ -111,12 +114,13 @@
 		r.Pass(50 * time.Millisecond)
 	}
 	if len(r.calledBack) != 4 {
-		t.Errorf("told were %v when the carrier had stopped", r.calledBack)
+		t.Errorf("call-backs made for %v when the carrier had stopped", r.calledBack)
 	}
 }
 
-// Guards against a list of owed call-backs without a bound: they count for the memory that what waits may take.
-func TestOwedCallbacksCountForMemory(t *testing.T) {
+// Guards against an unbounded number of pending call-backs: they count toward the memory limit of waiting
+// messages.
+func TestPendingCallbacksCountTowardMemory(t *testing.T) {
 	r := newFixture()
 	failUntil := r.Now() + 10*time.Second
 	r.receive = func(string) int {
@@ -127,18 +131,18 @@
 	}
 	before := r.core.waitingBytes
 	r.runMessages(t, "m1", "m2", "m3")
-	if owed := r.core.waitingBytes - before; owed < 3*256 {
-		t.Errorf("three owed call-backs count as %d bytes", owed)
+	if pending := r.core.waitingBytes - before; pending < 3*256 {
+		t.Errorf("three pending call-backs count as %d bytes", pending)
 	}
 	r.Pass(30 * time.Second)
 	if r.core.waitingBytes != before {
-		t.Errorf("%d bytes are left of call-backs that were made", r.core.waitingBytes-before)
+		t.Errorf("%d bytes still counted after all call-backs were made", r.core.waitingBytes-before)
 	}
 }
 
-// Guards against a queue that grows with each listing of a unit: a call-back that waits already is not queued again, and belongs to the unit that was
-// listed last.
-func TestCallbackThatWaitsIsNotQueuedAgain(t *testing.T) {
+// Guards against a queue that grows each time a unit is listed: a call-back that is queued already is not queued
+// again, and belongs to the unit that was listed last.
+func TestQueuedCallbackIsNotQueuedAgain(t *testing.T) {
 	r := newFixture()
 	failing := true
 	r.receive = func(string) int {
@@ -150,16 +154,16 @@
 	end := message.End{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
 	listed := wire.ListedMessage{Message: deliverBodyWithCallback("m1", 1).Message, Phase: end.Phase, Stamp: end.Stamp}
 	r.store("disk-1").listed, r.store("disk-1").outcomes["m1"] = []wire.ListedMessage{listed}, end
-	for turn := range uint64(5) {
-		r.own(ownedToken + 1 + turn)
+	for step := range uint64(5) {
+		r.own(ownedToken + 1 + step)
 		r.Pass(time.Second)
 	}
 	if u := r.core.units[pacedUnit]; u.unrecorded != 1 {
-		t.Errorf("the unit counts %d records", u.unrecorded)
+		t.Errorf("the unit counts %d unrecorded", u.unrecorded)
 	}
 	failing = false
 	r.Pass(5 * time.Second)
 	if !slices.Equal(r.calledBack, []string{"m1"}) || r.core.hasCallbacks() || r.core.units[pacedUnit].unrecorded != 0 {
-		t.Errorf("told were %v, call-backs wait: %t, records: %d", r.calledBack, r.core.hasCallbacks(), r.core.units[pacedUnit].unrecorded)
+		t.Errorf("call-backs made for %v, pending: %t, unrecorded: %d", r.calledBack, r.core.hasCallbacks(), r.core.units[pacedUnit].unrecorded)
 	}
 }
--- a/internal/system/role/carrier/core.go
+++ b/internal/system/role/carrier/core.go
@@ -62,8 +62,8 @@
 	receivers map[string]*receiver
 	callbacks map[string]*callback // by message ID: call-backs that are not finished
 
-	bodyBytes          int64                    // of the messages that this carrier is responsible for and holds in memory
-	waitingBytes       int64                    // memory of their other parts, of pending call-backs, and of messages being passed to their owner
+	bodyBytes          int64                    // of messages that this carrier is responsible for and has in memory
+	waitingBytes       int64                    // their other parts, pending call-backs, messages being passed on
 	ownerBusyUntil     map[string]time.Duration // by paced unit, as reported by its owner
 	storesLackingSince time.Duration
 	storesLacking      bool
@@ -73,7 +73,7 @@
 	relistScheduled    bool
 	figures            Figures
 	// endedBeforeLogged is set while a log line about messages that completed before they arrived here is pending.
-	endedBeforeLogged bool
+	completedBeforeLogged bool
 }
 
 // Figures counts events since the carrier started.
@@ -290,7 +290,7 @@
 	takenOverDue bool   // it was due when it was taken over
 	queued       bool
 	inFlight     bool
-	ended        bool
+	completed    bool
 	fetchingBody bool
 
 	queue     *queue    // the queue that it joined last; it waits there while queued is set
--- a/internal/system/role/carrier/dispatch.go
+++ b/internal/system/role/carrier/dispatch.go
@@ -49,7 +49,7 @@
 	defaultTimeout       = time.Second
 	rateHoldAfterRefusal = 60 * time.Millisecond
 	// newerTableRetry is how often a message that waits for a newer configuration is checked.
-	newerTableRetry = 50 * time.Millisecond
+	newerConfigurationRetry = 50 * time.Millisecond
 )
 
 // ready queues a message if it may be sent. If it is blocked for a time that is known or must be polled, ready
@@ -59,12 +59,12 @@
 	if it.queued {
 		return
 	}
-	hold := c.blockOf(it)
-	if hold.countsAsDue() {
+	block := c.blockOf(it)
+	if block.countsAsDue() {
 		c.count(it)
 	}
 	readyAfter := func(wait time.Duration) { c.env.After(wait, func() { c.ready(it) }) }
-	switch hold {
+	switch block {
 	case mayBeSent:
 		c.enqueue(it)
 	case blockedNotDue:
@@ -72,7 +72,7 @@
 	case blockedNoConfiguration:
 		readyAfter(retryWhenFull)
 	case blockedOlderConfiguration:
-		readyAfter(newerTableRetry)
+		readyAfter(newerConfigurationRetry)
 	}
 }
 
@@ -269,7 +269,7 @@
 
 // complete completes a message and has the stores record its outcome.
 func (c *Core) complete(it *item, phase message.Phase, stamp string) {
-	if it.ended {
+	if it.completed {
 		return
 	}
 	c.figures.Ended++
@@ -277,13 +277,13 @@
 }
 
 // recordOutcome has the stores record a message's outcome, queues its call-back and removes the message.
-func (c *Core) recordOutcome(it *item, end message.End) {
-	it.ended = true
+func (c *Core) recordOutcome(it *item, outcome message.End) {
+	it.completed = true
 	it.queued = false
-	c.recent.add(c.env.Now(), end)
-	c.stores.recordOutcome(it.unit, it.holders, end)
-	if end.CallbackOwed && it.message.Callback != "" {
-		c.queueCallback(it.unit, it.message.Callback, end, it.holders)
+	c.recent.add(c.env.Now(), outcome)
+	c.stores.recordOutcome(it.unit, it.holders, outcome)
+	if outcome.CallbackOwed && it.message.Callback != "" {
+		c.queueCallback(it.unit, it.message.Callback, outcome, it.holders)
 	}
 	c.removeItem(it)
 }
--- a/internal/system/role/carrier/duplicate.go
+++ b/internal/system/role/carrier/duplicate.go
@@ -101,9 +101,9 @@
 		if q.finished || err != nil {
 			return
 		}
-		for _, end := range answer.Ends {
-			if end.ID == q.message.ID {
-				q.foundOutcome(end)
+		for _, outcome := range answer.Ends {
+			if outcome.ID == q.message.ID {
+				q.foundOutcome(outcome)
 				return
 			}
 		}
@@ -117,16 +117,16 @@
 // foundOutcome handles an outcome that a store reported. Disks that lack it are sent it. A due call-back is made
 // here, possibly a second time: when the unit was taken over, the message may have been only on disks that did not
 // answer.
-func (q *outcomeQuery) foundOutcome(end message.End) {
+func (q *outcomeQuery) foundOutcome(outcome message.End) {
 	c := q.core
 	q.finish()
 	if q.unit.dropped {
 		return
 	}
-	c.recent.add(c.env.Now(), end)
-	c.stores.recordOutcome(q.unit, q.holders, end)
-	if end.CallbackOwed && q.message.Callback != "" {
-		c.queueCallback(q.unit, q.message.Callback, end, q.holders)
+	c.recent.add(c.env.Now(), outcome)
+	c.stores.recordOutcome(q.unit, q.holders, outcome)
+	if outcome.CallbackOwed && q.message.Callback != "" {
+		c.queueCallback(q.unit, q.message.Callback, outcome, q.holders)
 	}
 	c.countCompletedBefore()
 }
@@ -138,7 +138,7 @@
 	}
 	c, u := q.core, q.unit
 	q.finish()
-	if _, ended := c.recent.get(q.message.ID); ended || u.items[q.message.ID] != nil || u.released() {
+	if _, completed := c.recent.get(q.message.ID); completed || u.items[q.message.ID] != nil || u.released() {
 		return
 	}
 	c.addMessage(u, q.message, q.holders, q.accepted)
@@ -161,12 +161,12 @@
 // countCompletedBefore counts a message that was passed to this carrier after it had completed.
 func (c *Core) countCompletedBefore() {
 	c.figures.EndedBefore++
-	if c.endedBeforeLogged {
+	if c.completedBeforeLogged {
 		return
 	}
-	c.endedBeforeLogged = true
+	c.completedBeforeLogged = true
 	c.env.After(completedBeforeLogInterval, func() {
-		c.endedBeforeLogged = false
+		c.completedBeforeLogged = false
 		c.env.Inform(fmt.Sprintf("%d messages had completed under a former owner before they were passed to this carrier", c.figures.EndedBefore))
 	})
 }
--- a/internal/system/role/carrier/ends_test.go
+++ b/internal/system/role/carrier/ends_test.go
@@ -10,12 +10,12 @@
 	"granitewing/internal/system/wire"
 )
 
-// What was seen: on a drawn day of planned work a message ran again 0.6 s after its end, at the next owner of its unit.
-// How it came about: the first owner took the unit over while the message was being stored, and found it on one disk. It told that
-// disk alone of the end. A machine with that disk was restarted as the next owner listed, which went on with the word of the others, as it may.
-// Cause: an end lay on fewer disks than a message has to, so that who hears all disks but one might not hear of it. Proven by the
-// drawn schedule 5254 with each call logged, and by this test.
-func TestEndOfAMessageFoundOnOneDisk(t *testing.T) {
+// Guards against a message that runs again at the next owner of its unit, 0.6 s after it completed. The first
+// owner took the unit over while the message was being stored, found it on one disk and recorded the outcome on
+// that disk alone. The machine with that disk was restarted while the next owner listed the unit, which rightly
+// went on with the answers of the other disks. An outcome must be on as many disks as its message, or an owner
+// that reads all disks but one may miss it. Found by schedule 5254 of the simulated planned work.
+func TestOutcomeOfMessageFoundOnOneDisk(t *testing.T) {
 	r := newFixture()
 	r.store("disk-1").listed = []wire.ListedMessage{{Message: deliverBody("m1", pacedUnit, 1).Message, Phase: message.Pending}}
 	r.own(ownedToken + 1)
@@ -25,19 +25,19 @@
 	}
 	r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
 	r.Pass(time.Second)
-	told := r.storesWithOutcomes()
-	if len(told) != len(r.stores) {
-		t.Errorf("the end of a message that was found on one disk was told to %v, not to all that count", told)
+	recorded := r.storesWithOutcomes()
+	if len(recorded) != len(r.stores) {
+		t.Errorf("the outcome of a message found on one disk was recorded on %v, not on all counting disks", recorded)
 	}
 }
 
-// What was seen: on a drawn day of planned work a message ran again 0.8 s after its end, at the next owner of its unit.
-// How it came about: a machine with a disk that held the message was restarted, and another took its place in the roster and was given a copy. The
-// first one came back and was being filled when the message ended; its owner told the two disks that it knew, one of which did not count, and
-// the other was restarted in its turn.
-// Cause: only a holder that was not in the roster at all had all disks be told that count. Proven by the drawn schedule 82 with each
-// call logged, and by this test.
-func TestEndOfAMessageWhoseHolderDoesNotCount(t *testing.T) {
+// Guards against a message that runs again at the next owner of its unit, 0.8 s after it completed. A machine with
+// a disk that held the message was restarted, and another disk took its place in the roster and got a copy. The
+// first disk came back and was being backfilled when the message completed. The owner recorded the outcome on the
+// two disks that it knew, of which one did not count toward the write quorum and the other was then restarted.
+// Outcomes went to all counting disks only if a holder was not in the roster at all. Found by schedule 82 of the
+// simulated planned work.
+func TestOutcomeOfMessageOnNonVotingDisk(t *testing.T) {
 	r := newFixtureWithAttempt(t)
 	r.setDisk("disk-2", false)
 	r.table.Set(keeper.KeyRoster, wire.Encode(uint64(2)))
@@ -45,12 +45,13 @@
 	r.expectOutcomeAt(t, "disk-1", "disk-3")
 }
 
-// What was seen: on a drawn day on which several machines were emptied a message ran again 1.7 s after its end, at the next owner of its unit.
-// How it came about: a machine that was being emptied had handed its copy of the message to another when the message ended; its owner told the two
-// disks that it knew. The emptied one went without the end, which its lists had not had yet, and the other was restarted; a newcomer took its place.
-// Cause: a disk that leaves was taken for one that keeps what it is told. Proven by the drawn schedule 39 of machines that are emptied together, with
-// what every disk holds of the message, and by this test.
-func TestEndOfAMessageWhoseHolderLeaves(t *testing.T) {
+// Guards against a message that runs again at the next owner of its unit, 1.7 s after it completed. A machine that
+// was being drained had copied the message to another disk when the message completed. The owner recorded the
+// outcome on the two disks that it knew. The drained disk left without passing on the outcome, which was not in
+// its lists yet; the other disk was restarted, and a new disk took its place. The owner had counted on a leaving
+// disk to keep what it records. Found by schedule 39 of the simulation in which several machines are drained
+// together.
+func TestOutcomeOfMessageOnLeavingDisk(t *testing.T) {
 	r := newFixtureWithAttempt(t)
 	leaving := session.Disk{Counted: true, Leaving: true, Member: session.Member{Address: diskAddress("disk-2"), Disk: "disk-2", Zone: "a"}}
 	r.table.Set(keeper.PrefixDisk+"disk-2", wire.Encode(&leaving))
@@ -59,9 +60,9 @@
 	r.expectOutcomeAt(t, "disk-1", "disk-3")
 }
 
-// Guards against an end that is lost with a carrier that stops: all disks that hold its message are away until it has to go. Who takes the message over
-// would run it again.
-func TestStoppingCarrierTellsOtherDisksOfItsEnds(t *testing.T) {
+// Guards against an outcome that is lost with a stopping carrier because all disks that hold its message are
+// unreachable until the carrier exits. The next owner would run the message again.
+func TestStoppingCarrierSpreadsOutcomes(t *testing.T) {
 	r := newFixtureWithAttempt(t)
 	for _, disk := range []string{"disk-1", "disk-2"} {
 		delete(r.Reachable, diskAddress(disk))
@@ -72,12 +73,13 @@
 	for !stopped {
 		r.Pass(50 * time.Millisecond)
 	}
-	if told := r.storesWithOutcomes(); !told[diskAddress("disk-3")] {
-		t.Errorf("the end was told to %v when the carrier had stopped", told)
+	if recorded := r.storesWithOutcomes(); !recorded[diskAddress("disk-3")] {
+		t.Errorf("the outcome was recorded on %v when the carrier had stopped", recorded)
 	}
 }
 
-// newRigWithOneOut gives a carrier with an attempt of a message out that two disks hold.
+// newFixtureWithAttempt returns a fixture whose carrier has an attempt in flight, of a message that two disks
+// hold.
 func newFixtureWithAttempt(t *testing.T) *fixture {
 	t.Helper()
 	r := newFixture()
@@ -88,15 +90,15 @@
 	return r
 }
 
-// expectEndAt has the attempt succeed, and sees that disks are told the end.
+// expectOutcomeAt lets the attempt succeed and checks that the outcome is recorded on the given disks.
 func (r *fixture) expectOutcomeAt(t *testing.T, disks ...string) {
 	t.Helper()
 	r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
 	r.Pass(time.Second)
-	told := r.storesWithOutcomes()
+	recorded := r.storesWithOutcomes()
 	for _, disk := range disks {
-		if !told[diskAddress(disk)] {
-			t.Errorf("%s was not told of the end; told were %v", disk, told)
+		if !recorded[diskAddress(disk)] {
+			t.Errorf("the outcome is not recorded on %s, only on %v", disk, recorded)
 		}
 	}
 }
--- a/internal/system/role/carrier/handed_test.go
+++ b/internal/system/role/carrier/handed_test.go
@@ -14,28 +14,28 @@
 	"granitewing/internal/system/wire"
 )
 
-// What was seen: a message ran again, at the next owner of its unit, after a success that a former owner's carrier had read.
-// How it came about and its cause: see the scenarios of the simulation's test of messages that are forwarded after their end.
-var _ = ginkgo.Describe("An owner that is handed a message", func() {
+// Guards against a message that runs again at the next owner of its unit after it succeeded under a former owner.
+// The simulation's test of messages that are forwarded after they completed has the scenarios and the cause.
+var _ = ginkgo.Describe("An owner that is passed a message", func() {
 	var r *fixture
 
 	ginkgo.BeforeEach(func() { r = newFixture() })
 
 	for _, unit := range []string{pacedUnit, keyUnit} {
-		ginkgo.It("does not run it where a former owner has ended it: "+unit, func() {
+		ginkgo.It("does not run it if it completed under a former owner: "+unit, func() {
 			r.store("disk-2").outcomes["m1"] = succeeded
 			refusal := r.core.Deliver(deliverBody("m1", unit, ownedToken-1))
-			Expect(refusal).NotTo(BeNil(), "it is not known yet")
+			Expect(refusal).NotTo(BeNil(), "the outcome is not known yet")
 			Expect(refusal.Code).To(Equal(wire.NotReady))
 			r.Pass(50 * time.Millisecond)
-			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).To(BeNil(), "it is done with")
+			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).To(BeNil(), "the message has completed")
 			r.Pass(3 * time.Second)
 			Expect(r.sent).To(BeEmpty())
 			Expect(r.core.Figures().EndedBefore).To(BeEquivalentTo(1))
 			Expect(r.logged).To(ContainElement(ContainSubstring("had completed under a former owner")))
 		})
 
-		ginkgo.It("runs it once the stores that hold it know of no end: "+unit, func() {
+		ginkgo.It("runs it once the stores that hold it report no outcome: "+unit, func() {
 			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).NotTo(BeNil())
 			Expect(r.sent).To(BeEmpty())
 			r.Pass(50 * time.Millisecond)
@@ -44,7 +44,7 @@
 			Expect(r.sent).To(Equal([]string{"m1"}))
 		})
 
-		ginkgo.It("asks nobody where it was accepted under this owner: "+unit, func() {
+		ginkgo.It("queries no store if it was accepted under this owner: "+unit, func() {
 			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken))).To(BeNil())
 			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken))).To(BeNil())
 			r.Pass(time.Second)
@@ -52,7 +52,7 @@
 			Expect(r.store("disk-1").outcomeQueries).To(BeZero())
 		})
 
-		ginkgo.It("refuses it where it was accepted under a later owner: "+unit, func() {
+		ginkgo.It("refuses it if it was accepted under a later owner: "+unit, func() {
 			refusal := r.core.Deliver(deliverBody("m1", unit, ownedToken+1))
 			Expect(refusal).NotTo(BeNil())
 			Expect(refusal.Code).To(Equal(wire.NotOwner))
@@ -61,7 +61,7 @@
 		})
 	}
 
-	ginkgo.It("waits for a store that is silent, and no longer than for one that may be lost", func() {
+	ginkgo.It("waits for an unresponsive store, but only for as long as for one that may be lost", func() {
 		r.store("disk-1").unresponsive = true
 		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
 		r.Pass(listAllPeriod - 100*time.Millisecond)
@@ -80,7 +80,7 @@
 		Expect(r.sent).To(Equal([]string{"m1"}))
 	})
 
-	ginkgo.It("asks all stores that count, and again where one was not there", func() {
+	ginkgo.It("queries all counting stores, and queries an unreachable one later", func() {
 		r.store("disk-3").outcomes["m1"] = succeeded
 		r.Reachable["10.0.0.2:703"] = false
 		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
@@ -92,7 +92,7 @@
 		Expect(r.core.Figures().EndedBefore).To(BeEquivalentTo(1))
 	})
 
-	ginkgo.It("asks where the message may be older than what it remembers of its own ends", func() {
+	ginkgo.It("queries the stores if the message may be older than the outcomes that it remembers", func() {
 		for id := range maxRecentOutcomes + 1 {
 			r.core.recent.add(r.Now(), message.End{ID: string(rune(id)) + "x", Phase: message.Succeeded})
 		}
@@ -102,7 +102,7 @@
 		Expect(r.sent).To(BeEmpty())
 	})
 
-	ginkgo.It("leaves it to the next owner where the unit goes meanwhile", func() {
+	ginkgo.It("leaves it to the next owner if the unit moves meanwhile", func() {
 		r.store("disk-1").unresponsive = true
 		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
 		waiting := r.core.waitingBytes
@@ -114,9 +114,9 @@
 		Expect(r.core.waitingBytes).To(BeZero())
 	})
 
-	ginkgo.It("bounds the messages that it asks for at a time", func() {
-		for _, held := range r.stores {
-			held.unresponsive = true
+	ginkgo.It("limits the number of concurrent outcome queries", func() {
+		for _, store := range r.stores {
+			store.unresponsive = true
 		}
 		for id := range maxOutcomeQueries + 10 {
 			Expect(r.core.Deliver(deliverBody(string(rune(id))+"y", pacedUnit, ownedToken-1))).NotTo(BeNil())
@@ -130,10 +130,10 @@
 		return wire.ListedMessage{Message: deliverBody(id, pacedUnit, 1).Message, Phase: message.Pending}
 	}
 
-	ginkgo.It("leaves out a list that comes while ends are asked for", func() {
+	ginkgo.It("ignores a listing that arrives while outcomes are queried", func() {
 		r := newFixture()
-		for _, held := range r.stores {
-			held.outcomes["m1"] = succeeded
+		for _, store := range r.stores {
+			store.outcomes["m1"] = succeeded
 		}
 		r.store("disk-2").listed = []wire.ListedMessage{listed("m2")}
 		late := r.store("disk-3")
@@ -142,16 +142,16 @@
 		r.own(ownedToken + 1)
 		u := r.core.units[pacedUnit]
 		for tries := 0; u.recovery.outcomeRound == nil && tries < 3000; tries++ {
-			r.Pass(time.Millisecond) // until the lists of the two others are taken as enough
+			r.Pass(time.Millisecond) // until the lists of the other two are enough
 		}
-		Expect(u.recovery.finished).To(BeFalse(), "their ends are asked for")
+		Expect(u.recovery.finished).To(BeFalse(), "their outcomes are being queried")
 		*u.recovery.listed["disk-3"] = listing{messages: late.listed, complete: true, done: true, epoch: 1}
 		r.Pass(time.Second)
 		Expect(u.recovery.finished).To(BeTrue())
 		Expect(r.sent).To(Equal([]string{"m2"}))
 	})
 
-	ginkgo.It("has counted disks that did not tell learn the ends of what it found", func() {
+	ginkgo.It("treats counting disks that did not answer as holders of what it found", func() {
 		r := newFixture()
 		r.store("disk-1").listed = []wire.ListedMessage{listed("m1")}
 		r.Reachable["10.0.0.2:702"] = false
@@ -163,7 +163,7 @@
 })
 
 var _ = ginkgo.Describe("A carrier that accepts a message for an owner", func() {
-	ginkgo.It("has the message bear the token that it knew before any store was given it", func() {
+	ginkgo.It("puts the known token on the message before any store gets it", func() {
 		r := newFixture()
 		var stored wire.PutBody
 		var answered Answer
@@ -176,7 +176,7 @@
 		Expect(r.sent).To(Equal([]string{"m1"}))
 	})
 
-	ginkgo.It("forwards until it has an answer, and once", func() {
+	ginkgo.It("forwards until it has an answer, and not again", func() {
 		r := newFixture()
 		const other = "10.0.1.2:7001"
 		r.Reachable[other] = true
--- a/internal/system/role/carrier/handover.go
+++ b/internal/system/role/carrier/handover.go
@@ -17,7 +17,7 @@
 	handoverTimeout    = 1500 * time.Millisecond // for started messages to complete; after it this carrier keeps the unit
 	releaseRetry       = 50 * time.Millisecond
 	reserveRetry       = 15 * time.Millisecond
-	reserveRetryPeriod = 60 * time.Millisecond // how long a sequence number is requested again while the unit changes its owner
+	reserveRetryPeriod = 60 * time.Millisecond // of requesting a sequence number while the owner changes
 )
 
 // handover is a unit's transfer to another carrier. No attempt of a message that has had none is started any more.
--- a/internal/system/role/carrier/outbox.go
+++ b/internal/system/role/carrier/outbox.go
@@ -18,8 +18,8 @@
 
 // pendingRecord is an outcome that a store has to record, or the fact that a call-back for it was made.
 type pendingRecord struct {
-	unit *unit
-	end  message.End
+	unit    *unit
+	outcome message.End
 }
 
 // recordQueue holds a disk's pending records, which are sent in order.
@@ -131,25 +131,25 @@
 		return // the roster is not known
 	}
 	for disk, box := range ordered.Map(s.outboxes) {
-		if _, there := view.Disks[disk]; there {
+		if _, ok := view.Disks[disk]; ok {
 			continue
 		}
-		ends, callbacks := box.outcomes.takeAll(), box.callbacks.takeAll()
+		outcomes, callbacks := box.outcomes.takeAll(), box.callbacks.takeAll()
 		delete(s.outboxes, disk)
 		delete(s.putStates, disk)
-		for _, record := range ends {
-			s.recordOutcome(record.unit, s.votingDisks(), record.end)
+		for _, record := range outcomes {
+			s.recordOutcome(record.unit, s.votingDisks(), record.outcome)
 		}
 		for _, record := range callbacks {
-			s.recordCallback(record.unit, s.votingDisks(), record.end.ID)
+			s.recordCallback(record.unit, s.votingDisks(), record.outcome.ID)
 		}
 	}
 }
 
 // recordOutcome sends the outcome of a message of a unit to the disks that hold the message.
-func (s *storage) recordOutcome(u *unit, holders []string, end message.End) {
+func (s *storage) recordOutcome(u *unit, holders []string, outcome message.End) {
 	for _, disk := range s.recipients(holders) {
-		s.enqueue(disk, &s.outbox(disk).outcomes, pendingRecord{unit: u, end: end})
+		s.enqueue(disk, &s.outbox(disk).outcomes, pendingRecord{unit: u, outcome: outcome})
 	}
 }
 
@@ -171,7 +171,7 @@
 	lacking := map[string]pendingRecord{}
 	for _, box := range s.outboxes {
 		for _, record := range box.outcomes.records {
-			lacking[record.end.ID] = record
+			lacking[record.outcome.ID] = record
 		}
 	}
 	for _, record := range ordered.Map(lacking) {
@@ -184,7 +184,7 @@
 // recordCallback reports to the disks that hold a message that its call-back is done.
 func (s *storage) recordCallback(u *unit, holders []string, id string) {
 	for _, disk := range s.recipients(holders) {
-		s.enqueue(disk, &s.outbox(disk).callbacks, pendingRecord{unit: u, end: message.End{ID: id}})
+		s.enqueue(disk, &s.outbox(disk).callbacks, pendingRecord{unit: u, outcome: message.End{ID: id}})
 	}
 }
 
@@ -213,13 +213,13 @@
 	case len(box.outcomes.records) > 0:
 		var body wire.EndsBody
 		for _, record := range box.outcomes.nextBatch() {
-			body.Ends = append(body.Ends, record.end)
+			body.Ends = append(body.Ends, record.outcome)
 		}
 		s.send(disk, box, wire.PutEnds, wire.Encode(&body), &box.outcomes)
 	case len(box.callbacks.records) > 0:
 		var body wire.CallbackDoneBody
 		for _, record := range box.callbacks.nextBatch() {
-			body.IDs = append(body.IDs, record.end.ID)
+			body.IDs = append(body.IDs, record.outcome.ID)
 		}
 		s.send(disk, box, wire.CallbackDone, wire.Encode(&body), &box.callbacks)
 	}
--- a/internal/system/role/carrier/outbox_test.go
+++ b/internal/system/role/carrier/outbox_test.go
@@ -7,8 +7,9 @@
 	"granitewing/internal/system/message"
 )
 
-// Guards against records that are dropped without a word: a disk that takes nothing for long is owed more than there is room for.
-func TestRecordsThatAreDroppedAreReported(t *testing.T) {
+// Guards against records that are dropped without a report: a disk that accepts nothing for long has more pending
+// records than its outbox holds.
+func TestDroppedRecordsAreReported(t *testing.T) {
 	r := newFixture()
 	r.store("disk-1").unresponsive = true
 	u := r.core.own
--- a/internal/system/role/carrier/owner.go
+++ b/internal/system/role/carrier/owner.go
@@ -99,7 +99,7 @@
 	if !u.active || u.released() {
 		return &wire.RefusalBody{Code: wire.NotReady, Reason: "the unit changes its owner"}
 	}
-	if _, ended := c.recent.get(body.Message.ID); ended || u.items[body.Message.ID] != nil {
+	if _, completed := c.recent.get(body.Message.ID); completed || u.items[body.Message.ID] != nil {
 		return nil
 	}
 	if c.mayHaveCompleted(u, &body) {
--- a/internal/system/role/carrier/query.go
+++ b/internal/system/role/carrier/query.go
@@ -33,8 +33,8 @@
 // Find reports the state of a message, with its body if withBody is set. It calls done once, with the first
 // definite state or once all stores have answered or failed to.
 func (c *Core) Find(id string, withBody bool, done func(State)) {
-	if end, known := c.recent.get(id); known && !withBody {
-		done(State{Known: true, Phase: end.Phase, Stamp: end.Stamp})
+	if outcome, known := c.recent.get(id); known && !withBody {
+		done(State{Known: true, Phase: outcome.Phase, Stamp: outcome.Stamp})
 		return
 	}
 	q := &find{wantBody: withBody, done: done}
@@ -53,11 +53,11 @@
 		return
 	}
 	for _, address := range addresses {
-		c.env.Call(address, wire.FindMessage, body, findTimeout, func(payload []byte, err error) { q.take(payload, err) })
+		c.env.Call(address, wire.FindMessage, body, findTimeout, func(payload []byte, err error) { q.handleAnswer(payload, err) })
 	}
 }
 
-func (q *find) take(payload []byte, err error) {
+func (q *find) handleAnswer(payload []byte, err error) {
 	q.pending--
 	var answer wire.FindAnswer
 	if err == nil {
--- a/internal/system/role/carrier/queue.go
+++ b/internal/system/role/carrier/queue.go
@@ -119,7 +119,7 @@
 
 // contains reports whether a message waits in this queue. A message that has moved to the queue of another service
 // may still have an entry here.
-func (q *queue) contains(it *item) bool { return !it.ended && it.queued && it.queue == q }
+func (q *queue) contains(it *item) bool { return !it.completed && it.queued && it.queue == q }
 
 // add queues a message. Urgent messages were due when they were taken over.
 func (q *queue) add(it *item, urgent bool) {
--- a/internal/system/role/carrier/queue_test.go
+++ b/internal/system/role/carrier/queue_test.go
@@ -45,21 +45,21 @@
 		}
 	}
 
-	ginkgo.It("gives what can start in its aim first, the oldest ahead, then the late ones", func() {
+	ginkgo.It("returns messages that can start within their target first, the oldest ahead, then late ones", func() {
 		due("late", "", 0)
 		due("older", "", 1500*time.Millisecond)
 		due("newer", "", 1600*time.Millisecond)
 		Expect(order(2 * time.Second)).To(Equal([]string{"older", "newer", "late"}))
 	})
 
-	ginkgo.It("gives late messages of short keys first", func() {
+	ginkgo.It("returns late messages of keys with few messages first", func() {
 		due("long-1", "long", 0)
 		due("short-1", "short", 100*time.Millisecond)
 		u.keys["long"] = append(u.keys["long"], &item{}, &item{})
 		Expect(order(2 * time.Second)).To(Equal([]string{"short-1", "long-1"}))
 	})
 
-	ginkgo.It("gives what has waited for half of its retention before all that is fresh", func() {
+	ginkgo.It("returns messages that have waited for half of their retention before all fresh ones", func() {
 		due("overdue", "", 0)
 		due("late", "", 3*time.Second)
 		Expect(q.next(4500*time.Millisecond, func(it *item) time.Duration { return it.due + target })).NotTo(BeNil())
@@ -68,7 +68,7 @@
 		Expect(q.len()).To(BeZero())
 	})
 
-	ginkgo.It("gives a message once, whichever way it was put in again", func() {
+	ginkgo.It("returns a message once, however it was added again", func() {
 		it := due("again", "", 0)
 		Expect(q.next(2*time.Second, func(it *item) time.Duration { return it.due + target })).To(Equal(it))
 		it.queued = true
@@ -82,50 +82,50 @@
 
 	ginkgo.BeforeEach(func() { b = &backlog{} })
 
-	// run lets messages come and end at even times for a while, and gives the time after it.
-	run := func(now time.Duration, lasts time.Duration, coming, ending int) time.Duration {
+	// run lets messages arrive and complete at constant rates for a while, and returns the time at the end.
+	run := func(now time.Duration, period time.Duration, arrivalRate, completionRate int) time.Duration {
 		const step = 10 * time.Millisecond
-		comes, ends := 0.0, 0.0
-		for until := now + lasts; now < until; now += step {
-			for comes += float64(coming) * step.Seconds(); comes >= 1; comes-- {
+		arrivals, completions := 0.0, 0.0
+		for until := now + period; now < until; now += step {
+			for arrivals += float64(arrivalRate) * step.Seconds(); arrivals >= 1; arrivals-- {
 				b.add(now)
 			}
-			for ends += float64(ending) * step.Seconds(); ends >= 1 && b.due > 0; ends-- {
+			for completions += float64(completionRate) * step.Seconds(); completions >= 1 && b.due > 0; completions-- {
 				b.remove(now, true)
 			}
 		}
 		return now
 	}
 
-	ginkgo.It("tells how long it lasts at the pace at which messages end", func() {
+	ginkgo.It("estimates the wait from the rate at which messages complete", func() {
 		now := run(0, 10*time.Second, 200, 100)
 		Expect(b.due).To(BeNumerically("~", 1000, 20))
 		Expect(b.wait(now)).To(BeNumerically("~", 10*time.Second, 500*time.Millisecond))
 	})
 
-	ginkgo.It("knows nothing while no message ends, nor soon after", func() {
+	ginkgo.It("gives no estimate while no message completes, nor soon after", func() {
 		now := run(0, 4*time.Second, 10, 10)
 		now = run(now, 7*time.Second, 500, 0)
-		Expect(b.wait(now)).To(BeZero(), "an outage tells nothing of the pace")
+		Expect(b.wait(now)).To(BeZero(), "the rate is unknown during an outage")
 		for range 300 {
 			now = run(now, 10*time.Millisecond, 500, 2000)
-			Expect(b.wait(now)).To(BeNumerically("<", 3*time.Second), "the outage is no part of the pace")
+			Expect(b.wait(now)).To(BeNumerically("<", 3*time.Second), "the outage is not part of the rate")
 		}
 	})
 
-	ginkgo.It("leaves out what runs: long runs are no backlog", func() {
+	ginkgo.It("leaves out running messages: long runs are not a backlog", func() {
 		now := run(0, 10*time.Second, 200, 100)
 		b.running = b.due
 		Expect(b.wait(now)).To(BeZero())
 	})
 
-	ginkgo.It("takes a quiet service for no slow one", func() {
+	ginkgo.It("does not treat a quiet service as a slow one", func() {
 		now := run(0, 20*time.Second, 2, 2)
 		now = run(now, time.Second, 100, 100)
 		Expect(b.wait(now)).To(BeNumerically("<", 6*time.Second))
 	})
 
-	ginkgo.It("counts what has gone to another carrier as no end", func() {
+	ginkgo.It("does not count messages that moved to another carrier as completed", func() {
 		now := run(0, 4*time.Second, 100, 50)
 		before := b.wait(now)
 		for range 100 {
--- a/internal/system/role/carrier/recent.go
+++ b/internal/system/role/carrier/recent.go
@@ -25,11 +25,11 @@
 
 func newRecentOutcomes() *recentOutcomes { return &recentOutcomes{outcomes: map[string]message.End{}} }
 
-func (r *recentOutcomes) add(now time.Duration, end message.End) {
-	if _, known := r.outcomes[end.ID]; !known {
-		r.order = append(r.order, recentOutcome{id: end.ID, at: now})
+func (r *recentOutcomes) add(now time.Duration, outcome message.End) {
+	if _, known := r.outcomes[outcome.ID]; !known {
+		r.order = append(r.order, recentOutcome{id: outcome.ID, at: now})
 	}
-	r.outcomes[end.ID] = end
+	r.outcomes[outcome.ID] = outcome
 	if len(r.order) > maxRecentOutcomes {
 		half := len(r.order) / 2
 		for _, old := range r.order[:half] {
@@ -41,6 +41,6 @@
 }
 
 func (r *recentOutcomes) get(id string) (message.End, bool) {
-	end, known := r.outcomes[id]
-	return end, known
+	outcome, known := r.outcomes[id]
+	return outcome, known
 }
--- a/internal/system/role/carrier/recovery.go
+++ b/internal/system/role/carrier/recovery.go
@@ -13,19 +13,19 @@
 const (
 	listTimeout              = 1500 * time.Millisecond
 	listRetry                = 150 * time.Millisecond
-	listAllPeriod            = 1200 * time.Millisecond // after it, answers from all stores except those that may be lost are enough
+	listAllPeriod            = 1200 * time.Millisecond // after it, stores that may be lost need not answer
 	relistDelay              = 300 * time.Millisecond
 	incompleteRelistInterval = 600 * time.Millisecond // between two listings of a store whose disk is being backfilled
 )
 
 // recovery reads a unit's messages from the stores when this carrier takes the unit over. It lists the unit at the
-// stores, then queries the stores whose listings are complete for the outcomes of all listed messages.
+// stores, then queries the stores that have listed everything for the outcomes of all listed messages.
 type recovery struct {
 	core         *Core
 	unit         *unit
 	began        time.Duration
 	listed       map[string]*listing // by disk
-	outcomeRound map[string]*listing // by disk: listings that were complete when the outcomes were queried; nil while no outcomes are queried
+	outcomeRound map[string]*listing // by disk: listings used by the current outcome query; nil while there is none
 	relistAt     time.Duration       // when incomplete stores are listed again
 	finished     bool
 }
@@ -185,10 +185,10 @@
 	}
 	sort.Strings(body.IDs)
 	payload := wire.Encode(&body)
-	open := len(r.outcomeRound)
+	pending := len(r.outcomeRound)
 	for disk := range ordered.Map(r.outcomeRound) {
 		r.queryOutcomesAt(disk, payload, func() {
-			if open--; open == 0 {
+			if pending--; pending == 0 {
 				r.outcomesAnswered()
 			}
 		})
--- a/internal/system/role/carrier/recovery_merge.go
+++ b/internal/system/role/carrier/recovery_merge.go
@@ -39,14 +39,14 @@
 		return a.ID < b.ID
 	})
 	u.active = true
-	owed := 0
+	pendingCallbacks := 0
 	for _, id := range ids {
 		if r.adopt(messages[id]) {
-			owed++
+			pendingCallbacks++
 		}
 	}
-	if len(u.items)+owed > 0 {
-		c.env.Inform(fmt.Sprintf("took over unit %s with %d messages and %d pending call-backs in %s", u.name, len(u.items), owed,
+	if len(u.items)+pendingCallbacks > 0 {
+		c.env.Inform(fmt.Sprintf("took over unit %s with %d messages and %d pending call-backs in %s", u.name, len(u.items), pendingCallbacks,
 			c.env.Now()-r.began))
 	}
 	c.settleDeparted()
@@ -54,11 +54,11 @@
 
 func (r *recovery) merge() map[string]*recoveredMessage {
 	c := r.core
-	ends := map[string]message.End{}
+	outcomes := map[string]message.End{}
 	for _, l := range ordered.Map(r.outcomeRound) {
-		for _, end := range l.outcomes {
-			if old, known := ends[end.ID]; !known || old.CallbackOwed {
-				ends[end.ID] = end
+		for _, outcome := range l.outcomes {
+			if old, known := outcomes[outcome.ID]; !known || old.CallbackOwed {
+				outcomes[outcome.ID] = outcome
 			}
 		}
 	}
@@ -76,8 +76,8 @@
 			// Each store reports an age that is at most the true one, so the highest is the most accurate.
 			f.listed.Age = max(f.listed.Age, listed.Age)
 			f.holders = append(f.holders, disk)
-			if end, ended := ends[listed.Message.ID]; ended {
-				f.outcome = &end
+			if outcome, completed := outcomes[listed.Message.ID]; completed {
+				f.outcome = &outcome
 			}
 		}
 	}
@@ -96,21 +96,21 @@
 
 // adopt takes a message that the stores hold. It returns true if the message has completed and its call-back is
 // still due.
-func (r *recovery) adopt(f *recoveredMessage) (owed bool) {
+func (r *recovery) adopt(f *recoveredMessage) (callbackDue bool) {
 	c, u := r.core, r.unit
 	m := f.listed.Message
 	if f.outcome == nil {
-		if end, known := c.recent.get(m.ID); known {
-			f.outcome = &end
+		if outcome, known := c.recent.get(m.ID); known {
+			f.outcome = &outcome
 		}
 	}
 	if f.outcome != nil {
 		c.stores.recordOutcome(u, f.holders, *f.outcome)
-		owed = f.outcome.CallbackOwed && m.Callback != ""
-		if owed {
+		callbackDue = f.outcome.CallbackOwed && m.Callback != ""
+		if callbackDue {
 			c.queueCallback(u, m.Callback, *f.outcome, f.holders)
 		}
-		return owed
+		return callbackDue
 	}
 	if u.items[m.ID] == nil {
 		c.addTakenOver(u, &m, f.holders, c.env.Now()-f.listed.Age)
--- a/internal/system/role/carrier/review.go
+++ b/internal/system/role/carrier/review.go
@@ -24,7 +24,7 @@
 	byDisk := map[string][]string{}
 	for _, u := range c.units {
 		for id, it := range u.items {
-			if it.takenOver && !it.ended && !it.inFlight {
+			if it.takenOver && !it.completed && !it.inFlight {
 				waiting[id] = it
 			}
 		}
@@ -50,18 +50,18 @@
 		if err != nil || wire.Decode(wire.FindEnds, payload, &answer) != nil {
 			return // the next review queries again
 		}
-		for _, end := range answer.Ends {
-			if it := waiting[end.ID]; it != nil {
-				c.completedElsewhere(it, end)
+		for _, outcome := range answer.Ends {
+			if it := waiting[outcome.ID]; it != nil {
+				c.completedElsewhere(it, outcome)
 			}
 		}
 	})
 }
 
 // completedElsewhere records the outcome of a message that its former carrier completed, and removes the message.
-func (c *Core) completedElsewhere(it *item, end message.End) {
-	if it.ended || it.inFlight || it.unit.dropped {
+func (c *Core) completedElsewhere(it *item, outcome message.End) {
+	if it.completed || it.inFlight || it.unit.dropped {
 		return
 	}
-	c.recordOutcome(it, end)
+	c.recordOutcome(it, outcome)
 }
--- a/internal/system/role/carrier/rig_test.go
+++ b/internal/system/role/carrier/rig_test.go
@@ -17,7 +17,7 @@
 	"granitewing/internal/system/wire"
 )
 
-// Addresses and names of the rig.
+// Addresses and names of the fixture.
 const (
 	keeperAddress   = "10.0.0.1:7000"
 	pacedUnit       = "paced/partner"
@@ -26,27 +26,28 @@
 	receiverLatency = 5 * time.Millisecond
 )
 
-// rig is one carrier on simulated time, a keeper that takes everything, and stores that hold what a test says.
+// fixture is one carrier on simulated time, with a keeper that accepts every call and stores whose content a test
+// sets.
 type fixture struct {
 	*simulated.Loop
 	core    *Core
 	table   *feed.Table
 	stores  map[string]*storeStub // by address
-	sent    []string              // ids of messages that workers got
-	finish  func(Outcome)         // of the latest of them
+	sent    []string              // IDs of messages that were sent to workers
+	finish  func(Outcome)         // finishes the latest attempt
 	logged  []string
 	reports []error
-	// receive answers a call-back of a message; nil where none is answered.
+	// receive returns the status that answers a call-back of a message; if it is nil, call-backs are not answered.
 	receive    func(id string) (status int)
-	calledBack []string // ids of messages whose call-back was taken
+	calledBack []string // IDs of messages whose call-back was accepted
 }
 
-// heldStore is what a store tells.
+// storeStub is a store with the answers that a test sets.
 type storeStub struct {
 	listed         []wire.ListedMessage
 	outcomes       map[string]message.End
 	unresponsive   bool
-	outcomeQueries int // for ends
+	outcomeQueries int // number of FindEnds calls
 }
 
 func (r *fixture) Deliver(attempt Attempt, done func(Outcome)) {
@@ -57,14 +58,14 @@
 	if r.receive == nil {
 		return
 	}
-	var form callbackBody
-	if err := json.Unmarshal(body, &form); err != nil {
-		panic(err) // a form of ours
+	var posted callbackBody
+	if err := json.Unmarshal(body, &posted); err != nil {
+		panic(err) // the carrier always sends a valid body
 	}
 	r.After(receiverLatency, func() {
-		status := r.receive(form.ID)
+		status := r.receive(posted.ID)
 		if status == http.StatusOK {
-			r.calledBack = append(r.calledBack, form.ID)
+			r.calledBack = append(r.calledBack, posted.ID)
 		}
 		done(status, nil)
 	})
@@ -77,7 +78,7 @@
 	`"target-latency-ms":100,"priority":1,"backend":"partner","retries":3,"ordered":false,"retention-s":60,"target-start-ms":900}],` +
 	`"services":[{"name":"partner","max-connections":9,"rate-per-s":100,"static":"10.9.0.1:80"}],"limits":{}}`
 
-// newRig gives a carrier that owns a paced unit and a unit of keys, with nothing on the stores.
+// newFixture returns a carrier that owns a paced unit and a key unit, with nothing on the stores.
 func newFixture() *fixture {
 	r := &fixture{stores: map[string]*storeStub{}, table: feed.NewTable("life-1")}
 	r.Loop = &simulated.Loop{Reachable: map[string]bool{keeperAddress: true}, Answer: r.answer}
@@ -97,7 +98,7 @@
 	return r
 }
 
-// own makes the carrier the owner of its units under a token.
+// own makes the carrier the owner of its units under a fencing token.
 func (r *fixture) own(token uint64) {
 	for _, unit := range []string{pacedUnit, keyUnit} {
 		r.table.Set(keeper.PrefixOwner+unit, wire.Encode(&ownership.Owner{Incarnation: r.core.Incarnation(), Token: token}))
@@ -119,20 +120,20 @@
 
 func (r *fixture) store(disk string) *storeStub { return r.stores[diskAddress(disk)] }
 
-// toldEnds gives the addresses of the stores that were told of ends.
+// storesWithOutcomes returns the addresses of the stores that outcomes were sent to.
 func (r *fixture) storesWithOutcomes() map[string]bool {
-	told := map[string]bool{}
+	addresses := map[string]bool{}
 	for _, call := range r.Calls {
 		if call.Kind == wire.PutEnds {
-			told[call.Address] = true
+			addresses[call.Address] = true
 		}
 	}
-	return told
+	return addresses
 }
 
 func (r *fixture) answer(address string, kind wire.Kind, payload []byte) ([]byte, error) {
-	if held := r.stores[address]; held != nil {
-		return held.answer(kind, payload)
+	if stub := r.stores[address]; stub != nil {
+		return stub.answer(kind, payload)
 	}
 	switch kind {
 	case wire.OpenSession:
@@ -168,8 +169,8 @@
 		}
 		answer := wire.FoundEnds{Complete: true}
 		for _, id := range body.IDs {
-			if end, ended := s.outcomes[id]; ended {
-				answer.Ends = append(answer.Ends, end)
+			if outcome, completed := s.outcomes[id]; completed {
+				answer.Ends = append(answer.Ends, outcome)
 			}
 		}
 		return wire.Encode(&answer), nil
@@ -177,7 +178,8 @@
 	return wire.Encode(&struct{}{}), nil
 }
 
-// handed gives a message that its acceptor stored while it knew the unit's owner by a token.
+// deliverBody returns the call that passes on a message, stored by an acceptor that knew the unit's owner under
+// the given token.
 func deliverBody(id, unit string, token uint64) wire.DeliverBody {
 	m := message.Message{ID: id, Unit: unit, Host: "h", Method: "POST", Target: "/x", Token: token, Retention: time.Minute}
 	if unit == keyUnit {
--- a/internal/system/role/carrier/sendable.go
+++ b/internal/system/role/carrier/sendable.go
@@ -20,14 +20,14 @@
 	blockedNotDue                       // its delay has not passed; pauses after an attempt precede the check
 	blockedByOrder                      // another message of its ordering key is ahead
 	blockedNoConfiguration              // no configuration is known
-	blockedOlderConfiguration           // the known configuration is older than the one under which the message was accepted
+	blockedOlderConfiguration           // the known configuration is older than the one at acceptance
 	blockedFetchingBody                 // its body is being read from a disk
 )
 
 // countsAsDue reports whether a message waits only for capacity, its place in the key's order, the configuration
 // or its body. It then counts toward the backlog.
-func (h sendBlock) countsAsDue() bool {
-	switch h {
+func (b sendBlock) countsAsDue() bool {
+	switch b {
 	case mayBeSent, blockedByOrder, blockedNoConfiguration, blockedOlderConfiguration, blockedFetchingBody:
 		return true
 	}
@@ -38,7 +38,7 @@
 func (c *Core) blockOf(it *item) sendBlock {
 	table := c.session.View().Table
 	switch {
-	case it.ended:
+	case it.completed:
 		return blockedCompleted
 	case it.inFlight:
 		return blockedInFlight
--- a/internal/system/role/carrier/storage.go
+++ b/internal/system/role/carrier/storage.go
@@ -48,21 +48,21 @@
 }
 
 func (s *storage) putState(disk string) *putState {
-	calls := s.putStates[disk]
-	if calls == nil {
-		calls = &putState{}
-		s.putStates[disk] = calls
+	state := s.putStates[disk]
+	if state == nil {
+		state = &putState{}
+		s.putStates[disk] = state
 	}
-	return calls
+	return state
 }
 
 // unansweredFor returns how long a store has had pending puts without answering any.
 func (s *storage) unansweredFor(disk string) time.Duration {
-	calls := s.putStates[disk]
-	if calls == nil || calls.pending == 0 {
+	state := s.putStates[disk]
+	if state == nil || state.pending == 0 {
 		return 0
 	}
-	return s.core.env.Now() - calls.since
+	return s.core.env.Now() - state.since
 }
 
 // zones returns the zones of disks. Disks that are no longer in the roster are left out.
@@ -101,8 +101,8 @@
 
 // another returns one more disk for a message that was sent to attempted and is stored on holders. It prefers a
 // disk that the message still needs, and returns an empty string if there is no other disk.
-func (s *storage) another(tried, holders []string) string {
-	ranked := s.ranked(tried)
+func (s *storage) another(attempted, holders []string) string {
+	ranked := s.ranked(attempted)
 	if picks := s.core.settings.Tolerance.Choose(s.zones(holders), s.zones(ranked)); len(picks) > 0 {
 		return ranked[picks[0]]
 	}
@@ -153,8 +153,9 @@
 	answeredFully
 )
 
-// enoughAnswered reports whether all counting disks have answered. If late is set, those that may be lost at the
-// same time need not have answered. Partial answers count as missing data in both cases.
+// enoughAnswered reports whether enough counting disks have answered. Those that answered in part or not at all must be
+// few enough that they may be lost at the same time. Unless late is set, every disk must also have answered at least in
+// part.
 func (s *storage) enoughAnswered(late bool, answerOf func(disk string) diskAnswer) bool {
 	var counting, missing []string
 	all := true
@@ -172,18 +173,18 @@
 
 func (s *storage) put(disk string, m *message.Message, done func(err error)) {
 	c := s.core
-	calls := s.putState(disk)
-	if calls.pending == 0 {
-		calls.since = c.env.Now()
+	state := s.putState(disk)
+	if state.pending == 0 {
+		state.since = c.env.Now()
 	}
-	calls.pending++
+	state.pending++
 	body := wire.PutBody{Message: *m, Epoch: c.session.View().Epoch}
 	c.env.Call(s.address(disk), wire.PutMessage, wire.Encode(&body), putTimeout, func(_ []byte, err error) {
-		calls.pending--
-		if took := c.env.Now() - calls.since; err != nil && took > suspectTimeout {
-			calls.slowUntil = c.env.Now() + slowPeriod
+		state.pending--
+		if took := c.env.Now() - state.since; err != nil && took > suspectTimeout {
+			state.slowUntil = c.env.Now() + slowPeriod
 		}
-		calls.since = c.env.Now()
+		state.since = c.env.Now()
 		done(err)
 	})
 }
--- a/internal/system/role/carrier/unit.go
+++ b/internal/system/role/carrier/unit.go
@@ -23,7 +23,7 @@
 	keys          map[string][]*item // by ordering key, in order; the first is due or being delivered
 	settled       bool
 	settling      bool
-	unrecorded    int       // records of its outcomes and call-backs that some store has not acknowledged, and pending call-backs
+	unrecorded    int       // records that some store has not acknowledged, and pending call-backs
 	handover      *handover // nil unless the unit is being handed over
 	declinedOffer uint64    // latest offer that was not followed
 	// outcomeQueries are, by message ID, of messages that were passed to this carrier and may have completed under a
