--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -23,14 +23,14 @@
 
 // The parts of the budget, in microseconds.
 const (
-	Silence    = 2_400_000 // since the last byte, from which a watch counts as silent
-	Spread     = 400_000   // drawn on top of it
-	Patience   = 2_200_000 // for the answer to a call, its connection included
-	ToldSilent = 6_000_000 // after it fell silent what a watch or call missed counts as told
-	ToldMoved  = 4_000_000 // after discovery has moved what it has to tell counts as told
-	acts       = 250_000   // of the grace for drains, kept for acting on it
-	pushedGap  = 200_000   // before a failed call is repeated where lists are pushed; as much again is drawn
-	failedMore = 4         // times the time that a list holds without a watch, after a call that failed
+	Silence              = 2_400_000 // since the last byte, from which a watch counts as silent
+	Spread               = 400_000   // drawn on top of it
+	Patience             = 2_200_000 // for the answer to a call, its connection included
+	ToldSilent           = 6_000_000 // after it fell silent what a watch or call missed counts as told
+	ToldMoved            = 4_000_000 // after discovery has moved what it has to tell counts as told
+	actMargin            = 250_000   // of the grace for drains, kept for acting on it
+	pushedRetryGap       = 200_000   // before a failed call is repeated where lists are pushed; as much again is drawn
+	failedValidityFactor = 4         // times the time that a list holds without a watch, after a call that failed
 )
 
 // Limits are what a deployment's settings say of lists. Times are microseconds.
@@ -77,184 +77,184 @@
 
 // call is one connection.
 type call struct {
-	id    Call
-	begun int64
-	heard int64 // last byte
-	slack int64 // drawn, of the wait for the next byte
-	moved bool  // to an address that discovery has left
+	id            Call
+	startedAt     int64
+	lastByteAt    int64 // last byte
+	jitter        int64 // drawn, of the wait for the next byte
+	formerAddress bool  // to an address that discovery has left
 }
 
 // Keeper keeps up with discovery. Its methods take the time in microseconds, which never goes back.
 type Keeper struct {
-	limits Limits
-	random func() float64
-	now    int64
-	last   Call
-	index  int64 // revision of the list that is held, or All where it can't be asked by it
-	watch  *call // what is listened to; silent or of an old address it is kept until the next call is answered
-	asked  *call // the call whose answer is awaited
-	gap    int64 // when to ask again, where lists are pushed; 0 = no wait
-	back   bool  // the last list went back; a whole one is believed next
+	limits   Limits
+	random   func() float64
+	now      int64
+	lastCall Call
+	revision int64 // revision of the list that is held, or All where it can't be asked by it
+	watch    *call // what is listened to; silent or of an old address it is kept until the next call is answered
+	pending  *call // the call whose answer is awaited
+	retryAt  int64 // when to ask again, where lists are pushed; 0 = no wait
+	wentBack bool  // the last list went back; a whole one is believed next
 
-	failed int64 // beginning of the last call that failed; 0 = the last one did not
-	known  int64 // up to then all that discovery had to tell is known
-	quiet  int64 // since then discovery may have told what was not heard; 0 = it was not silent
-	down   bool  // it is silent to calls as well; where lists are pushed, it learns nothing then
-	moved  int64 // when discovery moved; 0 = the present address has answered since
-	doubt  bool
-	out    []Command
+	failedCallStart int64 // beginning of the last call that failed; 0 = the last one did not
+	knownUntil      int64 // up to then all that discovery had to tell is known
+	silentSince     int64 // since then discovery may have told what was not heard; 0 = it was not silent
+	unresponsive    bool  // it is silent to calls as well; where lists are pushed, it learns nothing then
+	movedAt         int64 // when discovery moved; 0 = the present address has answered since
+	stale           bool
+	commands        []Command
 }
 
 // New makes a keeper that holds a list of a revision, or All, from the start on. random gives numbers from 0 to 1.
 func New(now int64, l Limits, index int64, random func() float64) *Keeper {
-	return &Keeper{limits: l, random: random, now: now, index: index, known: now}
+	return &Keeper{limits: l, random: random, now: now, revision: index, knownUntil: now}
 }
 
 // Ready gives what is to be done since the last call, valid until the next one.
 func (k *Keeper) Ready() []Command {
-	out := k.out
-	k.out = k.out[:0]
+	out := k.commands
+	k.commands = k.commands[:0]
 	return out
 }
 
-func (k *Keeper) do(c Command) { k.out = append(k.out, c) }
+func (k *Keeper) emit(c Command) { k.commands = append(k.commands, c) }
 
 // Ask asks for the watch, unless one is listened to that is good or an answer is awaited.
 func (k *Keeper) Ask(now int64) {
-	k.begin(now)
-	if k.asked == nil && !k.good() {
+	k.advance(now)
+	if k.pending == nil && !k.watchHealthy() {
 		k.dial()
 	}
-	k.judge()
+	k.updateStale()
 }
 
 // Moved takes the news that discovery has another address from now on. Its revisions need not be the old one's, so it is
 // asked for all it has. The old watch may still bring what was written to it, and is listened to until the answer.
 func (k *Keeper) Moved(now int64) {
-	k.begin(now)
-	k.index, k.moved = All, now
+	k.advance(now)
+	k.revision, k.movedAt = All, now
 	if k.watch != nil {
-		k.watch.moved = true
+		k.watch.formerAddress = true
 	}
-	k.drop(&k.asked)
+	k.closeCall(&k.pending)
 	k.dial()
-	k.judge()
+	k.updateStale()
 }
 
 // Heard takes the news that bytes came on a connection which say that it lives.
 func (k *Keeper) Heard(now int64, id Call) {
-	k.begin(now)
-	for _, c := range [...]*call{k.watch, k.asked} {
+	k.advance(now)
+	for _, c := range [...]*call{k.watch, k.pending} {
 		if c == nil || c.id != id {
 			continue
 		}
-		c.heard, k.down = now, false
-		if c == k.watch && k.good() {
-			k.known = now
+		c.lastByteAt, k.unresponsive = now, false
+		if c == k.watch && k.watchHealthy() {
+			k.knownUntil = now
 		}
 	}
-	k.judge()
+	k.updateStale()
 }
 
 // Listed takes a list that came on a connection and tells whether it is to be believed. One whose revision goes back is not:
 // what it says was true before what is known. The connection is then of no use, and the whole list is asked for.
 func (k *Keeper) Listed(now int64, id Call, revision int64, complete bool) bool {
-	k.begin(now)
-	defer k.judge()
+	k.advance(now)
+	defer k.updateStale()
 	former := k.watch != nil && k.watch.id == id
-	if !former && (k.asked == nil || k.asked.id != id) {
+	if !former && (k.pending == nil || k.pending.id != id) {
 		return false
 	}
-	old := former && k.watch.moved
-	if !old && revision < k.index && !(complete && k.back) {
-		k.back = true
-		if former && k.asked != nil {
+	old := former && k.watch.formerAddress
+	if !old && revision < k.revision && !(complete && k.wentBack) {
+		k.wentBack = true
+		if former && k.pending != nil {
 			return false
 		}
-		k.index = All
-		k.do(Command{Kind: Close, Call: id})
-		k.over(id, Spoilt)
+		k.revision = All
+		k.emit(Command{Kind: Close, Call: id})
+		k.handleEnd(id, Spoilt)
 		return false
 	}
 	if old {
 		return true // its revisions say nothing of the new address's
 	}
-	k.index, k.back = revision, false
+	k.revision, k.wentBack = revision, false
 	if former {
 		return true
 	}
-	k.drop(&k.watch)
-	k.watch, k.asked = k.asked, nil
-	k.watch.heard = now
-	k.known, k.quiet, k.moved, k.failed, k.gap, k.down = now, 0, 0, 0, 0, false
+	k.closeCall(&k.watch)
+	k.watch, k.pending = k.pending, nil
+	k.watch.lastByteAt = now
+	k.knownUntil, k.silentSince, k.movedAt, k.failedCallStart, k.retryAt, k.unresponsive = now, 0, 0, 0, 0, false
 	return true
 }
 
 // Ended takes the end of a connection.
 func (k *Keeper) Ended(now int64, id Call, how How) {
-	k.begin(now)
-	k.over(id, how)
-	k.judge()
+	k.advance(now)
+	k.handleEnd(id, how)
+	k.updateStale()
 }
 
-func (k *Keeper) over(id Call, how How) {
+func (k *Keeper) handleEnd(id Call, how How) {
 	switch {
 	case k.watch != nil && k.watch.id == id:
 		switch {
-		case !k.limits.Pushed && !k.watch.moved && how == Refused:
+		case !k.limits.Pushed && !k.watch.formerAddress && how == Refused:
 			// Watches end when discovery goes down: a silence before that was its going, and it told nothing meanwhile.
-			k.known, k.quiet = k.now, 0
-		case k.good():
-			k.known = k.now
+			k.knownUntil, k.silentSince = k.now, 0
+		case k.watchHealthy():
+			k.knownUntil = k.now
 		}
 		k.watch = nil
-		if k.asked == nil {
-			k.again(how)
+		if k.pending == nil {
+			k.retry(how)
 		}
-	case k.asked != nil && k.asked.id == id:
-		k.failed, k.down = k.asked.begun, false
-		k.asked = nil
-		if !k.good() {
-			k.again(how)
+	case k.pending != nil && k.pending.id == id:
+		k.failedCallStart, k.unresponsive = k.pending.startedAt, false
+		k.pending = nil
+		if !k.watchHealthy() {
+			k.retry(how)
 		}
 	}
 }
 
 // again has discovery asked anew. Where lists are pushed, that is at once after a watch, and soon after a call, since what
 // discovery has counts at once; else the decisions say when, and space out the calls of all.
-func (k *Keeper) again(how How) {
+func (k *Keeper) retry(how How) {
 	switch {
 	case !k.limits.Pushed:
-		k.do(Command{Kind: Fail})
-	case k.failed == 0 && how == Refused:
+		k.emit(Command{Kind: Fail})
+	case k.failedCallStart == 0 && how == Refused:
 		k.dial()
 	default:
-		k.gap = k.now + pushedGap + int64(k.random()*pushedGap)
+		k.retryAt = k.now + pushedRetryGap + int64(k.random()*pushedRetryGap)
 	}
 }
 
 // Wake takes the time; Next says when it wants to be called.
 func (k *Keeper) Wake(now int64) {
-	k.begin(now)
-	if w := k.watch; w != nil && k.quiet == 0 && now >= w.heard+Silence+w.slack {
-		k.quiet = w.heard
-		if k.asked == nil {
+	k.advance(now)
+	if w := k.watch; w != nil && k.silentSince == 0 && now >= w.lastByteAt+Silence+w.jitter {
+		k.silentSince = w.lastByteAt
+		if k.pending == nil {
 			k.dial()
 		}
 	}
-	if a := k.asked; a != nil && now >= a.heard+Patience {
+	if a := k.pending; a != nil && now >= a.lastByteAt+Patience {
 		// Lost in silence: nobody has said that discovery is down or busy, so another call is begun at once.
-		k.failed, k.down = a.begun, true
-		if k.quiet == 0 {
-			k.quiet = max(a.heard, k.known)
+		k.failedCallStart, k.unresponsive = a.startedAt, true
+		if k.silentSince == 0 {
+			k.silentSince = max(a.lastByteAt, k.knownUntil)
 		}
-		k.drop(&k.asked)
+		k.closeCall(&k.pending)
 		k.dial()
 	}
-	if k.gap != 0 && now >= k.gap && k.asked == nil {
+	if k.retryAt != 0 && now >= k.retryAt && k.pending == nil {
 		k.dial()
 	}
-	k.judge()
+	k.updateStale()
 }
 
 // Next is when Wake is to be called at the latest; 0 = not before something happens.
@@ -265,23 +265,23 @@
 			next = at
 		}
 	}
-	if w := k.watch; w != nil && k.quiet == 0 {
-		sooner(w.heard + Silence + w.slack)
+	if w := k.watch; w != nil && k.silentSince == 0 {
+		sooner(w.lastByteAt + Silence + w.jitter)
 	}
-	if k.asked != nil {
-		sooner(k.asked.heard + Patience)
+	if k.pending != nil {
+		sooner(k.pending.lastByteAt + Patience)
 	} else {
-		sooner(k.gap)
+		sooner(k.retryAt)
 	}
-	if at, _ := k.told(); !k.doubt && at != 0 {
+	if at, _ := k.assumedNotifiedAt(); !k.stale && at != 0 {
 		sooner(at + k.grace())
 	}
 	return next
 }
 
 // told is when what is not known counts as told, and why; 0 = not before something happens.
-func (k *Keeper) told() (at int64, cause string) {
-	if k.limits.Pushed && k.down {
+func (k *Keeper) assumedNotifiedAt() (at int64, cause string) {
+	if k.limits.Pushed && k.unresponsive {
 		return 0, ""
 	}
 	sooner := func(t int64, why string) {
@@ -289,21 +289,21 @@
 			at, cause = t, why
 		}
 	}
-	if k.quiet != 0 {
-		sooner(k.quiet+ToldSilent, "discovery is silent")
+	if k.silentSince != 0 {
+		sooner(k.silentSince+ToldSilent, "discovery is silent")
 	}
-	if k.moved != 0 {
-		sooner(k.moved+ToldMoved, "discovery has moved and does not answer")
+	if k.movedAt != 0 {
+		sooner(k.movedAt+ToldMoved, "discovery has moved and does not answer")
 	}
 	switch {
 	case k.watch != nil:
-		sooner(k.watch.heard+ToldSilent, "discovery is silent")
-	case k.limits.Pushed && k.moved == 0:
-		sooner(k.known, "no watch is open and lists are pushed")
+		sooner(k.watch.lastByteAt+ToldSilent, "discovery is silent")
+	case k.limits.Pushed && k.movedAt == 0:
+		sooner(k.knownUntil, "no watch is open and lists are pushed")
 	case !k.limits.Pushed && k.limits.AskWithin > 0:
-		t := k.known + k.limits.AskWithin
-		if k.failed != 0 {
-			t = max(t, k.failed+failedMore*k.limits.AskWithin)
+		t := k.knownUntil + k.limits.AskWithin
+		if k.failedCallStart != 0 {
+			t = max(t, k.failedCallStart+failedValidityFactor*k.limits.AskWithin)
 		}
 		sooner(t, "no watch is open for longer than the settings allow")
 	}
@@ -311,38 +311,40 @@
 }
 
 // grace is how long after that sends are tolerated, less the time to act on it.
-func (k *Keeper) grace() int64 { return max(k.limits.Grace-acts, 0) }
+func (k *Keeper) grace() int64 { return max(k.limits.Grace-actMargin, 0) }
 
 // judge tells when the list comes to be in doubt, and when it is believed again.
-func (k *Keeper) judge() {
-	at, cause := k.told()
+func (k *Keeper) updateStale() {
+	at, cause := k.assumedNotifiedAt()
 	doubt := at != 0 && k.now >= at+k.grace()
-	if doubt == k.doubt {
+	if doubt == k.stale {
 		return
 	}
-	k.doubt = doubt
+	k.stale = doubt
 	if doubt {
-		k.do(Command{Kind: Doubt, Cause: cause})
+		k.emit(Command{Kind: Doubt, Cause: cause})
 	} else {
-		k.do(Command{Kind: Trust})
+		k.emit(Command{Kind: Trust})
 	}
 }
 
 // good tells whether a watch is listened to that speaks and is the present address's.
-func (k *Keeper) good() bool { return k.watch != nil && !k.watch.moved && k.quiet == 0 }
+func (k *Keeper) watchHealthy() bool {
+	return k.watch != nil && !k.watch.formerAddress && k.silentSince == 0
+}
 
-func (k *Keeper) begin(now int64) { k.now = max(k.now, now) }
+func (k *Keeper) advance(now int64) { k.now = max(k.now, now) }
 
 func (k *Keeper) dial() {
-	k.last++
-	k.gap = 0
-	k.asked = &call{id: k.last, begun: k.now, heard: k.now, slack: int64(k.random() * Spread)}
-	k.do(Command{Kind: Dial, Call: k.last, Index: k.index})
+	k.lastCall++
+	k.retryAt = 0
+	k.pending = &call{id: k.lastCall, startedAt: k.now, lastByteAt: k.now, jitter: int64(k.random() * Spread)}
+	k.emit(Command{Kind: Dial, Call: k.lastCall, Index: k.revision})
 }
 
-func (k *Keeper) drop(c **call) {
+func (k *Keeper) closeCall(c **call) {
 	if *c != nil {
-		k.do(Command{Kind: Close, Call: (*c).id})
+		k.emit(Command{Kind: Close, Call: (*c).id})
 		*c = nil
 	}
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -10,7 +10,7 @@
 
 // play runs a script against a keeper and gives what it wants done, a line a step. A step is a time in milliseconds, a word
 // and its arguments.
-func play(t *testing.T, l Limits, steps string) string {
+func runScript(t *testing.T, l Limits, steps string) string {
 	k := New(0, l, 41, func() float64 { return 0 })
 	var out strings.Builder
 	for step := range strings.SplitSeq(strings.TrimSpace(steps), "\n") {
@@ -23,7 +23,7 @@
 		now := ms * 1000
 		for at := k.Next(); at != 0 && at <= now; at = k.Next() {
 			k.Wake(at)
-			write(&out, at, k)
+			printCommands(&out, at, k)
 		}
 		believed := true
 		switch word {
@@ -46,12 +46,12 @@
 		if !believed {
 			fmt.Fprintf(&out, "%d not believed\n", ms)
 		}
-		write(&out, now, k)
+		printCommands(&out, now, k)
 	}
 	return out.String()
 }
 
-func write(out *strings.Builder, now int64, k *Keeper) {
+func printCommands(out *strings.Builder, now int64, k *Keeper) {
 	for _, c := range k.Ready() {
 		switch c.Kind {
 		case Dial:
@@ -162,7 +162,7 @@
 			`},
 	} {
 		want := strings.ReplaceAll(strings.TrimPrefix(c.want, "\n"), "\t", "")
-		if diff := cmp.Diff(want, play(t, c.limits, strings.ReplaceAll(c.steps, "\t", ""))); diff != "" {
+		if diff := cmp.Diff(want, runScript(t, c.limits, strings.ReplaceAll(c.steps, "\t", ""))); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", c.name, diff)
 		}
 	}
--- a/internal/inventory/search_test.go
+++ b/internal/inventory/search_test.go
@@ -12,64 +12,64 @@
 )
 
 // source is discovery as the model has it.
-type source struct {
-	at       int64
-	changes  []int64 // times at which the list changed; its revision is their number
-	written  int     // revision that reached the dispatcher
-	ask      Call    // the call that waits for its answer, and the watch that is open; 0 = none
-	watch    Call
-	old      Call  // a watch at an address that discovery has left
-	silentAt int64 // of the watch, kept past its end; 0 = it speaks
-	asked    int64 // beginning of the last call
-	failed   bool
-	movedAt  int64
-	hup      bool  // it has moved once
-	ended    int64 // when discovery or the dispatcher ended the last watch
-	down     bool
-	pulse    int64 // next line of the watch
+type discoveryModel struct {
+	now               int64
+	changes           []int64 // times at which the list changed; its revision is their number
+	deliveredRevision int     // revision that reached the dispatcher
+	pendingCall       Call    // the call that waits for its answer, and the watch that is open; 0 = none
+	watch             Call
+	formerWatch       Call  // a watch at an address that discovery has left
+	silentSince       int64 // of the watch, kept past its end; 0 = it speaks
+	lastCallStart     int64 // beginning of the last call
+	lastCallFailed    bool
+	movedAt           int64
+	hasMoved          bool  // it has moved once
+	watchEndedAt      int64 // when discovery or the dispatcher ended the last watch
+	down              bool
+	nextLineAt        int64 // next line of the watch
 }
 
 type state struct {
-	k      Keeper
-	s      source
+	keeper Keeper
+	model  discoveryModel
 	pushed bool
 	from   *state // and by which move
-	by     string
+	move   string
 }
 
 // copy makes a state whose steps do not touch this one.
 func (a *state) copy() *state {
 	b := *a
-	b.s.changes = append([]int64(nil), a.s.changes...)
-	if a.k.watch != nil {
-		w := *a.k.watch
-		b.k.watch = &w
+	b.model.changes = append([]int64(nil), a.model.changes...)
+	if a.keeper.watch != nil {
+		w := *a.keeper.watch
+		b.keeper.watch = &w
 	}
-	if a.k.asked != nil {
-		w := *a.k.asked
-		b.k.asked = &w
+	if a.keeper.pending != nil {
+		w := *a.keeper.pending
+		b.keeper.pending = &w
 	}
-	b.k.out = nil
+	b.keeper.commands = nil
 	return &b
 }
 
 // carry has the model take the keeper's commands.
-func (a *state) carry() {
-	for _, c := range append([]Command(nil), a.k.Ready()...) {
+func (a *state) applyCommands() {
+	for _, c := range append([]Command(nil), a.keeper.Ready()...) {
 		switch c.Kind {
 		case Dial:
-			a.s.ask, a.s.asked = c.Call, a.s.at
+			a.model.pendingCall, a.model.lastCallStart = c.Call, a.model.now
 		case Close:
 			switch c.Call {
-			case a.s.ask:
-				a.s.ask = 0
-			case a.s.watch:
-				a.s.watch, a.s.ended = 0, a.s.at
-			case a.s.old:
-				a.s.old = 0
+			case a.model.pendingCall:
+				a.model.pendingCall = 0
+			case a.model.watch:
+				a.model.watch, a.model.watchEndedAt = 0, a.model.now
+			case a.model.formerWatch:
+				a.model.formerWatch = 0
 			}
 		case Fail: // the decisions' longest first gap
-			a.s.failed = true
+			a.model.lastCallFailed = true
 		}
 	}
 }
@@ -81,69 +81,69 @@
 }{
 	{"-", func(*state) bool { return true }},
 	{"change", func(a *state) bool {
-		a.s.changes = append(a.s.changes, a.s.at)
-		return len(a.s.changes) == 1 && !a.s.down
+		a.model.changes = append(a.model.changes, a.model.now)
+		return len(a.model.changes) == 1 && !a.model.down
 	}},
 	{"silence", func(a *state) bool {
-		ok := a.s.watch != 0 && a.s.silentAt == 0
-		a.s.silentAt = a.s.at
+		ok := a.model.watch != 0 && a.model.silentSince == 0
+		a.model.silentSince = a.model.now
 		return ok
 	}},
 	{"answer", func(a *state) bool {
-		ok := a.s.ask != 0 && !a.s.down
+		ok := a.model.pendingCall != 0 && !a.model.down
 		if ok {
 			a.answer()
 		}
 		return ok
 	}},
 	{"turn away", func(a *state) bool {
-		ok := a.s.ask != 0 && !a.s.down
+		ok := a.model.pendingCall != 0 && !a.model.down
 		if ok {
 			a.turnAway()
 		}
 		return ok
 	}},
 	{"end", func(a *state) bool {
-		id := a.s.watch
+		id := a.model.watch
 		// It went down, and has told nothing since it fell silent: what changed counts by the rules for no watch.
-		ok := id != 0 && !a.s.down
+		ok := id != 0 && !a.model.down
 		if ok {
-			a.s.watch, a.s.ended = 0, a.s.at
+			a.model.watch, a.model.watchEndedAt = 0, a.model.now
 			if !a.pushed {
-				a.s.silentAt = 0
+				a.model.silentSince = 0
 			}
-			a.k.Ended(a.s.at, id, Refused)
+			a.keeper.Ended(a.model.now, id, Refused)
 		}
 		return ok
 	}},
 	{"move", func(a *state) bool {
-		ok := a.s.movedAt == 0 && a.s.watch != 0 && !a.s.hup
+		ok := a.model.movedAt == 0 && a.model.watch != 0 && !a.model.hasMoved
 		if ok {
-			a.s.hup, a.s.movedAt, a.s.old, a.s.watch = true, a.s.at, a.s.watch, 0
-			a.k.Moved(a.s.at)
+			a.model.hasMoved, a.model.movedAt, a.model.formerWatch, a.model.watch = true, a.model.now, a.model.watch, 0
+			a.keeper.Moved(a.model.now)
 		}
 		return ok
 	}},
 	{"late list", func(a *state) bool { // from the address that discovery has left
-		ok := a.s.old != 0 && a.s.silentAt == 0 && a.s.written < len(a.s.changes)
+		ok := a.model.formerWatch != 0 && a.model.silentSince == 0 && a.model.deliveredRevision < len(a.model.changes)
 		if ok {
-			a.tell(a.s.old)
+			a.deliverList(a.model.formerWatch)
 		}
 		return ok
 	}},
 	{"outage", func(a *state) bool { // where lists are pushed: it says nothing and learns nothing
-		ok := a.pushed && !a.s.down && a.s.at < 5*tick
+		ok := a.pushed && !a.model.down && a.model.now < 5*tick
 		if ok {
-			a.s.down = true
-			if a.s.watch != 0 && a.s.silentAt == 0 {
-				a.s.silentAt = a.s.at
+			a.model.down = true
+			if a.model.watch != 0 && a.model.silentSince == 0 {
+				a.model.silentSince = a.model.now
 			}
 		}
 		return ok
 	}},
 	{"return", func(a *state) bool {
-		ok := a.s.down
-		if a.s.down = false; ok && a.s.ask != 0 {
+		ok := a.model.down
+		if a.model.down = false; ok && a.model.pendingCall != 0 {
 			a.answer()
 		}
 		return ok
@@ -151,122 +151,122 @@
 }
 
 func (a *state) answer() {
-	a.s.watch, a.s.ask = a.s.ask, 0
-	a.s.silentAt, a.s.movedAt, a.s.pulse = 0, 0, a.s.at+2_000_000
-	a.tell(a.s.watch)
+	a.model.watch, a.model.pendingCall = a.model.pendingCall, 0
+	a.model.silentSince, a.model.movedAt, a.model.nextLineAt = 0, 0, a.model.now+2_000_000
+	a.deliverList(a.model.watch)
 }
 
 func (a *state) turnAway() {
-	id := a.s.ask
-	a.s.ask, a.s.failed = 0, true
-	a.k.Ended(a.s.at, id, Refused)
+	id := a.model.pendingCall
+	a.model.pendingCall, a.model.lastCallFailed = 0, true
+	a.keeper.Ended(a.model.now, id, Refused)
 }
 
 // tell writes what discovery holds on a connection.
-func (a *state) tell(id Call) {
-	a.k.Heard(a.s.at, id)
-	if a.k.Listed(a.s.at, id, int64(len(a.s.changes)), true) {
-		a.s.written = len(a.s.changes)
+func (a *state) deliverList(id Call) {
+	a.keeper.Heard(a.model.now, id)
+	if a.keeper.Listed(a.model.now, id, int64(len(a.model.changes)), true) {
+		a.model.deliveredRevision = len(a.model.changes)
 	}
 }
 
 // step lets a tick pass in which one thing happens.
 func (a *state) step(move func(*state) bool) bool {
-	end := a.s.at + tick
-	if a.s.watch != 0 && a.s.silentAt == 0 && (end >= a.s.pulse || a.s.written < len(a.s.changes)) {
-		a.s.pulse = end + 2_000_000
-		a.tell(a.s.watch)
+	end := a.model.now + tick
+	if a.model.watch != 0 && a.model.silentSince == 0 && (end >= a.model.nextLineAt || a.model.deliveredRevision < len(a.model.changes)) {
+		a.model.nextLineAt = end + 2_000_000
+		a.deliverList(a.model.watch)
 	}
 	for {
-		wake, turn := a.k.Next(), int64(0)
-		if a.pushed && !a.s.down && a.s.ask != 0 {
-			turn = a.s.asked + 2_000_000 // it lets no call wait longer
+		wake, turn := a.keeper.Next(), int64(0)
+		if a.pushed && !a.model.down && a.model.pendingCall != 0 {
+			turn = a.model.lastCallStart + 2_000_000 // it lets no call wait longer
 		}
 		switch {
 		case turn != 0 && turn <= end && (wake == 0 || turn <= wake):
-			a.s.at = turn
+			a.model.now = turn
 			a.turnAway()
 		case wake != 0 && wake <= end:
-			a.s.at = max(wake, a.s.at)
-			a.k.Wake(a.s.at)
+			a.model.now = max(wake, a.model.now)
+			a.keeper.Wake(a.model.now)
 		default:
-			a.s.at = end
+			a.model.now = end
 		}
-		a.carry()
-		if a.s.at == end && (wake == 0 || wake > end) {
+		a.applyCommands()
+		if a.model.now == end && (wake == 0 || wake > end) {
 			break
 		}
 	}
 	if !move(a) {
 		return false
 	}
-	a.carry()
-	if a.s.ask == 0 && a.s.watch == 0 && a.s.failed {
-		a.k.Ask(a.s.at) // the decisions' gap is over: a tick at most, the longest of their first
-		a.carry()
+	a.applyCommands()
+	if a.model.pendingCall == 0 && a.model.watch == 0 && a.model.lastCallFailed {
+		a.keeper.Ask(a.model.now) // the decisions' gap is over: a tick at most, the longest of their first
+		a.applyCommands()
 	}
 	return true
 }
 
 // late is how long ago the grace ended for the oldest change that was not heard; 0 or less: it did not.
-func (a *state) late(l Limits) int64 {
-	if a.k.doubt || a.s.written >= len(a.s.changes) {
+func (a *state) overdue(l Limits) int64 {
+	if a.keeper.stale || a.model.deliveredRevision >= len(a.model.changes) {
 		return 0
 	}
-	made := a.s.changes[a.s.written]
+	made := a.model.changes[a.model.deliveredRevision]
 	told := int64(1 << 62)
-	if a.s.silentAt != 0 && a.s.silentAt <= made && !a.s.down && (a.s.watch != 0 || made <= a.s.ended) { // missed by a silent watch
-		told = min(told, max(a.s.silentAt+ToldSilent, made))
+	if a.model.silentSince != 0 && a.model.silentSince <= made && !a.model.down && (a.model.watch != 0 || made <= a.model.watchEndedAt) { // missed by a silent watch
+		told = min(told, max(a.model.silentSince+ToldSilent, made))
 	}
-	if a.s.movedAt != 0 {
-		told = min(told, max(a.s.movedAt+ToldMoved, made))
+	if a.model.movedAt != 0 {
+		told = min(told, max(a.model.movedAt+ToldMoved, made))
 	}
-	if a.s.watch == 0 && l.Pushed && a.s.silentAt == 0 && a.s.movedAt == 0 {
+	if a.model.watch == 0 && l.Pushed && a.model.silentSince == 0 && a.model.movedAt == 0 {
 		told = min(told, made)
 	}
-	if l.Pushed && a.s.down { // made before the outage; what was silent then began with it
+	if l.Pushed && a.model.down { // made before the outage; what was silent then began with it
 		told = 1 << 62
 	}
-	if a.s.watch == 0 && !l.Pushed {
+	if a.model.watch == 0 && !l.Pushed {
 		span := l.AskWithin
-		if a.s.failed {
-			span *= failedMore
+		if a.model.lastCallFailed {
+			span *= failedValidityFactor
 		}
-		if a.s.at >= a.s.asked+span {
+		if a.model.now >= a.model.lastCallStart+span {
 			told = min(told, made+l.AskWithin)
 		}
 	}
-	return a.s.at - told - grace
+	return a.model.now - told - grace
 }
 
 // key tells states apart whose futures differ; times further back than any limit count alike.
-type key struct {
-	written, changes                             int
-	flags                                        [12]bool
-	silent, asked, moved, pulse, first, ended    int64
-	known, quiet, kmoved, failed, gap            int64
-	watchBegun, watchHeard, asksBegun, asksHeard int64
+type stateKey struct {
+	deliveredRevision, changes                                             int
+	flags                                                                  [12]bool
+	silentSince, lastCallStart, moved, nextLineAt, firstChange, watchEnded int64
+	knownUntil, keeperSilentSince, keeperMoved, failedCallStart, retryAt   int64
+	watchStarted, watchLastByte, pendingStarted, pendingLastByte           int64
 }
 
-func (a *state) key() key {
+func (a *state) key() stateKey {
 	rel := func(t int64) int64 {
 		if t == 0 {
 			return -1
 		}
-		return min(a.s.at-t, 14*tick)
+		return min(a.model.now-t, 14*tick)
 	}
-	s, k := &a.s, &a.k
-	out := key{written: s.written, changes: len(s.changes), silent: rel(s.silentAt), asked: rel(s.asked), moved: rel(s.movedAt), pulse: rel(s.pulse),
-		known: rel(k.known), quiet: rel(k.quiet), kmoved: rel(k.moved), failed: rel(k.failed), gap: rel(k.gap)}
-	out.flags = [12]bool{s.ask != 0, s.watch != 0, s.old != 0, s.failed, s.hup, s.down, k.doubt, k.down, k.watch != nil, k.asked != nil}
-	if s.written < len(s.changes) {
-		out.first, out.ended = rel(s.changes[0]), rel(s.ended)
+	s, k := &a.model, &a.keeper
+	out := stateKey{deliveredRevision: s.deliveredRevision, changes: len(s.changes), silentSince: rel(s.silentSince), lastCallStart: rel(s.lastCallStart), moved: rel(s.movedAt), nextLineAt: rel(s.nextLineAt),
+		knownUntil: rel(k.knownUntil), keeperSilentSince: rel(k.silentSince), keeperMoved: rel(k.movedAt), failedCallStart: rel(k.failedCallStart), retryAt: rel(k.retryAt)}
+	out.flags = [12]bool{s.pendingCall != 0, s.watch != 0, s.formerWatch != 0, s.lastCallFailed, s.hasMoved, s.down, k.stale, k.unresponsive, k.watch != nil, k.pending != nil}
+	if s.deliveredRevision < len(s.changes) {
+		out.firstChange, out.watchEnded = rel(s.changes[0]), rel(s.watchEndedAt)
 	}
 	if w := k.watch; w != nil {
-		out.watchBegun, out.watchHeard, out.flags[10] = rel(w.begun), rel(w.heard), w.moved
+		out.watchStarted, out.watchLastByte, out.flags[10] = rel(w.startedAt), rel(w.lastByteAt), w.formerAddress
 	}
-	if c := k.asked; c != nil {
-		out.asksBegun, out.asksHeard = rel(c.begun), rel(c.heard)
+	if c := k.pending; c != nil {
+		out.pendingStarted, out.pendingLastByte = rel(c.startedAt), rel(c.lastByteAt)
 	}
 	return out
 }
@@ -276,30 +276,30 @@
 	if a.from == nil {
 		return ""
 	}
-	return a.from.path() + " " + a.by
+	return a.from.path() + " " + a.move
 }
 
 // search plays all orders of moves up to a depth and gives the first that breaks the rule.
 func search(l Limits, depth int, spoil func(*Keeper)) (path string, states int) {
-	start := &state{k: *New(tick, l, 0, func() float64 { return 0.5 }), pushed: l.Pushed}
-	start.s.at = tick
-	start.k.Ask(tick)
-	start.carry()
+	start := &state{keeper: *New(tick, l, 0, func() float64 { return 0.5 }), pushed: l.Pushed}
+	start.model.now = tick
+	start.keeper.Ask(tick)
+	start.applyCommands()
 	level := []*state{start}
 	for range depth {
-		seen := map[key]bool{}
+		seen := map[stateKey]bool{}
 		var next []*state
 		for _, n := range level {
 			for _, m := range moves {
 				c := n.copy()
-				c.from, c.by = n, m.name
+				c.from, c.move = n, m.name
 				if !c.step(m.do) {
 					continue
 				}
 				if spoil != nil {
-					spoil(&c.k)
+					spoil(&c.keeper)
 				}
-				if c.late(l) > 0 {
+				if c.overdue(l) > 0 {
 					return c.path(), states
 				}
 				if k := c.key(); !seen[k] {
@@ -316,7 +316,7 @@
 
 // No order of silence, answers, failures, ends, a move and late lists lets a send go out later than the grace after a
 // change counts as told; each rule of the keeper, taken away, gives an order that does.
-func TestNoSendPastTheGrace(t *testing.T) {
+func TestNoSendAfterGrace(t *testing.T) {
 	const depth = 14
 	for _, c := range []struct {
 		name   string
@@ -336,13 +336,13 @@
 		limits Limits
 		spoil  func(*Keeper)
 	}{
-		{"without doubt", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) { k.doubt = false }},
+		{"without doubt", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) { k.stale = false }},
 		{"a silent watch let go and forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) {
-			if k.quiet != 0 {
-				k.quiet, k.watch = 0, nil
+			if k.silentSince != 0 {
+				k.silentSince, k.watch = 0, nil
 			}
 		}},
-		{"the move forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) { k.moved = 0 }},
+		{"the move forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) { k.movedAt = 0 }},
 		{"pushed lists held for asked ones", Limits{Pushed: true, Grace: grace}, func(k *Keeper) { k.limits.Pushed = false }},
 	} {
 		if path, _ := search(m.limits, 13, m.spoil); path == "" {
--- a/internal/inventory/starts_test.go
+++ b/internal/inventory/starts_test.go
@@ -4,7 +4,7 @@
 
 // A server's age is a span of real time however the wall clock is stepped, at this machine alone or at all of them. It may
 // count as younger than it is, never as older.
-func TestAgeOverSteps(t *testing.T) {
+func TestAgeAcrossClockSteps(t *testing.T) {
 	const second, hour, start = int64(1_000_000), int64(3_600_000_000), int64(1_790_000_000_000_000)
 	for _, c := range []struct {
 		name   string
@@ -43,7 +43,7 @@
 }
 
 // Servers that started before a step, and are heard of after it, are not taken for warm.
-func TestStartBeforeAStepHeardAfterIt(t *testing.T) {
+func TestStartReportedAfterClockStep(t *testing.T) {
 	const second, hour, start = int64(1_000_000), int64(3_600_000_000), int64(1_790_000_000_000_000)
 	for _, step := range []int64{hour, -hour, 3 * second, -3 * second} {
 		var s Starts
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestStartsAreForgotten(t *testing.T) {
+func TestStartsForget(t *testing.T) {
 	var s Starts
 	s.Own("s-1", 1, 1, 1)
 	s.Own("s-2", 1, 1, 1)
@@ -62,7 +62,7 @@
 		t.Error("long ago has a time")
 	}
 	s.Keep(func(name string) bool { return name == "s-2" })
-	if len(s.known) != 1 {
-		t.Errorf("%d kept, want 1", len(s.known))
+	if len(s.starts) != 1 {
+		t.Errorf("%d kept, want 1", len(s.starts))
 	}
 }
--- a/internal/memory/core.go
+++ b/internal/memory/core.go
@@ -8,10 +8,10 @@
 )
 
 // hostsMost bounds the hosts kept, should an inventory name ever new ones.
-const hostsMost = 4096
+const maxHosts = 4096
 
 // fullAfter is when a client may come back who found as many messages open as may be, in microseconds.
-const fullAfter = 1_000_000
+const retryAfterFull = 1_000_000
 
 // ID names an open message.
 type ID = logic.JobID
@@ -85,23 +85,23 @@
 
 // message is an open message.
 type message struct {
-	name     string
-	relays   []relay
-	out      int  // relays without an end
-	free     int  // relays that never reached their host, where those do not count as attempts
-	ran      bool // one of them may have run
-	answered bool // it has its final answer, or nobody waits for one
-	class    int
-	deadline int64
-	crew     *crew // nil: it is no gang
+	name        string
+	attempts    []attempt
+	outstanding int  // relays without an end
+	uncounted   int  // relays that never reached their host, where those do not count as attempts
+	mayHaveRun  bool // one of them may have run
+	answered    bool // it has its final answer, or nobody waits for one
+	class       int
+	deadline    int64
+	gang        *gangState // nil: it is no gang
 }
 
 // relay is one attempt.
-type relay struct {
-	worker logic.WorkerID
-	sent   int64
-	out    bool
-	ran    bool // it has ended, and may have run
+type attempt struct {
+	worker      logic.WorkerID
+	sentAt      int64
+	outstanding bool
+	mayHaveRun  bool // it has ended, and may have run
 }
 
 // host is a known south side host.
@@ -112,23 +112,23 @@
 
 // Core owns the decisions of one dispatcher. It must not be used by two goroutines at once.
 type Core struct {
-	cfg      logic.Config
-	sched    *logic.Scheduler
-	last     ID
-	messages map[ID]*message
-	names    map[string]ID // of messages that have one
-	hosts    map[logic.WorkerID]*host
-	numbers  map[string]logic.WorkerID
-	acts     []logic.Action
-	out      []Command
-	cordons  map[string]bool     // hosts barred by hand, by name, listed or not
-	listed   map[string]struct{} // names that any inventory gave, for telling a cordon of an unknown host
-	doubt    bool                // any host may have drained for all that is known; none is sent to
-	limits   Limits              // of the fleet; nil: there are none
-	evidence Evidence            // nil: nobody asks for it
-	prices   Prices              // of the fleet; nil: there are none
-	retries  retries             // rights to attempts beyond the first
-	gangs    Gangs               // nil: no class runs as gangs
+	cfg         logic.Config
+	sched       *logic.Scheduler
+	lastID      ID
+	messages    map[ID]*message
+	openNames   map[string]ID // of messages that have one
+	hosts       map[logic.WorkerID]*host
+	workerIDs   map[string]logic.WorkerID
+	actions     []logic.Action
+	commands    []Command
+	cordoned    map[string]bool     // hosts barred by hand, by name, listed or not
+	everListed  map[string]struct{} // names that any inventory gave, for telling a cordon of an unknown host
+	stale       bool                // any host may have drained for all that is known; none is sent to
+	limits      Limits              // of the fleet; nil: there are none
+	evidence    Evidence            // nil: nobody asks for it
+	prices      Prices              // of the fleet; nil: there are none
+	retryBudget retryBudget         // rights to attempts beyond the first
+	gangs       Gangs               // nil: no class runs as gangs
 }
 
 // New makes a core.
@@ -137,8 +137,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Core{cfg: cfg, sched: s, messages: map[ID]*message{}, names: map[string]ID{}, hosts: map[logic.WorkerID]*host{},
-		numbers: map[string]logic.WorkerID{}, cordons: map[string]bool{}, listed: map[string]struct{}{}}, nil
+	return &Core{cfg: cfg, sched: s, messages: map[ID]*message{}, openNames: map[string]ID{}, hosts: map[logic.WorkerID]*host{},
+		workerIDs: map[string]logic.WorkerID{}, cordoned: map[string]bool{}, everListed: map[string]struct{}{}}, nil
 }
 
 // Open is how many messages are kept.
@@ -149,55 +149,55 @@
 
 // Arrive takes a message whose client waits until deadline; 0 means as long as its class says.
 func (c *Core) Arrive(now int64, m Message, deadline int64) (ID, []Command) {
-	c.begin()
-	c.last++
-	for c.messages[c.last] != nil {
-		c.last++
+	c.resetOutput()
+	c.lastID++
+	for c.messages[c.lastID] != nil {
+		c.lastID++
 	}
-	id := c.last
-	if _, open := c.names[m.Name]; open {
+	id := c.lastID
+	if _, open := c.openNames[m.Name]; open {
 		// Hosts know a job by its name, so to them this would be a second copy of the one that is open.
-		c.do(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Duplicate})
-		return id, c.out
+		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Duplicate})
+		return id, c.commands
 	}
 	if c.cfg.MaxOpen > 0 && len(c.messages) >= c.cfg.MaxOpen {
-		c.do(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: fullAfter})
-		return id, c.out
+		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: retryAfterFull})
+		return id, c.commands
 	}
-	deadline, share, in := c.enter(now, id, m, deadline)
+	deadline, share, in := c.applyLimits(now, id, m, deadline)
 	if !in {
-		c.do(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: overAfter})
-		return id, c.out
+		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: retryAfterOverLimit})
+		return id, c.commands
 	}
-	c.retries.first()
+	c.retryBudget.credit()
 	c.messages[id] = &message{name: m.Name, class: m.Class, deadline: deadline}
 	if m.Name != "" {
-		c.names[m.Name] = id
+		c.openNames[m.Name] = id
 	}
 	if c.gangs != nil && c.gangs.Takes(m.Class) {
-		c.muster(now, id, m, deadline, share)
-		return id, c.finish(now)
+		c.arriveGang(now, id, m, deadline, share)
+		return id, c.applyActions(now)
 	}
-	c.acts = c.sched.Arrive(now, logic.Job{
+	c.actions = c.sched.Arrive(now, logic.Job{
 		ID: id, Key: m.Subject, Class: m.Class, Tenant: m.Tenant, Hint: m.Hint, Slots: m.Slots, Memory: m.Memory,
 		Deadline: deadline, Repeated: m.Repeated, Share: share, Price: c.price(),
-	}, c.acts)
-	c.asked(now)
-	return id, c.finish(now)
+	}, c.actions)
+	c.reportDemand(now)
+	return id, c.applyActions(now)
 }
 
 // Started takes the news that a relay's host has begun to run it.
 func (c *Core) Started(now int64, r RelayID) []Command {
-	c.begin()
-	if c.find(r) == nil {
-		return c.out
+	c.resetOutput()
+	if c.outstandingAttempt(r) == nil {
+		return c.commands
 	}
-	if m := c.messages[r.Message]; m.crew != nil {
-		c.begun(now, r, m)
+	if m := c.messages[r.Message]; m.gang != nil {
+		c.partStarted(now, r, m)
 	} else {
-		c.acts = c.sched.Started(now, r.Message, r.Attempt, c.acts)
+		c.actions = c.sched.Started(now, r.Message, r.Attempt, c.actions)
 	}
-	return c.finish(now)
+	return c.applyActions(now)
 }
 
 // Taken takes the news that a relay's host has taken the message, which it may run later.
@@ -205,33 +205,33 @@
 
 // Progress takes the share of a relay's work that is done.
 func (c *Core) Progress(now int64, r RelayID, share float64) []Command {
-	c.begin()
-	if c.find(r) != nil && c.messages[r.Message].crew == nil {
-		c.acts = c.sched.Progress(now, r.Message, r.Attempt, share, c.acts)
+	c.resetOutput()
+	if c.outstandingAttempt(r) != nil && c.messages[r.Message].gang == nil {
+		c.actions = c.sched.Progress(now, r.Message, r.Attempt, share, c.actions)
 	}
-	return c.finish(now)
+	return c.applyActions(now)
 }
 
 // Ended takes the end of a relay; content is the result where it was served.
 func (c *Core) Ended(now int64, r RelayID, result logic.Result, content []byte) []Command {
-	c.begin()
-	if c.find(r) == nil {
-		return c.out
+	c.resetOutput()
+	if c.outstandingAttempt(r) == nil {
+		return c.commands
 	}
-	if m := c.messages[r.Message]; m.crew != nil {
+	if m := c.messages[r.Message]; m.gang != nil {
 		c.partEnded(now, r, m, result, content)
 	} else {
-		c.end(now, r, result, content)
+		c.completeAttempt(now, r, result, content)
 	}
-	return c.finish(now)
+	return c.applyActions(now)
 }
 
 // HangUp takes the news that a message's client has left.
 func (c *Core) HangUp(now int64, id ID) []Command {
-	c.begin()
+	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
-		c.settle(id, m)
-		c.acts = c.sched.HangUp(now, id, c.acts)
+		c.markAnswered(id, m)
+		c.actions = c.sched.HangUp(now, id, c.actions)
 	}
 	return c.finishMessage(now, id)
 }
@@ -239,10 +239,10 @@
 // Expire gives up a message whose time is over. The decisions answer before that; this guards the client
 // against waiting for ever should they not.
 func (c *Core) Expire(now int64, id ID) []Command {
-	c.begin()
+	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
 		c.answer(id, m, Command{Verdict: Failed})
-		c.acts = c.sched.HangUp(now, id, c.acts)
+		c.actions = c.sched.HangUp(now, id, c.actions)
 	}
 	return c.finishMessage(now, id)
 }
@@ -250,45 +250,45 @@
 // Refuse gives up a message that was never sent, since what it needs before it may be sent can't be had; its client may
 // come back after some microseconds.
 func (c *Core) Refuse(now int64, id ID, after int64) []Command {
-	c.begin()
+	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
 		c.answer(id, m, Command{Verdict: Refused, After: after})
-		c.acts = c.sched.HangUp(now, id, c.acts)
+		c.actions = c.sched.HangUp(now, id, c.actions)
 	}
 	return c.finishMessage(now, id)
 }
 
 // Wake takes a time that a Wake command asked for.
 func (c *Core) Wake(now int64) []Command {
-	c.begin()
-	c.acts = c.sched.Wake(now, 0, c.acts)
-	return c.finish(now)
+	c.resetOutput()
+	c.actions = c.sched.Wake(now, 0, c.actions)
+	return c.applyActions(now)
 }
 
-func (c *Core) begin() { c.acts, c.out = c.acts[:0], c.out[:0] }
+func (c *Core) resetOutput() { c.actions, c.commands = c.actions[:0], c.commands[:0] }
 
-func (c *Core) do(cmd Command) { c.out = append(c.out, cmd) }
+func (c *Core) emit(cmd Command) { c.commands = append(c.commands, cmd) }
 
 // find gives a relay that has no end yet.
-func (c *Core) find(r RelayID) *relay {
+func (c *Core) outstandingAttempt(r RelayID) *attempt {
 	m := c.messages[r.Message]
-	if m == nil || r.Attempt < 0 || r.Attempt >= len(m.relays) || !m.relays[r.Attempt].out {
+	if m == nil || r.Attempt < 0 || r.Attempt >= len(m.attempts) || !m.attempts[r.Attempt].outstanding {
 		return nil
 	}
-	return &m.relays[r.Attempt]
+	return &m.attempts[r.Attempt]
 }
 
 // finish turns actions into commands; an action may bring an outcome at once, which may bring more actions.
-func (c *Core) finish(now int64) []Command {
-	for i := 0; i < len(c.acts); i++ {
-		switch a := c.acts[i]; a.Kind {
+func (c *Core) applyActions(now int64) []Command {
+	for i := 0; i < len(c.actions); i++ {
+		switch a := c.actions[i]; a.Kind {
 		case logic.ActSend:
 			c.send(now, a)
 		case logic.ActCancel:
 			r := RelayID{a.Job, a.Attempt}
-			if c.find(r) != nil {
-				c.do(Command{Kind: Drop, Relay: r})
-				c.end(now, r, logic.Cancelled, nil)
+			if c.outstandingAttempt(r) != nil {
+				c.emit(Command{Kind: Drop, Relay: r})
+				c.completeAttempt(now, r, logic.Cancelled, nil)
 			}
 		case logic.ActRefuse, logic.ActFail:
 			if m := c.messages[a.Job]; m != nil && !m.answered {
@@ -297,60 +297,60 @@
 					verdict = Refused
 				}
 				c.answer(a.Job, m, Command{Verdict: verdict, After: a.After})
-				c.forget(a.Job, m)
+				c.removeIfDone(a.Job, m)
 			}
 		case logic.ActWake:
-			c.do(Command{Kind: Wake, At: a.At})
+			c.emit(Command{Kind: Wake, At: a.At})
 		case logic.ActSubscribe:
-			c.do(Command{Kind: Watch})
+			c.emit(Command{Kind: Watch})
 		}
 	}
-	return c.out
+	return c.commands
 }
 
 func (c *Core) finishMessage(now int64, id ID) []Command {
-	if m := c.messages[id]; m != nil && m.crew != nil && m.answered {
-		c.disband(now, id, m)
+	if m := c.messages[id]; m != nil && m.gang != nil && m.answered {
+		c.dropParts(now, id, m)
 	}
-	c.finish(now)
+	c.applyActions(now)
 	if m := c.messages[id]; m != nil {
-		c.forget(id, m)
+		c.removeIfDone(id, m)
 	}
-	return c.out
+	return c.commands
 }
 
 // end closes the books on a relay and tells the decisions.
-func (c *Core) end(now int64, r RelayID, result logic.Result, content []byte) {
+func (c *Core) completeAttempt(now int64, r RelayID, result logic.Result, content []byte) {
 	m := c.messages[r.Message]
-	a := &m.relays[r.Attempt]
-	a.out = false
-	m.out--
-	c.note(now, a.worker, result)
-	a.ran = result != logic.ConnectFailed && result != logic.Refused && result != logic.Moot
-	m.ran = m.ran || a.ran
+	a := &m.attempts[r.Attempt]
+	a.outstanding = false
+	m.outstanding--
+	c.reportHealth(now, a.worker, result)
+	a.mayHaveRun = result != logic.ConnectFailed && result != logic.Refused && result != logic.Moot
+	m.mayHaveRun = m.mayHaveRun || a.mayHaveRun
 	if c.cfg.FreeConnects && result == logic.ConnectFailed {
-		m.free++
+		m.uncounted++
 	}
 	if result == logic.Served && !m.answered {
 		c.answer(r.Message, m, Command{Verdict: Served, Content: content})
 	}
-	c.acts = c.sched.Outcome(now, logic.Outcome{
-		Job: r.Message, Attempt: r.Attempt, Worker: a.worker, Result: result, Elapsed: now - a.sent, Settled: m.answered,
-	}, c.acts)
-	c.forget(r.Message, m)
+	c.actions = c.sched.Outcome(now, logic.Outcome{
+		Job: r.Message, Attempt: r.Attempt, Worker: a.worker, Result: result, Elapsed: now - a.sentAt, Settled: m.answered,
+	}, c.actions)
+	c.removeIfDone(r.Message, m)
 }
 
 // answer gives the one final answer.
 func (c *Core) answer(id ID, m *message, cmd Command) {
-	c.settle(id, m)
+	c.markAnswered(id, m)
 	cmd.Kind, cmd.Relay = Answer, RelayID{Message: id}
-	c.do(cmd)
+	c.emit(cmd)
 }
 
 // forget lets go of a message that is answered and has nothing out.
-func (c *Core) forget(id ID, m *message) {
-	if m.answered && m.out == 0 {
+func (c *Core) removeIfDone(id ID, m *message) {
+	if m.answered && m.outstanding == 0 {
 		delete(c.messages, id)
-		delete(c.names, m.name)
+		delete(c.openNames, m.name)
 	}
 }
--- a/internal/memory/core_test.go
+++ b/internal/memory/core_test.go
@@ -31,13 +31,13 @@
 )
 
 // player runs the events of a script against a core; time moves by a millisecond with each.
-type player struct {
+type scriptRunner struct {
 	c   *Core
 	now int64
 	out strings.Builder
 }
 
-func (p *player) play(t *testing.T, line string) {
+func (p *scriptRunner) run(t *testing.T, line string) {
 	p.now += 1000
 	fmt.Fprintf(&p.out, "> %s\n", line)
 	f := strings.Fields(line)
@@ -104,11 +104,11 @@
 	default:
 		t.Fatalf("unknown event %q", line)
 	}
-	p.show(cmds)
+	p.printCommands(cmds)
 	fmt.Fprintf(&p.out, "%d open\n", p.c.Open())
 }
 
-func (p *player) show(cmds []Command) {
+func (p *scriptRunner) printCommands(cmds []Command) {
 	for _, c := range cmds {
 		switch c.Kind {
 		case Send:
@@ -132,10 +132,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &player{c: c, now: 1_000_000_000}
+			p := &scriptRunner{c: c, now: 1_000_000_000}
 			for line := range strings.Lines(string(s.Data)) {
 				if event, ok := strings.CutPrefix(line, "> "); ok {
-					p.play(t, strings.TrimSpace(event))
+					p.run(t, strings.TrimSpace(event))
 				}
 			}
 			if diff := cmp.Diff(string(s.Data), p.out.String()); diff != "" {
@@ -150,8 +150,8 @@
 	for name, spoil := range map[string]func(*Core, *message){
 		"to a host that drains":   func(c *Core, _ *message) { c.hosts[0xb].Phase = logic.Draining },
 		"to a host that is gone":  func(c *Core, _ *message) { delete(c.hosts, 0xb) },
-		"to a cordoned host":      func(c *Core, _ *message) { c.cordons["s-b"] = true },
-		"while another is out":    func(_ *Core, m *message) { m.relays[0].out, m.out = true, 1 },
+		"to a cordoned host":      func(c *Core, _ *message) { c.cordoned["s-b"] = true },
+		"while another is out":    func(_ *Core, m *message) { m.attempts[0].outstanding, m.outstanding = true, 1 },
 		"after the answer":        func(_ *Core, m *message) { m.answered = true },
 		"beyond the attempts":     func(c *Core, _ *message) { c.cfg.MaxAttempts = 1 },
 		"none of these, for once": func(*Core, *message) {},
@@ -165,11 +165,11 @@
 			c.Inventory(now, logic.ListFull, []Host{{Name: "s-a", Addr: "a", Phase: logic.Ready}, {Name: "s-b", Addr: "b", Phase: logic.Ready}})
 			id, _ := c.Arrive(now, Message{}, now+2_000_000)
 			m := c.messages[id]
-			m.relays[0].out, m.out = false, 0
+			m.attempts[0].outstanding, m.outstanding = false, 0
 			spoil(c, m)
-			c.begin()
-			c.acts = append(c.acts, logic.Action{Kind: logic.ActSend, Job: id, Worker: 0xb, Timeout: 1000})
-			sent := slices.ContainsFunc(c.finish(now), func(k Command) bool { return k.Kind == Send })
+			c.resetOutput()
+			c.actions = append(c.actions, logic.Action{Kind: logic.ActSend, Job: id, Worker: 0xb, Timeout: 1000})
+			sent := slices.ContainsFunc(c.applyActions(now), func(k Command) bool { return k.Kind == Send })
 			if want := strings.HasPrefix(name, "none"); sent != want {
 				t.Errorf("sent %t, want %t", sent, want)
 			}
@@ -178,7 +178,7 @@
 }
 
 // A request whose connection comes up late is not begun at a host that is barred by then.
-func TestWhatMayBeBegunLate(t *testing.T) {
+func TestMayAfterLateConnect(t *testing.T) {
 	host := func(phase logic.Phase) []Host { return []Host{{Name: "s-a", Addr: "a", Phase: phase}} }
 	for name, change := range map[string]func(c *Core, now int64){
 		"the host drains":  func(c *Core, now int64) { c.Inventory(now, logic.ListDelta, host(logic.Draining)) },
@@ -206,7 +206,7 @@
 
 // A repeat of a keyed message whose connection comes up after the window of the first, or so near to its end that it may be over
 // when the bytes are written, is not begun: nobody would drop it any more.
-func TestRepeatBegunLate(t *testing.T) {
+func TestNoRepeatPastWindow(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Repeat, cfg.Classes[0].Group, cfg.Classes[0].Window, cfg.MaxAttempts = logic.RepeatKeyed, logic.GroupAll, 250_000, 3
 	for ended, never := range map[logic.Result]bool{logic.Broken: false, logic.Refused: true} {
@@ -230,15 +230,15 @@
 }
 
 // Dispatchers that share nothing agree on hosts by their numbers.
-func TestNumbers(t *testing.T) {
+func TestWorkerIDs(t *testing.T) {
 	for name, want := range map[string]logic.WorkerID{"s-5be2a07c": 0x5be2a07c, "s-0a": 10, "buoy": 0x6542249c} {
-		if got := numberOf(name); got != want {
+		if got := workerIDOf(name); got != want {
 			t.Errorf("%s: %#x, want %#x", name, got, want)
 		}
 	}
 	c, _ := New(testConfig(), 7)
 	c.Inventory(1, logic.ListFull, []Host{{Name: "s-0a", Phase: logic.Ready}, {Name: "s-a", Phase: logic.Ready}})
-	if got := []logic.WorkerID{c.numbers["s-0a"], c.numbers["s-a"]}; !cmp.Equal(got, []logic.WorkerID{10, 11}) {
+	if got := []logic.WorkerID{c.workerIDs["s-0a"], c.workerIDs["s-a"]}; !cmp.Equal(got, []logic.WorkerID{10, 11}) {
 		t.Errorf("numbers of two names that collide: %v, want 10 and 11", got)
 	}
 }
--- a/internal/memory/evidence.go
+++ b/internal/memory/evidence.go
@@ -11,7 +11,7 @@
 func (c *Core) Tell(e Evidence) { c.evidence = e }
 
 // note tells what a result says of its host. One that took too long says little: under overload all do.
-func (c *Core) note(now int64, host logic.WorkerID, result logic.Result) {
+func (c *Core) reportHealth(now int64, host logic.WorkerID, result logic.Result) {
 	if c.evidence == nil {
 		return
 	}
--- a/internal/memory/gangs.go
+++ b/internal/memory/gangs.go
@@ -62,13 +62,13 @@
 }
 
 // crew is what the core keeps of a message that is a gang.
-type crew struct {
+type gangState struct {
 	work    []float64 // slot-seconds that each part has in its host's backlog
 	content []byte    // the first part's result
 }
 
 // afterLeast is when a client may come back to a gang that no cause of the fleet's gives another time for.
-const afterLeast = 100_000
+const minGangRetryAfter = 100_000
 
 // Gang has the core run the messages of some classes as gangs; to be called before the first message.
 func (c *Core) Gang(g Gangs) { c.gangs = g }
@@ -76,14 +76,14 @@
 // Places tells of the hosts that may be sent a part.
 func (c *Core) Places(now int64, work float64, tell func(logic.View)) {
 	c.sched.View(now, work, func(v logic.View) {
-		if v.Trusted && v.Warm && c.takes(c.hosts[v.ID]) {
+		if v.Trusted && v.Warm && c.acceptsWork(c.hosts[v.ID]) {
 			tell(v)
 		}
 	})
 }
 
 // muster takes a message that is a gang.
-func (c *Core) muster(now int64, id ID, m Message, deadline int64, share float64) {
+func (c *Core) arriveGang(now int64, id ID, m Message, deadline int64, share float64) {
 	class := &c.cfg.Classes[m.Class]
 	if deadline <= 0 {
 		deadline = now + class.Deadline
@@ -101,21 +101,21 @@
 	if c.prices != nil {
 		c.prices.Asked(now, j.Worth, slots, float64(j.Late-now)/1e6-work)
 	}
-	c.messages[id].crew = &crew{}
-	c.command(now, c.gangs.Arrive(now, j))
+	c.messages[id].gang = &gangState{}
+	c.applyGangActions(now, c.gangs.Arrive(now, j))
 }
 
 // Gathered goes on with the gangs, once what others have said of slots was heard.
 func (c *Core) Gathered(now int64) []Command {
-	c.begin()
+	c.resetOutput()
 	if c.gangs != nil {
-		c.command(now, c.gangs.Round(now))
+		c.applyGangActions(now, c.gangs.Round(now))
 	}
-	return c.finish(now)
+	return c.applyActions(now)
 }
 
 // command carries out what is to be done with gangs.
-func (c *Core) command(now int64, acts []GangAction) {
+func (c *Core) applyGangActions(now int64, acts []GangAction) {
 	for _, a := range acts {
 		m := c.messages[a.ID]
 		if m == nil || m.answered {
@@ -123,74 +123,74 @@
 		}
 		switch a.Kind {
 		case GangStart:
-			c.depart(now, a, m)
+			c.sendParts(now, a, m)
 		case GangServe:
-			c.answer(a.ID, m, Command{Verdict: Served, Content: m.crew.content})
-			c.forget(a.ID, m)
+			c.answer(a.ID, m, Command{Verdict: Served, Content: m.gang.content})
+			c.removeIfDone(a.ID, m)
 		case GangGiveUp:
 			// Its parts are ended first: they may have run, and what they say then counts no more.
-			c.disband(now, a.ID, m)
+			c.dropParts(now, a.ID, m)
 			verdict := Refused
-			if m.ran && c.cfg.Classes[m.class].Repeat != logic.RepeatSafe {
+			if m.mayHaveRun && c.cfg.Classes[m.class].Repeat != logic.RepeatSafe {
 				verdict = Failed
 			}
-			c.answer(a.ID, m, Command{Verdict: verdict, After: max(a.After, afterLeast)})
-			c.forget(a.ID, m)
+			c.answer(a.ID, m, Command{Verdict: verdict, After: max(a.After, minGangRetryAfter)})
+			c.removeIfDone(a.ID, m)
 		}
 	}
 }
 
 // depart sends the parts of a gang, all of them: its hosts were looked at in the same turn of the owner.
-func (c *Core) depart(now int64, a GangAction, m *message) {
+func (c *Core) sendParts(now int64, a GangAction, m *message) {
 	peers := make([]string, len(a.Hosts))
 	for rank, id := range a.Hosts {
 		peers[rank] = c.hosts[id].Addr
 	}
 	for rank, id := range a.Hosts {
-		m.relays = append(m.relays, relay{worker: id, sent: now, out: true})
-		m.crew.work = append(m.crew.work, a.Run)
-		m.out++
+		m.attempts = append(m.attempts, attempt{worker: id, sentAt: now, outstanding: true})
+		m.gang.work = append(m.gang.work, a.Run)
+		m.outstanding++
 		c.sched.Occupy(id, a.Run)
-		c.do(Command{Kind: Send, Relay: RelayID{a.ID, rank}, Addr: peers[rank], Until: max(m.deadline, now+1), Gang: &GangPart{rank, peers, a.Within}})
+		c.emit(Command{Kind: Send, Relay: RelayID{a.ID, rank}, Addr: peers[rank], Until: max(m.deadline, now+1), Gang: &GangPart{rank, peers, a.Within}})
 	}
 }
 
 // begun takes the news that a part has begun: about half of its time is left from then on, on average.
-func (c *Core) begun(now int64, r RelayID, m *message) {
-	left := m.crew.work[r.Attempt] / 2
-	c.sched.Occupy(m.relays[r.Attempt].worker, left-m.crew.work[r.Attempt])
-	m.crew.work[r.Attempt] = left
+func (c *Core) partStarted(now int64, r RelayID, m *message) {
+	left := m.gang.work[r.Attempt] / 2
+	c.sched.Occupy(m.attempts[r.Attempt].worker, left-m.gang.work[r.Attempt])
+	m.gang.work[r.Attempt] = left
 	c.gangs.Began(now, r.Message, r.Attempt)
 }
 
 // partEnded closes the books on a part.
 func (c *Core) partEnded(now int64, r RelayID, m *message, result logic.Result, content []byte) {
-	a := &m.relays[r.Attempt]
-	a.out = false
-	m.out--
-	c.sched.Occupy(a.worker, -m.crew.work[r.Attempt])
-	m.ran = m.ran || result != logic.ConnectFailed && result != logic.Refused && result != logic.Moot
+	a := &m.attempts[r.Attempt]
+	a.outstanding = false
+	m.outstanding--
+	c.sched.Occupy(a.worker, -m.gang.work[r.Attempt])
+	m.mayHaveRun = m.mayHaveRun || result != logic.ConnectFailed && result != logic.Refused && result != logic.Moot
 	if result == logic.ConnectFailed || result == logic.Broken {
-		c.note(now, a.worker, result) // an error may as well be another part's fault
+		c.reportHealth(now, a.worker, result) // an error may as well be another part's fault
 	}
 	if r.Attempt == 0 && result == logic.Served {
-		m.crew.content = content
+		m.gang.content = content
 	}
 	if !m.answered {
-		c.command(now, c.gangs.Ended(now, r.Message, r.Attempt, result == logic.Served))
+		c.applyGangActions(now, c.gangs.Ended(now, r.Message, r.Attempt, result == logic.Served))
 	}
-	c.forget(r.Message, m)
+	c.removeIfDone(r.Message, m)
 }
 
 // disband ends the parts of a gang that are out.
-func (c *Core) disband(now int64, id ID, m *message) {
-	for rank := range m.relays {
-		if a := &m.relays[rank]; a.out {
-			c.do(Command{Kind: Drop, Relay: RelayID{id, rank}})
-			a.out = false
-			m.out--
-			m.ran = true
-			c.sched.Occupy(a.worker, -m.crew.work[rank])
+func (c *Core) dropParts(now int64, id ID, m *message) {
+	for rank := range m.attempts {
+		if a := &m.attempts[rank]; a.outstanding {
+			c.emit(Command{Kind: Drop, Relay: RelayID{id, rank}})
+			a.outstanding = false
+			m.outstanding--
+			m.mayHaveRun = true
+			c.sched.Occupy(a.worker, -m.gang.work[rank])
 		}
 	}
 	c.gangs.Left(id)
--- a/internal/memory/hosts.go
+++ b/internal/memory/hosts.go
@@ -6,7 +6,7 @@
 
 // Inventory takes what discovery told, or that it could not be asked.
 func (c *Core) Inventory(now int64, how logic.ListKind, hosts []Host) []Command {
-	c.begin()
+	c.resetOutput()
 	if how == logic.ListFull || how == logic.ListCached {
 		listed := map[string]bool{}
 		for _, h := range hosts {
@@ -14,25 +14,25 @@
 		}
 		for _, h := range c.hosts {
 			if !listed[h.Name] {
-				c.remove(h)
+				c.removeHost(h)
 			}
 		}
 	}
 	list := make([]logic.WorkerInfo, 0, len(hosts))
 	for _, h := range hosts {
-		if _, known := c.numbers[h.Name]; !known && len(c.hosts) >= hostsMost {
+		if _, known := c.workerIDs[h.Name]; !known && len(c.hosts) >= maxHosts {
 			continue
 		}
-		list = append(list, c.info(c.take(h), h))
+		list = append(list, c.workerInfo(c.upsertHost(h), h))
 	}
-	c.acts = c.sched.Workers(now, how, list, c.acts)
-	return c.finish(now)
+	c.actions = c.sched.Workers(now, how, list, c.actions)
+	return c.applyActions(now)
 }
 
 // info is what the decisions are told of a host: one that is cordoned drains to them, whatever the inventory says.
-func (c *Core) info(id logic.WorkerID, h Host) logic.WorkerInfo {
+func (c *Core) workerInfo(id logic.WorkerID, h Host) logic.WorkerInfo {
 	phase := h.Phase
-	if phase == logic.Ready && c.cordons[h.Name] {
+	if phase == logic.Ready && c.cordoned[h.Name] {
 		phase = logic.Draining
 	}
 	return logic.WorkerInfo{ID: id, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, Weight: h.Weight, UpSince: h.UpSince, Phase: phase}
@@ -42,36 +42,36 @@
 // until it is lifted; repeating either is harmless. known is false, and nothing changes, for a name that no inventory
 // gave and that is not cordoned.
 func (c *Core) Cordon(now int64, name string, on bool) (known bool, cmds []Command) {
-	c.begin()
-	_, listed := c.listed[name]
-	if !listed && !c.cordons[name] {
-		return false, c.out
+	c.resetOutput()
+	_, listed := c.everListed[name]
+	if !listed && !c.cordoned[name] {
+		return false, c.commands
 	}
-	if on == c.cordons[name] {
-		return true, c.out
+	if on == c.cordoned[name] {
+		return true, c.commands
 	}
 	if on {
-		c.cordons[name] = true // bounded, as the names listed are, or as Restore bounds them
+		c.cordoned[name] = true // bounded, as the names listed are, or as Restore bounds them
 	} else {
-		delete(c.cordons, name)
+		delete(c.cordoned, name)
 	}
-	if id, ok := c.numbers[name]; ok {
+	if id, ok := c.workerIDs[name]; ok {
 		h := c.hosts[id]
 		if on && h.Phase == logic.Ready {
-			c.do(Command{Kind: Leave, Addr: h.Addr})
+			c.emit(Command{Kind: Leave, Addr: h.Addr})
 		}
-		c.acts = c.sched.Workers(now, logic.ListDelta, []logic.WorkerInfo{c.info(id, h.Host)}, c.acts)
+		c.actions = c.sched.Workers(now, logic.ListDelta, []logic.WorkerInfo{c.workerInfo(id, h.Host)}, c.actions)
 	}
-	return true, c.finish(now)
+	return true, c.applyActions(now)
 }
 
 // Doubt takes the news that any host may have drained without this dispatcher being told (on), or that what is known of
 // them holds again. Meanwhile nothing new is sent, and messages wait for as long as their clients do.
 func (c *Core) Doubt(now int64, on bool) []Command {
-	c.begin()
-	c.doubt = on
-	c.acts = c.sched.Doubt(now, on, c.acts)
-	return c.finish(now)
+	c.resetOutput()
+	c.stale = on
+	c.actions = c.sched.Doubt(now, on, c.actions)
+	return c.applyActions(now)
 }
 
 // Yield takes the news that another process has this dispatcher's place from now on: what of its requests is still to be sent
@@ -80,8 +80,8 @@
 
 // Restore bars a host by hand that an earlier process of this dispatcher barred, whether it is listed or not.
 func (c *Core) Restore(now int64, name string) []Command {
-	if _, listed := c.listed[name]; !listed && !c.cordons[name] && len(c.cordons) < hostsMost {
-		c.cordons[name] = true
+	if _, listed := c.everListed[name]; !listed && !c.cordoned[name] && len(c.cordoned) < maxHosts {
+		c.cordoned[name] = true
 	}
 	_, cmds := c.Cordon(now, name, true)
 	return cmds
@@ -89,8 +89,8 @@
 
 // Cordons gives the names of the hosts barred by hand, in no order.
 func (c *Core) Cordons() []string {
-	names := make([]string, 0, len(c.cordons))
-	for name := range c.cordons {
+	names := make([]string, 0, len(c.cordoned))
+	for name := range c.cordoned {
 		names = append(names, name)
 	}
 	return names
@@ -100,7 +100,7 @@
 // says that they drain.
 func (c *Core) Census() (listed, avoided int) {
 	for _, h := range c.hosts {
-		if h.Phase != logic.Ready || c.cordons[h.Name] {
+		if h.Phase != logic.Ready || c.cordoned[h.Name] {
 			avoided++
 		}
 	}
@@ -108,46 +108,46 @@
 }
 
 // take keeps one entry of the inventory and gives the host's number.
-func (c *Core) take(e Host) logic.WorkerID {
-	id, known := c.numbers[e.Name]
-	if _, seen := c.listed[e.Name]; !seen {
-		if len(c.listed) >= 4*hostsMost {
+func (c *Core) upsertHost(e Host) logic.WorkerID {
+	id, known := c.workerIDs[e.Name]
+	if _, seen := c.everListed[e.Name]; !seen {
+		if len(c.everListed) >= 4*maxHosts {
 			// Names of hosts long replaced are let go together; a cordon of one of them is then refused.
-			clear(c.listed)
+			clear(c.everListed)
 		}
-		c.listed[e.Name] = struct{}{}
+		c.everListed[e.Name] = struct{}{}
 	}
 	if !known {
 		// The number comes from the name alone, since the decisions of dispatchers that share nothing agree
 		// through it; only two names that collide may differ between dispatchers.
-		for id = numberOf(e.Name); c.hosts[id] != nil; {
+		for id = workerIDOf(e.Name); c.hosts[id] != nil; {
 			id++
 		}
 	}
 	old := c.hosts[id]
 	if e.Phase == logic.Gone {
 		if old != nil {
-			c.remove(old)
+			c.removeHost(old)
 		}
 		return id
 	}
-	if old != nil && old.Phase == logic.Ready && !c.cordons[e.Name] && (e.Phase != logic.Ready || old.Addr != e.Addr) {
-		c.do(Command{Kind: Leave, Addr: old.Addr})
+	if old != nil && old.Phase == logic.Ready && !c.cordoned[e.Name] && (e.Phase != logic.Ready || old.Addr != e.Addr) {
+		c.emit(Command{Kind: Leave, Addr: old.Addr})
 	}
-	c.numbers[e.Name] = id
+	c.workerIDs[e.Name] = id
 	c.hosts[id] = &host{Host: e, id: id}
 	return id
 }
 
-func (c *Core) remove(h *host) {
+func (c *Core) removeHost(h *host) {
 	if h.Phase == logic.Ready {
-		c.do(Command{Kind: Leave, Addr: h.Addr})
+		c.emit(Command{Kind: Leave, Addr: h.Addr})
 	}
 	delete(c.hosts, h.id)
-	delete(c.numbers, h.Name)
+	delete(c.workerIDs, h.Name)
 }
 
 // takes tells whether a host, if it is known, may be sent anything new.
-func (c *Core) takes(h *host) bool {
-	return h != nil && h.Phase == logic.Ready && !c.cordons[h.Name] && !c.doubt
+func (c *Core) acceptsWork(h *host) bool {
+	return h != nil && h.Phase == logic.Ready && !c.cordoned[h.Name] && !c.stale
 }
--- a/internal/memory/limits.go
+++ b/internal/memory/limits.go
@@ -24,17 +24,17 @@
 }
 
 // overAfter is when the client of a message beyond a limit may come back, in microseconds.
-const overAfter = 1_000_000
+const retryAfterOverLimit = 1_000_000
 
 // least is the share of its worth of a message beyond its share where the settings give it none: the decisions take 0 for
 // a share that nobody has decided.
-const least = 1e-9
+const minOverShare = 1e-9
 
 // Limit has the core ask some limits; to be called before the first message.
 func (c *Core) Limit(l Limits) { c.limits = l }
 
 // enter asks the limits for a message, and gives its deadline and share by what they say.
-func (c *Core) enter(now int64, id ID, m Message, deadline int64) (until int64, share float64, in bool) {
+func (c *Core) applyLimits(now int64, id ID, m Message, deadline int64) (until int64, share float64, in bool) {
 	if c.limits == nil {
 		return deadline, 0, true
 	}
@@ -49,13 +49,13 @@
 	case Inside:
 		share = 1
 	case Beyond:
-		share = max(c.cfg.OverShare, least)
+		share = max(c.cfg.OverShare, minOverShare)
 	}
 	return deadline, share, right != Over
 }
 
 // settle marks a message as one that has its answer, or for which nobody waits any more.
-func (c *Core) settle(id ID, m *message) {
+func (c *Core) markAnswered(id ID, m *message) {
 	m.answered = true
 	if c.limits != nil {
 		c.limits.Answered(id)
--- a/internal/memory/number.go
+++ b/internal/memory/number.go
@@ -10,7 +10,7 @@
 
 // numberOf gives the number that every dispatcher knows a host by: the hexadecimal one within its name, or
 // a hash where there is none.
-func numberOf(name string) logic.WorkerID {
+func workerIDOf(name string) logic.WorkerID {
 	if _, hex, ok := strings.Cut(name, "-"); ok {
 		if v, err := strconv.ParseUint(hex, 16, 32); err == nil {
 			return logic.WorkerID(v)
--- a/internal/memory/prices.go
+++ b/internal/memory/prices.go
@@ -22,7 +22,7 @@
 }
 
 // asked tells the prices of the message that has just come.
-func (c *Core) asked(now int64) {
+func (c *Core) reportDemand(now int64) {
 	if c.prices != nil {
 		worth, work, slack := c.sched.Weighed()
 		c.prices.Asked(now, worth, work, slack)
--- a/internal/memory/retries.go
+++ b/internal/memory/retries.go
@@ -7,43 +7,43 @@
 // all first attempts, and what each may save up.
 
 // retries are the rights to attempts beyond the first; the zero value bounds nothing.
-type retries struct {
-	share float64 // of a right that a message brings
-	most  float64 // rights saved up at most, and there at the start
-	left  float64
-	given int // messages given up for want of a right
+type retryBudget struct {
+	perMessage float64 // of a right that a message brings
+	capacity   float64 // rights saved up at most, and there at the start
+	available  float64
+	denied     int // messages given up for want of a right
 }
 
 // Retries bounds attempts beyond the first to a share of first ones, and some at once; to be called before the first message.
 func (c *Core) Retries(share, most float64) {
-	c.retries = retries{share: share, most: most, left: most}
+	c.retryBudget = retryBudget{perMessage: share, capacity: most, available: most}
 }
 
 // GivenUp is how many messages were given up for want of a right to another attempt.
-func (c *Core) GivenUp() int { return c.retries.given }
+func (c *Core) GivenUp() int { return c.retryBudget.denied }
 
 // first takes a message.
-func (r *retries) first() { r.left = min(r.left+r.share, r.most) }
+func (r *retryBudget) credit() { r.available = min(r.available+r.perMessage, r.capacity) }
 
 // may tells whether a message may have that attempt, and uses a right for one beyond the first.
-func (r *retries) may(attempt int) bool {
-	if r.most == 0 || attempt <= 1 {
+func (r *retryBudget) take(attempt int) bool {
+	if r.capacity == 0 || attempt <= 1 {
 		return true
 	}
-	if r.left < 1 {
+	if r.available < 1 {
 		return false
 	}
-	r.left--
+	r.available--
 	return true
 }
 
 // giveUp answers a message at once for whose next attempt there is no right.
 func (c *Core) giveUp(now int64, r RelayID, m *message) {
-	c.retries.given++
+	c.retryBudget.denied++
 	verdict := Refused
-	if m.ran {
+	if m.mayHaveRun {
 		verdict = Failed
 	}
-	c.answer(r.Message, m, Command{Verdict: verdict, After: overAfter})
-	c.end(now, r, logic.Moot, nil)
+	c.answer(r.Message, m, Command{Verdict: verdict, After: retryAfterOverLimit})
+	c.completeAttempt(now, r, logic.Moot, nil)
 }
--- a/internal/memory/rules.go
+++ b/internal/memory/rules.go
@@ -7,19 +7,19 @@
 // May tells whether a relay that was sent may still be begun: its host may have begun to drain, gone or been cordoned while
 // a connection was made, and the rules count from a request's first byte.
 func (c *Core) May(now int64, r RelayID) bool {
-	a := c.find(r)
-	return a != nil && c.takes(c.hosts[a.worker]) && c.within(now, r) && (c.messages[r.Message].crew == nil || c.gangs.May(now, r.Message))
+	a := c.outstandingAttempt(r)
+	return a != nil && c.acceptsWork(c.hosts[a.worker]) && c.withinRepeatWindow(now, r) && (c.messages[r.Message].gang == nil || c.gangs.May(now, r.Message))
 }
 
 // within tells whether a keyed message's relay would still be dropped as a repeat of those before it: while its connection was
 // made the window of the first that may have run may have ended.
-func (c *Core) within(now int64, r RelayID) bool {
+func (c *Core) withinRepeatWindow(now int64, r RelayID) bool {
 	m := c.messages[r.Message]
-	if m.crew != nil || m.class < 0 || m.class >= len(c.cfg.Classes) || c.cfg.Classes[m.class].Repeat != logic.RepeatKeyed {
+	if m.gang != nil || m.class < 0 || m.class >= len(c.cfg.Classes) || c.cfg.Classes[m.class].Repeat != logic.RepeatKeyed {
 		return true
 	}
-	for _, b := range m.relays[:r.Attempt] {
-		if (b.out || b.ran) && now-b.sent > c.cfg.RepeatWithin(m.class) {
+	for _, b := range m.attempts[:r.Attempt] {
+		if (b.outstanding || b.mayHaveRun) && now-b.sentAt > c.cfg.RepeatWithin(m.class) {
 			return false
 		}
 	}
@@ -32,19 +32,19 @@
 	if m == nil {
 		return
 	}
-	r := RelayID{a.Job, len(m.relays)}
-	m.relays = append(m.relays, relay{worker: a.Worker, sent: now, out: true})
-	m.out++
+	r := RelayID{a.Job, len(m.attempts)}
+	m.attempts = append(m.attempts, attempt{worker: a.Worker, sentAt: now, outstanding: true})
+	m.outstanding++
 	switch {
 	case m.answered, // a message that has its answer needs no more work
-		!c.takes(h), // nothing new to a host that drains, is gone or cordoned
-		len(m.relays)-m.free > max(c.cfg.MaxAttempts, 1), // no more attempts than the site allows
-		m.out > 1 && !c.cfg.MayCopy:                      // one attempt out at a time
-		c.end(now, r, logic.Moot, nil)
+		!c.acceptsWork(h), // nothing new to a host that drains, is gone or cordoned
+		len(m.attempts)-m.uncounted > max(c.cfg.MaxAttempts, 1), // no more attempts than the site allows
+		m.outstanding > 1 && !c.cfg.MayCopy:                     // one attempt out at a time
+		c.completeAttempt(now, r, logic.Moot, nil)
 		return
-	case !c.retries.may(len(m.relays) - m.free):
-		if m.out > 1 {
-			c.end(now, r, logic.Moot, nil) // the first copy goes on
+	case !c.retryBudget.take(len(m.attempts) - m.uncounted):
+		if m.outstanding > 1 {
+			c.completeAttempt(now, r, logic.Moot, nil) // the first copy goes on
 		} else {
 			c.giveUp(now, r, m)
 		}
@@ -54,5 +54,5 @@
 	if m.deadline > 0 {
 		until = min(until, max(m.deadline, now+1))
 	}
-	c.do(Command{Kind: Send, Relay: r, Addr: h.Addr, Until: until})
+	c.emit(Command{Kind: Send, Relay: r, Addr: h.Addr, Until: until})
 }
--- a/internal/testing/exchange/exchange.go
+++ b/internal/testing/exchange/exchange.go
@@ -24,8 +24,8 @@
 }
 
 var (
-	repeated = regexp.MustCompile(`\{(\d+)\*(.)\}`)
-	single   = regexp.MustCompile(`\{x[0-9a-f]{2}\}`)
+	repeatPattern = regexp.MustCompile(`\{(\d+)\*(.)\}`)
+	bytePattern   = regexp.MustCompile(`\{x[0-9a-f]{2}\}`)
 )
 
 // Bytes gives the bytes that a section stands for. A line ends in CR LF, or in nothing where it ends in a
@@ -35,12 +35,12 @@
 	var out bytes.Buffer
 	for line := range strings.Lines(string(section)) {
 		line, chunk := strings.CutPrefix(strings.TrimSuffix(line, "\n"), "+")
-		line = repeated.ReplaceAllStringFunc(line, func(s string) string {
-			m := repeated.FindStringSubmatch(s)
+		line = repeatPattern.ReplaceAllStringFunc(line, func(s string) string {
+			m := repeatPattern.FindStringSubmatch(s)
 			n, _ := strconv.Atoi(m[1])
 			return strings.Repeat(m[2], n)
 		})
-		line = single.ReplaceAllStringFunc(line, func(s string) string {
+		line = bytePattern.ReplaceAllStringFunc(line, func(s string) string {
 			n, _ := strconv.ParseUint(s[2:4], 16, 8)
 			return string([]byte{byte(n)})
 		})
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -28,26 +28,26 @@
 
 // Codes of the actions.
 const (
-	acTell      = 1
-	acPanic     = 2
-	acFail      = 3
-	acCancel    = 4
-	acSend      = 5
-	acRecord    = 6
-	acList      = 7
-	acRefuse    = 8
-	acRelease   = 9
-	acRemind    = 10
-	acSubscribe = 11
-	acInspect   = 12
+	actTell      = 1
+	actPanic     = 2
+	actFail      = 3
+	actCancel    = 4
+	actSend      = 5
+	actRecord    = 6
+	actList      = 7
+	actRefuse    = 8
+	actRelease   = 9
+	actRemind    = 10
+	actSubscribe = 11
+	actInspect   = 12
 )
 
 const (
-	headerLen  = 20
-	replyLen   = 8
-	recordHead = 5
-	entryLen   = 22
-	readStep   = 1 << 20 // bytes taken on at a time, so that a claimed length alone allocates nothing
+	headerLen       = 20
+	replyLen        = 8
+	recordHeaderLen = 5
+	entryLen        = 22
+	readChunk       = 1 << 20 // bytes taken on at a time, so that a claimed length alone allocates nothing
 )
 
 // Entry is one line of a worker list.
@@ -114,7 +114,7 @@
 	}
 	for len(buf) < total {
 		have := len(buf)
-		want := min(total, max(cap(buf), have+readStep))
+		want := min(total, max(cap(buf), have+readChunk))
 		if want > cap(buf) {
 			grown := make([]byte, have, max(want, min(total, 2*cap(buf))))
 			copy(grown, buf)
@@ -131,10 +131,10 @@
 
 // Batch walks the records of one frame.
 type Batch struct {
-	Now  int64
-	Seq  uint32
-	left uint32
-	rest []byte
+	Now       int64
+	Seq       uint32
+	remaining uint32
+	rest      []byte
 }
 
 // Open starts the walk over a frame that ReadFrame returned.
@@ -143,7 +143,7 @@
 		return fmt.Errorf("frame of %d bytes has no header", len(frame))
 	}
 	b.Now = clampTime(binary.BigEndian.Uint64(frame))
-	b.left = binary.BigEndian.Uint32(frame[12:])
+	b.remaining = binary.BigEndian.Uint32(frame[12:])
 	b.Seq = binary.BigEndian.Uint32(frame[16:])
 	b.rest = frame[headerLen:]
 	return nil
@@ -165,28 +165,28 @@
 // Next decodes the next record into e; false at the end. Records of unknown code are skipped.
 func (b *Batch) Next(e *Event) (bool, error) {
 	for {
-		if b.left == 0 {
+		if b.remaining == 0 {
 			if len(b.rest) != 0 {
 				return false, fmt.Errorf("batch %d: %d bytes left after the last record", b.Seq, len(b.rest))
 			}
 			return false, nil
 		}
-		if len(b.rest) < recordHead {
-			return false, fmt.Errorf("batch %d: %d records missing at the end", b.Seq, b.left)
+		if len(b.rest) < recordHeaderLen {
+			return false, fmt.Errorf("batch %d: %d records missing at the end", b.Seq, b.remaining)
 		}
 		code := b.rest[0]
 		n := int64(binary.BigEndian.Uint32(b.rest[1:]))
-		if n > int64(len(b.rest)-recordHead) {
+		if n > int64(len(b.rest)-recordHeaderLen) {
 			return false, fmt.Errorf("batch %d: record of code %d states %d bytes, %d are left",
-				b.Seq, code, n, len(b.rest)-recordHead)
+				b.Seq, code, n, len(b.rest)-recordHeaderLen)
 		}
-		c := cursor{b: b.rest[recordHead : recordHead+n]}
-		b.rest = b.rest[recordHead+n:]
-		b.left--
+		c := cursor{b: b.rest[recordHeaderLen : recordHeaderLen+n]}
+		b.rest = b.rest[recordHeaderLen+n:]
+		b.remaining--
 		if !decode(code, &c, e) {
 			continue
 		}
-		if c.short {
+		if c.truncated {
 			return false, fmt.Errorf("batch %d: record of code %d is shorter than its fields", b.Seq, code)
 		}
 		return true, nil
@@ -200,7 +200,7 @@
 		e.Set = c.u16()
 		n := int64(c.u32())
 		if n*entryLen > int64(len(c.b)) {
-			c.short = true
+			c.truncated = true
 			n = 0
 		}
 		e.Entries = c.take(int(n) * entryLen)
@@ -255,13 +255,13 @@
 
 // cursor reads big-endian fields; past the end it gives zeros and notes that the record was short.
 type cursor struct {
-	b     []byte
-	short bool
+	b         []byte
+	truncated bool
 }
 
 func (c *cursor) take(n int) []byte {
 	if n < 0 || n > len(c.b) {
-		c.short = true
+		c.truncated = true
 		c.b = nil
 		return nil
 	}
@@ -301,7 +301,7 @@
 func (c *cursor) f32() float32 { return math.Float32frombits(c.u32()) }
 
 func (c *cursor) floats(dst []float32) []float32 {
-	for n := int(c.u8()); n > 0 && !c.short; n-- {
+	for n := int(c.u8()); n > 0 && !c.truncated; n-- {
 		dst = append(dst, c.f32())
 	}
 	return dst
--- a/internal/wire/platform/config.go
+++ b/internal/wire/platform/config.go
@@ -87,7 +87,7 @@
 	if c.Settings, err = wire.ParseSettings([]byte(flat.String())); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := fleet(settings, &c.Settings); err != nil {
+	if err := checkSchedulerIndex(settings, &c.Settings); err != nil {
 		return nil, err
 	}
 	// On sockets the list always comes only to those who ask, whatever the simulator does.
@@ -115,7 +115,7 @@
 // fleet checks what a dispatcher is told of its place among the others. Without Balancers it takes itself for the only
 // one. A number that does not fit is no matter for a default: dispatchers that share nothing keep within a cold host's
 // budget only by each taking its own turns.
-func fleet(settings *fastjson.Value, c *logic.Config) error {
+func checkSchedulerIndex(settings *fastjson.Value, c *logic.Config) error {
 	for key, least := range map[string]int{"Balancers": 1, "SelfIndex": 0} {
 		v := settings.Get(key)
 		if v == nil {
@@ -150,11 +150,11 @@
 		}
 		plain := make([]string, len(items))
 		for i, item := range items {
-			plain[i] = scalar(item)
+			plain[i] = scalarText(item)
 		}
 		fmt.Fprintf(out, "%s=%s\n", path, strings.Join(plain, ","))
 	default:
-		fmt.Fprintf(out, "%s=%s\n", path, scalar(v))
+		fmt.Fprintf(out, "%s=%s\n", path, scalarText(v))
 	}
 }
 
@@ -166,7 +166,7 @@
 }
 
 // scalar writes a plain value; spaces and commas within it would be read as the form's own.
-func scalar(v *fastjson.Value) string {
+func scalarText(v *fastjson.Value) string {
 	if v == nil {
 		return ""
 	}
@@ -174,10 +174,10 @@
 	if v.Type() == fastjson.TypeString {
 		text = string(v.GetStringBytes())
 	}
-	return plain(text)
+	return settingsName(text)
 }
 
-var unspaced = strings.NewReplacer(" ", "_", ",", "_", "\n", "_")
+var settingsNameReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_")
 
 // plain is a name as the settings keep it.
-func plain(name string) string { return unspaced.Replace(name) }
+func settingsName(name string) string { return settingsNameReplacer.Replace(name) }
--- a/internal/wire/platform/http.go
+++ b/internal/wire/platform/http.go
@@ -52,26 +52,26 @@
 	return used + len(b), false, nil
 }
 
-var errHead = errors.New("malformed head")
+var errMalformedHead = errors.New("malformed head")
 
 // strict refuses what readers of a head take in different ways: line ends that are not CR LF, lines that go on in
 // the next, names that are no tokens, control bytes. One that took it otherwise than a host or a client would find
 // another message in the same bytes.
-func (h *head) strict() error {
+func (h *head) validate() error {
 	for line := range bytes.Lines(h.buf) {
 		line, crlf := bytes.CutSuffix(line, []byte("\r\n"))
 		if !crlf || bytes.ContainsFunc(line, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
-			return errHead
+			return errMalformedHead
 		}
 		if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
-			return errHead
+			return errMalformedHead
 		}
 	}
 	_, fields, _ := bytes.Cut(h.buf, []byte("\n"))
 	for line := range bytes.Lines(fields) {
 		name, _, found := bytes.Cut(line, []byte(":"))
 		if found && (len(name) == 0 || bytes.ContainsAny(name, " \t\"(),/;<=>?@[\\]{}")) {
-			return errHead
+			return errMalformedHead
 		}
 	}
 	return nil
@@ -95,39 +95,39 @@
 type framing uint8
 
 const (
-	byLength framing = iota
-	byChunks
-	toEnd // of the connection
+	byContentLength framing = iota
+	chunked
+	untilClose // of the connection
 )
 
 // The places within a chunked body.
-type place uint8
+type chunkState uint8
 
 const (
-	atSize place = iota
-	inData
-	afterData
-	inTrailer
+	sizeLine chunkState = iota
+	chunkData
+	dataEnd
+	trailer
 )
 
 // body walks the bytes of one body.
 type body struct {
-	how  framing
-	left int64 // of the body, or of the present chunk
-	at   place
-	line []byte // a chunk's size line or a trailer line, as far as it has come
+	framing   framing
+	remaining int64 // of the body, or of the present chunk
+	state     chunkState
+	line      []byte // a chunk's size line or a trailer line, as far as it has come
 
 	strict bool // lines end in CR LF, and a size is nothing but digits
 }
 
 var (
-	errFraming  = errors.New("the body's length is told in more than one way or not as a number")
-	errTransfer = errors.New("transfer coding is not chunked")
-	errChunk    = errors.New("malformed chunk")
+	errFraming        = errors.New("the body's length is told in more than one way or not as a number")
+	errTransfer       = errors.New("transfer coding is not chunked")
+	errMalformedChunk = errors.New("malformed chunk")
 )
 
 // bodyOf reads from the fields how a body ends; absent says what holds where they are silent.
-func bodyOf(f textproto.MIMEHeader, absent framing) (body, error) {
+func newBody(f textproto.MIMEHeader, absent framing) (body, error) {
 	lengths, codings := f["Content-Length"], f["Transfer-Encoding"]
 	switch {
 	case len(codings) > 0 && len(lengths) > 0, len(lengths) > 1, len(codings) > 1:
@@ -137,45 +137,45 @@
 		if !strings.EqualFold(codings[0], "chunked") {
 			return body{}, errTransfer
 		}
-		return body{how: byChunks}, nil
+		return body{framing: chunked}, nil
 	case len(lengths) == 1:
 		n, err := strconv.ParseUint(lengths[0], 10, 62)
 		if err != nil {
 			return body{}, errFraming
 		}
-		return body{how: byLength, left: int64(n)}, nil
+		return body{framing: byContentLength, remaining: int64(n)}, nil
 	}
-	return body{how: absent}, nil
+	return body{framing: absent}, nil
 }
 
 // feed hands the body's own bytes to sink and tells how many of b it used and whether the body is whole.
 func (d *body) feed(b []byte, sink func([]byte) error) (used int, whole bool, err error) {
 	for {
 		switch {
-		case d.how == toEnd:
+		case d.framing == untilClose:
 			return len(b), false, sink(b)
-		case d.how == byLength || d.at == inData:
-			n := int(min(d.left, int64(len(b)-used)))
+		case d.framing == byContentLength || d.state == chunkData:
+			n := int(min(d.remaining, int64(len(b)-used)))
 			if n > 0 {
 				if err := sink(b[used : used+n]); err != nil {
 					return used, false, err
 				}
 			}
 			used += n
-			d.left -= int64(n)
-			if d.left > 0 {
+			d.remaining -= int64(n)
+			if d.remaining > 0 {
 				return used, false, nil
 			}
-			if d.how == byLength {
+			if d.framing == byContentLength {
 				return used, true, nil
 			}
-			d.at = afterData
+			d.state = dataEnd
 		default:
 			n := bytes.IndexByte(b[used:], '\n')
 			if n < 0 {
 				d.line = append(d.line, b[used:]...)
 				if len(d.line) > 256 {
-					return used, false, errChunk
+					return used, false, errMalformedChunk
 				}
 				return len(b), false, nil
 			}
@@ -184,9 +184,9 @@
 			text, crlf := strings.CutSuffix(string(d.line), "\r")
 			d.line = d.line[:0]
 			if d.strict && (!crlf || strings.Contains(text, "\r")) {
-				return used, false, errChunk
+				return used, false, errMalformedChunk
 			}
-			if whole, err := d.step(text); whole || err != nil {
+			if whole, err := d.chunkLine(text); whole || err != nil {
 				return used, whole, err
 			}
 		}
@@ -194,14 +194,14 @@
 }
 
 // step takes one line of a chunked body's framing.
-func (d *body) step(text string) (whole bool, err error) {
-	switch d.at {
-	case afterData:
+func (d *body) chunkLine(text string) (whole bool, err error) {
+	switch d.state {
+	case dataEnd:
 		if text != "" {
-			return false, errChunk
+			return false, errMalformedChunk
 		}
-		d.at = atSize
-	case inTrailer:
+		d.state = sizeLine
+	case trailer:
 		return text == "", nil
 	default:
 		size, _, _ := strings.Cut(text, ";")
@@ -210,18 +210,18 @@
 		}
 		n, err := strconv.ParseUint(size, 16, 31)
 		if err != nil {
-			return false, errChunk
+			return false, errMalformedChunk
 		}
-		d.left, d.at = int64(n), inData
+		d.remaining, d.state = int64(n), chunkData
 		if n == 0 {
-			d.at = inTrailer
+			d.state = trailer
 		}
 	}
 	return false, nil
 }
 
 // closes tells whether a message ends its connection.
-func closes(version string, f textproto.MIMEHeader) bool {
+func closesConnection(version string, f textproto.MIMEHeader) bool {
 	wants := version == "HTTP/1.0"
 	for _, line := range f["Connection"] {
 		for token := range strings.SplitSeq(line, ",") {
@@ -255,7 +255,7 @@
 		if err != nil || !done {
 			return used, false, err
 		}
-		if err := r.begin(); err != nil {
+		if err := r.parseHead(); err != nil {
 			return used, false, err
 		}
 		if r.inBody {
@@ -267,7 +267,7 @@
 }
 
 // begin reads a whole head; one that only announces another is passed over.
-func (r *response) begin() error {
+func (r *response) parseHead() error {
 	first, fields, err := r.head.parse()
 	if err != nil {
 		return err
@@ -281,13 +281,13 @@
 	if r.status < 200 {
 		return nil
 	}
-	r.inBody, r.fields, r.close = true, fields, closes(version, fields)
-	absent := toEnd
+	r.inBody, r.fields, r.close = true, fields, closesConnection(version, fields)
+	absent := untilClose
 	if r.status == 204 || r.status == 304 {
-		absent = byLength
+		absent = byContentLength
 	}
-	r.body, err = bodyOf(fields, absent)
-	if r.body.how == toEnd {
+	r.body, err = newBody(fields, absent)
+	if r.body.framing == untilClose {
 		r.close = true
 	}
 	return err
--- a/internal/wire/platform/inventory.go
+++ b/internal/wire/platform/inventory.go
@@ -40,8 +40,8 @@
 		h := memory.Host{
 			Name:    string(m.GetStringBytes("id")),
 			Addr:    string(m.GetStringBytes("host_port")),
-			Zone:    slices.Index(n.Zones, scalar(m.Get("locality"))),
-			Kind:    slices.Index(n.Kinds, scalar(m.Get("flavor"))),
+			Zone:    slices.Index(n.Zones, scalarText(m.Get("locality"))),
+			Kind:    slices.Index(n.Kinds, scalarText(m.Get("flavor"))),
 			Cell:    m.GetInt("cell"),
 			Weight:  m.GetFloat64("size"),
 			UpSince: m.GetInt64("up_since_ms") * 1000,
@@ -66,18 +66,18 @@
 
 // Watch reads the inventory: the whole list, where that was asked for first, then the watch on changes.
 type Watch struct {
-	names Names
-	resp  response
-	cut   objects
-	json  fastjson.Parser
-	on    func(List)
-	whole bool // the answer being read is the whole list, and another follows
-	bad   error
+	names        Names
+	resp         response
+	splitter     objectSplitter
+	parser       fastjson.Parser
+	onList       func(List)
+	awaitingFull bool // the answer being read is the whole list, and another follows
+	statusErr    error
 }
 
 // NewWatch makes a reader that hands each list to on; whole says that AppendWhole goes ahead of AppendWatch.
 func NewWatch(names Names, whole bool, on func(List)) *Watch {
-	return &Watch{names: names, cut: objects{most: maxList}, whole: whole, on: on}
+	return &Watch{names: names, splitter: objectSplitter{maxLen: maxList}, awaitingFull: whole, onList: on}
 }
 
 // AppendWhole appends the request for the whole list.
@@ -101,49 +101,49 @@
 func (w *Watch) Feed(b []byte) (listed bool, err error) {
 	used, over, err := w.resp.feed(b, func() {
 		if w.resp.status != 200 {
-			w.bad = fmt.Errorf("%w %d", ErrTurnedAway, w.resp.status)
+			w.statusErr = fmt.Errorf("%w %d", ErrTurnedAway, w.resp.status)
 		}
-	}, w.body)
+	}, w.feedBody)
 	if err == nil && over {
-		err = w.cut.end()
+		err = w.splitter.end()
 	}
 	switch {
-	case w.bad != nil:
-		return false, w.bad
+	case w.statusErr != nil:
+		return false, w.statusErr
 	case err != nil || !over:
 		return false, err
-	case !w.whole || w.resp.close:
+	case !w.awaitingFull || w.resp.close:
 		return false, errors.New("discovery ended the watch")
 	case used < len(b):
-		return false, errStray
+		return false, errUnexpectedBytes
 	}
-	w.whole = false
+	w.awaitingFull = false
 	w.resp.reset()
 	return true, nil
 }
 
 // Fresh tells whether what was fed last shows that discovery goes on: a blank line does so between lists, but not in the
 // middle of one that never ends.
-func (w *Watch) Fresh() bool { return !w.resp.inBody || w.cut.fresh }
+func (w *Watch) Fresh() bool { return !w.resp.inBody || w.splitter.progressed }
 
-func (w *Watch) body(data []byte) error {
-	if w.bad != nil {
-		return w.bad
+func (w *Watch) feedBody(data []byte) error {
+	if w.statusErr != nil {
+		return w.statusErr
 	}
-	return w.cut.feed(data, w.object)
+	return w.splitter.feed(data, w.parseList)
 }
 
-func (w *Watch) object(text []byte) error {
-	v, err := w.json.ParseBytes(text)
+func (w *Watch) parseList(text []byte) error {
+	v, err := w.parser.ParseBytes(text)
 	if err != nil {
 		return fmt.Errorf("malformed list: %w", err)
 	}
 	l, err := w.names.ReadList(v)
-	if err == nil && w.whole && !l.Complete {
+	if err == nil && w.awaitingFull && !l.Complete {
 		return errors.New("the whole list was asked for and is not complete")
 	}
 	if err == nil {
-		w.on(l)
+		w.onList(l)
 	}
 	return err
 }
--- a/internal/wire/platform/north.go
+++ b/internal/wire/platform/north.go
@@ -87,21 +87,21 @@
 		if !whole {
 			return used, nil, nil
 		}
-		if fault := n.begin(); fault != nil {
+		if fault := n.parseHead(); fault != nil {
 			return used, nil, fault
 		}
 	}
 	m = n.msg
 	k, whole, err := n.body.feed(b[used:], func(data []byte) error {
 		if len(m.Body)+len(data) > maxBody {
-			return errLarge
+			return errBodyTooLarge
 		}
 		m.Body = append(m.Body, data...)
 		return nil
 	})
 	used += k
 	switch {
-	case errors.Is(err, errLarge):
+	case errors.Is(err, errBodyTooLarge):
 		return used, nil, &Fault{413, err.Error()}
 	case err != nil:
 		return used, nil, &Fault{400, err.Error()}
@@ -112,11 +112,11 @@
 	return used, m, nil
 }
 
-var errLarge = errors.New("body is over 64 KiB")
+var errBodyTooLarge = errors.New("body is over 64 KiB")
 
 // begin reads a whole head.
-func (n *North) begin() *Fault {
-	err := n.head.strict()
+func (n *North) parseHead() *Fault {
+	err := n.head.validate()
 	var first string
 	var f textproto.MIMEHeader
 	if err == nil {
@@ -127,7 +127,7 @@
 		return &Fault{400, "malformed head"}
 	}
 	parts := strings.Split(first, " ")
-	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") || !visible(parts[1]) {
+	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") || !isVisibleASCII(parts[1]) {
 		return &Fault{400, "malformed request line"}
 	}
 	if parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
@@ -140,36 +140,36 @@
 	if parts[2] == "HTTP/1.1" && len(f["Host"]) != 1 {
 		return &Fault{400, "want one Host"}
 	}
-	if n.body, err = bodyOf(f, byLength); errors.Is(err, errTransfer) {
+	if n.body, err = newBody(f, byContentLength); errors.Is(err, errTransfer) {
 		return &Fault{501, err.Error()}
 	} else if err != nil {
 		return &Fault{400, err.Error()}
 	}
-	if n.body.how == byChunks && parts[2] == "HTTP/1.0" {
+	if n.body.framing == chunked && parts[2] == "HTTP/1.0" {
 		// That version knows no chunks, so another reader would look for the body's end elsewhere.
 		return &Fault{400, errFraming.Error()}
 	}
 	n.body.strict = true
-	if n.body.how == byLength && n.body.left > maxBody {
-		return &Fault{413, errLarge.Error()}
+	if n.body.framing == byContentLength && n.body.remaining > maxBody {
+		return &Fault{413, errBodyTooLarge.Error()}
 	}
-	m := &Message{Method: parts[0], Target: parts[1], Close: closes(parts[2], f)}
+	m := &Message{Method: parts[0], Target: parts[1], Close: closesConnection(parts[2], f)}
 	m.Continue = strings.EqualFold(f.Get("Expect"), "100-continue")
 	if f.Get("Expect") != "" && !m.Continue {
 		return &Fault{417, "unknown expectation"}
 	}
-	m.Fault = n.read(m, f)
+	m.Fault = n.parseRequest(m, f)
 	n.msg = m
 	return nil
 }
 
 // visible tells whether a text holds visible ASCII alone: all that may be passed on to a host within a line.
-func visible(text string) bool {
+func isVisibleASCII(text string) bool {
 	return !strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r >= 0x7f })
 }
 
 // read fills a message from its head.
-func (n *North) read(m *Message, f textproto.MIMEHeader) *Fault {
+func (n *North) parseRequest(m *Message, f textproto.MIMEHeader) *Fault {
 	path, query, _ := strings.Cut(m.Target, "?")
 	if path == "/healthz" {
 		m.Health = m.Method == "GET"
@@ -195,7 +195,7 @@
 	switch {
 	case m.Txn == "":
 		return &Fault{400, "missing X-Txn"}
-	case !visible(m.Txn) || !visible(m.Key):
+	case !isVisibleASCII(m.Txn) || !isVisibleASCII(m.Key):
 		return &Fault{400, "X-Txn or Idempotency-Key can't be passed on"}
 	case m.Lane != "" && m.Lane != first:
 		return &Fault{400, "X-Lane is not the class in the path"}
@@ -205,7 +205,7 @@
 	}
 	m.Lane, m.Class, m.Name = first, lane.Class, m.Txn
 	if len(f["X-Remaining"]) == 1 {
-		s, err := decimal(f.Get("X-Remaining"))
+		s, err := parseDecimal(f.Get("X-Remaining"))
 		if err != nil || s > maxRemaining {
 			return &Fault{400, "X-Remaining is not a time in seconds"}
 		}
@@ -214,14 +214,14 @@
 		m.Remaining = -1
 	}
 	m.Repeated = f.Get("X-Resent") == "1"
-	m.Tenant = n.tenant(f["X-Org"])
+	m.Tenant = n.tenantIndex(f["X-Org"])
 	// What follows only guides the choice of a host, so what can't be read counts as absent.
-	if v, err := decimal(f.Get("X-Estimate")); err == nil && v < 1e12 {
+	if v, err := parseDecimal(f.Get("X-Estimate")); err == nil && v < 1e12 {
 		m.Hint = int64(v)
 	}
 	for pair := range strings.SplitSeq(f.Get("X-Labels"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		v, err := decimal(value)
+		v, err := parseDecimal(value)
 		if err != nil {
 			continue
 		}
@@ -233,16 +233,16 @@
 		}
 	}
 	if q, err := url.ParseQuery(query); err == nil {
-		m.Subject = number(q.Get("user"))
+		m.Subject = userKey(q.Get("user"))
 	}
 	return nil
 }
 
 // tenant is the number of the tenant that X-Org names, -1 where it is absent, unknown or told twice: such a message has
 // no share of its own, and to turn it away for that would lose a job that may well be served.
-func (n *North) tenant(named []string) int {
+func (n *North) tenantIndex(named []string) int {
 	if len(named) == 1 {
-		if t, known := n.tenants[plain(named[0])]; known {
+		if t, known := n.tenants[settingsName(named[0])]; known {
 			return t
 		}
 	}
@@ -251,7 +251,7 @@
 
 // decimal reads digits with or without a decimal point. Signs, exponents, hexadecimal and words for numbers, which
 // some readers take and others don't, are none.
-func decimal(text string) (float64, error) {
+func parseDecimal(text string) (float64, error) {
 	if len(text) > 32 || strings.Trim(text, "0123456789.") != "" {
 		return 0, strconv.ErrSyntax
 	}
@@ -262,7 +262,7 @@
 const maxRemaining = 86400
 
 // number turns a name into a number that every dispatcher finds alike, 0 for the empty name.
-func number(name string) uint64 {
+func userKey(name string) uint64 {
 	if name == "" {
 		return 0
 	}
@@ -274,7 +274,7 @@
 	return h.Sum64()
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	100: "Continue", 200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 417: "Expectation Failed",
 	431: "Request Header Fields Too Large", 501: "Not Implemented", 502: "Bad Gateway",
@@ -289,7 +289,7 @@
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[status]...)
+	b = append(b, reasonPhrases[status]...)
 	if after > 0 {
 		b = append(b, "\r\nRetry-After: "...)
 		b = strconv.AppendFloat(b, after.Seconds(), 'f', 3, 64)
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -17,7 +17,7 @@
 var testLanes = map[string]Lane{"readings": {Class: 0}, "ingest": {Class: 1, Keyed: true}}
 
 // playNorth reads messages until the bytes or the connection's use ends.
-func playNorth(pieces [][]byte) string {
+func runNorth(pieces [][]byte) string {
 	var out strings.Builder
 	n := NewNorth(testLanes, map[string]int{"coast_guard": 0, "harbour": 1})
 	for _, b := range pieces {
@@ -57,7 +57,7 @@
 	return text + fmt.Sprintf("%q\n", m.Body)
 }
 
-func playRelay(pieces [][]byte) string {
+func runRelay(pieces [][]byte) string {
 	var out strings.Builder
 	results := [...]string{"served", "failed", "refused", "timed out", "connect failed", "broken", "cancelled", "moot", "unusable"}
 	r := NewRelay(func(n Note) {
@@ -84,11 +84,11 @@
 	return out.String()
 }
 
-func playWatch(pieces [][]byte) string { return playInventory(pieces, false) }
+func runWatch(pieces [][]byte) string { return runInventory(pieces, false) }
 
-func playWhole(pieces [][]byte) string { return playInventory(pieces, true) }
+func runFullList(pieces [][]byte) string { return runInventory(pieces, true) }
 
-func playInventory(pieces [][]byte, whole bool) string {
+func runInventory(pieces [][]byte, whole bool) string {
 	var out strings.Builder
 	w := NewWatch(Names{Zones: []string{"dakar", "saint_louis"}, Kinds: []string{"m1", "m2"}}, whole, func(l List) {
 		fmt.Fprintf(&out, "revision %d complete %t\n", l.Revision, l.Complete)
@@ -112,8 +112,8 @@
 
 // Each recorded exchange is played whole and byte by byte, which must come to the same; only whether bytes
 // came behind an answer can't be seen before they do.
-func TestRecorded(t *testing.T) {
-	for file, play := range map[string]func([][]byte) string{"north": playNorth, "relay": playRelay, "watch": playWatch, "whole": playWhole} {
+func TestRecordedExchanges(t *testing.T) {
+	for file, play := range map[string]func([][]byte) string{"north": runNorth, "relay": runRelay, "watch": runWatch, "whole": runFullList} {
 		ar := exchange.Load(t, "testdata/"+file+".txtar")
 		for i := 0; i+1 < len(ar.Files); i += 2 {
 			in, want := exchange.Bytes(ar.Files[i].Data), string(ar.Files[i+1].Data)
@@ -125,7 +125,7 @@
 				for i := range in {
 					single[i] = in[i : i+1]
 				}
-				want = strings.Replace(want, "free, keep false (stray)", "free, keep true\nerror "+errStray.Error(), 1)
+				want = strings.Replace(want, "free, keep false (stray)", "free, keep true\nerror "+errUnexpectedBytes.Error(), 1)
 				if diff := cmp.Diff(want, play(single)); diff != "" {
 					t.Errorf("byte by byte (-want +got):\n%s", diff)
 				}
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestRelayRequestPassesOnByteForByte(t *testing.T) {
+func TestRelayRequestIsForwardedUnchanged(t *testing.T) {
 	m := &Message{Method: "POST", Target: "/ingest/a%20b?user=7&x=%2F", Txn: "t 1", Lane: "ingest", Key: "k,1", Body: []byte("\x00\r\n\xff")}
 	got := string(AppendRelay(nil, "127.0.0.9:9000", m, 1_250_000_000, nil))
 	want := "POST /ingest/a%20b?user=7&x=%2F HTTP/1.1\r\nHost: 127.0.0.9:9000\r\nX-Txn: t 1\r\nX-Lane: ingest\r\n" +
@@ -223,9 +223,9 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		playNorth([][]byte{in})
-		playRelay([][]byte{in})
-		playWatch([][]byte{in})
-		playWhole([][]byte{in})
+		runNorth([][]byte{in})
+		runRelay([][]byte{in})
+		runWatch([][]byte{in})
+		runFullList([][]byte{in})
 	})
 }
--- a/internal/wire/platform/relay.go
+++ b/internal/wire/platform/relay.go
@@ -72,35 +72,35 @@
 
 // Relay reads the answers on one connection to a south side host, one relay at a time.
 type Relay struct {
-	resp  response
-	lines lines
-	json  fastjson.Parser
-	id    string
-	out   bool // a request is out and its answer is not whole
-	ended bool // the outcome is known
-	on    func(Note)
+	resp    response
+	lines   lineSplitter
+	parser  fastjson.Parser
+	id      string
+	pending bool // a request is out and its answer is not whole
+	ended   bool // the outcome is known
+	notify  func(Note)
 }
 
 var (
-	errStray = errors.New("bytes where no answer is awaited")
-	errLine  = errors.New("malformed line of a relay")
+	errUnexpectedBytes = errors.New("bytes where no answer is awaited")
+	errMalformedLine   = errors.New("malformed line of a relay")
 )
 
 // NewRelay makes a reader that hands its notes to on.
-func NewRelay(on func(Note)) *Relay { return &Relay{lines: lines{most: maxLine}, on: on} }
+func NewRelay(on func(Note)) *Relay { return &Relay{lines: lineSplitter{maxLen: maxLine}, notify: on} }
 
 // Begin says that the request of a message goes out.
 func (r *Relay) Begin(id string) {
 	r.resp.reset()
 	r.lines.reset()
-	r.id, r.out, r.ended = id, true, false
+	r.id, r.pending, r.ended = id, true, false
 }
 
 // Feed takes bytes as they come. After an error the connection is of no more use; a relay whose end was not
 // told broke.
 func (r *Relay) Feed(b []byte) error {
-	if !r.out {
-		return errStray
+	if !r.pending {
+		return errUnexpectedBytes
 	}
 	used, whole, err := r.resp.feed(b, r.head, func(data []byte) error { return r.lines.feed(data, r.line) })
 	if err == nil && whole {
@@ -109,32 +109,32 @@
 	if err != nil || !whole {
 		return err
 	}
-	r.out = false
+	r.pending = false
 	if !r.ended {
 		// The answer is whole and told no end: as good as a connection that broke.
-		r.end(logic.Broken, nil)
+		r.reportEnd(logic.Broken, nil)
 	}
-	r.on(Note{Kind: NoteFree, Keep: !r.resp.close && used == len(b)})
+	r.notify(Note{Kind: NoteFree, Keep: !r.resp.close && used == len(b)})
 	return nil
 }
 
-func (r *Relay) end(result logic.Result, content []byte) {
+func (r *Relay) reportEnd(result logic.Result, content []byte) {
 	r.ended = true
-	r.on(Note{Kind: NoteEnded, Result: result, Content: content})
+	r.notify(Note{Kind: NoteEnded, Result: result, Content: content})
 }
 
 // head takes the status: all but 200 is an end by itself.
 func (r *Relay) head() {
 	switch s := r.resp.status; {
 	case s == 200:
-		r.on(Note{Kind: NoteTaken})
+		r.notify(Note{Kind: NoteTaken})
 	case (s == 503 || s == 504) && r.resp.fields.Get("X-Turned-Away") == "1":
-		r.end(logic.Refused, nil)
+		r.reportEnd(logic.Refused, nil)
 	case s >= 400 && s < 500:
 		// The message's fault and not the host's, which must not be shunned for what a client sends.
-		r.end(logic.Unusable, nil)
+		r.reportEnd(logic.Unusable, nil)
 	default:
-		r.end(logic.Failed, nil)
+		r.reportEnd(logic.Failed, nil)
 	}
 }
 
@@ -143,33 +143,33 @@
 	if r.ended || len(text) == 0 {
 		return nil
 	}
-	v, err := r.json.ParseBytes(text)
+	v, err := r.parser.ParseBytes(text)
 	if err != nil || string(v.GetStringBytes("id")) != r.id {
 		// A line that is not of this message must not be served as its result.
-		return errLine
+		return errMalformedLine
 	}
 	switch string(v.GetStringBytes("state")) {
 	case "started":
-		r.on(Note{Kind: NoteStarted})
+		r.notify(Note{Kind: NoteStarted})
 	case "running":
 		if s := v.Get("share"); s != nil && s.Type() == fastjson.TypeNumber {
-			r.on(Note{Kind: NoteProgress, Share: s.GetFloat64()})
+			r.notify(Note{Kind: NoteProgress, Share: s.GetFloat64()})
 		}
 	case "done":
 		switch c := v.Get("result"); {
 		case c == nil:
-			r.end(logic.Served, nil)
+			r.reportEnd(logic.Served, nil)
 		case c.Type() == fastjson.TypeString:
-			r.end(logic.Served, append([]byte(nil), c.GetStringBytes()...))
+			r.reportEnd(logic.Served, append([]byte(nil), c.GetStringBytes()...))
 		default:
-			r.end(logic.Served, c.MarshalTo(nil))
+			r.reportEnd(logic.Served, c.MarshalTo(nil))
 		}
 	case "failed":
-		r.end(logic.Failed, nil)
+		r.reportEnd(logic.Failed, nil)
 	case "returned":
-		r.end(logic.Refused, nil)
+		r.reportEnd(logic.Refused, nil)
 	case "lost":
-		r.end(logic.Broken, nil)
+		r.reportEnd(logic.Broken, nil)
 	}
 	return nil
 }
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -29,27 +29,27 @@
 func (r *Reply) Add(inst uint16, a *logic.Action) {
 	switch a.Kind {
 	case logic.ActSend:
-		r.head(acSend, inst, 12)
+		r.header(actSend, inst, 12)
 		r.u32(uint32(a.Job))
 		r.u32(uint32(a.Worker))
 		r.u32(clamp32(a.Timeout))
 	case logic.ActCancel:
-		r.head(acCancel, inst, 6)
+		r.header(actCancel, inst, 6)
 		r.u32(uint32(a.Job))
 		r.b = binary.BigEndian.AppendUint16(r.b, uint16(a.Attempt))
 	case logic.ActRefuse:
-		r.head(acRefuse, inst, 8)
+		r.header(actRefuse, inst, 8)
 		r.u32(uint32(a.Job))
 		r.u32(clamp32(a.After))
 	case logic.ActFail:
-		r.head(acFail, inst, 4)
+		r.header(actFail, inst, 4)
 		r.u32(uint32(a.Job))
 	case logic.ActWake:
-		r.head(acRemind, inst, 12)
+		r.header(actRemind, inst, 12)
 		r.u32(a.Token)
 		r.b = binary.BigEndian.AppendUint64(r.b, uint64(max(a.At, 0)))
 	case logic.ActSubscribe:
-		r.head(acSubscribe, inst, 1)
+		r.header(actSubscribe, inst, 1)
 		r.b = append(r.b, 1)
 	}
 }
@@ -57,8 +57,8 @@
 // Fault appends the notice that an instance cannot go on.
 func (r *Reply) Fault(inst uint16, text string) {
 	text = text[:min(len(text), math.MaxUint16)]
-	r.head(acPanic, inst, 2+len(text))
-	r.text([]byte(text))
+	r.header(actPanic, inst, 2+len(text))
+	r.lengthPrefixed([]byte(text))
 }
 
 // Tell appends a message to one peer, or to all of them where peer is below 0.
@@ -67,34 +67,34 @@
 	if peer >= 0 {
 		to = uint16(peer)
 	}
-	r.head(acTell, inst, 4+len(data))
+	r.header(actTell, inst, 4+len(data))
 	r.b = binary.BigEndian.AppendUint16(r.b, to)
-	r.text(data)
+	r.lengthPrefixed(data)
 }
 
 // Record appends a line for the report.
 func (r *Reply) Record(inst uint16, text string) {
 	text = text[:min(len(text), math.MaxUint16)]
-	r.head(acRecord, inst, 2+len(text))
-	r.text([]byte(text))
+	r.header(actRecord, inst, 2+len(text))
+	r.lengthPrefixed([]byte(text))
 }
 
 // ListAll appends a call for the whole worker list.
-func (r *Reply) ListAll(inst uint16) { r.head(acList, inst, 0) }
+func (r *Reply) ListAll(inst uint16) { r.header(actList, inst, 0) }
 
 // Release appends the closing of idle connections to a worker.
 func (r *Reply) Release(inst uint16, worker uint32) {
-	r.head(acRelease, inst, 4)
+	r.header(actRelease, inst, 4)
 	r.u32(worker)
 }
 
 // Inspect appends a probe of a worker.
 func (r *Reply) Inspect(inst uint16, worker uint32) {
-	r.head(acInspect, inst, 4)
+	r.header(actInspect, inst, 4)
 	r.u32(worker)
 }
 
-func (r *Reply) head(code uint8, inst uint16, n int) {
+func (r *Reply) header(code uint8, inst uint16, n int) {
 	r.b = append(r.b, code)
 	r.u32(uint32(n + 2))
 	r.b = binary.BigEndian.AppendUint16(r.b, inst)
@@ -102,7 +102,7 @@
 
 func (r *Reply) u32(v uint32) { r.b = binary.BigEndian.AppendUint32(r.b, v) }
 
-func (r *Reply) text(t []byte) {
+func (r *Reply) lengthPrefixed(t []byte) {
 	r.b = binary.BigEndian.AppendUint16(r.b, uint16(len(t)))
 	r.b = append(r.b, t...)
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,7 +10,7 @@
 )
 
 // maxListed bounds the lists that settings may announce, so that a claimed count allocates nothing.
-const maxListed = 4096
+const maxListLen = 4096
 
 // settings are the path=value pairs of a start record.
 type settings map[string]string
@@ -64,7 +64,7 @@
 	// Limits.RetryAfter tells whether the simulator's clients get the advice; it drops it where they do not. On
 	// sockets the header is always allowed, so the advice is always given.
 	for _, name := range s.list("Report.Names") {
-		c.Reports = append(c.Reports, fields[name])
+		c.Reports = append(c.Reports, reportFields[name])
 	}
 	var err error
 	if c.Classes, err = s.classes(); err != nil {
@@ -75,15 +75,15 @@
 }
 
 // fields maps the wire's names of report values; a name not known maps to FieldUnknown.
-var fields = map[string]logic.Field{
+var reportFields = map[string]logic.Field{
 	"busy_reqs": logic.FieldInflight, "pending": logic.FieldQueue, "svc_ms": logic.FieldService,
 	"served_ps": logic.FieldRate, "x0": logic.FieldFreeSlots,
 }
 
 func (s settings) classes() ([]logic.Class, error) {
 	n, err := strconv.Atoi(s["Classes.count"])
-	if err != nil || n < 1 || n > maxListed {
-		return nil, fmt.Errorf("setting Classes.count: want a number from 1 to %d, have %q", maxListed,
+	if err != nil || n < 1 || n > maxListLen {
+		return nil, fmt.Errorf("setting Classes.count: want a number from 1 to %d, have %q", maxListLen,
 			s["Classes.count"])
 	}
 	kinds, stretch := s.list("FamilyInfo.ClassKind"), s.list("FamilyInfo.ClassStretch")
@@ -115,7 +115,7 @@
 			}
 		}
 		if i < len(stretch) {
-			if v, err := strconv.ParseFloat(stretch[i], 64); err == nil && usable(v) {
+			if v, err := strconv.ParseFloat(stretch[i], 64); err == nil && validNumber(v) {
 				out[i].Stretch = v
 			}
 		}
@@ -125,7 +125,7 @@
 
 func (s settings) tenants() []logic.Tenant {
 	n, err := strconv.Atoi(s["Tenants.count"])
-	if err != nil || n < 1 || n > maxListed {
+	if err != nil || n < 1 || n > maxListLen {
 		return nil
 	}
 	out := make([]logic.Tenant, n)
@@ -146,7 +146,7 @@
 func (s settings) flag(key string) bool { return s[key] == "true" }
 
 func (s settings) float(key string, fallback float64) float64 {
-	if v, err := strconv.ParseFloat(s[key], 64); err == nil && usable(v) {
+	if v, err := strconv.ParseFloat(s[key], 64); err == nil && validNumber(v) {
 		return v
 	}
 	return fallback
@@ -164,4 +164,4 @@
 }
 
 // usable tells whether a setting is a finite number that is not negative.
-func usable(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
+func validNumber(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -21,7 +21,7 @@
 }
 
 // Built by the documented layout: an arrival, a wake-up, a record of unknown code, and a hang-up.
-const sample = `
+const sampleFrame = `
 	0000000000805c5a 0000005d 00000004 0000000c
 	03 00000027 0003 00000011 0000000000000007 0001 02 0001 00002ee0 00000000 00000000008405da 40000000
 	07 00000006 0003 0000004d
@@ -29,7 +29,7 @@
 	06 00000006 0005 0e6f2b19`
 
 func TestDecodeSample(t *testing.T) {
-	frame, err := ReadFrame(bytes.NewReader(unhex(t, sample)), nil)
+	frame, err := ReadFrame(bytes.NewReader(unhex(t, sampleFrame)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,14 +100,14 @@
 	}
 }
 
-func TestClaimedLengthAllocatesNothing(t *testing.T) {
+func TestClaimedLengthIsNotAllocated(t *testing.T) {
 	frame, err := ReadFrame(bytes.NewReader(unhex(t, `0000000000000001 ffffffff 00000001 00000007 00`)), nil)
-	if err == nil || cap(frame) > 4*readStep {
+	if err == nil || cap(frame) > 4*readChunk {
 		t.Errorf("error %v, %d bytes taken for a frame that never came", err, cap(frame))
 	}
 }
 
-func TestCleanEnd(t *testing.T) {
+func TestEOFBetweenFrames(t *testing.T) {
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
 		t.Errorf("error %v, want EOF", err)
 	}
@@ -186,7 +186,7 @@
 }
 
 // Only settings that say so make a short wait a sign of a retry.
-func TestWhoHidesRetries(t *testing.T) {
+func TestHidesRetry(t *testing.T) {
 	for line, want := range map[string]bool{"": false, "Clients.MarksRetry=true": false, "Clients.MarksRetry=false": true, "Clients.MarksRetry=0": false} {
 		c, err := ParseSettings([]byte("Classes.count=1\n" + line))
 		if err != nil || c.HidesRetry != want {
@@ -205,7 +205,7 @@
 
 func FuzzBatch(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 20, 0, 0, 0, 0, 0, 0, 0, 7})
-	raw, _ := hex.DecodeString(strings.Join(strings.Fields(sample), ""))
+	raw, _ := hex.DecodeString(strings.Join(strings.Fields(sampleFrame), ""))
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, in []byte) {
 		frame, err := ReadFrame(bytes.NewReader(in), nil)
