--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,64 +1,68 @@
-// Package inventory decides how a dispatcher keeps up with discovery: when it asks, which of its connections it listens
-// to, which lists it believes, and from when on what it can't know has to be held against it. It is fed time and events
-// and knows no socket; the driver carries out its commands.
+// Package inventory decides how a dispatcher follows service discovery: when it queries discovery, which connection it
+// reads, which lists it accepts, and from when on its list of servers (the membership) is stale. Keeper is a state machine
+// that is fed events and times and opens no socket; the driver executes the commands that Keeper.Ready returns. Starts
+// converts the reported start times of servers to the dispatcher's own clock.
 //
-// Discovery tells of changes on a watch, which writes something every 2 s. One clock of silence runs over it: what a
-// watch that has fallen silent missed counts as told 6 s after it fell silent, whether it came or not. The budget of these
-// 6 s, from the last byte that was heard, and what each part rests on:
+// Discovery reports changes on a watch, a response without end on which it writes something every 2 s. If a watch falls
+// silent, the changes that it missed count as notified 6 s later, whether they were received or not; from then on a draining
+// host may be sent to only for the drain grace. The parts of these 6 s, counted from the last byte received:
 //
-//	2.4 to 2.8 s  the silence is noticed: a line is 0.4 s late; drawn, so that those who notice together ask apart
-//	+ 2.2 s       the first call is lost if nothing has come by then: discovery ends one that waited 2 s with a 503
-//	+ 0           a second call is begun at once where the first was lost in silence
-//	+ 0.75 s      or, where discovery turned it away, when the decisions ask again (their first gap is 0.25 to 0.75 s)
-//	+ 0.8 s       is left for its answer where a host that drains may be sent to for 0.75 s more, as deployments have it
+//	2.4 to 2.8 s  until the silence is detected: a line is 0.4 s overdue. The time is random, so that dispatchers that
+//	              detect a silence together do not query together.
+//	+ 2.2 s       timeout of the first call: discovery answers a call that waited 2 s with a 503
+//	+ 0           a second call starts at once if the first one timed out
+//	+ 0.75 s      or, if discovery rejected it, after the first retry delay of the decision module (0.25 to 0.75 s)
+//	+ 0.8 s       remains for the answer, with a drain grace of 0.75 s as deployments set it
 //
-// Past the limit the list is in doubt: any host on it may have drained, and nothing new is sent until discovery answers.
+// After that the membership is stale: any listed host may have drained, so nothing new is sent until discovery answers.
 //
-// A watch that discovery ends is not silent, where lists are asked for: watches end when it goes down, and it tells nothing then.
+// A watch that discovery ends does not count as silent if lists must be queried (Limits.Pushed is false): watches end when
+// discovery goes down, and it reports nothing then.
 //
-// Where lists are pushed, what discovery has counts at once, so that a list is in doubt soon after its watch has ended and from
-// the start of a process on, until the first answer. There discovery that is down is silent and learns nothing: a call that
-// waited longer than discovery lets any wait says so, the list holds, and a call always waits for the return.
+// If lists are pushed, each change counts as notified at once. The membership is then stale soon after its watch has
+// ended, and from the start of a process until the first answer. A discovery that is down does not respond and learns of no
+// changes in that mode. A call that waited longer than discovery lets any call wait shows this; the list then stays valid, and
+// a call stays open until discovery returns.
 package inventory
 
-// The parts of the budget, in microseconds.
+// The parts of the time budget, in microseconds.
 const (
-	Silence              = 2_400_000 // since the last byte, from which a watch counts as silent
-	Spread               = 400_000   // drawn on top of it
-	Patience             = 2_200_000 // for the answer to a call, its connection included
-	ToldSilent           = 6_000_000 // after it fell silent what a watch or call missed counts as told
-	ToldMoved            = 4_000_000 // after discovery has moved what it has to tell counts as told
-	actMargin            = 250_000   // of the grace for drains, kept for acting on it
-	pushedRetryGap       = 200_000   // before a failed call is repeated where lists are pushed; as much again is drawn
-	failedValidityFactor = 4         // times the time that a list holds without a watch, after a call that failed
+	Silence              = 2_400_000 // without a byte, after which a watch counts as silent
+	Spread               = 400_000   // maximum of the random time added to Silence
+	Patience             = 2_200_000 // timeout of a call until its next byte, connecting included
+	ToldSilent           = 6_000_000 // after a watch or call fell silent, its missed changes count as notified
+	ToldMoved            = 4_000_000 // after discovery has moved, its changes count as notified
+	actMargin            = 250_000   // part of the drain grace that is reserved for acting on the change
+	pushedRetryGap       = 200_000   // delay before a failed call is repeated if lists are pushed; up to as much again is added at random
+	failedValidityFactor = 4         // multiplies AskWithin after a failed call: the list stays valid that much longer without a watch
 )
 
-// Limits are what a deployment's settings say of lists. Times are microseconds.
+// Limits are a deployment's settings for lists. Times are in microseconds.
 type Limits struct {
-	Pushed    bool  // what discovery has counts as told at once, whether it is asked or not
-	AskWithin int64 // without a watch a list holds for so long; 0 = without end
-	Grace     int64 // for which a host may be sent to once it is told that it drains
+	Pushed    bool  // lists are pushed: a change counts as notified at once, whether discovery was queried or not
+	AskWithin int64 // how long a list stays valid without a watch; 0 = unlimited
+	Grace     int64 // how long a host may still be sent to after it was reported as draining
 }
 
-// Call names one connection to discovery; no two have the same.
+// Call identifies one connection to discovery. Ids are not reused.
 type Call uint64
 
-// Kind is what shall be done.
+// Kind is what the driver has to do.
 type Kind uint8
 
-// The kinds of command and the fields that each uses.
+// The kinds of command, each with the fields of Command that it uses.
 const (
-	Dial  Kind = iota // Call, Index: connect to discovery and ask for what changed after Index, or for all it has
-	Close             // Call: listen to it no more; nothing is told of it after
-	Fail              // asking failed; Ask is to be called when it is time to ask again
-	Doubt             // Cause: from now on nothing is sent to any host
-	Trust             // that is over
+	Dial  Kind = iota // Call, Index: connect to discovery and request the changes after Index, or the whole list for All
+	Close             // Call: close the connection; its later events are ignored
+	Fail              // the query failed; call Ask when it is time to query again
+	Doubt             // Cause: membership is stale, from now on no host is sent anything
+	Trust             // membership is reliable again
 )
 
-// All is the Index that asks for the whole list.
+// All is the Index that requests the whole list.
 const All = -1
 
-// Command is something to be done, in order.
+// Command is an action for the driver. Commands are executed in order.
 type Command struct {
 	Kind  Kind
 	Call  Call
@@ -66,51 +70,53 @@
 	Cause string
 }
 
-// How tells how a connection to discovery ended.
+// How is the way in which a connection to discovery ended.
 type How uint8
 
-// The ways in which it ends.
+// The ways in which a connection ends.
 const (
-	Refused How = iota // discovery or its machine said so: refused, reset, turned away, ended
-	Spoilt             // what it told could not be read
+	Refused How = iota // discovery or its machine refused: connection refused or reset, error status, end of the response
+	Spoilt             // the response could not be decoded
 )
 
-// call is one connection.
+// call is one connection to discovery.
 type call struct {
 	id            Call
 	startedAt     int64
-	lastByteAt    int64 // last byte
-	jitter        int64 // drawn, of the wait for the next byte
-	formerAddress bool  // to an address that discovery has left
+	lastByteAt    int64 // time of the last byte
+	jitter        int64 // random part of the silence timeout
+	formerAddress bool  // it goes to an address that discovery has left
 }
 
-// Keeper keeps up with discovery. Its methods take the time in microseconds, which never goes back.
+// Keeper decides how to follow discovery. Its methods take the time in microseconds, which never decreases. It is
+// not safe for concurrent use.
 type Keeper struct {
 	limits   Limits
 	random   func() float64
 	now      int64
 	lastCall Call
-	revision int64 // revision of the list that is held, or All where it can't be asked by it
-	watch    *call // what is listened to; silent or of an old address it is kept until the next call is answered
-	pending  *call // the call whose answer is awaited
-	retryAt  int64 // when to ask again, where lists are pushed; 0 = no wait
-	wentBack bool  // the last list went back; a whole one is believed next
+	revision int64 // revision of the current list, or All if changes after it cannot be requested
+	watch    *call // the open watch; a silent one or one at a former address is kept until the next call is answered
+	pending  *call // the call that awaits its answer
+	retryAt  int64 // when to repeat a call, if lists are pushed; 0 = no retry scheduled
+	wentBack bool  // the last list had a lower revision; the next whole list is accepted
 
-	failedCallStart int64 // beginning of the last call that failed; 0 = the last one did not
-	knownUntil      int64 // up to then all that discovery had to tell is known
-	silentSince     int64 // since then discovery may have told what was not heard; 0 = it was not silent
-	unresponsive    bool  // it is silent to calls as well; where lists are pushed, it learns nothing then
-	movedAt         int64 // when discovery moved; 0 = the present address has answered since
+	failedCallStart int64 // start of the last call if it failed; 0 = it succeeded
+	knownUntil      int64 // all changes that discovery reported up to this time have been received
+	silentSince     int64 // from this time on discovery may have reported changes that were not received; 0 = none
+	unresponsive    bool  // calls are not answered either; if lists are pushed, discovery then learns of no changes
+	movedAt         int64 // when discovery moved; 0 = its present address has answered since
 	stale           bool
 	commands        []Command
 }
 
-// New makes a keeper that holds a list of a revision, or All, from the start on. random gives numbers from 0 to 1.
+// New returns a Keeper that starts with a list of the revision index, or without one for All. random returns
+// numbers from 0 to 1.
 func New(now int64, l Limits, index int64, random func() float64) *Keeper {
 	return &Keeper{limits: l, random: random, now: now, revision: index, knownUntil: now}
 }
 
-// Ready gives what is to be done since the last call, valid until the next one.
+// Ready returns the commands since its last call. The slice is valid until the next one is emitted.
 func (k *Keeper) Ready() []Command {
 	out := k.commands
 	k.commands = k.commands[:0]
@@ -119,7 +125,7 @@
 
 func (k *Keeper) emit(c Command) { k.commands = append(k.commands, c) }
 
-// Ask asks for the watch, unless one is listened to that is good or an answer is awaited.
+// Ask opens the watch, unless there is a healthy one or a call awaits its answer.
 func (k *Keeper) Ask(now int64) {
 	k.advance(now)
 	if k.pending == nil && !k.watchHealthy() {
@@ -128,8 +134,9 @@
 	k.updateStale()
 }
 
-// Moved takes the news that discovery has another address from now on. Its revisions need not be the old one's, so it is
-// asked for all it has. The old watch may still bring what was written to it, and is listened to until the answer.
+// Moved records that discovery has another address from now on. Its revisions may be unrelated to the old ones, so
+// the whole list is requested. The old watch may still deliver changes that were written to it, and is read until
+// the new address answers.
 func (k *Keeper) Moved(now int64) {
 	k.advance(now)
 	k.revision, k.movedAt = All, now
@@ -141,7 +148,7 @@
 	k.updateStale()
 }
 
-// Heard takes the news that bytes came on a connection which say that it lives.
+// Heard records bytes on a connection that show that discovery is alive.
 func (k *Keeper) Heard(now int64, id Call) {
 	k.advance(now)
 	for _, c := range [...]*call{k.watch, k.pending} {
@@ -156,19 +163,19 @@
 	k.updateStale()
 }
 
-// Listed takes a list that came on a connection and tells whether it is to be believed. One whose revision goes back is not:
-// what it says was true before what is known. The connection is then of no use, and the whole list is asked for.
+// Listed takes a list received on a connection and reports whether to accept it. A list with a lower revision is
+// rejected, since it is older than the current one. The connection is then closed and the whole list is requested.
 func (k *Keeper) Listed(now int64, id Call, revision int64, complete bool) bool {
 	k.advance(now)
 	defer k.updateStale()
-	former := k.watch != nil && k.watch.id == id
-	if !former && (k.pending == nil || k.pending.id != id) {
+	fromWatch := k.watch != nil && k.watch.id == id
+	if !fromWatch && (k.pending == nil || k.pending.id != id) {
 		return false
 	}
-	old := former && k.watch.formerAddress
-	if !old && revision < k.revision && !(complete && k.wentBack) {
+	fromFormerAddress := fromWatch && k.watch.formerAddress
+	if !fromFormerAddress && revision < k.revision && !(complete && k.wentBack) {
 		k.wentBack = true
-		if former && k.pending != nil {
+		if fromWatch && k.pending != nil {
 			return false
 		}
 		k.revision = All
@@ -176,11 +183,11 @@
 		k.handleEnd(id, Spoilt)
 		return false
 	}
-	if old {
-		return true // its revisions say nothing of the new address's
+	if fromFormerAddress {
+		return true // revisions of the former address do not apply to the new one
 	}
 	k.revision, k.wentBack = revision, false
-	if former {
+	if fromWatch {
 		return true
 	}
 	k.closeCall(&k.watch)
@@ -190,7 +197,7 @@
 	return true
 }
 
-// Ended takes the end of a connection.
+// Ended records the end of a connection.
 func (k *Keeper) Ended(now int64, id Call, how How) {
 	k.advance(now)
 	k.handleEnd(id, how)
@@ -202,7 +209,8 @@
 	case k.watch != nil && k.watch.id == id:
 		switch {
 		case !k.limits.Pushed && !k.watch.formerAddress && how == Refused:
-			// Watches end when discovery goes down: a silence before that was its going, and it told nothing meanwhile.
+			// Discovery ends its watches when it goes down. A silence just before that was its shutdown, and it reported
+			// nothing meanwhile.
 			k.knownUntil, k.silentSince = k.now, 0
 		case k.watchHealthy():
 			k.knownUntil = k.now
@@ -220,8 +228,9 @@
 	}
 }
 
-// again has discovery asked anew. Where lists are pushed, that is at once after a watch, and soon after a call, since what
-// discovery has counts at once; else the decisions say when, and space out the calls of all.
+// retry schedules another call. If lists are pushed, every change counts at once: a watch that ended is reopened
+// at once and a failed call is repeated shortly after. Otherwise the decision module chooses the time, which
+// spreads the calls of all dispatchers.
 func (k *Keeper) retry(how How) {
 	switch {
 	case !k.limits.Pushed:
@@ -233,7 +242,7 @@
 	}
 }
 
-// Wake takes the time; Next says when it wants to be called.
+// Wake handles timeouts; call it at the time that Next returns.
 func (k *Keeper) Wake(now int64) {
 	k.advance(now)
 	if w := k.watch; w != nil && k.silentSince == 0 && now >= w.lastByteAt+Silence+w.jitter {
@@ -242,11 +251,11 @@
 			k.dial()
 		}
 	}
-	if a := k.pending; a != nil && now >= a.lastByteAt+Patience {
-		// Lost in silence: nobody has said that discovery is down or busy, so another call is begun at once.
-		k.failedCallStart, k.unresponsive = a.startedAt, true
+	if p := k.pending; p != nil && now >= p.lastByteAt+Patience {
+		// Timed out: no answer says that discovery is down or busy, so another call starts at once.
+		k.failedCallStart, k.unresponsive = p.startedAt, true
 		if k.silentSince == 0 {
-			k.silentSince = max(a.lastByteAt, k.knownUntil)
+			k.silentSince = max(p.lastByteAt, k.knownUntil)
 		}
 		k.closeCall(&k.pending)
 		k.dial()
@@ -257,78 +266,79 @@
 	k.updateStale()
 }
 
-// Next is when Wake is to be called at the latest; 0 = not before something happens.
+// Next returns the time at which Wake must be called; 0 = not before another event.
 func (k *Keeper) Next() int64 {
 	next := int64(0)
-	sooner := func(at int64) {
+	earliest := func(at int64) {
 		if at != 0 && (next == 0 || at < next) {
 			next = at
 		}
 	}
 	if w := k.watch; w != nil && k.silentSince == 0 {
-		sooner(w.lastByteAt + Silence + w.jitter)
+		earliest(w.lastByteAt + Silence + w.jitter)
 	}
 	if k.pending != nil {
-		sooner(k.pending.lastByteAt + Patience)
+		earliest(k.pending.lastByteAt + Patience)
 	} else {
-		sooner(k.retryAt)
+		earliest(k.retryAt)
 	}
 	if at, _ := k.assumedNotifiedAt(); !k.stale && at != 0 {
-		sooner(at + k.grace())
+		earliest(at + k.grace())
 	}
 	return next
 }
 
-// told is when what is not known counts as told, and why; 0 = not before something happens.
+// assumedNotifiedAt returns the time from which changes that were not received count as notified, and the reason;
+// 0 = not before another event.
 func (k *Keeper) assumedNotifiedAt() (at int64, cause string) {
 	if k.limits.Pushed && k.unresponsive {
 		return 0, ""
 	}
-	sooner := func(t int64, why string) {
+	earliest := func(t int64, reason string) {
 		if at == 0 || t < at {
-			at, cause = t, why
+			at, cause = t, reason
 		}
 	}
 	if k.silentSince != 0 {
-		sooner(k.silentSince+ToldSilent, "discovery is silent")
+		earliest(k.silentSince+ToldSilent, "no data from discovery")
 	}
 	if k.movedAt != 0 {
-		sooner(k.movedAt+ToldMoved, "discovery has moved and does not answer")
+		earliest(k.movedAt+ToldMoved, "the new address of discovery has not answered")
 	}
 	switch {
 	case k.watch != nil:
-		sooner(k.watch.lastByteAt+ToldSilent, "discovery is silent")
+		earliest(k.watch.lastByteAt+ToldSilent, "no data from discovery")
 	case k.limits.Pushed && k.movedAt == 0:
-		sooner(k.knownUntil, "no watch is open and lists are pushed")
+		earliest(k.knownUntil, "no watch is open and lists are pushed")
 	case !k.limits.Pushed && k.limits.AskWithin > 0:
 		t := k.knownUntil + k.limits.AskWithin
 		if k.failedCallStart != 0 {
 			t = max(t, k.failedCallStart+failedValidityFactor*k.limits.AskWithin)
 		}
-		sooner(t, "no watch is open for longer than the settings allow")
+		earliest(t, "no watch has been open for longer than the settings allow")
 	}
 	return at, cause
 }
 
-// grace is how long after that sends are tolerated, less the time to act on it.
+// grace returns how long after assumedNotifiedAt sends are tolerated, less the time needed to act.
 func (k *Keeper) grace() int64 { return max(k.limits.Grace-actMargin, 0) }
 
-// judge tells when the list comes to be in doubt, and when it is believed again.
+// updateStale emits a command when the membership becomes stale or reliable again.
 func (k *Keeper) updateStale() {
 	at, cause := k.assumedNotifiedAt()
-	doubt := at != 0 && k.now >= at+k.grace()
-	if doubt == k.stale {
+	stale := at != 0 && k.now >= at+k.grace()
+	if stale == k.stale {
 		return
 	}
-	k.stale = doubt
-	if doubt {
+	k.stale = stale
+	if stale {
 		k.emit(Command{Kind: Doubt, Cause: cause})
 	} else {
 		k.emit(Command{Kind: Trust})
 	}
 }
 
-// good tells whether a watch is listened to that speaks and is the present address's.
+// watchHealthy reports whether a watch at the present address is open and not silent.
 func (k *Keeper) watchHealthy() bool {
 	return k.watch != nil && !k.watch.formerAddress && k.silentSince == 0
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -8,16 +8,16 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// play runs a script against a keeper and gives what it wants done, a line a step. A step is a time in milliseconds, a word
-// and its arguments.
+// runScript applies the steps of a script to a keeper and returns its commands, one per line. A step is a time in
+// milliseconds, an event and its arguments.
 func runScript(t *testing.T, l Limits, steps string) string {
 	k := New(0, l, 41, func() float64 { return 0 })
 	var out strings.Builder
 	for step := range strings.SplitSeq(strings.TrimSpace(steps), "\n") {
 		var ms, revision int64
-		var word string
+		var event string
 		var id Call
-		if n, _ := fmt.Sscan(step, &ms, &word, &id, &revision); n < 2 {
+		if n, _ := fmt.Sscan(step, &ms, &event, &id, &revision); n < 2 {
 			t.Fatalf("step %q", step)
 		}
 		now := ms * 1000
@@ -25,16 +25,16 @@
 			k.Wake(at)
 			printCommands(&out, at, k)
 		}
-		believed := true
-		switch word {
+		accepted := true
+		switch event {
 		case "ask":
 			k.Ask(now)
 		case "heard":
 			k.Heard(now, id)
 		case "listed":
-			believed = k.Listed(now, id, revision, false)
+			accepted = k.Listed(now, id, revision, false)
 		case "whole":
-			believed = k.Listed(now, id, revision, true)
+			accepted = k.Listed(now, id, revision, true)
 		case "refused":
 			k.Ended(now, id, Refused)
 		case "moved":
@@ -43,8 +43,8 @@
 		default:
 			t.Fatalf("step %q", step)
 		}
-		if !believed {
-			fmt.Fprintf(&out, "%d not believed\n", ms)
+		if !accepted {
+			fmt.Fprintf(&out, "%d rejected\n", ms)
 		}
 		printCommands(&out, now, k)
 	}
@@ -61,22 +61,22 @@
 		case Fail:
 			fmt.Fprintf(out, "%d fail\n", now/1000)
 		case Doubt:
-			fmt.Fprintf(out, "%d doubt: %s\n", now/1000, c.Cause)
+			fmt.Fprintf(out, "%d stale: %s\n", now/1000, c.Cause)
 		case Trust:
-			fmt.Fprintf(out, "%d trust\n", now/1000)
+			fmt.Fprintf(out, "%d reliable\n", now/1000)
 		}
 	}
 }
 
 func TestKeeper(t *testing.T) {
-	asked := Limits{AskWithin: 4_000_000, Grace: 750_000}
+	queried := Limits{AskWithin: 4_000_000, Grace: 750_000}
 	for _, c := range []struct {
 		name   string
 		limits Limits
 		steps  string
 		want   string
 	}{
-		{"a silent watch is opened anew with one call lost, and kept until the answer", asked, `
+		{"a silent watch is reopened although one call times out, and kept until the answer", queried, `
 			0 ask
 			100 listed 1 42
 			5000 listed 2 42
@@ -85,9 +85,9 @@
 			2500 dial 2 after 42
 			4700 close 2
 			4700 dial 3 after 42
-			5000 not believed
+			5000 rejected
 			`},
-		{"past the limit the list is in doubt until the answer", asked, `
+		{"after the time budget the membership is stale until the answer", queried, `
 			0 ask
 			100 listed 1 42
 			6000 refused 3
@@ -99,21 +99,21 @@
 			4700 dial 3 after 42
 			6000 fail
 			6300 dial 4 after 42
-			6600 doubt: discovery is silent
+			6600 stale: no data from discovery
 			7000 close 1
-			7000 trust
+			7000 reliable
 			`},
-		{"a call that is answered byte by byte is not lost", asked, `
+		{"a call that is answered byte by byte does not time out", queried, `
 			0 ask
 			2000 heard 1
 			4000 heard 1
 			6000 heard 1
 			7900 listed 1 42`, `
 			0 dial 1 after 41
-			4500 doubt: no watch is open for longer than the settings allow
-			7900 trust
+			4500 stale: no watch has been open for longer than the settings allow
+			7900 reliable
 			`},
-		{"the old address is listened to until the new one answers, and its revisions do not count there", asked, `
+		{"the watch at the former address is read until the new one answers, and its revisions do not apply there", queried, `
 			0 ask
 			100 listed 1 42
 			1000 moved
@@ -123,21 +123,21 @@
 			0 dial 1 after 41
 			1000 dial 2 after -1
 			1200 close 1
-			1300 not believed
+			1300 rejected
 			`},
-		{"a revision that goes back is not believed, but a whole list that says it again is", asked, `
+		{"a lower revision is rejected, but accepted from a whole list that repeats it", queried, `
 			0 ask
 			100 listed 1 42
 			200 listed 1 41
 			500 ask
 			600 whole 2 41`, `
 			0 dial 1 after 41
-			200 not believed
+			200 rejected
 			200 close 1
 			200 fail
 			500 dial 2 after -1
 			`},
-		{"where lists are pushed a watch that ends is opened at once, and a call that fails soon after", Limits{Pushed: true, Grace: 750_000}, `
+		{"pushed lists: a watch that ends is reopened at once, and a failed call is repeated soon after", Limits{Pushed: true, Grace: 750_000}, `
 			0 ask
 			100 listed 1 42
 			1000 refused 1
@@ -146,10 +146,10 @@
 			0 dial 1 after 41
 			1000 dial 2 after 42
 			1300 dial 3 after 42
-			1500 doubt: no watch is open and lists are pushed
-			1700 trust
+			1500 stale: no watch is open and lists are pushed
+			1700 reliable
 			`},
-		{"where lists are pushed and calls are silent it is down: the list holds, and a call waits", Limits{Pushed: true, Grace: 750_000}, `
+		{"pushed lists: unanswered calls mean that discovery is down, the list stays valid and a call stays open", Limits{Pushed: true, Grace: 750_000}, `
 			0 ask
 			100 listed 1 42
 			9000 until`, `
--- a/internal/inventory/search_test.go
+++ b/internal/inventory/search_test.go
@@ -2,42 +2,42 @@
 
 import "testing"
 
-// The search plays a keeper against a discovery that does at each tick one of a few things, in all orders up to a
-// depth. The model knows what discovery holds and what the dispatcher was told; the property is the operators' rule: once a
-// change counts as told, no send is possible later than the grace for drains after it.
+// The search runs a keeper against a model of discovery in which one of a few events happens at each tick, in all
+// orders up to a depth. The model knows what discovery holds and what it has delivered to the dispatcher. The
+// property checked: once a change counts as notified, no send is possible after the drain grace that follows.
 const (
 	tick      = 750_000
 	grace     = 750_000
 	askWithin = 4_000_000
 )
 
-// source is discovery as the model has it.
+// discoveryModel is the state of discovery in the model.
 type discoveryModel struct {
 	now               int64
-	changes           []int64 // times at which the list changed; its revision is their number
-	deliveredRevision int     // revision that reached the dispatcher
-	pendingCall       Call    // the call that waits for its answer, and the watch that is open; 0 = none
+	changes           []int64 // times at which the list changed; the revision is their number
+	deliveredRevision int     // revision that the dispatcher has received
+	pendingCall       Call    // the call that awaits its answer; 0 = none, as for watch, the open watch
 	watch             Call
 	formerWatch       Call  // a watch at an address that discovery has left
-	silentSince       int64 // of the watch, kept past its end; 0 = it speaks
-	lastCallStart     int64 // beginning of the last call
+	silentSince       int64 // since when the watch is silent, kept after its end; 0 = not silent
+	lastCallStart     int64 // start of the last call
 	lastCallFailed    bool
 	movedAt           int64
-	hasMoved          bool  // it has moved once
+	hasMoved          bool  // discovery has moved once
 	watchEndedAt      int64 // when discovery or the dispatcher ended the last watch
 	down              bool
-	nextLineAt        int64 // next line of the watch
+	nextLineAt        int64 // time of the next line on the watch
 }
 
 type state struct {
 	keeper Keeper
 	model  discoveryModel
 	pushed bool
-	from   *state // and by which move
+	from   *state // the previous state, and the move that led here
 	move   string
 }
 
-// copy makes a state whose steps do not touch this one.
+// copy returns a state that shares nothing mutable with this one.
 func (a *state) copy() *state {
 	b := *a
 	b.model.changes = append([]int64(nil), a.model.changes...)
@@ -53,7 +53,7 @@
 	return &b
 }
 
-// carry has the model take the keeper's commands.
+// applyCommands executes the keeper's commands in the model.
 func (a *state) applyCommands() {
 	for _, c := range append([]Command(nil), a.keeper.Ready()...) {
 		switch c.Kind {
@@ -68,13 +68,13 @@
 			case a.model.formerWatch:
 				a.model.formerWatch = 0
 			}
-		case Fail: // the decisions' longest first gap
+		case Fail: // the longest first retry delay of the decision module
 			a.model.lastCallFailed = true
 		}
 	}
 }
 
-// moves are what can happen within a tick; each tells whether it applies.
+// moves are the events that can happen in a tick; each reports whether it applies.
 var moves = []struct {
 	name string
 	do   func(*state) bool
@@ -96,16 +96,17 @@
 		}
 		return ok
 	}},
-	{"turn away", func(a *state) bool {
+	{"reject", func(a *state) bool {
 		ok := a.model.pendingCall != 0 && !a.model.down
 		if ok {
-			a.turnAway()
+			a.rejectCall()
 		}
 		return ok
 	}},
 	{"end", func(a *state) bool {
 		id := a.model.watch
-		// It went down, and has told nothing since it fell silent: what changed counts by the rules for no watch.
+		// Discovery went down and has reported nothing since it fell silent, so the rules for no open watch apply to
+		// changes.
 		ok := id != 0 && !a.model.down
 		if ok {
 			a.model.watch, a.model.watchEndedAt = 0, a.model.now
@@ -124,14 +125,14 @@
 		}
 		return ok
 	}},
-	{"late list", func(a *state) bool { // from the address that discovery has left
+	{"late list", func(a *state) bool { // from the former address
 		ok := a.model.formerWatch != 0 && a.model.silentSince == 0 && a.model.deliveredRevision < len(a.model.changes)
 		if ok {
 			a.deliverList(a.model.formerWatch)
 		}
 		return ok
 	}},
-	{"outage", func(a *state) bool { // where lists are pushed: it says nothing and learns nothing
+	{"outage", func(a *state) bool { // lists are pushed: discovery reports nothing and learns nothing
 		ok := a.pushed && !a.model.down && a.model.now < 5*tick
 		if ok {
 			a.model.down = true
@@ -156,13 +157,13 @@
 	a.deliverList(a.model.watch)
 }
 
-func (a *state) turnAway() {
+func (a *state) rejectCall() {
 	id := a.model.pendingCall
 	a.model.pendingCall, a.model.lastCallFailed = 0, true
 	a.keeper.Ended(a.model.now, id, Refused)
 }
 
-// tell writes what discovery holds on a connection.
+// deliverList writes the list of discovery on a connection.
 func (a *state) deliverList(id Call) {
 	a.keeper.Heard(a.model.now, id)
 	if a.keeper.Listed(a.model.now, id, int64(len(a.model.changes)), true) {
@@ -170,7 +171,7 @@
 	}
 }
 
-// step lets a tick pass in which one thing happens.
+// step advances by one tick in which one event happens. It reports false if the event does not apply.
 func (a *state) step(move func(*state) bool) bool {
 	end := a.model.now + tick
 	if a.model.watch != 0 && a.model.silentSince == 0 && (end >= a.model.nextLineAt || a.model.deliveredRevision < len(a.model.changes)) {
@@ -178,14 +179,14 @@
 		a.deliverList(a.model.watch)
 	}
 	for {
-		wake, turn := a.keeper.Next(), int64(0)
+		wake, timeout := a.keeper.Next(), int64(0)
 		if a.pushed && !a.model.down && a.model.pendingCall != 0 {
-			turn = a.model.lastCallStart + 2_000_000 // it lets no call wait longer
+			timeout = a.model.lastCallStart + 2_000_000 // discovery ends a call that waited this long
 		}
 		switch {
-		case turn != 0 && turn <= end && (wake == 0 || turn <= wake):
-			a.model.now = turn
-			a.turnAway()
+		case timeout != 0 && timeout <= end && (wake == 0 || timeout <= wake):
+			a.model.now = timeout
+			a.rejectCall()
 		case wake != 0 && wake <= end:
 			a.model.now = max(wake, a.model.now)
 			a.keeper.Wake(a.model.now)
@@ -202,44 +203,45 @@
 	}
 	a.applyCommands()
 	if a.model.pendingCall == 0 && a.model.watch == 0 && a.model.lastCallFailed {
-		a.keeper.Ask(a.model.now) // the decisions' gap is over: a tick at most, the longest of their first
+		a.keeper.Ask(a.model.now) // the retry delay of the decision module is over: its first one is at most a tick
 		a.applyCommands()
 	}
 	return true
 }
 
-// late is how long ago the grace ended for the oldest change that was not heard; 0 or less: it did not.
+// overdue returns how long ago the grace ended for the oldest change that was not received; it has not ended if
+// the result is 0 or less.
 func (a *state) overdue(l Limits) int64 {
 	if a.keeper.stale || a.model.deliveredRevision >= len(a.model.changes) {
 		return 0
 	}
-	made := a.model.changes[a.model.deliveredRevision]
-	told := int64(1 << 62)
-	if a.model.silentSince != 0 && a.model.silentSince <= made && !a.model.down && (a.model.watch != 0 || made <= a.model.watchEndedAt) { // missed by a silent watch
-		told = min(told, max(a.model.silentSince+ToldSilent, made))
+	changedAt := a.model.changes[a.model.deliveredRevision]
+	notifiedAt := int64(1 << 62)
+	if a.model.silentSince != 0 && a.model.silentSince <= changedAt && !a.model.down && (a.model.watch != 0 || changedAt <= a.model.watchEndedAt) { // missed by a silent watch
+		notifiedAt = min(notifiedAt, max(a.model.silentSince+ToldSilent, changedAt))
 	}
 	if a.model.movedAt != 0 {
-		told = min(told, max(a.model.movedAt+ToldMoved, made))
+		notifiedAt = min(notifiedAt, max(a.model.movedAt+ToldMoved, changedAt))
 	}
 	if a.model.watch == 0 && l.Pushed && a.model.silentSince == 0 && a.model.movedAt == 0 {
-		told = min(told, made)
+		notifiedAt = min(notifiedAt, changedAt)
 	}
-	if l.Pushed && a.model.down { // made before the outage; what was silent then began with it
-		told = 1 << 62
+	if l.Pushed && a.model.down { // the change precedes the outage, and what is silent became so with it
+		notifiedAt = 1 << 62
 	}
 	if a.model.watch == 0 && !l.Pushed {
-		span := l.AskWithin
+		validity := l.AskWithin
 		if a.model.lastCallFailed {
-			span *= failedValidityFactor
+			validity *= failedValidityFactor
 		}
-		if a.model.now >= a.model.lastCallStart+span {
-			told = min(told, made+l.AskWithin)
+		if a.model.now >= a.model.lastCallStart+validity {
+			notifiedAt = min(notifiedAt, changedAt+l.AskWithin)
 		}
 	}
-	return a.model.now - told - grace
+	return a.model.now - notifiedAt - grace
 }
 
-// key tells states apart whose futures differ; times further back than any limit count alike.
+// stateKey distinguishes states with different futures. Times longer ago than any limit are equal.
 type stateKey struct {
 	deliveredRevision, changes                                             int
 	flags                                                                  [12]bool
@@ -271,7 +273,7 @@
 	return out
 }
 
-// path names the moves that led to a state.
+// path returns the names of the moves that led to a state.
 func (a *state) path() string {
 	if a.from == nil {
 		return ""
@@ -279,8 +281,8 @@
 	return a.from.path() + " " + a.move
 }
 
-// search plays all orders of moves up to a depth and gives the first that breaks the rule.
-func search(l Limits, depth int, spoil func(*Keeper)) (path string, states int) {
+// search runs all orders of moves up to a depth and returns the first one that violates the property.
+func search(l Limits, depth int, mutate func(*Keeper)) (path string, states int) {
 	start := &state{keeper: *New(tick, l, 0, func() float64 { return 0.5 }), pushed: l.Pushed}
 	start.model.now = tick
 	start.keeper.Ask(tick)
@@ -296,8 +298,8 @@
 				if !c.step(m.do) {
 					continue
 				}
-				if spoil != nil {
-					spoil(&c.keeper)
+				if mutate != nil {
+					mutate(&c.keeper)
 				}
 				if c.overdue(l) > 0 {
 					return c.path(), states
@@ -314,39 +316,40 @@
 	return "", states
 }
 
-// No order of silence, answers, failures, ends, a move and late lists lets a send go out later than the grace after a
-// change counts as told; each rule of the keeper, taken away, gives an order that does.
+// No order of silence, answers, failures, ends, a move and late lists allows a send after the grace that follows
+// the time at which a change counts as notified. As a check of the search itself, removing any one of the keeper's
+// rules must lead to an order that does.
 func TestNoSendAfterGrace(t *testing.T) {
 	const depth = 14
 	for _, c := range []struct {
 		name   string
 		limits Limits
 	}{
-		{"asked", Limits{AskWithin: askWithin, Grace: grace}},
+		{"queried", Limits{AskWithin: askWithin, Grace: grace}},
 		{"pushed", Limits{Pushed: true, Grace: grace}},
 	} {
 		path, states := search(c.limits, depth, nil)
 		t.Logf("%s: %d states in %d ticks of 0.75 s", c.name, states, depth)
 		if path != "" {
-			t.Errorf("%s: a send goes out too late after %s", c.name, path)
+			t.Errorf("%s: a send is possible after the grace:%s", c.name, path)
 		}
 	}
 	for _, m := range []struct {
 		name   string
 		limits Limits
-		spoil  func(*Keeper)
+		mutate func(*Keeper)
 	}{
-		{"without doubt", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) { k.stale = false }},
-		{"a silent watch let go and forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) {
+		{"membership never stale", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) { k.stale = false }},
+		{"a silent watch closed and forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) {
 			if k.silentSince != 0 {
 				k.silentSince, k.watch = 0, nil
 			}
 		}},
-		{"the move forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) { k.movedAt = 0 }},
-		{"pushed lists held for asked ones", Limits{Pushed: true, Grace: grace}, func(k *Keeper) { k.limits.Pushed = false }},
+		{"the move of discovery forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) { k.movedAt = 0 }},
+		{"pushed lists treated as queried ones", Limits{Pushed: true, Grace: grace}, func(k *Keeper) { k.limits.Pushed = false }},
 	} {
-		if path, _ := search(m.limits, 13, m.spoil); path == "" {
-			t.Errorf("%s: no order was found that breaks the rule", m.name)
+		if path, _ := search(m.limits, 13, m.mutate); path == "" {
+			t.Errorf("%s: no order violates the property", m.name)
 		} else {
 			t.Logf("%s:%s", m.name, path)
 		}
--- a/internal/memory/core.go
+++ b/internal/memory/core.go
@@ -1,40 +1,48 @@
-// Package memory holds what a dispatcher keeps: the open messages with their relays, and the south side
-// hosts. Its Core turns what happens into calls of the decision module, and what that decides into commands.
-// It knows no protocol and no socket, so that every front goes through the same decisions and rules.
+// Package memory is the core of a dispatcher. It holds the open messages (client requests) with their attempts,
+// the back-end hosts with their phase, and the rules that every send has to obey.
+//
+// Core translates events (a message arrives, an attempt completes, the list of hosts changes, a timer fires) into
+// calls of the decision module, package logic, and the decisions into commands for a driver to carry out. It knows
+// no protocol and opens no socket, so the same decisions and rules apply behind every front end.
+//
+// A driver makes a Core with New, attaches the optional fleet-wide parts (Limit, Price, Tell, Gang, Retries)
+// before the first message, then calls one method for each event and executes the returned commands in order.
+// Times are in microseconds. A Core is not safe for concurrent use.
 package memory
 
 import (
 	"granitewing/logic"
 )
 
-// hostsMost bounds the hosts kept, should an inventory name ever new ones.
+// maxHosts bounds the hosts kept in memory, in case an inventory keeps naming new ones.
 const maxHosts = 4096
 
-// fullAfter is when a client may come back who found as many messages open as may be, in microseconds.
+// retryAfterFull is the retry advice to a client that is refused because the maximum number of messages is open,
+// in microseconds.
 const retryAfterFull = 1_000_000
 
-// ID names an open message.
+// ID identifies an open message.
 type ID = logic.JobID
 
-// RelayID names one relay of a message; it is never used again while anything late may still speak of it.
+// RelayID identifies one attempt of a message. It is not reused while a late event may still refer to it.
 type RelayID struct {
 	Message ID
 	Attempt int
 }
 
-// Message is a request as the decisions see it.
+// Message is a client request as the decision module sees it.
 type Message struct {
-	Name     string // the client's own for it; no two open messages have the same
+	Name     string // client's identifier; no two open messages share one
 	Class    int
-	Tenant   int     // its number in the settings; -1 for one that they do not name
-	Subject  uint64  // what it concerns; 0 = nothing named
+	Tenant   int     // index in the settings; -1 for a tenant that they do not name
+	Subject  uint64  // data set that the request concerns; 0 = none named
 	Hint     int64   // expected work in microseconds; 0 = unknown
-	Slots    float64 // slots it takes
-	Memory   float64 // units of memory it takes
-	Repeated bool    // the client has tried before
+	Slots    float64 // slots that the request takes
+	Memory   float64 // units of memory that the request takes
+	Repeated bool    // the client has sent this request before
 }
 
-// Host is a south side host as the inventory names it.
+// Host is a back-end host as the inventory describes it.
 type Host struct {
 	Name    string // the same at every dispatcher
 	Addr    string
@@ -42,21 +50,21 @@
 	Kind    int
 	Cell    int
 	Weight  float64
-	UpSince int64 // microseconds; 0 = long ago
+	UpSince int64 // start time in microseconds; 0 = long ago
 	Phase   logic.Phase
 }
 
-// CommandKind is what a front or driver shall do.
+// CommandKind is what the driver has to do.
 type CommandKind uint8
 
-// The kinds of command and the fields of Command that each uses.
+// The kinds of command, each with the fields of Command that it uses.
 const (
-	Send   CommandKind = iota // Relay, Addr, Until: relay the message to the host at Addr, which may take till then
-	Drop                      // Relay: stop the relay; it must be gone before the next command
-	Answer                    // Relay.Message, Verdict, After, Content: the final answer
-	Wake                      // At: call Core.Wake then
+	Send   CommandKind = iota // Relay, Addr, Until: send the message to the host at Addr, with Until as the deadline
+	Drop                      // Relay: cancel the attempt; this must be done before the next command
+	Answer                    // Relay.Message, Verdict, After, Content: send the final answer to the client
+	Wake                      // At: call Core.Wake at that time
 	Watch                     // open the watch on the inventory
-	Leave                     // Addr: idle connections to it are of no more use
+	Leave                     // Addr: close idle connections to this address, they will not be used again
 )
 
 // Verdict is the kind of a final answer.
@@ -64,74 +72,74 @@
 
 // The kinds of final answers.
 const (
-	Served    Verdict = iota // Content is what a host gave for this message
-	Refused                  // trying again is harmless
-	Failed                   // nothing is promised
-	Duplicate                // another open message has its name
+	Served    Verdict = iota // Content is the result that a host returned for this message
+	Refused                  // the message can safely be retried
+	Failed                   // the message may or may not have run
+	Duplicate                // another open message has the same name
 )
 
-// Command is something to be done, in order.
+// Command is an action for the driver. Commands are executed in order.
 type Command struct {
 	Kind    CommandKind
 	Relay   RelayID
 	Addr    string
-	Until   int64 // microseconds; the deadline of what the client waits for
+	Until   int64 // deadline of the client's wait, in microseconds
 	Verdict Verdict
 	After   int64
 	Content []byte
 	At      int64
-	Gang    *GangPart // of a Send that is one part of several; else nil
+	Gang    *GangPart // set for a Send that is one part of a gang; otherwise nil
 }
 
-// message is an open message.
+// message is the state of an open message.
 type message struct {
 	name        string
 	attempts    []attempt
-	outstanding int  // relays without an end
-	uncounted   int  // relays that never reached their host, where those do not count as attempts
-	mayHaveRun  bool // one of them may have run
-	answered    bool // it has its final answer, or nobody waits for one
+	outstanding int  // attempts without an outcome
+	uncounted   int  // attempts that never reached a host, if the settings exempt them from the attempt limit
+	mayHaveRun  bool // at least one attempt may have run
+	answered    bool // it has its final answer, or its client has left
 	class       int
 	deadline    int64
-	gang        *gangState // nil: it is no gang
+	gang        *gangState // nil if the message is not a gang
 }
 
-// relay is one attempt.
+// attempt is one try to run a message at a host.
 type attempt struct {
 	worker      logic.WorkerID
 	sentAt      int64
 	outstanding bool
-	mayHaveRun  bool // it has ended, and may have run
+	mayHaveRun  bool // it has completed, and may have run
 }
 
-// host is a known south side host.
+// host is a back-end host that the inventory lists.
 type host struct {
 	Host
 	id logic.WorkerID
 }
 
-// Core owns the decisions of one dispatcher. It must not be used by two goroutines at once.
+// Core makes the decisions of one dispatcher. It is not safe for concurrent use.
 type Core struct {
 	cfg         logic.Config
 	sched       *logic.Scheduler
 	lastID      ID
 	messages    map[ID]*message
-	openNames   map[string]ID // of messages that have one
+	openNames   map[string]ID // open messages that have a name, by name
 	hosts       map[logic.WorkerID]*host
 	workerIDs   map[string]logic.WorkerID
 	actions     []logic.Action
 	commands    []Command
-	cordoned    map[string]bool     // hosts barred by hand, by name, listed or not
-	everListed  map[string]struct{} // names that any inventory gave, for telling a cordon of an unknown host
-	stale       bool                // any host may have drained for all that is known; none is sent to
-	limits      Limits              // of the fleet; nil: there are none
-	evidence    Evidence            // nil: nobody asks for it
-	prices      Prices              // of the fleet; nil: there are none
-	retryBudget retryBudget         // rights to attempts beyond the first
-	gangs       Gangs               // nil: no class runs as gangs
+	cordoned    map[string]bool     // names of hosts cordoned by an operator, whether listed or not
+	everListed  map[string]struct{} // names that any inventory has listed; used to reject a cordon of an unknown host
+	stale       bool                // membership is stale: any host may have drained unnoticed, so none receives new work
+	limits      Limits              // fleet-wide limits; nil = none
+	evidence    Evidence            // receives observations of hosts; nil = not shared
+	prices      Prices              // fleet-wide prices; nil = none
+	retryBudget retryBudget         // limits attempts beyond the first
+	gangs       Gangs               // nil = no class runs as gangs
 }
 
-// New makes a core.
+// New returns a Core without hosts or messages. The error is that of logic.New for an invalid configuration.
 func New(cfg logic.Config, seed uint64) (*Core, error) {
 	s, err := logic.New(cfg, seed)
 	if err != nil {
@@ -141,13 +149,13 @@
 		workerIDs: map[string]logic.WorkerID{}, cordoned: map[string]bool{}, everListed: map[string]struct{}{}}, nil
 }
 
-// Open is how many messages are kept.
+// Open returns the number of messages in memory, including answered ones with an attempt still outstanding.
 func (c *Core) Open() int { return len(c.messages) }
 
-// The calls below take what happened at a time in microseconds and return the commands that follow, valid
-// until the next call.
+// Each method below takes one event and its time in microseconds, and returns the commands that follow from it.
+// The returned slice is valid until the next call.
 
-// Arrive takes a message whose client waits until deadline; 0 means as long as its class says.
+// Arrive takes a new message whose client waits until deadline; 0 stands for the deadline of its class.
 func (c *Core) Arrive(now int64, m Message, deadline int64) (ID, []Command) {
 	c.resetOutput()
 	c.lastID++
@@ -156,7 +164,7 @@
 	}
 	id := c.lastID
 	if _, open := c.openNames[m.Name]; open {
-		// Hosts know a job by its name, so to them this would be a second copy of the one that is open.
+		// Hosts identify a job by its name, so to them this would be a second copy of the one that is open.
 		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Duplicate})
 		return id, c.commands
 	}
@@ -186,7 +194,7 @@
 	return id, c.applyActions(now)
 }
 
-// Started takes the news that a relay's host has begun to run it.
+// Started records that the host of an attempt has begun to run it.
 func (c *Core) Started(now int64, r RelayID) []Command {
 	c.resetOutput()
 	if c.outstandingAttempt(r) == nil {
@@ -200,10 +208,10 @@
 	return c.applyActions(now)
 }
 
-// Taken takes the news that a relay's host has taken the message, which it may run later.
+// Taken records that the host of an attempt has accepted the message; it may run it later.
 func (c *Core) Taken(now int64, r RelayID) []Command { return c.Progress(now, r, 0) }
 
-// Progress takes the share of a relay's work that is done.
+// Progress records the completed share (0 to 1) of an attempt's work.
 func (c *Core) Progress(now int64, r RelayID, share float64) []Command {
 	c.resetOutput()
 	if c.outstandingAttempt(r) != nil && c.messages[r.Message].gang == nil {
@@ -212,7 +220,7 @@
 	return c.applyActions(now)
 }
 
-// Ended takes the end of a relay; content is the result where it was served.
+// Ended records the outcome of an attempt. content is the result if the outcome is logic.Served.
 func (c *Core) Ended(now int64, r RelayID, result logic.Result, content []byte) []Command {
 	c.resetOutput()
 	if c.outstandingAttempt(r) == nil {
@@ -226,7 +234,7 @@
 	return c.applyActions(now)
 }
 
-// HangUp takes the news that a message's client has left.
+// HangUp records that the client of a message has disconnected.
 func (c *Core) HangUp(now int64, id ID) []Command {
 	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
@@ -236,8 +244,8 @@
 	return c.finishMessage(now, id)
 }
 
-// Expire gives up a message whose time is over. The decisions answer before that; this guards the client
-// against waiting for ever should they not.
+// Expire ends a message whose deadline has passed. The decision module normally answers earlier; this keeps the
+// client from waiting forever if it does not.
 func (c *Core) Expire(now int64, id ID) []Command {
 	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
@@ -247,8 +255,8 @@
 	return c.finishMessage(now, id)
 }
 
-// Refuse gives up a message that was never sent, since what it needs before it may be sent can't be had; its client may
-// come back after some microseconds.
+// Refuse ends a message that was never sent because something it needs before a send is not available. The client
+// is advised to retry after that many microseconds.
 func (c *Core) Refuse(now int64, id ID, after int64) []Command {
 	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
@@ -258,7 +266,7 @@
 	return c.finishMessage(now, id)
 }
 
-// Wake takes a time that a Wake command asked for.
+// Wake is called at the time that a Wake command named.
 func (c *Core) Wake(now int64) []Command {
 	c.resetOutput()
 	c.actions = c.sched.Wake(now, 0, c.actions)
@@ -269,7 +277,7 @@
 
 func (c *Core) emit(cmd Command) { c.commands = append(c.commands, cmd) }
 
-// find gives a relay that has no end yet.
+// outstandingAttempt returns the attempt, or nil if it is unknown or has an outcome already.
 func (c *Core) outstandingAttempt(r RelayID) *attempt {
 	m := c.messages[r.Message]
 	if m == nil || r.Attempt < 0 || r.Attempt >= len(m.attempts) || !m.attempts[r.Attempt].outstanding {
@@ -278,7 +286,8 @@
 	return &m.attempts[r.Attempt]
 }
 
-// finish turns actions into commands; an action may bring an outcome at once, which may bring more actions.
+// applyActions turns the decided actions into commands. An action may cause an outcome at once, which may append
+// more actions.
 func (c *Core) applyActions(now int64) []Command {
 	for i := 0; i < len(c.actions); i++ {
 		switch a := c.actions[i]; a.Kind {
@@ -319,7 +328,7 @@
 	return c.commands
 }
 
-// end closes the books on a relay and tells the decisions.
+// completeAttempt records the outcome of an attempt and passes it on to the decision module.
 func (c *Core) completeAttempt(now int64, r RelayID, result logic.Result, content []byte) {
 	m := c.messages[r.Message]
 	a := &m.attempts[r.Attempt]
@@ -340,14 +349,14 @@
 	c.removeIfDone(r.Message, m)
 }
 
-// answer gives the one final answer.
+// answer emits the single final answer of a message.
 func (c *Core) answer(id ID, m *message, cmd Command) {
 	c.markAnswered(id, m)
 	cmd.Kind, cmd.Relay = Answer, RelayID{Message: id}
 	c.emit(cmd)
 }
 
-// forget lets go of a message that is answered and has nothing out.
+// removeIfDone removes a message that is answered and has no outstanding attempt.
 func (c *Core) removeIfDone(id ID, m *message) {
 	if m.answered && m.outstanding == 0 {
 		delete(c.messages, id)
--- a/internal/memory/core_test.go
+++ b/internal/memory/core_test.go
@@ -30,7 +30,7 @@
 	answers = []string{"served", "refused", "failed", "duplicate"}
 )
 
-// player runs the events of a script against a core; time moves by a millisecond with each.
+// scriptRunner applies the events of a script to a core. Time advances by one millisecond per event.
 type scriptRunner struct {
 	c   *Core
 	now int64
@@ -47,7 +47,7 @@
 	}
 	var cmds []Command
 	switch f[0] {
-	case "inventory": // kind, then name[=phase[@address]]
+	case "inventory": // list kind, then name[=phase[@address]] per host
 		var hosts []Host
 		for _, e := range f[2:] {
 			e, addr, moved := strings.Cut(e, "@")
@@ -61,21 +61,21 @@
 			}
 		}
 		cmds = p.c.Inventory(p.now, logic.ListKind(slices.Index(lists, f[1])), hosts)
-	case "arrive": // class, then the client's name for it
+	case "arrive": // class, then optionally the client's name for the message
 		m := Message{Class: slices.Index(classes, f[1])}
 		if len(f) > 2 {
 			m.Name = f[2]
 		}
 		_, cmds = p.c.Arrive(p.now, m, p.now+2_000_000)
-	case "cordon", "uncordon": // a host's name
+	case "cordon", "uncordon": // host name
 		var known bool
 		known, cmds = p.c.Cordon(p.now, f[1], f[0] == "cordon")
 		if !known {
 			fmt.Fprintf(&p.out, "no %s\n", f[1])
 		}
-	case "restore": // a host's name, barred by an earlier process
+	case "restore": // name of a host that an earlier process cordoned
 		cmds = p.c.Restore(p.now, f[1])
-	case "retries": // share of first attempts, and how many at once
+	case "retries": // tokens per first attempt, and capacity
 		var share, most float64
 		fmt.Sscan(f[1]+" "+f[2], &share, &most)
 		p.c.Retries(share, most)
@@ -95,7 +95,7 @@
 	case "expire":
 		cmds = p.c.Expire(p.now, r.Message)
 	case "wait":
-		wait := int64(2000) // milliseconds, or as many as are named
+		wait := int64(2000) // milliseconds, unless the event names another number
 		if len(f) > 1 {
 			fmt.Sscan(f[1], &wait)
 		}
@@ -145,16 +145,16 @@
 	}
 }
 
-// Whatever is decided, what the rules forbid is not sent.
+// A send that a rule forbids is not made, even if the decision module asks for it.
 func TestForbiddenSendsAreNotMade(t *testing.T) {
-	for name, spoil := range map[string]func(*Core, *message){
-		"to a host that drains":   func(c *Core, _ *message) { c.hosts[0xb].Phase = logic.Draining },
-		"to a host that is gone":  func(c *Core, _ *message) { delete(c.hosts, 0xb) },
-		"to a cordoned host":      func(c *Core, _ *message) { c.cordoned["s-b"] = true },
-		"while another is out":    func(_ *Core, m *message) { m.attempts[0].outstanding, m.outstanding = true, 1 },
-		"after the answer":        func(_ *Core, m *message) { m.answered = true },
-		"beyond the attempts":     func(c *Core, _ *message) { c.cfg.MaxAttempts = 1 },
-		"none of these, for once": func(*Core, *message) {},
+	for name, change := range map[string]func(*Core, *message){
+		"to a draining host":                   func(c *Core, _ *message) { c.hosts[0xb].Phase = logic.Draining },
+		"to a host that is gone":               func(c *Core, _ *message) { delete(c.hosts, 0xb) },
+		"to a cordoned host":                   func(c *Core, _ *message) { c.cordoned["s-b"] = true },
+		"while another attempt is outstanding": func(_ *Core, m *message) { m.attempts[0].outstanding, m.outstanding = true, 1 },
+		"after the answer":                     func(_ *Core, m *message) { m.answered = true },
+		"beyond the attempt limit":             func(c *Core, _ *message) { c.cfg.MaxAttempts = 1 },
+		"none of these":                        func(*Core, *message) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, err := New(testConfig(), 7)
@@ -166,7 +166,7 @@
 			id, _ := c.Arrive(now, Message{}, now+2_000_000)
 			m := c.messages[id]
 			m.attempts[0].outstanding, m.outstanding = false, 0
-			spoil(c, m)
+			change(c, m)
 			c.resetOutput()
 			c.actions = append(c.actions, logic.Action{Kind: logic.ActSend, Job: id, Worker: 0xb, Timeout: 1000})
 			sent := slices.ContainsFunc(c.applyActions(now), func(k Command) bool { return k.Kind == Send })
@@ -177,15 +177,16 @@
 	}
 }
 
-// A request whose connection comes up late is not begun at a host that is barred by then.
+// A host may drain, leave or be cordoned, or the client may disconnect, while the connection for an attempt is
+// being made. The attempt must not start then.
 func TestMayAfterLateConnect(t *testing.T) {
 	host := func(phase logic.Phase) []Host { return []Host{{Name: "s-a", Addr: "a", Phase: phase}} }
 	for name, change := range map[string]func(c *Core, now int64){
-		"the host drains":  func(c *Core, now int64) { c.Inventory(now, logic.ListDelta, host(logic.Draining)) },
-		"the host is gone": func(c *Core, now int64) { c.Inventory(now, logic.ListDelta, host(logic.Gone)) },
-		"it is cordoned":   func(c *Core, now int64) { c.Cordon(now, "s-a", true) },
-		"its client left":  func(c *Core, now int64) { c.HangUp(now, 1) },
-		"nothing changed":  func(*Core, int64) {},
+		"host drains":     func(c *Core, now int64) { c.Inventory(now, logic.ListDelta, host(logic.Draining)) },
+		"host gone":       func(c *Core, now int64) { c.Inventory(now, logic.ListDelta, host(logic.Gone)) },
+		"host cordoned":   func(c *Core, now int64) { c.Cordon(now, "s-a", true) },
+		"client left":     func(c *Core, now int64) { c.HangUp(now, 1) },
+		"nothing changed": func(*Core, int64) {},
 	} {
 		c, err := New(testConfig(), 7)
 		if err != nil {
@@ -195,21 +196,22 @@
 		c.Inventory(now, logic.ListFull, host(logic.Ready))
 		id, cmds := c.Arrive(now, Message{}, now+2_000_000)
 		if len(cmds) == 0 || cmds[0].Kind != Send {
-			t.Fatalf("%s: nothing was sent: %v", name, cmds)
+			t.Fatalf("%s: nothing sent: %v", name, cmds)
 		}
 		change(c, now+1)
 		if got, want := c.May(0, RelayID{id, 0}), name == "nothing changed"; got != want {
-			t.Errorf("%s: may be begun %t, want %t", name, got, want)
+			t.Errorf("%s: May %t, want %t", name, got, want)
 		}
 	}
 }
 
-// A repeat of a keyed message whose connection comes up after the window of the first, or so near to its end that it may be over
-// when the bytes are written, is not begun: nobody would drop it any more.
+// A connection for a repeat of a keyed message may come up after the repeat window of the first attempt, or so
+// shortly before its end that the window may be over when the bytes are written. The repeat must not start then,
+// because no host would drop it as a duplicate.
 func TestNoRepeatPastWindow(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].Repeat, cfg.Classes[0].Group, cfg.Classes[0].Window, cfg.MaxAttempts = logic.RepeatKeyed, logic.GroupAll, 250_000, 3
-	for ended, never := range map[logic.Result]bool{logic.Broken: false, logic.Refused: true} {
+	for result, neverRan := range map[logic.Result]bool{logic.Broken: false, logic.Refused: true} {
 		c, err := New(cfg, 7)
 		if err != nil {
 			t.Fatal(err)
@@ -217,19 +219,19 @@
 		now := int64(1_000_000_000)
 		c.Inventory(now, logic.ListFull, []Host{{Name: "s-a", Addr: "a", Phase: logic.Ready}, {Name: "s-b", Addr: "b", Phase: logic.Ready}})
 		id, _ := c.Arrive(now, Message{}, now+2_000_000)
-		if cmds := c.Ended(now+20_000, RelayID{id, 0}, ended, nil); !slices.ContainsFunc(cmds, func(k Command) bool { return k.Kind == Send }) {
-			t.Fatalf("after %v it was not sent again: %v", ended, cmds)
+		if cmds := c.Ended(now+20_000, RelayID{id, 0}, result, nil); !slices.ContainsFunc(cmds, func(k Command) bool { return k.Kind == Send }) {
+			t.Fatalf("after %v: not sent again: %v", result, cmds)
 		}
 		if !c.May(now+80_000, RelayID{id, 1}) {
-			t.Errorf("after %v the repeat may not be begun within the window", ended)
+			t.Errorf("after %v: May refuses the repeat within the window", result)
 		}
-		if got := c.May(now+101_000, RelayID{id, 1}); got != never {
-			t.Errorf("after %v the repeat may be begun past the window: %t", ended, got)
+		if got := c.May(now+101_000, RelayID{id, 1}); got != neverRan {
+			t.Errorf("after %v: May after the window: %t", result, got)
 		}
 	}
 }
 
-// Dispatchers that share nothing agree on hosts by their numbers.
+// Dispatchers that share no state agree on hosts by their ids.
 func TestWorkerIDs(t *testing.T) {
 	for name, want := range map[string]logic.WorkerID{"s-5be2a07c": 0x5be2a07c, "s-0a": 10, "buoy": 0x6542249c} {
 		if got := workerIDOf(name); got != want {
@@ -239,6 +241,6 @@
 	c, _ := New(testConfig(), 7)
 	c.Inventory(1, logic.ListFull, []Host{{Name: "s-0a", Phase: logic.Ready}, {Name: "s-a", Phase: logic.Ready}})
 	if got := []logic.WorkerID{c.workerIDs["s-0a"], c.workerIDs["s-a"]}; !cmp.Equal(got, []logic.WorkerID{10, 11}) {
-		t.Errorf("numbers of two names that collide: %v, want 10 and 11", got)
+		t.Errorf("ids of two names that collide: %v, want 10 and 11", got)
 	}
 }
--- a/internal/memory/evidence.go
+++ b/internal/memory/evidence.go
@@ -2,15 +2,16 @@
 
 import "granitewing/logic"
 
-// Evidence takes what the ends of relays say of their hosts, where a fleet judges them together.
+// Evidence receives what the outcomes of attempts show about hosts, for a fleet that judges host health together.
 type Evidence interface {
 	Note(now int64, host logic.WorkerID, ok bool)
 }
 
-// Tell has the core tell what it finds of hosts; to be called before the first message.
+// Tell passes observations of hosts on to e; call it before the first message.
 func (c *Core) Tell(e Evidence) { c.evidence = e }
 
-// note tells what a result says of its host. One that took too long says little: under overload all do.
+// reportHealth reports what an outcome shows about its host. A timeout is not reported: under overload all hosts
+// have timeouts.
 func (c *Core) reportHealth(now int64, host logic.WorkerID, result logic.Result) {
 	if c.evidence == nil {
 		return
@@ -23,24 +24,26 @@
 	}
 }
 
-// Verdict takes the fleet's word that a host is bad, which holds until a time unless its own signs of life say otherwise.
+// Verdict ejects a host that the fleet considers bad, until a time or until its own successful responses show
+// otherwise.
 func (c *Core) Verdict(now int64, host logic.WorkerID, until int64) {
 	c.sched.Verdict(now, host, until)
 }
 
-// Ran gives the running times and work of this dispatcher's own relays at each host, recent ones weighing most.
-func (c *Core) Ran(now int64, tell func(host logic.WorkerID, run, work float64)) {
-	c.sched.Ran(now, tell)
+// Ran calls visit with the running time and the work of this dispatcher's own attempts at each host, weighted
+// towards recent ones.
+func (c *Core) Ran(now int64, visit func(host logic.WorkerID, run, work float64)) {
+	c.sched.Ran(now, visit)
 }
 
-// HeardRan takes the same of the other dispatchers together.
+// HeardRan takes the same totals of all other dispatchers together.
 func (c *Core) HeardRan(now int64, host logic.WorkerID, run, work float64) {
 	c.sched.HeardRan(now, host, run, work)
 }
 
-// Hosts gives the known hosts by their numbers, in no order.
-func (c *Core) Hosts(tell func(id logic.WorkerID, h Host)) {
+// Hosts calls visit for each known host with its worker id, in no particular order.
+func (c *Core) Hosts(visit func(id logic.WorkerID, h Host)) {
 	for id, h := range c.hosts {
-		tell(id, h.Host)
+		visit(id, h.Host)
 	}
 }
--- a/internal/memory/gangs.go
+++ b/internal/memory/gangs.go
@@ -2,87 +2,95 @@
 
 import "granitewing/logic"
 
-// Messages that run as gangs: parts at many hosts at once, each a relay of the one message. Where they run is for Gangs; the core carries that out under the rules: nothing to a host that may not be sent to, one final answer, which is the first
-// part's result once all parts are served, and no part ever sent again.
+// A gang is a message that runs as parts at many hosts at once; each part is one attempt of that message. Gangs
+// decides where and when they run. The core carries that out under the rules: no part goes to a host that must not
+// receive new work, the message has one final answer, which is the first part's result once all parts are served,
+// and no part is sent twice.
 
-// Gangs decides on them. What its calls return is to be done in order, and valid until the next call.
+// Gangs decides on gangs. The actions that its methods return have to be executed in order and are valid until the
+// next call.
 type Gangs interface {
-	// Takes tells whether messages of a class are gangs, and Parts of how many parts at most.
+	// Takes reports whether messages of a class run as gangs.
 	Takes(class int) bool
+	// Parts returns the maximum number of parts of a class.
 	Parts(class int) int
+	// Arrive takes a new gang.
 	Arrive(now int64, j GangJob) []GangAction
-	// Round goes on with all gangs.
+	// Round reconsiders all gangs.
 	Round(now int64) []GangAction
-	// May tells whether a part that was to be sent may still be.
+	// May reports whether a part that was decided may still be sent.
 	May(now int64, id ID) bool
+	// Began records that a part has started to run.
 	Began(now int64, id ID, rank int)
+	// Ended records the outcome of a part.
 	Ended(now int64, id ID, rank int, served bool) []GangAction
-	// Left takes the news that nobody waits for a gang any more.
+	// Left records that no client waits for a gang any more.
 	Left(id ID)
 }
 
-// GangJob is a message that is a gang.
+// GangJob describes a message that runs as a gang. Times are in microseconds unless a field says otherwise.
 type GangJob struct {
 	ID        ID
 	Class     int
-	Work      float64 // seconds of each part on a standard core, where there are all parts
-	Late      int64   // from when on it is late
-	Stretch   float64 // by how much later for each second of work
-	Deadline  int64
-	Worth     float64
-	LateWorth float64 // share that it earns late
-	Price     float64 // worth of a slot-second that the fleet has no room for
+	Work      float64 // seconds of each part on a standard core, with all parts running
+	Late      int64   // target: the job counts as late from this time on
+	Stretch   float64 // seconds by which the target moves per second of work
+	Deadline  int64   // end of the client's wait
+	Worth     float64 // value of the message
+	LateWorth float64 // share of Worth that it earns when late
+	Price     float64 // value of one slot-second beyond the fleet's capacity
 }
 
-// GangActionKind is what is to be done with a gang.
+// GangActionKind is what has to be done with a gang.
 type GangActionKind uint8
 
 // The kinds of actions.
 const (
-	GangStart  GangActionKind = iota // Hosts: send a part to each, rank by rank
-	GangServe                        // every part was served
-	GangGiveUp                       // end what is out and answer, by the class's rules; After is when the client may come back
+	GangStart  GangActionKind = iota // Hosts: send a part to each host, in the order of ranks
+	GangServe                        // every part was served: answer the message
+	GangGiveUp                       // cancel the outstanding parts and answer by the rules of the class; After is the retry advice
 )
 
-// GangAction is something to be done.
+// GangAction is an action on one gang.
 type GangAction struct {
 	Kind   GangActionKind
 	ID     ID
 	Hosts  []logic.WorkerID
-	Run    float64 // seconds that each part is expected to hold its slot
-	Within int64   // microseconds in which all have to begin
+	Run    float64 // expected seconds for which each part holds its slot
+	Within int64   // microseconds within which all parts have to start
 	After  int64
 }
 
-// GangPart is what the relay of a part tells its host.
+// GangPart is what a host is told about its part of a gang.
 type GangPart struct {
 	Rank   int
-	Peers  []string // addresses of all parts' hosts, by rank
-	Within int64    // microseconds within which all parts have to begin
+	Peers  []string // addresses of the hosts of all parts, by rank
+	Within int64    // microseconds within which all parts have to start
 }
 
-// crew is what the core keeps of a message that is a gang.
+// gangState is what the core stores about a message that is a gang.
 type gangState struct {
-	work    []float64 // slot-seconds that each part has in its host's backlog
-	content []byte    // the first part's result
+	work    []float64 // slot-seconds that each part adds to its host's backlog
+	content []byte    // result of the first part
 }
 
-// afterLeast is when a client may come back to a gang that no cause of the fleet's gives another time for.
+// minGangRetryAfter is the least retry advice for a gang that is given up, in microseconds, for when the fleet
+// gives no reason for a longer wait.
 const minGangRetryAfter = 100_000
 
-// Gang has the core run the messages of some classes as gangs; to be called before the first message.
+// Gang enables gangs, decided by g; call it before the first message.
 func (c *Core) Gang(g Gangs) { c.gangs = g }
 
-// Places tells of the hosts that may be sent a part.
-func (c *Core) Places(now int64, work float64, tell func(logic.View)) {
+// Places calls visit for each host that may be sent a part, with its estimates for a part of that much work.
+func (c *Core) Places(now int64, work float64, visit func(logic.View)) {
 	c.sched.View(now, work, func(v logic.View) {
 		if v.Trusted && v.Warm && c.acceptsWork(c.hosts[v.ID]) {
-			tell(v)
+			visit(v)
 		}
 	})
 }
 
-// muster takes a message that is a gang.
+// arriveGang takes a new message that runs as a gang.
 func (c *Core) arriveGang(now int64, id ID, m Message, deadline int64, share float64) {
 	class := &c.cfg.Classes[m.Class]
 	if deadline <= 0 {
@@ -105,7 +113,7 @@
 	c.applyGangActions(now, c.gangs.Arrive(now, j))
 }
 
-// Gathered goes on with the gangs, once what others have said of slots was heard.
+// Gathered reconsiders the gangs after the slot reports of the other dispatchers have come in.
 func (c *Core) Gathered(now int64) []Command {
 	c.resetOutput()
 	if c.gangs != nil {
@@ -114,9 +122,9 @@
 	return c.applyActions(now)
 }
 
-// command carries out what is to be done with gangs.
-func (c *Core) applyGangActions(now int64, acts []GangAction) {
-	for _, a := range acts {
+// applyGangActions executes decided actions.
+func (c *Core) applyGangActions(now int64, actions []GangAction) {
+	for _, a := range actions {
 		m := c.messages[a.ID]
 		if m == nil || m.answered {
 			continue
@@ -128,7 +136,7 @@
 			c.answer(a.ID, m, Command{Verdict: Served, Content: m.gang.content})
 			c.removeIfDone(a.ID, m)
 		case GangGiveUp:
-			// Its parts are ended first: they may have run, and what they say then counts no more.
+			// Cancels the parts first: they may have run, and their outcomes no longer count.
 			c.dropParts(now, a.ID, m)
 			verdict := Refused
 			if m.mayHaveRun && c.cfg.Classes[m.class].Repeat != logic.RepeatSafe {
@@ -140,7 +148,8 @@
 	}
 }
 
-// depart sends the parts of a gang, all of them: its hosts were looked at in the same turn of the owner.
+// sendParts sends all parts of a gang. Its hosts were checked in the same event, so none can have become invalid
+// since.
 func (c *Core) sendParts(now int64, a GangAction, m *message) {
 	peers := make([]string, len(a.Hosts))
 	for rank, id := range a.Hosts {
@@ -155,7 +164,7 @@
 	}
 }
 
-// begun takes the news that a part has begun: about half of its time is left from then on, on average.
+// partStarted records that a part has begun to run. From then on about half of its time remains on average.
 func (c *Core) partStarted(now int64, r RelayID, m *message) {
 	left := m.gang.work[r.Attempt] / 2
 	c.sched.Occupy(m.attempts[r.Attempt].worker, left-m.gang.work[r.Attempt])
@@ -163,7 +172,7 @@
 	c.gangs.Began(now, r.Message, r.Attempt)
 }
 
-// partEnded closes the books on a part.
+// partEnded records the outcome of a part.
 func (c *Core) partEnded(now int64, r RelayID, m *message, result logic.Result, content []byte) {
 	a := &m.attempts[r.Attempt]
 	a.outstanding = false
@@ -171,7 +180,7 @@
 	c.sched.Occupy(a.worker, -m.gang.work[r.Attempt])
 	m.mayHaveRun = m.mayHaveRun || result != logic.ConnectFailed && result != logic.Refused && result != logic.Moot
 	if result == logic.ConnectFailed || result == logic.Broken {
-		c.reportHealth(now, a.worker, result) // an error may as well be another part's fault
+		c.reportHealth(now, a.worker, result) // a failure may be caused by another part, so only these results count against the host
 	}
 	if r.Attempt == 0 && result == logic.Served {
 		m.gang.content = content
@@ -182,7 +191,7 @@
 	c.removeIfDone(r.Message, m)
 }
 
-// disband ends the parts of a gang that are out.
+// dropParts cancels the outstanding parts of a gang.
 func (c *Core) dropParts(now int64, id ID, m *message) {
 	for rank := range m.attempts {
 		if a := &m.attempts[rank]; a.outstanding {
--- a/internal/memory/hosts.go
+++ b/internal/memory/hosts.go
@@ -2,12 +2,13 @@
 
 import "granitewing/logic"
 
-// The hosts: what the inventory says of them, cordons by hand, and doubt of what is known.
+// Hosts: the inventory, cordons by operators, and stale membership.
 
-// Inventory takes what discovery told, or that it could not be asked.
-func (c *Core) Inventory(now int64, how logic.ListKind, hosts []Host) []Command {
+// Inventory takes a list of hosts from discovery, or a failure to obtain one. A complete list (logic.ListFull,
+// logic.ListCached) also removes all hosts that it does not name.
+func (c *Core) Inventory(now int64, kind logic.ListKind, hosts []Host) []Command {
 	c.resetOutput()
-	if how == logic.ListFull || how == logic.ListCached {
+	if kind == logic.ListFull || kind == logic.ListCached {
 		listed := map[string]bool{}
 		for _, h := range hosts {
 			listed[h.Name] = true
@@ -25,11 +26,12 @@
 		}
 		list = append(list, c.workerInfo(c.upsertHost(h), h))
 	}
-	c.actions = c.sched.Workers(now, how, list, c.actions)
+	c.actions = c.sched.Workers(now, kind, list, c.actions)
 	return c.applyActions(now)
 }
 
-// info is what the decisions are told of a host: one that is cordoned drains to them, whatever the inventory says.
+// workerInfo describes a host to the decision module. A cordoned host appears as draining, whatever the inventory
+// says.
 func (c *Core) workerInfo(id logic.WorkerID, h Host) logic.WorkerInfo {
 	phase := h.Phase
 	if phase == logic.Ready && c.cordoned[h.Name] {
@@ -38,9 +40,9 @@
 	return logic.WorkerInfo{ID: id, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, Weight: h.Weight, UpSince: h.UpSince, Phase: phase}
 }
 
-// Cordon bars the host of that name by hand (on) or lets it be used again. A cordon holds whatever the inventory says
-// until it is lifted; repeating either is harmless. known is false, and nothing changes, for a name that no inventory
-// gave and that is not cordoned.
+// Cordon bars a host from new work at an operator's request (on), or lifts that bar. A cordon holds until it is
+// lifted, whatever the inventory says; repeating a call has no effect. known is false, and nothing changes, if no
+// inventory has listed the name and it is not cordoned.
 func (c *Core) Cordon(now int64, name string, on bool) (known bool, cmds []Command) {
 	c.resetOutput()
 	_, listed := c.everListed[name]
@@ -51,7 +53,7 @@
 		return true, c.commands
 	}
 	if on {
-		c.cordoned[name] = true // bounded, as the names listed are, or as Restore bounds them
+		c.cordoned[name] = true // bounded: everListed and Restore both bound the names that get here
 	} else {
 		delete(c.cordoned, name)
 	}
@@ -65,8 +67,8 @@
 	return true, c.applyActions(now)
 }
 
-// Doubt takes the news that any host may have drained without this dispatcher being told (on), or that what is known of
-// them holds again. Meanwhile nothing new is sent, and messages wait for as long as their clients do.
+// Doubt marks the membership as stale (on) or as reliable again. While it is stale any host may have drained
+// without a report to this dispatcher, so nothing new is sent and messages wait until their clients give up.
 func (c *Core) Doubt(now int64, on bool) []Command {
 	c.resetOutput()
 	c.stale = on
@@ -74,11 +76,11 @@
 	return c.applyActions(now)
 }
 
-// Yield takes the news that another process has this dispatcher's place from now on: what of its requests is still to be sent
-// goes to hosts that are warm.
+// Yield prepares for another process to take over from this dispatcher: from now on its remaining sends go only to
+// hosts that are past their slow start.
 func (c *Core) Yield() { c.sched.Yield() }
 
-// Restore bars a host by hand that an earlier process of this dispatcher barred, whether it is listed or not.
+// Restore applies a cordon that an earlier process of this dispatcher had, whether the host is listed or not.
 func (c *Core) Restore(now int64, name string) []Command {
 	if _, listed := c.everListed[name]; !listed && !c.cordoned[name] && len(c.cordoned) < maxHosts {
 		c.cordoned[name] = true
@@ -87,7 +89,7 @@
 	return cmds
 }
 
-// Cordons gives the names of the hosts barred by hand, in no order.
+// Cordons returns the names of the cordoned hosts, in no particular order.
 func (c *Core) Cordons() []string {
 	names := make([]string, 0, len(c.cordoned))
 	for name := range c.cordoned {
@@ -96,8 +98,8 @@
 	return names
 }
 
-// Census counts the hosts listed and those of them that are not sent new work, whether by hand or since the inventory
-// says that they drain.
+// Census returns the number of listed hosts, and of those that receive no new work because they are cordoned or
+// not in the ready phase.
 func (c *Core) Census() (listed, avoided int) {
 	for _, h := range c.hosts {
 		if h.Phase != logic.Ready || c.cordoned[h.Name] {
@@ -107,19 +109,20 @@
 	return len(c.hosts), avoided
 }
 
-// take keeps one entry of the inventory and gives the host's number.
+// upsertHost applies one entry of the inventory and returns the worker id of the host.
 func (c *Core) upsertHost(e Host) logic.WorkerID {
 	id, known := c.workerIDs[e.Name]
 	if _, seen := c.everListed[e.Name]; !seen {
 		if len(c.everListed) >= 4*maxHosts {
-			// Names of hosts long replaced are let go together; a cordon of one of them is then refused.
+			// Drops the names of hosts replaced long ago along with all others. A host that is not listed again can no
+			// longer be cordoned.
 			clear(c.everListed)
 		}
 		c.everListed[e.Name] = struct{}{}
 	}
 	if !known {
-		// The number comes from the name alone, since the decisions of dispatchers that share nothing agree
-		// through it; only two names that collide may differ between dispatchers.
+		// The id derives from the name alone, because dispatchers that share no state agree on decisions through it.
+		// Only for two names that collide may it differ between dispatchers.
 		for id = workerIDOf(e.Name); c.hosts[id] != nil; {
 			id++
 		}
@@ -147,7 +150,7 @@
 	delete(c.workerIDs, h.Name)
 }
 
-// takes tells whether a host, if it is known, may be sent anything new.
+// acceptsWork reports whether a host may be sent new work; nil stands for an unknown host.
 func (c *Core) acceptsWork(h *host) bool {
 	return h != nil && h.Phase == logic.Ready && !c.cordoned[h.Name] && !c.stale
 }
--- a/internal/memory/limits.go
+++ b/internal/memory/limits.go
@@ -1,49 +1,50 @@
 package memory
 
-// The limits of a whole fleet, as far as this dispatcher holds rights to them. Who deals them is none of the core's business;
-// it asks once a message, waits for nobody, and says when the message has its answer.
+// Fleet-wide limits, of which this dispatcher holds a part. The core does not know how the parts are allocated. It
+// asks once per message, never waits for an answer, and reports when the message is answered.
 
-// Right is what the limits say of a message.
+// Right is the result of a check against the limits.
 type Right uint8
 
-// The answers of the limits.
+// The results of a check.
 const (
 	Unlimited Right = iota
-	Inside          // it counts as one within its share
-	Beyond          // it counts as one beyond its share
-	Over            // it is to be refused at once
+	Inside          // counts as within the tenant's share
+	Beyond          // counts as beyond the tenant's share
+	Over            // must be refused at once
 )
 
-// Limits are asked for each message.
+// Limits is consulted once for each message.
 type Limits interface {
-	// Enter takes what a message needs of the limits, if it can be had. A message that needs a place is to be answered
-	// within most microseconds; 0 is as long as it likes.
-	Enter(now int64, id ID, tenant, class int) (r Right, most int64)
-	// Answered gives that back; a message that took nothing is no error.
+	// Enter reserves what a message needs under the limits, if it is available. A message that occupies a place must
+	// be answered within maxWait microseconds; 0 means no bound.
+	Enter(now int64, id ID, tenant, class int) (r Right, maxWait int64)
+	// Answered returns the reservation of a message; calling it for a message without one has no effect.
 	Answered(id ID)
 }
 
-// overAfter is when the client of a message beyond a limit may come back, in microseconds.
+// retryAfterOverLimit is the retry advice to the client of a message beyond a limit, in microseconds.
 const retryAfterOverLimit = 1_000_000
 
-// least is the share of its worth of a message beyond its share where the settings give it none: the decisions take 0 for
-// a share that nobody has decided.
+// minOverShare is the share of its value that a message beyond its tenant's share keeps if the settings give 0.
+// The decision module reads a share of 0 as not set.
 const minOverShare = 1e-9
 
-// Limit has the core ask some limits; to be called before the first message.
+// Limit attaches fleet-wide limits; call it before the first message.
 func (c *Core) Limit(l Limits) { c.limits = l }
 
-// enter asks the limits for a message, and gives its deadline and share by what they say.
+// applyLimits checks a message against the limits and returns its deadline and share of value; in is false if the
+// message must be refused.
 func (c *Core) applyLimits(now int64, id ID, m Message, deadline int64) (until int64, share float64, in bool) {
 	if c.limits == nil {
 		return deadline, 0, true
 	}
-	right, most := c.limits.Enter(now, id, m.Tenant, m.Class)
-	if most > 0 {
+	right, maxWait := c.limits.Enter(now, id, m.Tenant, m.Class)
+	if maxWait > 0 {
 		if deadline <= 0 {
 			deadline = now + c.cfg.Classes[min(max(m.Class, 0), len(c.cfg.Classes)-1)].Deadline
 		}
-		deadline = min(deadline, now+most)
+		deadline = min(deadline, now+maxWait)
 	}
 	switch right {
 	case Inside:
@@ -54,7 +55,7 @@
 	return deadline, share, right != Over
 }
 
-// settle marks a message as one that has its answer, or for which nobody waits any more.
+// markAnswered records that a message has its answer or that its client has left, and returns its reservation.
 func (c *Core) markAnswered(id ID, m *message) {
 	m.answered = true
 	if c.limits != nil {
--- a/internal/memory/number.go
+++ b/internal/memory/number.go
@@ -8,8 +8,8 @@
 	"granitewing/logic"
 )
 
-// numberOf gives the number that every dispatcher knows a host by: the hexadecimal one within its name, or
-// a hash where there is none.
+// workerIDOf returns the id by which every dispatcher knows a host: the hexadecimal number after the first dash of
+// its name, or a 32-bit FNV-1a hash of the name if there is none.
 func workerIDOf(name string) logic.WorkerID {
 	if _, hex, ok := strings.Cut(name, "-"); ok {
 		if v, err := strconv.ParseUint(hex, 16, 32); err == nil {
--- a/internal/memory/prices.go
+++ b/internal/memory/prices.go
@@ -1,19 +1,20 @@
 package memory
 
-// The price that a whole fleet has for its work, as far as this dispatcher knows it.
+// The fleet-wide price of work, as far as this dispatcher knows it.
 
-// Prices are asked for each message.
+// Prices is consulted for each message.
 type Prices interface {
-	// Price is the worth of the work on one slot in a second that the fleet has no room for; 0 where it has room.
+	// Price returns the value of one slot-second beyond the fleet's capacity; 0 while the fleet has capacity left.
 	Price() float64
-	// Asked tells what a message is taken for: its worth, its slot-work, and for how many seconds it can wait.
+	// Asked reports the demand of a message: its estimated value, its work in slot-seconds, and the seconds that it
+	// can wait.
 	Asked(now int64, worth, work, slack float64)
 }
 
-// Price has the core ask for prices; to be called before the first message.
+// Price attaches fleet-wide prices; call it before the first message.
 func (c *Core) Price(p Prices) { c.prices = p }
 
-// price is what a message that comes now has to be worth.
+// price returns the value per slot-second that a new message has to exceed.
 func (c *Core) price() float64 {
 	if c.prices == nil {
 		return 0
@@ -21,7 +22,7 @@
 	return c.prices.Price()
 }
 
-// asked tells the prices of the message that has just come.
+// reportDemand reports the message that has just arrived to the prices.
 func (c *Core) reportDemand(now int64) {
 	if c.prices != nil {
 		worth, work, slack := c.sched.Weighed()
@@ -29,5 +30,6 @@
 	}
 }
 
-// Waits gives the slot-work of this dispatcher that waits at hosts, and the slot-work a second that the ready hosts can do.
+// Waits returns this dispatcher's slot-seconds of work waiting at hosts, and the slot-seconds per second that the
+// ready hosts can process.
 func (c *Core) Waits() (work, capacity float64) { return c.sched.Waits() }
--- a/internal/memory/retries.go
+++ b/internal/memory/retries.go
@@ -2,30 +2,32 @@
 
 import "granitewing/logic"
 
-// Attempts beyond the first, of all messages together: a share of the first ones. Each first attempt makes a part of a right
-// at the dispatcher that makes it, so the sum over a fleet is bounded without a word between its members: by the share of
-// all first attempts, and what each may save up.
+// The retry budget limits attempts beyond the first, over all messages together, to a share of the first attempts.
+// Each first attempt adds a fraction of a token at its own dispatcher. The total of a fleet is thereby bounded
+// without communication: by that share of all first attempts, plus what each dispatcher may save up.
 
-// retries are the rights to attempts beyond the first; the zero value bounds nothing.
+// retryBudget is a token bucket for attempts beyond the first. The zero value sets no limit.
 type retryBudget struct {
-	perMessage float64 // of a right that a message brings
-	capacity   float64 // rights saved up at most, and there at the start
+	perMessage float64 // tokens that each message adds
+	capacity   float64 // maximum of saved tokens, and the number at the start
 	available  float64
-	denied     int // messages given up for want of a right
+	denied     int // messages given up for lack of a token
 }
 
-// Retries bounds attempts beyond the first to a share of first ones, and some at once; to be called before the first message.
-func (c *Core) Retries(share, most float64) {
-	c.retryBudget = retryBudget{perMessage: share, capacity: most, available: most}
+// Retries limits attempts beyond the first to a share of the first ones, with a burst of capacity; call it before
+// the first message.
+func (c *Core) Retries(share, capacity float64) {
+	c.retryBudget = retryBudget{perMessage: share, capacity: capacity, available: capacity}
 }
 
-// GivenUp is how many messages were given up for want of a right to another attempt.
+// GivenUp returns the number of messages given up for lack of a token for another attempt.
 func (c *Core) GivenUp() int { return c.retryBudget.denied }
 
-// first takes a message.
+// credit adds the tokens of one message.
 func (r *retryBudget) credit() { r.available = min(r.available+r.perMessage, r.capacity) }
 
-// may tells whether a message may have that attempt, and uses a right for one beyond the first.
+// take reports whether an attempt with that number (from 1) may be made, and spends a token if it is not the
+// first.
 func (r *retryBudget) take(attempt int) bool {
 	if r.capacity == 0 || attempt <= 1 {
 		return true
@@ -37,7 +39,7 @@
 	return true
 }
 
-// giveUp answers a message at once for whose next attempt there is no right.
+// giveUp answers a message whose next attempt has no token.
 func (c *Core) giveUp(now int64, r RelayID, m *message) {
 	c.retryBudget.denied++
 	verdict := Refused
--- a/internal/memory/rules.go
+++ b/internal/memory/rules.go
@@ -2,17 +2,19 @@
 
 import "granitewing/logic"
 
-// What the rules forbid is not sent, whatever was decided.
+// Rules that hold whatever the decision module decides. A send that a rule forbids is not made.
 
-// May tells whether a relay that was sent may still be begun: its host may have begun to drain, gone or been cordoned while
-// a connection was made, and the rules count from a request's first byte.
+// May reports whether an attempt that was decided may still start. While its connection is made, its host may
+// begin to drain, leave the list or be cordoned, and the rules apply to the moment at which the first byte of the
+// request is sent.
 func (c *Core) May(now int64, r RelayID) bool {
 	a := c.outstandingAttempt(r)
 	return a != nil && c.acceptsWork(c.hosts[a.worker]) && c.withinRepeatWindow(now, r) && (c.messages[r.Message].gang == nil || c.gangs.May(now, r.Message))
 }
 
-// within tells whether a keyed message's relay would still be dropped as a repeat of those before it: while its connection was
-// made the window of the first that may have run may have ended.
+// withinRepeatWindow reports whether a host would still drop this attempt of a keyed message as a repeat of the
+// earlier ones. The window counts from the first attempt that may have run, and may have ended while a connection
+// was made.
 func (c *Core) withinRepeatWindow(now int64, r RelayID) bool {
 	m := c.messages[r.Message]
 	if m.gang != nil || m.class < 0 || m.class >= len(c.cfg.Classes) || c.cfg.Classes[m.class].Repeat != logic.RepeatKeyed {
@@ -26,7 +28,7 @@
 	return true
 }
 
-// send starts a relay. What the rules forbid is not sent whatever was decided: it ends as one that never was.
+// send starts an attempt. A send that a rule forbids is not made: the attempt completes at once as never sent.
 func (c *Core) send(now int64, a logic.Action) {
 	m, h := c.messages[a.Job], c.hosts[a.Worker]
 	if m == nil {
@@ -36,15 +38,15 @@
 	m.attempts = append(m.attempts, attempt{worker: a.Worker, sentAt: now, outstanding: true})
 	m.outstanding++
 	switch {
-	case m.answered, // a message that has its answer needs no more work
-		!c.acceptsWork(h), // nothing new to a host that drains, is gone or cordoned
-		len(m.attempts)-m.uncounted > max(c.cfg.MaxAttempts, 1), // no more attempts than the site allows
-		m.outstanding > 1 && !c.cfg.MayCopy:                     // one attempt out at a time
+	case m.answered, // an answered message needs no more work
+		!c.acceptsWork(h), // no new work for a host that is draining, gone or cordoned
+		len(m.attempts)-m.uncounted > max(c.cfg.MaxAttempts, 1), // the site's limit on attempts
+		m.outstanding > 1 && !c.cfg.MayCopy:                     // one outstanding attempt at a time
 		c.completeAttempt(now, r, logic.Moot, nil)
 		return
 	case !c.retryBudget.take(len(m.attempts) - m.uncounted):
 		if m.outstanding > 1 {
-			c.completeAttempt(now, r, logic.Moot, nil) // the first copy goes on
+			c.completeAttempt(now, r, logic.Moot, nil) // the first copy continues
 		} else {
 			c.giveUp(now, r, m)
 		}
--- a/internal/memory/scale_test.go
+++ b/internal/memory/scale_test.go
@@ -8,7 +8,8 @@
 	"granitewing/logic"
 )
 
-// BenchmarkListBySize is what a change of one server costs the owner, and a whole list, by the number listed.
+// BenchmarkListBySize measures the cost of a change of one server, and of a whole list, by the number of listed
+// servers.
 func BenchmarkListBySize(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 3200} {
 		hosts := make([]Host, n)
@@ -42,7 +43,7 @@
 	}
 }
 
-// BenchmarkOpenRequest is what a request that waits holds in the core and the decisions.
+// BenchmarkOpenRequest measures the memory that a waiting request holds in the core and the decision module.
 func BenchmarkOpenRequest(b *testing.B) {
 	const open = 100_000
 	for range b.N {
--- a/internal/memory/share.go
+++ b/internal/memory/share.go
@@ -2,29 +2,29 @@
 
 import "granitewing/logic"
 
-// What a fleet of dispatchers that share what they know has to do with the decisions. A host goes by the number that every
-// dispatcher knows it by (numberOf).
+// State that dispatchers of a fleet share with each other. A host is identified by the id that every dispatcher
+// derives from its name (workerIDOf).
 
-// Heard takes the slot-work that other dispatchers have at a host, as of a time.
+// Heard takes the work in slot-seconds that other dispatchers have at a host, as of a time.
 func (c *Core) Heard(now int64, host logic.WorkerID, work float64, at int64) {
 	c.sched.Heard(now, host, work, at)
 }
 
-// HeardDemand takes the slots a second for which other dispatchers are asked with a data set.
+// HeardDemand takes the demand of other dispatchers for a data set, in slots per second, valid until a time.
 func (c *Core) HeardDemand(set uint64, load float64, until int64) {
 	c.sched.HeardDemand(set, load, until)
 }
 
-// Outstanding gives the slot-work that this dispatcher has at each host where it has any.
-func (c *Core) Outstanding(tell func(host logic.WorkerID, work float64)) { c.sched.Outstanding(tell) }
+// Outstanding calls visit with this dispatcher's outstanding work in slot-seconds at each host that has any.
+func (c *Core) Outstanding(visit func(host logic.WorkerID, work float64)) { c.sched.Outstanding(visit) }
 
-// Demand gives the slots a second for which this dispatcher is asked with each data set.
-func (c *Core) Demand(now int64, tell func(set uint64, load float64)) { c.sched.Demand(now, tell) }
+// Demand calls visit with this dispatcher's demand for each data set, in slots per second.
+func (c *Core) Demand(now int64, visit func(set uint64, load float64)) { c.sched.Demand(now, visit) }
 
-// Numbers appends the numbers of the known hosts.
-func (c *Core) Numbers(to []logic.WorkerID) []logic.WorkerID {
+// Numbers appends the ids of the known hosts.
+func (c *Core) Numbers(dst []logic.WorkerID) []logic.WorkerID {
 	for id := range c.hosts {
-		to = append(to, id)
+		dst = append(dst, id)
 	}
-	return to
+	return dst
 }
