--- a/internal/testing/exchange/exchange.go
+++ b/internal/testing/exchange/exchange.go
@@ -1,4 +1,5 @@
-// Package exchange reads recorded byte exchanges from text files, for the tests that play them.
+// Package exchange loads recorded byte exchanges from txtar files, for tests that feed them to a protocol
+// implementation.
 package exchange
 
 import (
@@ -13,7 +14,7 @@
 	"golang.org/x/tools/txtar"
 )
 
-// Load reads a txtar file.
+// Load reads a txtar file and fails the test if it cannot.
 func Load(t testing.TB, path string) *txtar.Archive {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -28,9 +29,9 @@
 	bytePattern   = regexp.MustCompile(`\{x[0-9a-f]{2}\}`)
 )
 
-// Bytes gives the bytes that a section stands for. A line ends in CR LF, or in nothing where it ends in a
-// backslash; a line after "+" is sent as one chunk with its LF; {N*c} is N times c, {x0a} the byte
-// of that number.
+// Bytes returns the bytes that a section describes. A line ends in CR LF, or in nothing if it ends in a backslash.
+// A line after "+" is one HTTP chunk that includes an LF. {N*c} stands for N times c, and {x0a} for the byte with
+// that hexadecimal value.
 func Bytes(section []byte) []byte {
 	var out bytes.Buffer
 	for line := range strings.Lines(string(section)) {
--- a/internal/wire/door/door.go
+++ b/internal/wire/door/door.go
@@ -1,8 +1,8 @@
-// Package door reads and writes the operators' line protocol of the management listener. It knows no socket: a
-// Reader is fed the bytes of one caller and gives back the call they make, and the Append functions write answers.
+// Package door implements the line protocol of the admin endpoint, without sockets. A Reader is fed the bytes of one
+// connection and returns the call that they make; the Append functions build answers.
 //
-// A caller sends one line, a verb and at most one argument separated by blanks, ended by LF (CR LF is taken too).
-// The answer is a line that begins with YES or NO; the figures of `counters` follow their YES and end with a line END.
+// A caller sends one line, a verb and at most one argument separated by blanks, ended by LF or CR LF. The answer is a
+// line that begins with YES or NO. After the YES of `counters` follow the metrics and a line END.
 package door
 
 import (
@@ -12,48 +12,49 @@
 	"strings"
 )
 
-// LineMost bounds a call's line in bytes, its end included; an id of a worker is far shorter.
+// LineMost bounds the line of a call in bytes, its line end included. Worker ids are far shorter.
 const LineMost = 512
 
-// Verb is what a caller asks for.
+// Verb is the operation that a caller requests.
 type Verb uint8
 
-// The calls of the door.
+// The operations of the admin endpoint.
 const (
-	Health   Verb = iota + 1 // YES once this process can serve
-	Counters                 // the figures, then END
-	Cordon                   // nothing more to the worker named
-	Uncordon                 // the worker named may be sent to again
-	Quiesce                  // take no more clients: empty the dispatcher
-	Resume                   // take clients again
+	Health   Verb = iota + 1 // answers YES once this process can serve
+	Counters                 // returns the metrics
+	Cordon                   // sends nothing more to the given worker
+	Uncordon                 // lifts the cordon of the given worker
+	Quiesce                  // accepts no more clients, so that the dispatcher drains
+	Resume                   // accepts clients again
 )
 
 var verbs = map[string]struct {
-	verb  Verb
-	takes bool // whether it takes a worker's id
+	verb    Verb
+	takesID bool // whether it takes a worker id
 }{
 	"health": {Health, false}, "counters": {Counters, false}, "cordon": {Cordon, true}, "uncordon": {Uncordon, true},
 	"quiesce": {Quiesce, false}, "resume": {Resume, false},
 }
 
-// Call is one line of a caller.
+// Call is one decoded request line.
 type Call struct {
 	Verb Verb
 	ID   string // the worker, for Cordon and Uncordon
 }
 
-// ErrTooLong is given for a line of more than LineMost bytes; what follows it can't be told from it, so the
-// caller is answered and let go.
+// ErrTooLong reports a line of more than LineMost bytes. The bytes after it cannot be separated from it, so the
+// caller is answered and disconnected.
 var ErrTooLong = fmt.Errorf("line longer than %d bytes", LineMost)
 
-// Reader gathers the bytes of one caller into lines.
+// Reader assembles the bytes of one connection into a line.
 type Reader struct {
 	buf []byte
 }
 
-// Feed takes the next bytes and gives the first whole line's call. done is false while the line is not whole;
-// then b was kept and more is wanted. An error says why the line is no call; after ErrTooLong the reader
-// is of no more use. Bytes after the first line are ignored, since a connection carries one call.
+// Feed processes received bytes and returns the call of the first complete line. done is false while the line is
+// incomplete; b is then buffered and more bytes are needed. An error says why the line is not a valid call; after
+// ErrTooLong the reader cannot be used any more. Bytes after the first line are ignored, since a connection
+// carries one call.
 func (r *Reader) Feed(b []byte) (c Call, done bool, err error) {
 	if i := bytes.IndexByte(b, '\n'); i >= 0 {
 		if len(r.buf)+i+1 > LineMost {
@@ -71,7 +72,7 @@
 	return Call{}, false, nil
 }
 
-// Parse reads one line without its end. Verbs are taken in any case; an id is taken as it stands.
+// Parse decodes one line without its line end. Verbs are case-insensitive, ids are taken literally.
 func Parse(line string) (Call, error) {
 	if strings.ContainsFunc(line, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
 		return Call{}, errors.New("control byte in the line")
@@ -84,38 +85,38 @@
 	switch {
 	case !known:
 		return Call{}, fmt.Errorf("unknown call %q; calls: health, counters, cordon ID, uncordon ID, quiesce, resume", words[0])
-	case v.takes && len(words) != 2:
+	case v.takesID && len(words) != 2:
 		return Call{}, fmt.Errorf("%s takes one worker id, have %d words after it", words[0], len(words)-1)
-	case !v.takes && len(words) != 1:
+	case !v.takesID && len(words) != 1:
 		return Call{}, fmt.Errorf("%s takes nothing after it", words[0])
 	}
 	c := Call{Verb: v.verb}
-	if v.takes {
+	if v.takesID {
 		c.ID = words[1]
 	}
 	return c, nil
 }
 
-// AppendYes appends a yes, with a note where it is not empty.
+// AppendYes appends a YES line, with a note unless it is empty.
 func AppendYes(b []byte, note string) []byte { return appendLine(b, "YES", note) }
 
-// AppendNo appends a no with its reason.
-func AppendNo(b []byte, why string) []byte { return appendLine(b, "NO", why) }
+// AppendNo appends a NO line with its reason.
+func AppendNo(b []byte, reason string) []byte { return appendLine(b, "NO", reason) }
 
-// AppendFigures appends a yes, the figures in the Prometheus text format as they are, and the line END.
-func AppendFigures(b []byte, figures []byte) []byte {
+// AppendFigures appends a YES line, the metrics in the Prometheus text format unchanged, and the line END.
+func AppendFigures(b []byte, metrics []byte) []byte {
 	b = append(b, "YES\n"...)
-	b = append(b, figures...)
-	if len(figures) > 0 && figures[len(figures)-1] != '\n' {
+	b = append(b, metrics...)
+	if len(metrics) > 0 && metrics[len(metrics)-1] != '\n' {
 		b = append(b, '\n')
 	}
 	return append(b, "END\n"...)
 }
 
-func appendLine(b []byte, word, note string) []byte {
-	b = append(b, word...)
+func appendLine(b []byte, status, note string) []byte {
+	b = append(b, status...)
 	if note != "" {
-		// A note is one line, whatever it was made of.
+		// A note must be one line, whatever text it is made of.
 		b = append(b, ' ')
 		b = append(b, strings.Map(func(r rune) rune {
 			if r < ' ' {
--- a/internal/wire/door/door_test.go
+++ b/internal/wire/door/door_test.go
@@ -13,7 +13,7 @@
 	for _, c := range []struct {
 		line string
 		want Call
-		err  string // part of the error; empty for none
+		err  string // part of the error; empty = no error
 	}{
 		{"health", Call{Verb: Health}, ""},
 		{"COUNTERS", Call{Verb: Counters}, ""},
@@ -39,7 +39,7 @@
 	}
 }
 
-// A line gives the same call however it is split over reads, and what follows it is no matter.
+// A line gives the same call however it is split over reads, and the bytes after it do not matter.
 func TestFeedInPieces(t *testing.T) {
 	text := []byte("cordon s-5be2a07c\r\nhealth\n")
 	for size := 1; size <= len(text); size++ {
@@ -58,7 +58,7 @@
 	}
 }
 
-// A line that grows past the bound is refused whether or not its end has come, and nothing more is kept.
+// A line beyond the bound is rejected whether or not its end has arrived, and nothing more is buffered.
 func TestTooLong(t *testing.T) {
 	var r Reader
 	for i := 0; i < LineMost/64-1; i++ {
@@ -84,7 +84,7 @@
 	}
 }
 
-// Whatever comes, the reader keeps at most a line, and a whole line gives a call or an error, never both.
+// For any input, the reader buffers one line at most, and a complete line gives either a call or an error.
 func FuzzFeed(f *testing.F) {
 	for _, seed := range []string{"health\n", "cordon s-1\r\n", "cordon\n", "uncordon a b\n", "\n", "quiesce", "x\x00\n"} {
 		f.Add([]byte(seed), 3)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,5 +1,9 @@
-// Package wire is the codec of the ember wire: frames of binary records on a pipe, and the settings that
-// the first record of an instance carries. It takes no decision.
+// Package wire implements the simulator's protocol: frames of binary big-endian records on a pipe, and the
+// settings text in the first record of a scheduler instance. It also parses these settings for other front ends.
+// It takes no scheduling decisions.
+//
+// ReadFrame reads a frame of events, Batch decodes its records one by one into an Event, and Reply builds the
+// frame of actions that answers it. Times are in microseconds.
 package wire
 
 import (
@@ -10,23 +14,23 @@
 	"math"
 )
 
-// Codes of the events.
+// Codes of the event records, sent by the simulator.
 const (
-	EvStart    = 1
-	EvUpdate   = 2
-	EvArrival  = 3
-	EvFlowing  = 4
-	EvAnswer   = 5
-	EvHangup   = 6
-	EvWake     = 7
-	EvProbed   = 8
-	EvInbox    = 9
-	EvKill     = 10
-	EvLedger   = 11
-	EvProgress = 12
+	EvStart    = 1  // starts an instance with its settings and seed
+	EvUpdate   = 2  // an instance receives worker list Set, or a failure to obtain one
+	EvArrival  = 3  // a job arrives
+	EvFlowing  = 4  // an attempt has begun to stream its result
+	EvAnswer   = 5  // outcome of an attempt
+	EvHangup   = 6  // a client has disconnected
+	EvWake     = 7  // a time requested by a wake-up action
+	EvProbed   = 8  // result of a probe
+	EvInbox    = 9  // a message from a peer
+	EvKill     = 10 // ends an instance
+	EvLedger   = 11 // sets worker list Set, for all instances
+	EvProgress = 12 // an attempt has started, or reports its completed share
 )
 
-// Codes of the actions.
+// Codes of the action records, sent in replies.
 const (
 	actTell      = 1
 	actPanic     = 2
@@ -47,10 +51,10 @@
 	replyLen        = 8
 	recordHeaderLen = 5
 	entryLen        = 22
-	readChunk       = 1 << 20 // bytes taken on at a time, so that a claimed length alone allocates nothing
+	readChunk       = 1 << 20 // bytes allocated at a time, so that a claimed length alone allocates nothing
 )
 
-// Entry is one line of a worker list.
+// Entry is one worker in a worker list.
 type Entry struct {
 	Zone    uint8
 	UpSince uint64
@@ -61,17 +65,17 @@
 	Worker  uint32
 }
 
-// Event is one decoded record; only the fields of its code are set. Slices point into the frame or are
-// reused by the next call of Next.
+// Event is one decoded record. Only the fields of its code are set. Slices point into the frame or are reused by
+// the next call of Next.
 type Event struct {
 	Code    uint8
 	Inst    uint16
 	Seed    uint64
-	Text    []byte // settings, or a peer's message
+	Text    []byte // settings (EvStart) or a peer's message (EvInbox)
 	How     uint8
 	Rev     uint32
 	Set     uint16
-	Entries []byte // entries of a ledger, entryLen bytes each
+	Entries []byte // entries of an EvLedger, entryLen bytes each; see EachEntry
 	Job     uint32
 	Key     uint64
 	Flags   uint16
@@ -79,7 +83,7 @@
 	Tenant  uint16
 	Hint    uint32
 	Memory  float32
-	At      uint64 // a client's deadline
+	At      uint64 // client's deadline
 	Slots   float32
 	Attempt uint16
 	Worker  uint32
@@ -94,8 +98,8 @@
 	Author  uint32
 }
 
-// ReadFrame reads one frame into buf, growing it as bytes really come. It returns io.EOF when the input
-// ends between frames.
+// ReadFrame reads one frame into buf, which grows only as bytes arrive. It returns io.EOF if the input ends
+// between frames, and an error with the batch number for a frame that is truncated or states an impossible length.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
 	if cap(buf) < headerLen {
 		buf = make([]byte, headerLen, 1<<16)
@@ -129,7 +133,7 @@
 	return buf, nil
 }
 
-// Batch walks the records of one frame.
+// Batch iterates over the records of one frame.
 type Batch struct {
 	Now       int64
 	Seq       uint32
@@ -137,7 +141,7 @@
 	rest      []byte
 }
 
-// Open starts the walk over a frame that ReadFrame returned.
+// Open starts the iteration over a frame returned by ReadFrame. It fails if the frame is shorter than its header.
 func (b *Batch) Open(frame []byte) error {
 	if len(frame) < headerLen {
 		return fmt.Errorf("frame of %d bytes has no header", len(frame))
@@ -149,7 +153,8 @@
 	return nil
 }
 
-// Check walks the whole batch once, so that a faulty one is found before any of it has been acted on.
+// Check decodes the whole batch once without consuming it, so that a malformed one is detected before any of it is
+// acted on.
 func (b Batch) Check(e *Event) error {
 	for {
 		more, err := b.Next(e)
@@ -162,7 +167,8 @@
 	}
 }
 
-// Next decodes the next record into e; false at the end. Records of unknown code are skipped.
+// Next decodes the next record into e and reports false at the end. Records of unknown code are skipped; a
+// malformed record is an error.
 func (b *Batch) Next(e *Event) (bool, error) {
 	for {
 		if b.remaining == 0 {
@@ -193,7 +199,7 @@
 	}
 }
 
-// decode fills e and tells whether the code is known.
+// decode fills e and reports whether the code is known.
 func decode(code uint8, c *cursor, e *Event) bool {
 	e.Code = code
 	if code == EvLedger {
@@ -239,7 +245,7 @@
 	return true
 }
 
-// EachEntry calls f for every line of a ledger's entries.
+// EachEntry calls f for each entry of a worker list; raw is Event.Entries.
 func EachEntry(raw []byte, f func(Entry)) {
 	for ; len(raw) >= entryLen; raw = raw[entryLen:] {
 		c := cursor{b: raw[:entryLen]}
@@ -248,12 +254,12 @@
 	}
 }
 
-// clampTime keeps a clock value inside the signed range.
+// clampTime limits a time to the range of int64.
 func clampTime(v uint64) int64 {
 	return int64(min(v, math.MaxInt64))
 }
 
-// cursor reads big-endian fields; past the end it gives zeros and notes that the record was short.
+// cursor reads big-endian fields. Past the end it returns zeros and sets truncated.
 type cursor struct {
 	b         []byte
 	truncated bool
--- a/internal/wire/platform/config.go
+++ b/internal/wire/platform/config.go
@@ -13,12 +13,12 @@
 	"granitewing/logic"
 )
 
-// Config is what a dispatcher is told at its start.
+// Config is the configuration of a dispatcher.
 type Config struct {
 	Name       string
 	Listen     string
 	Discovery  string
-	Management string // the operators' door; empty where there is none
+	Management string // address of the admin endpoint; empty = none
 	Seed       uint64
 	Cores      float64
 	MemoryMB   int
@@ -27,12 +27,12 @@
 	Settings   logic.Config
 }
 
-// Names gives the indices of zones and kinds.
+// Names returns the names of zones and kinds, for decoding lists of hosts.
 func (c *Config) Names() Names {
 	return Names{Zones: c.Settings.ZoneNames, Kinds: c.Settings.KindNames}
 }
 
-// Lanes gives the classes by name.
+// Lanes returns the message classes by name.
 func (c *Config) Lanes() map[string]Lane {
 	lanes := map[string]Lane{}
 	for i, k := range c.Settings.Classes {
@@ -41,7 +41,7 @@
 	return lanes
 }
 
-// Tenants gives the numbers of the tenants by name, as X-Org tells it.
+// Tenants returns the indices of the tenants by name, as the header X-Org has it.
 func (c *Config) Tenants() map[string]int {
 	tenants := map[string]int{}
 	for i, t := range c.Settings.Tenants {
@@ -90,9 +90,9 @@
 	if err := checkSchedulerIndex(settings, &c.Settings); err != nil {
 		return nil, err
 	}
-	// On sockets the list always comes only to those who ask, whatever the simulator does.
+	// On sockets, lists come only on request, whatever the simulator does.
 	c.Settings.MustAsk = true
-	// Here an attempt counts once its last byte has arrived, so one that found nobody is none.
+	// An attempt counts here once its last byte has arrived at the host, so one whose connect failed does not count.
 	c.Settings.FreeConnects = true
 	for i, t := range c.Settings.Tenants {
 		if t.Name == "" {
@@ -112,17 +112,17 @@
 	return c, nil
 }
 
-// fleet checks what a dispatcher is told of its place among the others. Without Balancers it takes itself for the only
-// one. A number that does not fit is no matter for a default: dispatchers that share nothing keep within a cold host's
-// budget only by each taking its own turns.
+// checkSchedulerIndex validates a dispatcher's number among the dispatchers; without Balancers it is the only one.
+// An invalid number is an error and gets no default: dispatchers that share no state keep within the load budget
+// of a host in slow start only because each uses its own time slots.
 func checkSchedulerIndex(settings *fastjson.Value, c *logic.Config) error {
-	for key, least := range map[string]int{"Balancers": 1, "SelfIndex": 0} {
+	for key, minimum := range map[string]int{"Balancers": 1, "SelfIndex": 0} {
 		v := settings.Get(key)
 		if v == nil {
 			continue
 		}
-		if n, err := v.Int(); err != nil || n < least || n > math.MaxInt32 {
-			return fmt.Errorf("settings.%s: want a whole number of at least %d, have %s", key, least, v)
+		if n, err := v.Int(); err != nil || n < minimum || n > math.MaxInt32 {
+			return fmt.Errorf("settings.%s: want a whole number of at least %d, have %s", key, minimum, v)
 		}
 	}
 	if c.Self >= c.Schedulers {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// flatten writes nested settings as the path=value lines that the simulator's wire carries, so that both
-// fronts read them with the same code.
+// flatten writes nested settings as the path=value lines of the simulator's protocol, so that both front ends
+// parse them with the same code.
 func flatten(out *strings.Builder, path string, v *fastjson.Value) {
 	switch v.Type() {
 	case fastjson.TypeObject:
@@ -165,7 +165,8 @@
 	return path + "." + key
 }
 
-// scalar writes a plain value; spaces and commas within it would be read as the form's own.
+// scalarText returns a plain value as text. Spaces and commas within it are replaced, since they separate values
+// in that form.
 func scalarText(v *fastjson.Value) string {
 	if v == nil {
 		return ""
@@ -179,5 +180,5 @@
 
 var settingsNameReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_")
 
-// plain is a name as the settings keep it.
+// settingsName returns a name in the form that the settings use.
 func settingsName(name string) string { return settingsNameReplacer.Replace(name) }
--- a/internal/wire/platform/http.go
+++ b/internal/wire/platform/http.go
@@ -1,5 +1,7 @@
-// Package platform speaks the platform's HTTP/1.1 without a socket: state machines that are fed bytes and
-// give back messages, relay notes and inventory lists, and builders of what is sent.
+// Package platform implements the platform's HTTP/1.1 protocol without sockets. State machines are fed bytes as
+// they arrive: North reads client requests, Relay reads the responses of back-end hosts, and Watch reads the lists
+// of service discovery. The Append functions build what is sent, and ReadConfig decodes the configuration of a
+// dispatcher. A driver owns the connections.
 package platform
 
 import (
@@ -13,18 +15,18 @@
 )
 
 const (
-	maxHead = 16 << 10 // bytes of a head; what the platform sends takes a few hundred
-	maxBody = 64 << 10 // bytes of a body, by the protocol
+	maxHead = 16 << 10 // bytes of a message head; the platform's messages take a few hundred
+	maxBody = 64 << 10 // bytes of a body, as the protocol limits it
 )
 
-// head buffers bytes up to the blank line that ends a head.
+// head buffers a message head (first line and fields) up to the blank line that ends it.
 type head struct{ buf []byte }
 
-// feed takes bytes until the head is whole and tells how many it used.
+// feed consumes bytes until the head is complete and returns how many it used.
 func (h *head) feed(b []byte) (used int, whole bool, err error) {
 	had := len(h.buf)
 	if had == 0 {
-		// Blank lines ahead of a head are passed over: some senders end a body with one more than they count.
+		// Skip blank lines before a head: some senders put one more after a body than its length counts.
 		used = len(b) - len(bytes.TrimLeft(b, "\r\n"))
 		b = b[used:]
 	}
@@ -54,9 +56,9 @@
 
 var errMalformedHead = errors.New("malformed head")
 
-// strict refuses what readers of a head take in different ways: line ends that are not CR LF, lines that go on in
-// the next, names that are no tokens, control bytes. One that took it otherwise than a host or a client would find
-// another message in the same bytes.
+// validate rejects a head that parsers interpret in different ways: line ends other than CR LF, folded lines,
+// field names that are not tokens, and control bytes. A dispatcher that read such a head in another way than the
+// host or the client would see a different message in the same bytes (request smuggling).
 func (h *head) validate() error {
 	for line := range bytes.Lines(h.buf) {
 		line, crlf := bytes.CutSuffix(line, []byte("\r\n"))
@@ -77,7 +79,7 @@
 	return nil
 }
 
-// parse splits a whole head into its first line and fields.
+// parse splits a complete head into its first line and fields.
 func (h *head) parse() (string, textproto.MIMEHeader, error) {
 	r := textproto.NewReader(bufio.NewReader(bytes.NewReader(h.buf)))
 	first, err := r.ReadLine()
@@ -91,16 +93,16 @@
 	return first, fields, nil
 }
 
-// The ways in which the end of a body is told.
+// framing is the way in which the end of a body is marked.
 type framing uint8
 
 const (
 	byContentLength framing = iota
 	chunked
-	untilClose // of the connection
+	untilClose // the body ends with the connection
 )
 
-// The places within a chunked body.
+// chunkState is the position within a chunked body.
 type chunkState uint8
 
 const (
@@ -110,14 +112,14 @@
 	trailer
 )
 
-// body walks the bytes of one body.
+// body decodes the bytes of one message body.
 type body struct {
 	framing   framing
-	remaining int64 // of the body, or of the present chunk
+	remaining int64 // bytes left of the body, or of the current chunk
 	state     chunkState
-	line      []byte // a chunk's size line or a trailer line, as far as it has come
+	line      []byte // size line of a chunk or trailer line, as far as received
 
-	strict bool // lines end in CR LF, and a size is nothing but digits
+	strict bool // require CR LF line ends and chunk sizes of digits alone
 }
 
 var (
@@ -126,12 +128,12 @@
 	errMalformedChunk = errors.New("malformed chunk")
 )
 
-// bodyOf reads from the fields how a body ends; absent says what holds where they are silent.
+// newBody determines from the fields how a body ends; absent applies if they do not say.
 func newBody(f textproto.MIMEHeader, absent framing) (body, error) {
 	lengths, codings := f["Content-Length"], f["Transfer-Encoding"]
 	switch {
 	case len(codings) > 0 && len(lengths) > 0, len(lengths) > 1, len(codings) > 1:
-		// Two readings of where a body ends are how one request is smuggled inside another.
+		// Two ways to find the end of a body allow request smuggling.
 		return body{}, errFraming
 	case len(codings) == 1:
 		if !strings.EqualFold(codings[0], "chunked") {
@@ -148,7 +150,7 @@
 	return body{framing: absent}, nil
 }
 
-// feed hands the body's own bytes to sink and tells how many of b it used and whether the body is whole.
+// feed passes decoded body bytes to sink. It returns how many bytes of b it used and whether the body is complete.
 func (d *body) feed(b []byte, sink func([]byte) error) (used int, whole bool, err error) {
 	for {
 		switch {
@@ -193,7 +195,7 @@
 	}
 }
 
-// step takes one line of a chunked body's framing.
+// chunkLine processes one line of the chunked framing.
 func (d *body) chunkLine(text string) (whole bool, err error) {
 	switch d.state {
 	case dataEnd:
@@ -220,7 +222,7 @@
 	return false, nil
 }
 
-// closes tells whether a message ends its connection.
+// closesConnection reports whether the connection closes after a message.
 func closesConnection(version string, f textproto.MIMEHeader) bool {
 	wants := version == "HTTP/1.0"
 	for _, line := range f["Connection"] {
@@ -236,7 +238,7 @@
 	return wants
 }
 
-// response walks one answer.
+// response decodes one HTTP response.
 type response struct {
 	head   head
 	inBody bool
@@ -246,8 +248,8 @@
 	close  bool
 }
 
-// feed calls onHead once and sink for the body's bytes as they come, and tells how many bytes it used and whether the
-// answer is whole.
+// feed calls onHead once, and sink for the body bytes as they arrive. It returns how many bytes it used and
+// whether the response is complete.
 func (r *response) feed(b []byte, onHead func(), sink func([]byte) error) (used int, whole bool, err error) {
 	for !r.inBody {
 		n, done, err := r.head.feed(b[used:])
@@ -266,7 +268,7 @@
 	return used + n, whole, err
 }
 
-// begin reads a whole head; one that only announces another is passed over.
+// parseHead parses a complete head; an interim (1xx) response is skipped.
 func (r *response) parseHead() error {
 	first, fields, err := r.head.parse()
 	if err != nil {
@@ -293,5 +295,5 @@
 	return err
 }
 
-// reset makes ready for the next answer on the connection; buffers are kept.
+// reset prepares for the next response on the connection and keeps the buffer.
 func (r *response) reset() { *r = response{head: head{buf: r.head.buf[:0]}} }
--- a/internal/wire/platform/inventory.go
+++ b/internal/wire/platform/inventory.go
@@ -12,24 +12,25 @@
 	"granitewing/logic"
 )
 
-// maxList bounds one list of the inventory.
+// maxList bounds the bytes of one list of the inventory.
 const maxList = 4 << 20
 
-// Names gives the indices that the settings know zones and kinds by: a locality and a flavor are names in
-// those lists, a cell is a number already.
+// Names maps the names of zones and kinds to their indices in the settings. A locality is a name in Zones, a
+// flavor one in Kinds; a cell is a number already.
 type Names struct {
 	Zones []string
 	Kinds []string
 }
 
-// List is what discovery tells at once.
+// List is one list of hosts from discovery.
 type List struct {
 	Revision int64
-	Complete bool // all hosts; else those that changed
+	Complete bool // all hosts; otherwise only those that changed
 	Hosts    []memory.Host
 }
 
-// ReadList decodes one list; it keeps nothing of the value.
+// ReadList decodes one list; it does not retain the value. It fails if the list has no members, or one without an
+// id or address.
 func (n Names) ReadList(v *fastjson.Value) (List, error) {
 	members := v.Get("members")
 	if members == nil || members.Type() != fastjson.TypeArray {
@@ -45,7 +46,7 @@
 			Cell:    m.GetInt("cell"),
 			Weight:  m.GetFloat64("size"),
 			UpSince: m.GetInt64("up_since_ms") * 1000,
-			Phase:   logic.Draining, // a phase that is not known is not sent to
+			Phase:   logic.Draining, // hosts of an unknown phase receive nothing
 		}
 		switch string(m.GetStringBytes("phase")) {
 		case "ready":
@@ -61,23 +62,24 @@
 	return l, nil
 }
 
-// ErrTurnedAway is the error of an answer that is no list.
-var ErrTurnedAway = errors.New("discovery answered")
+// ErrTurnedAway is the error for a response of discovery with a status other than 200.
+var ErrTurnedAway = errors.New("discovery answered with status")
 
-// Watch reads the inventory: the whole list, where that was asked for first, then the watch on changes.
+// Watch reads the lists of discovery: the whole list if it was requested first, then the changes.
 type Watch struct {
 	names        Names
 	resp         response
 	splitter     objectSplitter
 	parser       fastjson.Parser
 	onList       func(List)
-	awaitingFull bool // the answer being read is the whole list, and another follows
+	awaitingFull bool // the response being read is the whole list, and the watch follows it
 	statusErr    error
 }
 
-// NewWatch makes a reader that hands each list to on; whole says that AppendWhole goes ahead of AppendWatch.
-func NewWatch(names Names, whole bool, on func(List)) *Watch {
-	return &Watch{names: names, splitter: objectSplitter{maxLen: maxList}, awaitingFull: whole, onList: on}
+// NewWatch returns a reader that passes each list to onList. whole says that the request of AppendWhole precedes that
+// of AppendWatch.
+func NewWatch(names Names, whole bool, onList func(List)) *Watch {
+	return &Watch{names: names, splitter: objectSplitter{maxLen: maxList}, awaitingFull: whole, onList: onList}
 }
 
 // AppendWhole appends the request for the whole list.
@@ -87,7 +89,7 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// AppendWatch appends the request that opens the watch after a revision.
+// AppendWatch appends the request that opens the watch for changes after a revision.
 func AppendWatch(b []byte, host string, revision int64) []byte {
 	b = append(b, "GET /v1/servers?stream=1&index="...)
 	b = strconv.AppendInt(b, revision, 10)
@@ -96,8 +98,8 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// Feed takes bytes as they come; an error ends the watch. listed says that the whole list has come, after
-// which the watch is to be asked for.
+// Feed processes received bytes; an error ends the watch. listed reports that the whole list is complete, after
+// which the watch has to be requested.
 func (w *Watch) Feed(b []byte) (listed bool, err error) {
 	used, over, err := w.resp.feed(b, func() {
 		if w.resp.status != 200 {
@@ -122,8 +124,8 @@
 	return true, nil
 }
 
-// Fresh tells whether what was fed last shows that discovery goes on: a blank line does so between lists, but not in the
-// middle of one that never ends.
+// Fresh reports whether the bytes fed last show that discovery is alive. A blank line between lists does; one
+// within a list that never ends does not.
 func (w *Watch) Fresh() bool { return !w.resp.inBody || w.splitter.progressed }
 
 func (w *Watch) feedBody(data []byte) error {
@@ -140,7 +142,7 @@
 	}
 	l, err := w.names.ReadList(v)
 	if err == nil && w.awaitingFull && !l.Complete {
-		return errors.New("the whole list was asked for and is not complete")
+		return errors.New("discovery answered the request for the whole list with an incomplete one")
 	}
 	if err == nil {
 		w.onList(l)
--- a/internal/wire/platform/north.go
+++ b/internal/wire/platform/north.go
@@ -12,53 +12,53 @@
 	"granitewing/internal/memory"
 )
 
-// Fault is why a message is not taken, with the status that says so.
+// Fault is the reason why a message is rejected, with its HTTP status.
 type Fault struct {
 	Status int
 	Why    string
 }
 
-// Lane is what the wire needs to know of a class.
+// Lane describes a message class to the protocol.
 type Lane struct {
 	Class int
-	Keyed bool // its messages carry an Idempotency-Key
+	Keyed bool // messages must carry an Idempotency-Key
 }
 
-// Message is a whole request from the north side. One that carries a Fault is answered with it and goes no
-// further; the connection stays good, since its end is known.
+// Message is a complete request from a client. If Fault is set it is answered with that and not processed; the
+// connection stays usable, since the end of the request is known.
 type Message struct {
 	memory.Message
 	Fault     *Fault
-	Health    bool // asks whether this dispatcher is ready
+	Health    bool // a health check of this dispatcher
 	Method    string
-	Target    string // path with query, as it came
+	Target    string // path with query, as received
 	Txn       string
 	Lane      string
-	Key       string // Idempotency-Key
+	Key       string // the Idempotency-Key header
 	Remaining time.Duration
 	Body      []byte
-	Close     bool // the client wants the connection closed afterwards
+	Close     bool // close the connection after the response
 	Continue  bool // the client waits for 100 Continue before it sends the body
 }
 
-// North reads the messages of one connection from the north side.
+// North reads the requests on one client connection.
 type North struct {
 	lanes   map[string]Lane
 	tenants map[string]int
 	head    head
 	body    body
-	msg     *Message // whose body is being read
+	msg     *Message // message whose body is being read
 }
 
-// NewNorth makes a reader for the lanes and the tenants that the settings name.
+// NewNorth returns a reader for the classes and tenants of the settings.
 func NewNorth(lanes map[string]Lane, tenants map[string]int) *North {
 	return &North{lanes: lanes, tenants: tenants}
 }
 
-// Partial tells whether a message has begun and is not whole.
+// Partial reports whether a message has begun and is incomplete.
 func (n *North) Partial() bool { return n.msg != nil || len(n.head.buf) > 0 }
 
-// Size is how many bytes are kept of a message that has begun and is not whole.
+// Size returns the bytes buffered of an incomplete message.
 func (n *North) Size() int {
 	if n.msg != nil {
 		return len(n.msg.Body)
@@ -66,7 +66,7 @@
 	return len(n.head.buf)
 }
 
-// Awaited tells whether the client waits for 100 Continue, once.
+// Awaited reports whether the client waits for 100 Continue; true once per message.
 func (n *North) Awaited() bool {
 	if n.msg == nil || !n.msg.Continue {
 		return false
@@ -75,8 +75,8 @@
 	return true
 }
 
-// Feed takes bytes up to the end of one message. A Fault here leaves the end of the message unknown: it is
-// to be answered and the connection closed.
+// Feed consumes bytes up to the end of one message. After a Fault here the end of the message is unknown, so the
+// driver must answer it and close the connection.
 func (n *North) Feed(b []byte) (used int, m *Message, fault *Fault) {
 	if n.msg == nil {
 		k, whole, err := n.head.feed(b)
@@ -114,7 +114,7 @@
 
 var errBodyTooLarge = errors.New("body is over 64 KiB")
 
-// begin reads a whole head.
+// parseHead parses a complete head and determines the framing of the body.
 func (n *North) parseHead() *Fault {
 	err := n.head.validate()
 	var first string
@@ -134,7 +134,7 @@
 		return &Fault{505, "only HTTP/1.1 is spoken here"}
 	}
 	if parts[0] == "HEAD" {
-		// Its answer has no body whatever its length says, so nothing may follow on the connection.
+		// The response has no body whatever its length says, so nothing may follow on the connection.
 		return &Fault{405, "HEAD is not answered here"}
 	}
 	if parts[2] == "HTTP/1.1" && len(f["Host"]) != 1 {
@@ -146,7 +146,7 @@
 		return &Fault{400, err.Error()}
 	}
 	if n.body.framing == chunked && parts[2] == "HTTP/1.0" {
-		// That version knows no chunks, so another reader would look for the body's end elsewhere.
+		// HTTP/1.0 has no chunked coding, so another parser would look for the end of the body elsewhere.
 		return &Fault{400, errFraming.Error()}
 	}
 	n.body.strict = true
@@ -163,12 +163,13 @@
 	return nil
 }
 
-// visible tells whether a text holds visible ASCII alone: all that may be passed on to a host within a line.
+// isVisibleASCII reports whether a text consists of visible ASCII characters, the only ones that can be forwarded
+// to a host within a line.
 func isVisibleASCII(text string) bool {
 	return !strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r >= 0x7f })
 }
 
-// read fills a message from its head.
+// parseRequest fills in a message from its head.
 func (n *North) parseRequest(m *Message, f textproto.MIMEHeader) *Fault {
 	path, query, _ := strings.Cut(m.Target, "?")
 	if path == "/healthz" {
@@ -200,7 +201,7 @@
 	case m.Lane != "" && m.Lane != first:
 		return &Fault{400, "X-Lane is not the class in the path"}
 	case lane.Keyed && m.Key == "":
-		// Without its key a repeat could not be told from a new job.
+		// Without the key a repeat cannot be distinguished from a new job.
 		return &Fault{400, "missing Idempotency-Key"}
 	}
 	m.Lane, m.Class, m.Name = first, lane.Class, m.Txn
@@ -215,7 +216,7 @@
 	}
 	m.Repeated = f.Get("X-Resent") == "1"
 	m.Tenant = n.tenantIndex(f["X-Org"])
-	// What follows only guides the choice of a host, so what can't be read counts as absent.
+	// The rest only guides the choice of a host, so unreadable values count as absent.
 	if v, err := parseDecimal(f.Get("X-Estimate")); err == nil && v < 1e12 {
 		m.Hint = int64(v)
 	}
@@ -238,8 +239,8 @@
 	return nil
 }
 
-// tenant is the number of the tenant that X-Org names, -1 where it is absent, unknown or told twice: such a message has
-// no share of its own, and to turn it away for that would lose a job that may well be served.
+// tenantIndex returns the index of the tenant named by X-Org, or -1 if the header is absent, unknown or repeated.
+// Such a message has no tenant share, but it is not rejected, because it can still be served.
 func (n *North) tenantIndex(named []string) int {
 	if len(named) == 1 {
 		if t, known := n.tenants[settingsName(named[0])]; known {
@@ -249,8 +250,8 @@
 	return -1
 }
 
-// decimal reads digits with or without a decimal point. Signs, exponents, hexadecimal and words for numbers, which
-// some readers take and others don't, are none.
+// parseDecimal parses digits with an optional decimal point. Signs, exponents, hexadecimal numbers and words such
+// as inf are errors, because parsers differ on them.
 func parseDecimal(text string) (float64, error) {
 	if len(text) > 32 || strings.Trim(text, "0123456789.") != "" {
 		return 0, strconv.ErrSyntax
@@ -258,10 +259,10 @@
 	return strconv.ParseFloat(text, 64)
 }
 
-// maxRemaining is the longest wait believed, in seconds; beyond it a deadline is a slip of units.
+// maxRemaining is the longest accepted wait in seconds. A larger value is most likely a wrong unit.
 const maxRemaining = 86400
 
-// number turns a name into a number that every dispatcher finds alike, 0 for the empty name.
+// userKey maps a user name to a number that is the same at every dispatcher; 0 for the empty name.
 func userKey(name string) uint64 {
 	if name == "" {
 		return 0
@@ -281,10 +282,11 @@
 	503: "Service Unavailable", 505: "HTTP Version Not Supported",
 }
 
-// AppendContinue appends the go-ahead for a body.
+// AppendContinue appends the interim response that asks for the body.
 func AppendContinue(b []byte) []byte { return append(b, "HTTP/1.1 100 Continue\r\n\r\n"...) }
 
-// AppendAnswer appends a whole answer to a message. A refusal's after tells the client when to come back.
+// AppendAnswer appends a complete response. after, if positive, is the Retry-After advice; last announces that the
+// connection closes.
 func AppendAnswer(b []byte, status int, content []byte, after time.Duration, last bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
--- a/internal/wire/platform/pieces.go
+++ b/internal/wire/platform/pieces.go
@@ -6,16 +6,17 @@
 	"fmt"
 )
 
-// A body that goes on and on is cut into what is read at once: a relay's into lines, the inventory's into JSON objects.
+// Splitters cut a streamed body into units that are parsed separately: lines for the response of a host, JSON
+// objects for the lists of discovery.
 
-// lines cuts a body at its line ends.
+// lineSplitter splits a body at its line ends.
 type lineSplitter struct {
-	partial []byte // as far as it has come
-	maxLen  int    // bytes of a line
+	partial []byte // current line as far as received
+	maxLen  int    // maximum bytes of a line
 }
 
-// feed calls on for each line that ends within data, without its end.
-func (l *lineSplitter) feed(data []byte, on func([]byte) error) error {
+// feed calls emit for each line that ends within data, without its line end.
+func (l *lineSplitter) feed(data []byte, emit func([]byte) error) error {
 	for {
 		n := bytes.IndexByte(data, '\n')
 		if n < 0 {
@@ -29,7 +30,7 @@
 			return nil
 		}
 		data = data[n+1:]
-		err := on(bytes.TrimSuffix(l.partial, []byte("\r")))
+		err := emit(bytes.TrimSuffix(l.partial, []byte("\r")))
 		l.partial = l.partial[:0]
 		if err != nil {
 			return err
@@ -37,30 +38,30 @@
 	}
 }
 
-// end calls on for what stands behind the last line end.
-func (l *lineSplitter) end(on func([]byte) error) error {
+// end calls emit for the bytes after the last line end.
+func (l *lineSplitter) end(emit func([]byte) error) error {
 	if len(l.partial) == 0 {
 		return nil
 	}
-	err := on(l.partial)
+	err := emit(l.partial)
 	l.partial = l.partial[:0]
 	return err
 }
 
 func (l *lineSplitter) reset() { l.partial = l.partial[:0] }
 
-// objects cuts a body into JSON objects wherever its lines end, since lists may come indented over many of them. It looks
-// at braces and strings alone; whether an object is well formed is its parser's business.
+// objectSplitter splits a body into JSON objects. It does not split at line ends, because a list may be indented
+// over many lines. It looks at braces and strings only; the JSON parser checks whether an object is well formed.
 type objectSplitter struct {
-	partial         []byte // of the object under way, as far as it has come
-	maxLen          int    // bytes of an object
-	depth           int    // of braces
-	quoted, escaped bool   // within a string, and behind a backslash there
-	progressed      bool   // the latest bytes said something: blank ones do so between objects alone
+	partial         []byte // current object as far as received
+	maxLen          int    // maximum bytes of an object
+	depth           int    // nesting depth of braces
+	quoted, escaped bool   // inside a string, and after a backslash there
+	progressed      bool   // the latest bytes show progress; blank ones do so only between objects
 }
 
-// feed calls on for each object that ends within data.
-func (o *objectSplitter) feed(data []byte, on func([]byte) error) error {
+// feed calls emit for each object that ends within data.
+func (o *objectSplitter) feed(data []byte, emit func([]byte) error) error {
 	begin := 0
 	o.progressed = false
 	for i, c := range data {
@@ -83,7 +84,7 @@
 			if err := o.appendPartial(data[begin : i+1]); err != nil {
 				return err
 			}
-			err := on(o.partial)
+			err := emit(o.partial)
 			o.partial = o.partial[:0]
 			if err != nil {
 				return err
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// end tells of an object that was cut off.
+// end returns an error if the body ended within an object.
 func (o *objectSplitter) end() error {
 	if o.depth > 0 {
 		return errors.New("list ends in the middle of an object")
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -16,7 +16,7 @@
 
 var testLanes = map[string]Lane{"readings": {Class: 0}, "ingest": {Class: 1, Keyed: true}}
 
-// playNorth reads messages until the bytes or the connection's use ends.
+// runNorth reads messages until the bytes end or the connection becomes unusable.
 func runNorth(pieces [][]byte) string {
 	var out strings.Builder
 	n := NewNorth(testLanes, map[string]int{"coast_guard": 0, "harbour": 1})
@@ -29,7 +29,7 @@
 				return out.String()
 			}
 			if n.Awaited() {
-				out.WriteString("awaits the go-ahead\n")
+				out.WriteString("awaits 100 Continue\n")
 			}
 			if m != nil {
 				out.WriteString(describe(m))
@@ -37,7 +37,7 @@
 		}
 	}
 	if n.Partial() {
-		out.WriteString("not whole\n")
+		out.WriteString("incomplete\n")
 	}
 	return out.String()
 }
@@ -104,21 +104,21 @@
 			break
 		}
 		if listed {
-			out.WriteString("asks for the watch\n")
+			out.WriteString("requests the watch\n")
 		}
 	}
 	return out.String()
 }
 
-// Each recorded exchange is played whole and byte by byte, which must come to the same; only whether bytes
-// came behind an answer can't be seen before they do.
+// Each recorded exchange is fed as a whole and byte by byte, with the same result. The one exception: whether
+// bytes follow a response is unknown until they arrive.
 func TestRecordedExchanges(t *testing.T) {
-	for file, play := range map[string]func([][]byte) string{"north": runNorth, "relay": runRelay, "watch": runWatch, "whole": runFullList} {
+	for file, run := range map[string]func([][]byte) string{"north": runNorth, "relay": runRelay, "watch": runWatch, "whole": runFullList} {
 		ar := exchange.Load(t, "testdata/"+file+".txtar")
 		for i := 0; i+1 < len(ar.Files); i += 2 {
 			in, want := exchange.Bytes(ar.Files[i].Data), string(ar.Files[i+1].Data)
 			t.Run(file+"/"+ar.Files[i].Name, func(t *testing.T) {
-				if diff := cmp.Diff(strings.Replace(want, " (stray)", "", 1), play([][]byte{in})); diff != "" {
+				if diff := cmp.Diff(strings.Replace(want, " (stray)", "", 1), run([][]byte{in})); diff != "" {
 					t.Errorf("whole (-want +got):\n%s", diff)
 				}
 				single := make([][]byte, len(in))
@@ -126,7 +126,7 @@
 					single[i] = in[i : i+1]
 				}
 				want = strings.Replace(want, "free, keep false (stray)", "free, keep true\nerror "+errUnexpectedBytes.Error(), 1)
-				if diff := cmp.Diff(want, play(single)); diff != "" {
+				if diff := cmp.Diff(want, run(single)); diff != "" {
 					t.Errorf("byte by byte (-want +got):\n%s", diff)
 				}
 			})
@@ -185,7 +185,7 @@
 	if diff := cmp.Diff(want, got, cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
-	for _, c := range []struct{ old, now, say string }{
+	for _, c := range []struct{ old, new, wantErr string }{
 		{`{"name"`, `{{"name"`, "not JSON"},
 		{`"memory_mb":192`, `"memory_mb":0`, "limits.memory_mb"},
 		{`"sockets":1024`, `"sockets":"many"`, "limits.sockets"},
@@ -195,8 +195,8 @@
 		{`"Name":"harbour"`, `"Named":"harbour"`, "Tenants.1.Name"},
 		{`"id":"s-0a"`, `"id":""`, "known"},
 	} {
-		if _, err := ReadConfig([]byte(strings.Replace(goodConfig, c.old, c.now, 1))); err == nil || !strings.Contains(err.Error(), c.say) {
-			t.Errorf("with %s: error %v, want one that names %s", c.now, err, c.say)
+		if _, err := ReadConfig([]byte(strings.Replace(goodConfig, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.wantErr) {
+			t.Errorf("with %s: error %v, want one with %s", c.new, err, c.wantErr)
 		}
 	}
 }
@@ -215,7 +215,7 @@
 	}
 }
 
-// Bytes from outside, however wrong, must neither stop the state machines nor make them keep more than they may.
+// No input may stop the state machines or make them buffer more than their limits.
 func FuzzFeed(f *testing.F) {
 	for _, file := range []string{"north", "relay", "watch", "whole"} {
 		for _, s := range exchange.Load(f, "testdata/"+file+".txtar").Files {
--- a/internal/wire/platform/relay.go
+++ b/internal/wire/platform/relay.go
@@ -12,22 +12,22 @@
 	"granitewing/logic"
 )
 
-// maxLine bounds a line of a relay: a body of 64 KiB whose every byte is escaped, and its frame.
+// maxLine bounds a line of a response: a body of 64 KiB with every byte escaped, and the JSON around it.
 const maxLine = 6*maxBody + 1024
 
-// NoteKind says what a relay's note tells.
+// NoteKind is what a Note reports.
 type NoteKind uint8
 
-// The kinds of notes.
+// The kinds of notes, with the fields of Note that each uses.
 const (
-	NoteTaken NoteKind = iota // the host has the message, and runs it now or later
+	NoteTaken NoteKind = iota // the host has accepted the message and runs it now or later
 	NoteStarted
 	NoteProgress // Share
-	NoteEnded    // Result, and Content where it was served
-	NoteFree     // the answer is whole; the connection may carry another relay if Keep
+	NoteEnded    // Result, and Content if the result is logic.Served
+	NoteFree     // the response is complete; Keep says whether the connection can be reused
 )
 
-// Note is one thing that a south side host says of a relay.
+// Note is one report by a back-end host about an attempt.
 type Note struct {
 	Kind    NoteKind
 	Share   float64
@@ -36,15 +36,16 @@
 	Keep    bool
 }
 
-// Part is what the relay of one part of several tells its host, in headers that the protocol leaves free.
+// Part describes one part of a gang (a message that runs at several hosts at once) to its host. It is sent in
+// headers that the protocol leaves free.
 type Part struct {
 	Rank   int
 	Peers  []string      // addresses of the hosts of all parts, by rank
-	Within time.Duration // all have to begin within that, or none is to go on
+	Within time.Duration // all parts must start within this time, or none may continue
 }
 
-// AppendRelay appends the request that relays a message to a south side host, or a part of it where it is not nil. Method, target,
-// body, X-Txn and Idempotency-Key go out as they came.
+// AppendRelay appends the request that sends a message to a back-end host, or a part of it if part is not nil.
+// Method, target, body, X-Txn and Idempotency-Key are forwarded unchanged.
 func AppendRelay(b []byte, host string, m *Message, remaining time.Duration, part *Part) []byte {
 	b = append(b, m.Method...)
 	b = append(b, ' ')
@@ -70,34 +71,36 @@
 	return append(b, m.Body...)
 }
 
-// Relay reads the answers on one connection to a south side host, one relay at a time.
+// Relay reads the responses on one connection to a back-end host, one at a time.
 type Relay struct {
 	resp    response
 	lines   lineSplitter
 	parser  fastjson.Parser
 	id      string
-	pending bool // a request is out and its answer is not whole
+	pending bool // a request was sent and its response is incomplete
 	ended   bool // the outcome is known
 	notify  func(Note)
 }
 
 var (
-	errUnexpectedBytes = errors.New("bytes where no answer is awaited")
-	errMalformedLine   = errors.New("malformed line of a relay")
+	errUnexpectedBytes = errors.New("unexpected bytes: no response is pending")
+	errMalformedLine   = errors.New("malformed line in a host's response")
 )
 
-// NewRelay makes a reader that hands its notes to on.
-func NewRelay(on func(Note)) *Relay { return &Relay{lines: lineSplitter{maxLen: maxLine}, notify: on} }
+// NewRelay returns a reader that passes its notes to notify.
+func NewRelay(notify func(Note)) *Relay {
+	return &Relay{lines: lineSplitter{maxLen: maxLine}, notify: notify}
+}
 
-// Begin says that the request of a message goes out.
+// Begin prepares for the response to the message with the given id, whose request is about to be sent.
 func (r *Relay) Begin(id string) {
 	r.resp.reset()
 	r.lines.reset()
 	r.id, r.pending, r.ended = id, true, false
 }
 
-// Feed takes bytes as they come. After an error the connection is of no more use; a relay whose end was not
-// told broke.
+// Feed processes received bytes. After an error the connection cannot be used any more, and an attempt without a
+// reported outcome counts as broken.
 func (r *Relay) Feed(b []byte) error {
 	if !r.pending {
 		return errUnexpectedBytes
@@ -111,7 +114,7 @@
 	}
 	r.pending = false
 	if !r.ended {
-		// The answer is whole and told no end: as good as a connection that broke.
+		// The response is complete without an outcome: treat it like a broken connection.
 		r.reportEnd(logic.Broken, nil)
 	}
 	r.notify(Note{Kind: NoteFree, Keep: !r.resp.close && used == len(b)})
@@ -123,7 +126,7 @@
 	r.notify(Note{Kind: NoteEnded, Result: result, Content: content})
 }
 
-// head takes the status: all but 200 is an end by itself.
+// head processes the status line: every status but 200 is an outcome by itself.
 func (r *Relay) head() {
 	switch s := r.resp.status; {
 	case s == 200:
@@ -131,21 +134,21 @@
 	case (s == 503 || s == 504) && r.resp.fields.Get("X-Turned-Away") == "1":
 		r.reportEnd(logic.Refused, nil)
 	case s >= 400 && s < 500:
-		// The message's fault and not the host's, which must not be shunned for what a client sends.
+		// The message is at fault, so the host must not be ejected for it.
 		r.reportEnd(logic.Unusable, nil)
 	default:
 		r.reportEnd(logic.Failed, nil)
 	}
 }
 
-// line takes one JSON object.
+// line processes one JSON object.
 func (r *Relay) line(text []byte) error {
 	if r.ended || len(text) == 0 {
 		return nil
 	}
 	v, err := r.parser.ParseBytes(text)
 	if err != nil || string(v.GetStringBytes("id")) != r.id {
-		// A line that is not of this message must not be served as its result.
+		// A line for another message must not be returned as this one's result.
 		return errMalformedLine
 	}
 	switch string(v.GetStringBytes("state")) {
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -7,19 +7,19 @@
 	"granitewing/logic"
 )
 
-// Reply builds the answer to one batch; its buffer is reused. Add covers the actions that the decisions use;
-// the further methods cover the rest of the wire.
+// Reply builds the reply to one batch; its buffer is reused. Add encodes the actions of the decision module, the
+// other methods the remaining records of the protocol.
 type Reply struct {
 	b []byte
 }
 
-// Begin starts the reply to batch seq.
+// Begin starts the reply to the batch with the number seq.
 func (r *Reply) Begin(seq uint32) {
 	r.b = append(r.b[:0], make([]byte, replyLen)...)
 	binary.BigEndian.PutUint32(r.b[4:], seq)
 }
 
-// Bytes closes the reply and returns it; it is valid until the next Begin.
+// Bytes completes the reply and returns it. The slice is valid until the next Begin.
 func (r *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(r.b, uint32(len(r.b)))
 	return r.b
@@ -54,14 +54,14 @@
 	}
 }
 
-// Fault appends the notice that an instance cannot go on.
+// Fault appends a notice that an instance cannot continue. Text beyond 65535 bytes is cut off.
 func (r *Reply) Fault(inst uint16, text string) {
 	text = text[:min(len(text), math.MaxUint16)]
 	r.header(actPanic, inst, 2+len(text))
 	r.lengthPrefixed([]byte(text))
 }
 
-// Tell appends a message to one peer, or to all of them where peer is below 0.
+// Tell appends a message to one peer, or to all peers if peer is negative.
 func (r *Reply) Tell(inst uint16, peer int, data []byte) {
 	to := uint16(math.MaxUint16)
 	if peer >= 0 {
@@ -72,17 +72,17 @@
 	r.lengthPrefixed(data)
 }
 
-// Record appends a line for the report.
+// Record appends a line for the simulator's report. Text beyond 65535 bytes is cut off.
 func (r *Reply) Record(inst uint16, text string) {
 	text = text[:min(len(text), math.MaxUint16)]
 	r.header(actRecord, inst, 2+len(text))
 	r.lengthPrefixed([]byte(text))
 }
 
-// ListAll appends a call for the whole worker list.
+// ListAll appends a request for the whole worker list.
 func (r *Reply) ListAll(inst uint16) { r.header(actList, inst, 0) }
 
-// Release appends the closing of idle connections to a worker.
+// Release appends a request to close idle connections to a worker.
 func (r *Reply) Release(inst uint16, worker uint32) {
 	r.header(actRelease, inst, 4)
 	r.u32(worker)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,15 +9,14 @@
 	"granitewing/logic"
 )
 
-// maxListed bounds the lists that settings may announce, so that a claimed count allocates nothing.
+// maxListLen bounds the lists that settings may announce, so that a claimed count does not allocate memory.
 const maxListLen = 4096
 
-// settings are the path=value pairs of a start record.
+// settings holds the path=value pairs of a start record.
 type settings map[string]string
 
-// ParseSettings turns the text of a start record into a Config. Keys that are not known are skipped, and
-// values that cannot be used leave the documented default; only what no default can stand in for is an
-// error, which names the key.
+// ParseSettings parses the text of a start record. Unknown keys are skipped, and unusable values get the
+// documented default. A value for which there is no sensible default is an error that names the key.
 func ParseSettings(text []byte) (logic.Config, error) {
 	s := settings{}
 	for _, line := range strings.Split(string(text), "\n") {
@@ -41,7 +40,7 @@
 		MayCopy:   s.flag("Limits.SecondCopies"),
 
 		MaxAttempts:   s.count("Limits.MaxAttempts", 1),
-		HidesRetry:    s["Clients.MarksRetry"] == "false", // where nothing is said, a short wait is only that
+		HidesRetry:    s["Clients.MarksRetry"] == "false", // unless the settings say false, a short wait is not taken as a sign of a retry
 		MaxRetryAfter: s.micros("Limits.MaxRetryAfter", 0),
 
 		AnswerSlack:   s.micros("Rules.AnswerSlack", 0),
@@ -61,8 +60,8 @@
 		Pushed:         s["Discovery"] == "automatic",
 		AskWithin:      s.micros("Rules.AskWithin", 0),
 	}
-	// Limits.RetryAfter tells whether the simulator's clients get the advice; it drops it where they do not. On
-	// sockets the header is always allowed, so the advice is always given.
+	// Limits.RetryAfter says whether the simulator's clients receive retry advice; if not, the simulator drops it. On
+	// sockets the Retry-After header is always allowed, so the advice is always given.
 	for _, name := range s.list("Report.Names") {
 		c.Reports = append(c.Reports, reportFields[name])
 	}
@@ -74,7 +73,7 @@
 	return c, nil
 }
 
-// fields maps the wire's names of report values; a name not known maps to FieldUnknown.
+// reportFields maps the names of load report values on the wire to fields; an unknown name gives FieldUnknown.
 var reportFields = map[string]logic.Field{
 	"busy_reqs": logic.FieldInflight, "pending": logic.FieldQueue, "svc_ms": logic.FieldService,
 	"served_ps": logic.FieldRate, "x0": logic.FieldFreeSlots,
@@ -163,5 +162,5 @@
 	return fallback
 }
 
-// usable tells whether a setting is a finite number that is not negative.
+// validNumber reports whether a setting is a finite, non-negative number.
 func validNumber(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -20,7 +20,8 @@
 	return b
 }
 
-// Built by the documented layout: an arrival, a wake-up, a record of unknown code, and a hang-up.
+// A frame built by hand from the documented layout: an arrival, a wake-up, a record of unknown code, and a
+// hang-up.
 const sampleFrame = `
 	0000000000805c5a 0000005d 00000004 0000000c
 	03 00000027 0003 00000011 0000000000000007 0001 02 0001 00002ee0 00000000 00000000008405da 40000000
@@ -68,12 +69,12 @@
 		}
 	}
 	if !bytes.Equal(codes, []byte{EvArrival, EvWake, EvHangup}) {
-		t.Errorf("codes %v: the unknown one must be skipped, the others kept in order", codes)
+		t.Errorf("codes %v: want the unknown one skipped and the others in order", codes)
 	}
 }
 
 func TestMalformed(t *testing.T) {
-	cases := []struct{ name, frame, say string }{
+	cases := []struct{ name, frame, wantErr string }{
 		{"length under header", `0000000000000001 00000005 00000000 00000007`, "batch 7"},
 		{"frame cut short", `0000000000000001 00000040 00000001 00000007 0700`, "cut short"},
 		{"header cut short", `00000000000000`, "header"},
@@ -93,8 +94,8 @@
 					err = b.Check(&e)
 				}
 			}
-			if err == nil || !strings.Contains(err.Error(), c.say) {
-				t.Errorf("error %v, want one that says %q", err, c.say)
+			if err == nil || !strings.Contains(err.Error(), c.wantErr) {
+				t.Errorf("error %v, want one with %q", err, c.wantErr)
 			}
 		})
 	}
@@ -103,7 +104,7 @@
 func TestClaimedLengthIsNotAllocated(t *testing.T) {
 	frame, err := ReadFrame(bytes.NewReader(unhex(t, `0000000000000001 ffffffff 00000001 00000007 00`)), nil)
 	if err == nil || cap(frame) > 4*readChunk {
-		t.Errorf("error %v, %d bytes taken for a frame that never came", err, cap(frame))
+		t.Errorf("error %v, %d bytes allocated for a truncated frame", err, cap(frame))
 	}
 }
 
@@ -177,20 +178,21 @@
 	}
 }
 
-// A client that is refused at once knows when to come back only if it is told, whatever the simulator's clients get.
+// Limits.RetryAfter concerns the simulator's clients only. On sockets, a refused client still receives retry
+// advice, since it has no other way to know when to retry.
 func TestAdviceToRefusedClientsIsKept(t *testing.T) {
 	c, err := ParseSettings([]byte("Classes.count=1\nLimits.RetryAfter=false\nLimits.MaxRetryAfter=2000000\n"))
 	if err != nil || c.MaxRetryAfter != 2_000_000 {
-		t.Errorf("longest wait %d, error %v; want 2000000", c.MaxRetryAfter, err)
+		t.Errorf("MaxRetryAfter %d, error %v; want 2000000", c.MaxRetryAfter, err)
 	}
 }
 
-// Only settings that say so make a short wait a sign of a retry.
+// A short wait indicates a retry only if the settings say so.
 func TestHidesRetry(t *testing.T) {
 	for line, want := range map[string]bool{"": false, "Clients.MarksRetry=true": false, "Clients.MarksRetry=false": true, "Clients.MarksRetry=0": false} {
 		c, err := ParseSettings([]byte("Classes.count=1\n" + line))
 		if err != nil || c.HidesRetry != want {
-			t.Errorf("%q: retries hidden %t, error %v; want %t", line, c.HidesRetry, err, want)
+			t.Errorf("%q: HidesRetry %t, error %v; want %t", line, c.HidesRetry, err, want)
 		}
 	}
 }
@@ -215,15 +217,15 @@
 		var b Batch
 		var e Event
 		if err := b.Open(frame); err != nil {
-			t.Fatalf("a whole frame did not open: %v", err)
+			t.Fatalf("Open of a complete frame: %v", err)
 		}
 		first := b.Check(&e)
 		if second := b.Check(&e); (first == nil) != (second == nil) {
-			t.Fatalf("two walks differ: %v, %v", first, second)
+			t.Fatalf("two checks of a batch differ: %v, %v", first, second)
 		}
 		EachEntry(in, func(Entry) {})
 		if _, err := ParseSettings(in); err == nil && !bytes.Contains(in, []byte("Classes.count")) {
-			t.Fatal("settings without classes were taken")
+			t.Fatal("settings without classes were accepted")
 		}
 	})
 }
