--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,11 +1,12 @@
-// Package inventory decides how a dispatcher follows service discovery: when it queries discovery, which connection it
-// reads, which lists it accepts, and from when on its list of servers (the membership) is stale. Keeper is a state machine
-// that is fed events and times and opens no socket; the driver executes the commands that Keeper.Ready returns. Starts
-// converts the reported start times of servers to the dispatcher's own clock.
+// Package inventory decides how a dispatcher follows service discovery: when it queries discovery, which connection
+// it reads, which lists it accepts, and from when on its list of servers (the membership) is stale. Keeper is a
+// state machine that is fed events and times and opens no socket; the driver executes the commands that Keeper.Ready
+// returns. Starts converts the reported start times of servers to the dispatcher's own clock.
 //
-// Discovery reports changes on a watch, a response without end on which it writes something every 2 s. If a watch falls
-// silent, the changes that it missed count as notified 6 s later, whether they were received or not; from then on a draining
-// host may be sent to only for the drain grace. The parts of these 6 s, counted from the last byte received:
+// Discovery reports changes on a watch, a response without end on which it writes something every 2 s. If a watch
+// falls silent, the changes that it missed count as notified 6 s later, whether they were received or not; from then
+// on a draining host may be sent to only for the drain grace. The parts of these 6 s, counted from the last byte
+// received:
 //
 //	2.4 to 2.8 s  until the silence is detected: a line is 0.4 s overdue. The time is random, so that dispatchers that
 //	              detect a silence together do not query together.
@@ -14,15 +15,16 @@
 //	+ 0.75 s      or, if discovery rejected it, after the first retry delay of the decision module (0.25 to 0.75 s)
 //	+ 0.8 s       remains for the answer, with a drain grace of 0.75 s as deployments set it
 //
-// After that the membership is stale: any listed host may have drained, so nothing new is sent until discovery answers.
+// After that the membership is stale: any listed host may have drained, so nothing new is sent until discovery
+// answers.
 //
-// A watch that discovery ends does not count as silent if lists must be queried (Limits.Pushed is false): watches end when
-// discovery goes down, and it reports nothing then.
+// A watch that discovery ends does not count as silent if lists must be queried (Limits.Pushed is false): watches
+// end when discovery goes down, and it reports nothing then.
 //
 // If lists are pushed, each change counts as notified at once. The membership is then stale soon after its watch has
-// ended, and from the start of a process until the first answer. A discovery that is down does not respond and learns of no
-// changes in that mode. A call that waited longer than discovery lets any call wait shows this; the list then stays valid, and
-// a call stays open until discovery returns.
+// ended, and from the start of a process until the first answer. A discovery that is down does not respond and
+// learns of no changes in that mode. A call that waited longer than discovery lets any call wait shows this; the
+// list then stays valid, and a call stays open until discovery returns.
 package inventory
 
 // The parts of the time budget, in microseconds.
@@ -33,8 +35,8 @@
 	ToldSilent           = 6_000_000 // after a watch or call fell silent, its missed changes count as notified
 	ToldMoved            = 4_000_000 // after discovery has moved, its changes count as notified
 	actMargin            = 250_000   // part of the drain grace that is reserved for acting on the change
-	pushedRetryGap       = 200_000   // delay before a failed call is repeated if lists are pushed; up to as much again is added at random
-	failedValidityFactor = 4         // multiplies AskWithin after a failed call: the list stays valid that much longer without a watch
+	pushedRetryGap       = 200_000   // before a failed call is repeated if lists are pushed; doubled at most by a random part
+	failedValidityFactor = 4         // after a failed call, a list stays valid this many times AskWithin without a watch
 )
 
 // Limits are a deployment's settings for lists. Times are in microseconds.
@@ -52,14 +54,14 @@
 
 // The kinds of command, each with the fields of Command that it uses.
 const (
-	Dial  Kind = iota // Call, Index: connect to discovery and request the changes after Index, or the whole list for All
+	Dial  Kind = iota // Call, Index: connect to discovery and request the changes after Index
 	Close             // Call: close the connection; its later events are ignored
 	Fail              // the query failed; call Ask when it is time to query again
 	Doubt             // Cause: membership is stale, from now on no host is sent anything
 	Trust             // membership is reliable again
 )
 
-// All is the Index that requests the whole list.
+// All is the Index that requests the whole list instead of changes.
 const All = -1
 
 // Command is an action for the driver. Commands are executed in order.
--- a/internal/inventory/search_test.go
+++ b/internal/inventory/search_test.go
@@ -217,7 +217,8 @@
 	}
 	changedAt := a.model.changes[a.model.deliveredRevision]
 	notifiedAt := int64(1 << 62)
-	if a.model.silentSince != 0 && a.model.silentSince <= changedAt && !a.model.down && (a.model.watch != 0 || changedAt <= a.model.watchEndedAt) { // missed by a silent watch
+	if a.model.silentSince != 0 && a.model.silentSince <= changedAt && !a.model.down && (a.model.watch != 0 || changedAt <= a.model.watchEndedAt) {
+		// Missed by a silent watch.
 		notifiedAt = min(notifiedAt, max(a.model.silentSince+ToldSilent, changedAt))
 	}
 	if a.model.movedAt != 0 {
--- a/internal/memory/core.go
+++ b/internal/memory/core.go
@@ -64,7 +64,7 @@
 	Answer                    // Relay.Message, Verdict, After, Content: send the final answer to the client
 	Wake                      // At: call Core.Wake at that time
 	Watch                     // open the watch on the inventory
-	Leave                     // Addr: close idle connections to this address, they will not be used again
+	Leave                     // Addr: close the idle connections to this address
 )
 
 // Verdict is the kind of a final answer.
@@ -85,9 +85,9 @@
 	Addr    string
 	Until   int64 // deadline of the client's wait, in microseconds
 	Verdict Verdict
-	After   int64
+	After   int64 // retry advice in microseconds; 0 = none
 	Content []byte
-	At      int64
+	At      int64     // microseconds
 	Gang    *GangPart // set for a Send that is one part of a gang; otherwise nil
 }
 
@@ -129,9 +129,9 @@
 	workerIDs   map[string]logic.WorkerID
 	actions     []logic.Action
 	commands    []Command
-	cordoned    map[string]bool     // names of hosts cordoned by an operator, whether listed or not
-	everListed  map[string]struct{} // names that any inventory has listed; used to reject a cordon of an unknown host
-	stale       bool                // membership is stale: any host may have drained unnoticed, so none receives new work
+	cordoned    map[string]bool     // names cordoned by an operator, whether listed or not
+	everListed  map[string]struct{} // names that any inventory listed; a cordon of another name is rejected
+	stale       bool                // any host may have drained unnoticed, so none receives new work
 	limits      Limits              // fleet-wide limits; nil = none
 	evidence    Evidence            // receives observations of hosts; nil = not shared
 	prices      Prices              // fleet-wide prices; nil = none
@@ -172,8 +172,8 @@
 		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: retryAfterFull})
 		return id, c.commands
 	}
-	deadline, share, in := c.applyLimits(now, id, m, deadline)
-	if !in {
+	deadline, share, admitted := c.applyLimits(now, id, m, deadline)
+	if !admitted {
 		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: retryAfterOverLimit})
 		return id, c.commands
 	}
--- a/internal/memory/gangs.go
+++ b/internal/memory/gangs.go
@@ -48,7 +48,7 @@
 const (
 	GangStart  GangActionKind = iota // Hosts: send a part to each host, in the order of ranks
 	GangServe                        // every part was served: answer the message
-	GangGiveUp                       // cancel the outstanding parts and answer by the rules of the class; After is the retry advice
+	GangGiveUp                       // cancel the outstanding parts and answer by the class's rules, with After as advice
 )
 
 // GangAction is an action on one gang.
@@ -58,7 +58,7 @@
 	Hosts  []logic.WorkerID
 	Run    float64 // expected seconds for which each part holds its slot
 	Within int64   // microseconds within which all parts have to start
-	After  int64
+	After  int64   // retry advice in microseconds
 }
 
 // GangPart is what a host is told about its part of a gang.
@@ -99,15 +99,15 @@
 	work := max(float64(m.Hint)/1e6, 1e-3)
 	j := GangJob{ID: id, Class: m.Class, Work: work, Deadline: deadline, Worth: class.Worth, LateWorth: class.LateWorth, Stretch: class.Stretch, Price: c.price()}
 	j.Late = min(now+class.Aim+int64(class.Stretch*work*1e6), deadline)
-	slots := work * float64(c.gangs.Parts(m.Class))
+	totalWork := work * float64(c.gangs.Parts(m.Class))
 	if c.cfg.WorthByWork {
-		j.Worth *= slots
+		j.Worth *= totalWork
 	}
 	if share > 0 {
 		j.Worth *= share
 	}
 	if c.prices != nil {
-		c.prices.Asked(now, j.Worth, slots, float64(j.Late-now)/1e6-work)
+		c.prices.Asked(now, j.Worth, totalWork, float64(j.Late-now)/1e6-work)
 	}
 	c.messages[id].gang = &gangState{}
 	c.applyGangActions(now, c.gangs.Arrive(now, j))
@@ -166,9 +166,9 @@
 
 // partStarted records that a part has begun to run. From then on about half of its time remains on average.
 func (c *Core) partStarted(now int64, r RelayID, m *message) {
-	left := m.gang.work[r.Attempt] / 2
-	c.sched.Occupy(m.attempts[r.Attempt].worker, left-m.gang.work[r.Attempt])
-	m.gang.work[r.Attempt] = left
+	remaining := m.gang.work[r.Attempt] / 2
+	c.sched.Occupy(m.attempts[r.Attempt].worker, remaining-m.gang.work[r.Attempt])
+	m.gang.work[r.Attempt] = remaining
 	c.gangs.Began(now, r.Message, r.Attempt)
 }
 
@@ -180,7 +180,8 @@
 	c.sched.Occupy(a.worker, -m.gang.work[r.Attempt])
 	m.mayHaveRun = m.mayHaveRun || result != logic.ConnectFailed && result != logic.Refused && result != logic.Moot
 	if result == logic.ConnectFailed || result == logic.Broken {
-		c.reportHealth(now, a.worker, result) // a failure may be caused by another part, so only these results count against the host
+		// Only these count against the host: any other failure may be caused by another part.
+		c.reportHealth(now, a.worker, result)
 	}
 	if r.Attempt == 0 && result == logic.Served {
 		m.gang.content = content
--- a/internal/memory/limits.go
+++ b/internal/memory/limits.go
@@ -33,9 +33,9 @@
 // Limit attaches fleet-wide limits; call it before the first message.
 func (c *Core) Limit(l Limits) { c.limits = l }
 
-// applyLimits checks a message against the limits and returns its deadline and share of value; in is false if the
+// applyLimits checks a message against the limits and returns its deadline and share of value; admitted is false if the
 // message must be refused.
-func (c *Core) applyLimits(now int64, id ID, m Message, deadline int64) (until int64, share float64, in bool) {
+func (c *Core) applyLimits(now int64, id ID, m Message, deadline int64) (until int64, share float64, admitted bool) {
 	if c.limits == nil {
 		return deadline, 0, true
 	}
--- a/internal/memory/rules.go
+++ b/internal/memory/rules.go
@@ -20,8 +20,8 @@
 	if m.gang != nil || m.class < 0 || m.class >= len(c.cfg.Classes) || c.cfg.Classes[m.class].Repeat != logic.RepeatKeyed {
 		return true
 	}
-	for _, b := range m.attempts[:r.Attempt] {
-		if (b.outstanding || b.mayHaveRun) && now-b.sentAt > c.cfg.RepeatWithin(m.class) {
+	for _, earlier := range m.attempts[:r.Attempt] {
+		if (earlier.outstanding || earlier.mayHaveRun) && now-earlier.sentAt > c.cfg.RepeatWithin(m.class) {
 			return false
 		}
 	}
--- a/internal/wire/platform/config.go
+++ b/internal/wire/platform/config.go
@@ -148,11 +148,11 @@
 			}
 			return
 		}
-		plain := make([]string, len(items))
+		values := make([]string, len(items))
 		for i, item := range items {
-			plain[i] = scalarText(item)
+			values[i] = scalarText(item)
 		}
-		fmt.Fprintf(out, "%s=%s\n", path, strings.Join(plain, ","))
+		fmt.Fprintf(out, "%s=%s\n", path, strings.Join(values, ","))
 	default:
 		fmt.Fprintf(out, "%s=%s\n", path, scalarText(v))
 	}
--- a/internal/wire/platform/inventory.go
+++ b/internal/wire/platform/inventory.go
@@ -101,18 +101,18 @@
 // Feed processes received bytes; an error ends the watch. listed reports that the whole list is complete, after
 // which the watch has to be requested.
 func (w *Watch) Feed(b []byte) (listed bool, err error) {
-	used, over, err := w.resp.feed(b, func() {
+	used, complete, err := w.resp.feed(b, func() {
 		if w.resp.status != 200 {
 			w.statusErr = fmt.Errorf("%w %d", ErrTurnedAway, w.resp.status)
 		}
 	}, w.feedBody)
-	if err == nil && over {
+	if err == nil && complete {
 		err = w.splitter.end()
 	}
 	switch {
 	case w.statusErr != nil:
 		return false, w.statusErr
-	case err != nil || !over:
+	case err != nil || !complete:
 		return false, err
 	case !w.awaitingFull || w.resp.close:
 		return false, errors.New("discovery ended the watch")
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -40,7 +40,7 @@
 		MayCopy:   s.flag("Limits.SecondCopies"),
 
 		MaxAttempts:   s.count("Limits.MaxAttempts", 1),
-		HidesRetry:    s["Clients.MarksRetry"] == "false", // unless the settings say false, a short wait is not taken as a sign of a retry
+		HidesRetry:    s["Clients.MarksRetry"] == "false", // if not said, a short wait is no sign of a retry
 		MaxRetryAfter: s.micros("Limits.MaxRetryAfter", 0),
 
 		AnswerSlack:   s.micros("Rules.AnswerSlack", 0),
