--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -69,37 +69,37 @@
 // the next call of Next.
 type Event struct {
 	Code    uint8
-	Inst    uint16
+	Inst    uint16 // scheduler instance
 	Seed    uint64
 	Text    []byte // settings (EvStart) or a peer's message (EvInbox)
-	How     uint8
-	Rev     uint32
-	Set     uint16
+	How     uint8  // EvUpdate: 0 = cached list, 1 = no list obtained, 2 = full list, 3 = changes
+	Rev     uint32 // revision of the list
+	Set     uint16 // number of the worker list
 	Entries []byte // entries of an EvLedger, entryLen bytes each; see EachEntry
 	Job     uint32
-	Key     uint64
-	Flags   uint16
+	Key     uint64 // data set of the job
+	Flags   uint16 // bit 0: Hint is set; bit 1: the client has sent the job before
 	Class   uint8
 	Tenant  uint16
-	Hint    uint32
+	Hint    uint32 // expected work in microseconds
 	Memory  float32
 	At      uint64 // client's deadline
 	Slots   float32
 	Attempt uint16
 	Worker  uint32
-	Elapsed uint32
+	Elapsed uint32 // microseconds
 	Result  uint8
-	Settled bool
+	Settled bool // the job has its answer already
 	Note    uint8
-	Stats   []float32
-	Topic   uint8
-	Share   float32
-	Token   uint32
-	Author  uint32
+	Stats   []float32 // load report values in the order of the setting Report.Names
+	Topic   uint8     // EvProgress: 1 = started, 2 = Share is set
+	Share   float32   // completed share of the work, 0 to 1
+	Token   uint32    // identifies the requested wake-up
+	Author  uint32    // sending peer
 }
 
 // ReadFrame reads one frame into buf, which grows only as bytes arrive. It returns io.EOF if the input ends
-// between frames, and an error with the batch number for a frame that is truncated or states an impossible length.
+// between frames, and another error for a frame that is truncated or states an impossible length.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
 	if cap(buf) < headerLen {
 		buf = make([]byte, headerLen, 1<<16)
