--- a/internal/memory/core.go
+++ b/internal/memory/core.go
@@ -1,40 +1,48 @@
-// Package memory holds what a dispatcher keeps: the open messages with their relays, and the south side
-// hosts. Its Core turns what happens into calls of the decision module, and what that decides into commands.
-// It knows no protocol and no socket, so that every front goes through the same decisions and rules.
+// Package memory is the core of a dispatcher. It holds the open messages (client requests) with their attempts,
+// the back-end hosts with their phase, and the rules that every send has to obey.
+//
+// Core translates events (a message arrives, an attempt completes, the list of hosts changes, a timer fires) into
+// calls of the decision module, package logic, and the decisions into commands for a driver to carry out. It knows
+// no protocol and opens no socket, so the same decisions and rules apply behind every front end.
+//
+// A driver makes a Core with New, attaches the optional fleet-wide parts (Limit, Price, Tell, Gang, Retries)
+// before the first message, then calls one method for each event and executes the returned commands in order.
+// Times are in microseconds. A Core is not safe for concurrent use.
 package memory
 
 import (
 	"granitewing/logic"
 )
 
-// hostsMost bounds the hosts kept, should an inventory name ever new ones.
-const hostsMost = 4096
+// maxHosts bounds the hosts kept in memory, in case an inventory keeps naming new ones.
+const maxHosts = 4096
 
-// fullAfter is when a client may come back who found as many messages open as may be, in microseconds.
-const fullAfter = 1_000_000
+// retryAfterFull is the retry advice to a client that is refused because the maximum number of messages is open,
+// in microseconds.
+const retryAfterFull = 1_000_000
 
-// ID names an open message.
+// ID identifies an open message.
 type ID = logic.JobID
 
-// RelayID names one relay of a message; it is never used again while anything late may still speak of it.
+// RelayID identifies one attempt of a message. It is not reused while a late event may still refer to it.
 type RelayID struct {
 	Message ID
 	Attempt int
 }
 
-// Message is a request as the decisions see it.
+// Message is a client request as the decision module sees it.
 type Message struct {
-	Name     string // the client's own for it; no two open messages have the same
+	Name     string // client's identifier; no two open messages share one
 	Class    int
-	Tenant   int     // its number in the settings; -1 for one that they do not name
-	Subject  uint64  // what it concerns; 0 = nothing named
+	Tenant   int     // index in the settings; -1 for a tenant that they do not name
+	Subject  uint64  // data set that the request concerns; 0 = none named
 	Hint     int64   // expected work in microseconds; 0 = unknown
-	Slots    float64 // slots it takes
-	Memory   float64 // units of memory it takes
-	Repeated bool    // the client has tried before
+	Slots    float64 // slots that the request takes
+	Memory   float64 // units of memory that the request takes
+	Repeated bool    // the client has sent this request before
 }
 
-// Host is a south side host as the inventory names it.
+// Host is a back-end host as the inventory describes it.
 type Host struct {
 	Name    string // the same at every dispatcher
 	Addr    string
@@ -42,21 +50,21 @@
 	Kind    int
 	Cell    int
 	Weight  float64
-	UpSince int64 // microseconds; 0 = long ago
+	UpSince int64 // start time in microseconds; 0 = long ago
 	Phase   logic.Phase
 }
 
-// CommandKind is what a front or driver shall do.
+// CommandKind is what the driver has to do.
 type CommandKind uint8
 
-// The kinds of command and the fields of Command that each uses.
+// The kinds of command, each with the fields of Command that it uses.
 const (
-	Send   CommandKind = iota // Relay, Addr, Until: relay the message to the host at Addr, which may take till then
-	Drop                      // Relay: stop the relay; it must be gone before the next command
-	Answer                    // Relay.Message, Verdict, After, Content: the final answer
-	Wake                      // At: call Core.Wake then
+	Send   CommandKind = iota // Relay, Addr, Until: send the message to the host at Addr, with Until as the deadline
+	Drop                      // Relay: cancel the attempt; this must be done before the next command
+	Answer                    // Relay.Message, Verdict, After, Content: send the final answer to the client
+	Wake                      // At: call Core.Wake at that time
 	Watch                     // open the watch on the inventory
-	Leave                     // Addr: idle connections to it are of no more use
+	Leave                     // Addr: close the idle connections to this address
 )
 
 // Verdict is the kind of a final answer.
@@ -64,231 +72,232 @@
 
 // The kinds of final answers.
 const (
-	Served    Verdict = iota // Content is what a host gave for this message
-	Refused                  // trying again is harmless
-	Failed                   // nothing is promised
-	Duplicate                // another open message has its name
+	Served    Verdict = iota // Content is the result that a host returned for this message
+	Refused                  // the message can safely be retried
+	Failed                   // the message may or may not have run
+	Duplicate                // another open message has the same name
 )
 
-// Command is something to be done, in order.
+// Command is an action for the driver. Commands are executed in order.
 type Command struct {
 	Kind    CommandKind
 	Relay   RelayID
 	Addr    string
-	Until   int64 // microseconds; the deadline of what the client waits for
+	Until   int64 // deadline of the client's wait, in microseconds
 	Verdict Verdict
-	After   int64
+	After   int64 // retry advice in microseconds; 0 = none
 	Content []byte
-	At      int64
-	Gang    *GangPart // of a Send that is one part of several; else nil
+	At      int64     // microseconds
+	Gang    *GangPart // set for a Send that is one part of a gang; otherwise nil
 }
 
-// message is an open message.
+// message is the state of an open message.
 type message struct {
-	name     string
-	relays   []relay
-	out      int  // relays without an end
-	free     int  // relays that never reached their host, where those do not count as attempts
-	ran      bool // one of them may have run
-	answered bool // it has its final answer, or nobody waits for one
-	class    int
-	deadline int64
-	crew     *crew // nil: it is no gang
+	name        string
+	attempts    []attempt
+	outstanding int  // attempts without an outcome
+	uncounted   int  // attempts that never reached a host, if the settings exempt them from the attempt limit
+	mayHaveRun  bool // at least one attempt may have run
+	answered    bool // it has its final answer, or its client has left
+	class       int
+	deadline    int64
+	gang        *gangState // nil if the message is not a gang
 }
 
-// relay is one attempt.
-type relay struct {
-	worker logic.WorkerID
-	sent   int64
-	out    bool
-	ran    bool // it has ended, and may have run
+// attempt is one try to run a message at a host.
+type attempt struct {
+	worker      logic.WorkerID
+	sentAt      int64
+	outstanding bool
+	mayHaveRun  bool // it has completed, and may have run
 }
 
-// host is a known south side host.
+// host is a back-end host that the inventory lists.
 type host struct {
 	Host
 	id logic.WorkerID
 }
 
-// Core owns the decisions of one dispatcher. It must not be used by two goroutines at once.
+// Core makes the decisions of one dispatcher. It is not safe for concurrent use.
 type Core struct {
-	cfg      logic.Config
-	sched    *logic.Scheduler
-	last     ID
-	messages map[ID]*message
-	names    map[string]ID // of messages that have one
-	hosts    map[logic.WorkerID]*host
-	numbers  map[string]logic.WorkerID
-	acts     []logic.Action
-	out      []Command
-	cordons  map[string]bool     // hosts barred by hand, by name, listed or not
-	listed   map[string]struct{} // names that any inventory gave, for telling a cordon of an unknown host
-	doubt    bool                // any host may have drained for all that is known; none is sent to
-	limits   Limits              // of the fleet; nil: there are none
-	evidence Evidence            // nil: nobody asks for it
-	prices   Prices              // of the fleet; nil: there are none
-	retries  retries             // rights to attempts beyond the first
-	gangs    Gangs               // nil: no class runs as gangs
+	cfg         logic.Config
+	sched       *logic.Scheduler
+	lastID      ID
+	messages    map[ID]*message
+	openNames   map[string]ID // open messages that have a name, by name
+	hosts       map[logic.WorkerID]*host
+	workerIDs   map[string]logic.WorkerID
+	actions     []logic.Action
+	commands    []Command
+	cordoned    map[string]bool     // names cordoned by an operator, whether listed or not
+	everListed  map[string]struct{} // names that any inventory listed; a cordon of another name is rejected
+	stale       bool                // any host may have drained unnoticed, so none receives new work
+	limits      Limits              // fleet-wide limits; nil = none
+	evidence    Evidence            // receives observations of hosts; nil = not shared
+	prices      Prices              // fleet-wide prices; nil = none
+	retryBudget retryBudget         // limits attempts beyond the first
+	gangs       Gangs               // nil = no class runs as gangs
 }
 
-// New makes a core.
+// New returns a Core without hosts or messages. The error is that of logic.New for an invalid configuration.
 func New(cfg logic.Config, seed uint64) (*Core, error) {
 	s, err := logic.New(cfg, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Core{cfg: cfg, sched: s, messages: map[ID]*message{}, names: map[string]ID{}, hosts: map[logic.WorkerID]*host{},
-		numbers: map[string]logic.WorkerID{}, cordons: map[string]bool{}, listed: map[string]struct{}{}}, nil
+	return &Core{cfg: cfg, sched: s, messages: map[ID]*message{}, openNames: map[string]ID{}, hosts: map[logic.WorkerID]*host{},
+		workerIDs: map[string]logic.WorkerID{}, cordoned: map[string]bool{}, everListed: map[string]struct{}{}}, nil
 }
 
-// Open is how many messages are kept.
+// Open returns the number of messages in memory, including answered ones with an attempt still outstanding.
 func (c *Core) Open() int { return len(c.messages) }
 
-// The calls below take what happened at a time in microseconds and return the commands that follow, valid
-// until the next call.
+// Each method below takes one event and its time in microseconds, and returns the commands that follow from it.
+// The returned slice is valid until the next call.
 
-// Arrive takes a message whose client waits until deadline; 0 means as long as its class says.
+// Arrive takes a new message whose client waits until deadline; 0 stands for the deadline of its class.
 func (c *Core) Arrive(now int64, m Message, deadline int64) (ID, []Command) {
-	c.begin()
-	c.last++
-	for c.messages[c.last] != nil {
-		c.last++
+	c.resetOutput()
+	c.lastID++
+	for c.messages[c.lastID] != nil {
+		c.lastID++
 	}
-	id := c.last
-	if _, open := c.names[m.Name]; open {
-		// Hosts know a job by its name, so to them this would be a second copy of the one that is open.
-		c.do(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Duplicate})
-		return id, c.out
+	id := c.lastID
+	if _, open := c.openNames[m.Name]; open {
+		// Hosts identify a job by its name, so to them this would be a second copy of the one that is open.
+		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Duplicate})
+		return id, c.commands
 	}
 	if c.cfg.MaxOpen > 0 && len(c.messages) >= c.cfg.MaxOpen {
-		c.do(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: fullAfter})
-		return id, c.out
+		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: retryAfterFull})
+		return id, c.commands
 	}
-	deadline, share, in := c.enter(now, id, m, deadline)
-	if !in {
-		c.do(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: overAfter})
-		return id, c.out
+	deadline, share, admitted := c.applyLimits(now, id, m, deadline)
+	if !admitted {
+		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: retryAfterOverLimit})
+		return id, c.commands
 	}
-	c.retries.first()
+	c.retryBudget.credit()
 	c.messages[id] = &message{name: m.Name, class: m.Class, deadline: deadline}
 	if m.Name != "" {
-		c.names[m.Name] = id
+		c.openNames[m.Name] = id
 	}
 	if c.gangs != nil && c.gangs.Takes(m.Class) {
-		c.muster(now, id, m, deadline, share)
-		return id, c.finish(now)
+		c.arriveGang(now, id, m, deadline, share)
+		return id, c.applyActions(now)
 	}
-	c.acts = c.sched.Arrive(now, logic.Job{
+	c.actions = c.sched.Arrive(now, logic.Job{
 		ID: id, Key: m.Subject, Class: m.Class, Tenant: m.Tenant, Hint: m.Hint, Slots: m.Slots, Memory: m.Memory,
 		Deadline: deadline, Repeated: m.Repeated, Share: share, Price: c.price(),
-	}, c.acts)
-	c.asked(now)
-	return id, c.finish(now)
+	}, c.actions)
+	c.reportDemand(now)
+	return id, c.applyActions(now)
 }
 
-// Started takes the news that a relay's host has begun to run it.
+// Started records that the host of an attempt has begun to run it.
 func (c *Core) Started(now int64, r RelayID) []Command {
-	c.begin()
-	if c.find(r) == nil {
-		return c.out
+	c.resetOutput()
+	if c.outstandingAttempt(r) == nil {
+		return c.commands
 	}
-	if m := c.messages[r.Message]; m.crew != nil {
-		c.begun(now, r, m)
+	if m := c.messages[r.Message]; m.gang != nil {
+		c.partStarted(now, r, m)
 	} else {
-		c.acts = c.sched.Started(now, r.Message, r.Attempt, c.acts)
+		c.actions = c.sched.Started(now, r.Message, r.Attempt, c.actions)
 	}
-	return c.finish(now)
+	return c.applyActions(now)
 }
 
-// Taken takes the news that a relay's host has taken the message, which it may run later.
+// Taken records that the host of an attempt has accepted the message; it may run it later.
 func (c *Core) Taken(now int64, r RelayID) []Command { return c.Progress(now, r, 0) }
 
-// Progress takes the share of a relay's work that is done.
+// Progress records the completed share (0 to 1) of an attempt's work.
 func (c *Core) Progress(now int64, r RelayID, share float64) []Command {
-	c.begin()
-	if c.find(r) != nil && c.messages[r.Message].crew == nil {
-		c.acts = c.sched.Progress(now, r.Message, r.Attempt, share, c.acts)
+	c.resetOutput()
+	if c.outstandingAttempt(r) != nil && c.messages[r.Message].gang == nil {
+		c.actions = c.sched.Progress(now, r.Message, r.Attempt, share, c.actions)
 	}
-	return c.finish(now)
+	return c.applyActions(now)
 }
 
-// Ended takes the end of a relay; content is the result where it was served.
+// Ended records the outcome of an attempt. content is the result if the outcome is logic.Served.
 func (c *Core) Ended(now int64, r RelayID, result logic.Result, content []byte) []Command {
-	c.begin()
-	if c.find(r) == nil {
-		return c.out
+	c.resetOutput()
+	if c.outstandingAttempt(r) == nil {
+		return c.commands
 	}
-	if m := c.messages[r.Message]; m.crew != nil {
+	if m := c.messages[r.Message]; m.gang != nil {
 		c.partEnded(now, r, m, result, content)
 	} else {
-		c.end(now, r, result, content)
+		c.completeAttempt(now, r, result, content)
 	}
-	return c.finish(now)
+	return c.applyActions(now)
 }
 
-// HangUp takes the news that a message's client has left.
+// HangUp records that the client of a message has disconnected.
 func (c *Core) HangUp(now int64, id ID) []Command {
-	c.begin()
+	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
-		c.settle(id, m)
-		c.acts = c.sched.HangUp(now, id, c.acts)
+		c.markAnswered(id, m)
+		c.actions = c.sched.HangUp(now, id, c.actions)
 	}
 	return c.finishMessage(now, id)
 }
 
-// Expire gives up a message whose time is over. The decisions answer before that; this guards the client
-// against waiting for ever should they not.
+// Expire ends a message whose deadline has passed. The decision module normally answers earlier; this keeps the
+// client from waiting forever if it does not.
 func (c *Core) Expire(now int64, id ID) []Command {
-	c.begin()
+	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
 		c.answer(id, m, Command{Verdict: Failed})
-		c.acts = c.sched.HangUp(now, id, c.acts)
+		c.actions = c.sched.HangUp(now, id, c.actions)
 	}
 	return c.finishMessage(now, id)
 }
 
-// Refuse gives up a message that was never sent, since what it needs before it may be sent can't be had; its client may
-// come back after some microseconds.
+// Refuse ends a message that was never sent because something it needs before a send is not available. The client
+// is advised to retry after that many microseconds.
 func (c *Core) Refuse(now int64, id ID, after int64) []Command {
-	c.begin()
+	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
 		c.answer(id, m, Command{Verdict: Refused, After: after})
-		c.acts = c.sched.HangUp(now, id, c.acts)
+		c.actions = c.sched.HangUp(now, id, c.actions)
 	}
 	return c.finishMessage(now, id)
 }
 
-// Wake takes a time that a Wake command asked for.
+// Wake is called at the time that a Wake command named.
 func (c *Core) Wake(now int64) []Command {
-	c.begin()
-	c.acts = c.sched.Wake(now, 0, c.acts)
-	return c.finish(now)
+	c.resetOutput()
+	c.actions = c.sched.Wake(now, 0, c.actions)
+	return c.applyActions(now)
 }
 
-func (c *Core) begin() { c.acts, c.out = c.acts[:0], c.out[:0] }
+func (c *Core) resetOutput() { c.actions, c.commands = c.actions[:0], c.commands[:0] }
 
-func (c *Core) do(cmd Command) { c.out = append(c.out, cmd) }
+func (c *Core) emit(cmd Command) { c.commands = append(c.commands, cmd) }
 
-// find gives a relay that has no end yet.
-func (c *Core) find(r RelayID) *relay {
+// outstandingAttempt returns the attempt, or nil if it is unknown or has an outcome already.
+func (c *Core) outstandingAttempt(r RelayID) *attempt {
 	m := c.messages[r.Message]
-	if m == nil || r.Attempt < 0 || r.Attempt >= len(m.relays) || !m.relays[r.Attempt].out {
+	if m == nil || r.Attempt < 0 || r.Attempt >= len(m.attempts) || !m.attempts[r.Attempt].outstanding {
 		return nil
 	}
-	return &m.relays[r.Attempt]
+	return &m.attempts[r.Attempt]
 }
 
-// finish turns actions into commands; an action may bring an outcome at once, which may bring more actions.
-func (c *Core) finish(now int64) []Command {
-	for i := 0; i < len(c.acts); i++ {
-		switch a := c.acts[i]; a.Kind {
+// applyActions turns the decided actions into commands. An action may cause an outcome at once, which may append
+// more actions.
+func (c *Core) applyActions(now int64) []Command {
+	for i := 0; i < len(c.actions); i++ {
+		switch a := c.actions[i]; a.Kind {
 		case logic.ActSend:
 			c.send(now, a)
 		case logic.ActCancel:
 			r := RelayID{a.Job, a.Attempt}
-			if c.find(r) != nil {
-				c.do(Command{Kind: Drop, Relay: r})
-				c.end(now, r, logic.Cancelled, nil)
+			if c.outstandingAttempt(r) != nil {
+				c.emit(Command{Kind: Drop, Relay: r})
+				c.completeAttempt(now, r, logic.Cancelled, nil)
 			}
 		case logic.ActRefuse, logic.ActFail:
 			if m := c.messages[a.Job]; m != nil && !m.answered {
@@ -297,60 +306,60 @@
 					verdict = Refused
 				}
 				c.answer(a.Job, m, Command{Verdict: verdict, After: a.After})
-				c.forget(a.Job, m)
+				c.removeIfDone(a.Job, m)
 			}
 		case logic.ActWake:
-			c.do(Command{Kind: Wake, At: a.At})
+			c.emit(Command{Kind: Wake, At: a.At})
 		case logic.ActSubscribe:
-			c.do(Command{Kind: Watch})
+			c.emit(Command{Kind: Watch})
 		}
 	}
-	return c.out
+	return c.commands
 }
 
 func (c *Core) finishMessage(now int64, id ID) []Command {
-	if m := c.messages[id]; m != nil && m.crew != nil && m.answered {
-		c.disband(now, id, m)
+	if m := c.messages[id]; m != nil && m.gang != nil && m.answered {
+		c.dropParts(now, id, m)
 	}
-	c.finish(now)
+	c.applyActions(now)
 	if m := c.messages[id]; m != nil {
-		c.forget(id, m)
+		c.removeIfDone(id, m)
 	}
-	return c.out
+	return c.commands
 }
 
-// end closes the books on a relay and tells the decisions.
-func (c *Core) end(now int64, r RelayID, result logic.Result, content []byte) {
+// completeAttempt records the outcome of an attempt and passes it on to the decision module.
+func (c *Core) completeAttempt(now int64, r RelayID, result logic.Result, content []byte) {
 	m := c.messages[r.Message]
-	a := &m.relays[r.Attempt]
-	a.out = false
-	m.out--
-	c.note(now, a.worker, result)
-	a.ran = result != logic.ConnectFailed && result != logic.Refused && result != logic.Moot
-	m.ran = m.ran || a.ran
+	a := &m.attempts[r.Attempt]
+	a.outstanding = false
+	m.outstanding--
+	c.reportHealth(now, a.worker, result)
+	a.mayHaveRun = result != logic.ConnectFailed && result != logic.Refused && result != logic.Moot
+	m.mayHaveRun = m.mayHaveRun || a.mayHaveRun
 	if c.cfg.FreeConnects && result == logic.ConnectFailed {
-		m.free++
+		m.uncounted++
 	}
 	if result == logic.Served && !m.answered {
 		c.answer(r.Message, m, Command{Verdict: Served, Content: content})
 	}
-	c.acts = c.sched.Outcome(now, logic.Outcome{
-		Job: r.Message, Attempt: r.Attempt, Worker: a.worker, Result: result, Elapsed: now - a.sent, Settled: m.answered,
-	}, c.acts)
-	c.forget(r.Message, m)
+	c.actions = c.sched.Outcome(now, logic.Outcome{
+		Job: r.Message, Attempt: r.Attempt, Worker: a.worker, Result: result, Elapsed: now - a.sentAt, Settled: m.answered,
+	}, c.actions)
+	c.removeIfDone(r.Message, m)
 }
 
-// answer gives the one final answer.
+// answer emits the single final answer of a message.
 func (c *Core) answer(id ID, m *message, cmd Command) {
-	c.settle(id, m)
+	c.markAnswered(id, m)
 	cmd.Kind, cmd.Relay = Answer, RelayID{Message: id}
-	c.do(cmd)
+	c.emit(cmd)
 }
 
-// forget lets go of a message that is answered and has nothing out.
-func (c *Core) forget(id ID, m *message) {
-	if m.answered && m.out == 0 {
+// removeIfDone removes a message that is answered and has no outstanding attempt.
+func (c *Core) removeIfDone(id ID, m *message) {
+	if m.answered && m.outstanding == 0 {
 		delete(c.messages, id)
-		delete(c.names, m.name)
+		delete(c.openNames, m.name)
 	}
 }
--- a/internal/testing/exchange/exchange.go
+++ b/internal/testing/exchange/exchange.go
@@ -1,4 +1,5 @@
-// Package exchange reads recorded byte exchanges from text files, for the tests that play them.
+// Package exchange loads recorded byte exchanges from txtar files, for tests that feed them to a protocol
+// implementation.
 package exchange
 
 import (
@@ -13,7 +14,7 @@
 	"golang.org/x/tools/txtar"
 )
 
-// Load reads a txtar file.
+// Load reads a txtar file and fails the test if it cannot.
 func Load(t testing.TB, path string) *txtar.Archive {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -24,23 +25,23 @@
 }
 
 var (
-	repeated = regexp.MustCompile(`\{(\d+)\*(.)\}`)
-	single   = regexp.MustCompile(`\{x[0-9a-f]{2}\}`)
+	repeatPattern = regexp.MustCompile(`\{(\d+)\*(.)\}`)
+	bytePattern   = regexp.MustCompile(`\{x[0-9a-f]{2}\}`)
 )
 
-// Bytes gives the bytes that a section stands for. A line ends in CR LF, or in nothing where it ends in a
-// backslash; a line after "+" is sent as one chunk with its LF; {N*c} is N times c, {x0a} the byte
-// of that number.
+// Bytes returns the bytes that a section describes. A line ends in CR LF, or in nothing if it ends in a backslash.
+// A line after "+" is one HTTP chunk that includes an LF. {N*c} stands for N times c, and {x0a} for the byte with
+// that hexadecimal value.
 func Bytes(section []byte) []byte {
 	var out bytes.Buffer
 	for line := range strings.Lines(string(section)) {
 		line, chunk := strings.CutPrefix(strings.TrimSuffix(line, "\n"), "+")
-		line = repeated.ReplaceAllStringFunc(line, func(s string) string {
-			m := repeated.FindStringSubmatch(s)
+		line = repeatPattern.ReplaceAllStringFunc(line, func(s string) string {
+			m := repeatPattern.FindStringSubmatch(s)
 			n, _ := strconv.Atoi(m[1])
 			return strings.Repeat(m[2], n)
 		})
-		line = single.ReplaceAllStringFunc(line, func(s string) string {
+		line = bytePattern.ReplaceAllStringFunc(line, func(s string) string {
 			n, _ := strconv.ParseUint(s[2:4], 16, 8)
 			return string([]byte{byte(n)})
 		})
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,5 +1,9 @@
-// Package wire is the codec of the ember wire: frames of binary records on a pipe, and the settings that
-// the first record of an instance carries. It takes no decision.
+// Package wire implements the simulator's protocol: frames of binary big-endian records on a pipe, and the
+// settings text in the first record of a scheduler instance. It also parses these settings for other front ends.
+// It takes no scheduling decisions.
+//
+// ReadFrame reads a frame of events, Batch decodes its records one by one into an Event, and Reply builds the
+// frame of actions that answers it. Times are in microseconds.
 package wire
 
 import (
@@ -10,47 +14,47 @@
 	"math"
 )
 
-// Codes of the events.
+// Codes of the event records, sent by the simulator.
 const (
-	EvStart    = 1
-	EvUpdate   = 2
-	EvArrival  = 3
-	EvFlowing  = 4
-	EvAnswer   = 5
-	EvHangup   = 6
-	EvWake     = 7
-	EvProbed   = 8
-	EvInbox    = 9
-	EvKill     = 10
-	EvLedger   = 11
-	EvProgress = 12
+	EvStart    = 1  // starts an instance with its settings and seed
+	EvUpdate   = 2  // an instance receives worker list Set, or a failure to obtain one
+	EvArrival  = 3  // a job arrives
+	EvFlowing  = 4  // an attempt has begun to stream its result
+	EvAnswer   = 5  // outcome of an attempt
+	EvHangup   = 6  // a client has disconnected
+	EvWake     = 7  // a time requested by a wake-up action
+	EvProbed   = 8  // result of a probe
+	EvInbox    = 9  // a message from a peer
+	EvKill     = 10 // ends an instance
+	EvLedger   = 11 // sets worker list Set, for all instances
+	EvProgress = 12 // an attempt has started, or reports its completed share
 )
 
-// Codes of the actions.
+// Codes of the action records, sent in replies.
 const (
-	acTell      = 1
-	acPanic     = 2
-	acFail      = 3
-	acCancel    = 4
-	acSend      = 5
-	acRecord    = 6
-	acList      = 7
-	acRefuse    = 8
-	acRelease   = 9
-	acRemind    = 10
-	acSubscribe = 11
-	acInspect   = 12
+	actTell      = 1
+	actPanic     = 2
+	actFail      = 3
+	actCancel    = 4
+	actSend      = 5
+	actRecord    = 6
+	actList      = 7
+	actRefuse    = 8
+	actRelease   = 9
+	actRemind    = 10
+	actSubscribe = 11
+	actInspect   = 12
 )
 
 const (
-	headerLen  = 20
-	replyLen   = 8
-	recordHead = 5
-	entryLen   = 22
-	readStep   = 1 << 20 // bytes taken on at a time, so that a claimed length alone allocates nothing
+	headerLen       = 20
+	replyLen        = 8
+	recordHeaderLen = 5
+	entryLen        = 22
+	readChunk       = 1 << 20 // bytes allocated at a time, so that a claimed length alone allocates nothing
 )
 
-// Entry is one line of a worker list.
+// Entry is one worker in a worker list.
 type Entry struct {
 	Zone    uint8
 	UpSince uint64
@@ -61,41 +65,41 @@
 	Worker  uint32
 }
 
-// Event is one decoded record; only the fields of its code are set. Slices point into the frame or are
-// reused by the next call of Next.
+// Event is one decoded record. Only the fields of its code are set. Slices point into the frame or are reused by
+// the next call of Next.
 type Event struct {
 	Code    uint8
-	Inst    uint16
+	Inst    uint16 // scheduler instance
 	Seed    uint64
-	Text    []byte // settings, or a peer's message
-	How     uint8
-	Rev     uint32
-	Set     uint16
-	Entries []byte // entries of a ledger, entryLen bytes each
+	Text    []byte // settings (EvStart) or a peer's message (EvInbox)
+	How     uint8  // EvUpdate: 0 = cached list, 1 = no list obtained, 2 = full list, 3 = changes
+	Rev     uint32 // revision of the list
+	Set     uint16 // number of the worker list
+	Entries []byte // entries of an EvLedger, entryLen bytes each; see EachEntry
 	Job     uint32
-	Key     uint64
-	Flags   uint16
+	Key     uint64 // data set of the job
+	Flags   uint16 // bit 0: Hint is set; bit 1: the client has sent the job before
 	Class   uint8
 	Tenant  uint16
-	Hint    uint32
+	Hint    uint32 // expected work in microseconds
 	Memory  float32
-	At      uint64 // a client's deadline
+	At      uint64 // client's deadline
 	Slots   float32
 	Attempt uint16
 	Worker  uint32
-	Elapsed uint32
+	Elapsed uint32 // microseconds
 	Result  uint8
-	Settled bool
+	Settled bool // the job has its answer already
 	Note    uint8
-	Stats   []float32
-	Topic   uint8
-	Share   float32
-	Token   uint32
-	Author  uint32
+	Stats   []float32 // load report values in the order of the setting Report.Names
+	Topic   uint8     // EvProgress: 1 = started, 2 = Share is set
+	Share   float32   // completed share of the work, 0 to 1
+	Token   uint32    // identifies the requested wake-up
+	Author  uint32    // sending peer
 }
 
-// ReadFrame reads one frame into buf, growing it as bytes really come. It returns io.EOF when the input
-// ends between frames.
+// ReadFrame reads one frame into buf, which grows only as bytes arrive. It returns io.EOF if the input ends
+// between frames, and another error for a frame that is truncated or states an impossible length.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
 	if cap(buf) < headerLen {
 		buf = make([]byte, headerLen, 1<<16)
@@ -114,7 +118,7 @@
 	}
 	for len(buf) < total {
 		have := len(buf)
-		want := min(total, max(cap(buf), have+readStep))
+		want := min(total, max(cap(buf), have+readChunk))
 		if want > cap(buf) {
 			grown := make([]byte, have, max(want, min(total, 2*cap(buf))))
 			copy(grown, buf)
@@ -129,27 +133,28 @@
 	return buf, nil
 }
 
-// Batch walks the records of one frame.
+// Batch iterates over the records of one frame.
 type Batch struct {
-	Now  int64
-	Seq  uint32
-	left uint32
-	rest []byte
+	Now       int64
+	Seq       uint32
+	remaining uint32
+	rest      []byte
 }
 
-// Open starts the walk over a frame that ReadFrame returned.
+// Open starts the iteration over a frame returned by ReadFrame. It fails if the frame is shorter than its header.
 func (b *Batch) Open(frame []byte) error {
 	if len(frame) < headerLen {
 		return fmt.Errorf("frame of %d bytes has no header", len(frame))
 	}
 	b.Now = clampTime(binary.BigEndian.Uint64(frame))
-	b.left = binary.BigEndian.Uint32(frame[12:])
+	b.remaining = binary.BigEndian.Uint32(frame[12:])
 	b.Seq = binary.BigEndian.Uint32(frame[16:])
 	b.rest = frame[headerLen:]
 	return nil
 }
 
-// Check walks the whole batch once, so that a faulty one is found before any of it has been acted on.
+// Check decodes the whole batch once without consuming it, so that a malformed one is detected before any of it is
+// acted on.
 func (b Batch) Check(e *Event) error {
 	for {
 		more, err := b.Next(e)
@@ -162,45 +167,46 @@
 	}
 }
 
-// Next decodes the next record into e; false at the end. Records of unknown code are skipped.
+// Next decodes the next record into e and reports false at the end. Records of unknown code are skipped; a
+// malformed record is an error.
 func (b *Batch) Next(e *Event) (bool, error) {
 	for {
-		if b.left == 0 {
+		if b.remaining == 0 {
 			if len(b.rest) != 0 {
 				return false, fmt.Errorf("batch %d: %d bytes left after the last record", b.Seq, len(b.rest))
 			}
 			return false, nil
 		}
-		if len(b.rest) < recordHead {
-			return false, fmt.Errorf("batch %d: %d records missing at the end", b.Seq, b.left)
+		if len(b.rest) < recordHeaderLen {
+			return false, fmt.Errorf("batch %d: %d records missing at the end", b.Seq, b.remaining)
 		}
 		code := b.rest[0]
 		n := int64(binary.BigEndian.Uint32(b.rest[1:]))
-		if n > int64(len(b.rest)-recordHead) {
+		if n > int64(len(b.rest)-recordHeaderLen) {
 			return false, fmt.Errorf("batch %d: record of code %d states %d bytes, %d are left",
-				b.Seq, code, n, len(b.rest)-recordHead)
+				b.Seq, code, n, len(b.rest)-recordHeaderLen)
 		}
-		c := cursor{b: b.rest[recordHead : recordHead+n]}
-		b.rest = b.rest[recordHead+n:]
-		b.left--
+		c := cursor{b: b.rest[recordHeaderLen : recordHeaderLen+n]}
+		b.rest = b.rest[recordHeaderLen+n:]
+		b.remaining--
 		if !decode(code, &c, e) {
 			continue
 		}
-		if c.short {
+		if c.truncated {
 			return false, fmt.Errorf("batch %d: record of code %d is shorter than its fields", b.Seq, code)
 		}
 		return true, nil
 	}
 }
 
-// decode fills e and tells whether the code is known.
+// decode fills e and reports whether the code is known.
 func decode(code uint8, c *cursor, e *Event) bool {
 	e.Code = code
 	if code == EvLedger {
 		e.Set = c.u16()
 		n := int64(c.u32())
 		if n*entryLen > int64(len(c.b)) {
-			c.short = true
+			c.truncated = true
 			n = 0
 		}
 		e.Entries = c.take(int(n) * entryLen)
@@ -239,7 +245,7 @@
 	return true
 }
 
-// EachEntry calls f for every line of a ledger's entries.
+// EachEntry calls f for each entry of a worker list; raw is Event.Entries.
 func EachEntry(raw []byte, f func(Entry)) {
 	for ; len(raw) >= entryLen; raw = raw[entryLen:] {
 		c := cursor{b: raw[:entryLen]}
@@ -248,20 +254,20 @@
 	}
 }
 
-// clampTime keeps a clock value inside the signed range.
+// clampTime limits a time to the range of int64.
 func clampTime(v uint64) int64 {
 	return int64(min(v, math.MaxInt64))
 }
 
-// cursor reads big-endian fields; past the end it gives zeros and notes that the record was short.
+// cursor reads big-endian fields. Past the end it returns zeros and sets truncated.
 type cursor struct {
-	b     []byte
-	short bool
+	b         []byte
+	truncated bool
 }
 
 func (c *cursor) take(n int) []byte {
 	if n < 0 || n > len(c.b) {
-		c.short = true
+		c.truncated = true
 		c.b = nil
 		return nil
 	}
@@ -301,7 +307,7 @@
 func (c *cursor) f32() float32 { return math.Float32frombits(c.u32()) }
 
 func (c *cursor) floats(dst []float32) []float32 {
-	for n := int(c.u8()); n > 0 && !c.short; n-- {
+	for n := int(c.u8()); n > 0 && !c.truncated; n-- {
 		dst = append(dst, c.f32())
 	}
 	return dst
--- a/internal/wire/platform/http.go
+++ b/internal/wire/platform/http.go
@@ -1,5 +1,7 @@
-// Package platform speaks the platform's HTTP/1.1 without a socket: state machines that are fed bytes and
-// give back messages, relay notes and inventory lists, and builders of what is sent.
+// Package platform implements the platform's HTTP/1.1 protocol without sockets. State machines are fed bytes as
+// they arrive: North reads client requests, Relay reads the responses of back-end hosts, and Watch reads the lists
+// of service discovery. The Append functions build what is sent, and ReadConfig decodes the configuration of a
+// dispatcher. A driver owns the connections.
 package platform
 
 import (
@@ -13,18 +15,18 @@
 )
 
 const (
-	maxHead = 16 << 10 // bytes of a head; what the platform sends takes a few hundred
-	maxBody = 64 << 10 // bytes of a body, by the protocol
+	maxHead = 16 << 10 // bytes of a message head; the platform's messages take a few hundred
+	maxBody = 64 << 10 // bytes of a body, as the protocol limits it
 )
 
-// head buffers bytes up to the blank line that ends a head.
+// head buffers a message head (first line and fields) up to the blank line that ends it.
 type head struct{ buf []byte }
 
-// feed takes bytes until the head is whole and tells how many it used.
+// feed consumes bytes until the head is complete and returns how many it used.
 func (h *head) feed(b []byte) (used int, whole bool, err error) {
 	had := len(h.buf)
 	if had == 0 {
-		// Blank lines ahead of a head are passed over: some senders end a body with one more than they count.
+		// Skip blank lines before a head: some senders put one more after a body than its length counts.
 		used = len(b) - len(bytes.TrimLeft(b, "\r\n"))
 		b = b[used:]
 	}
@@ -52,32 +54,32 @@
 	return used + len(b), false, nil
 }
 
-var errHead = errors.New("malformed head")
+var errMalformedHead = errors.New("malformed head")
 
-// strict refuses what readers of a head take in different ways: line ends that are not CR LF, lines that go on in
-// the next, names that are no tokens, control bytes. One that took it otherwise than a host or a client would find
-// another message in the same bytes.
-func (h *head) strict() error {
+// validate rejects a head that parsers interpret in different ways: line ends other than CR LF, folded lines,
+// field names that are not tokens, and control bytes. A dispatcher that read such a head in another way than the
+// host or the client would see a different message in the same bytes (request smuggling).
+func (h *head) validate() error {
 	for line := range bytes.Lines(h.buf) {
 		line, crlf := bytes.CutSuffix(line, []byte("\r\n"))
 		if !crlf || bytes.ContainsFunc(line, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
-			return errHead
+			return errMalformedHead
 		}
 		if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
-			return errHead
+			return errMalformedHead
 		}
 	}
 	_, fields, _ := bytes.Cut(h.buf, []byte("\n"))
 	for line := range bytes.Lines(fields) {
 		name, _, found := bytes.Cut(line, []byte(":"))
 		if found && (len(name) == 0 || bytes.ContainsAny(name, " \t\"(),/;<=>?@[\\]{}")) {
-			return errHead
+			return errMalformedHead
 		}
 	}
 	return nil
 }
 
-// parse splits a whole head into its first line and fields.
+// parse splits a complete head into its first line and fields.
 func (h *head) parse() (string, textproto.MIMEHeader, error) {
 	r := textproto.NewReader(bufio.NewReader(bytes.NewReader(h.buf)))
 	first, err := r.ReadLine()
@@ -91,91 +93,91 @@
 	return first, fields, nil
 }
 
-// The ways in which the end of a body is told.
+// framing is the way in which the end of a body is marked.
 type framing uint8
 
 const (
-	byLength framing = iota
-	byChunks
-	toEnd // of the connection
+	byContentLength framing = iota
+	chunked
+	untilClose // the body ends with the connection
 )
 
-// The places within a chunked body.
-type place uint8
+// chunkState is the position within a chunked body.
+type chunkState uint8
 
 const (
-	atSize place = iota
-	inData
-	afterData
-	inTrailer
+	sizeLine chunkState = iota
+	chunkData
+	dataEnd
+	trailer
 )
 
-// body walks the bytes of one body.
+// body decodes the bytes of one message body.
 type body struct {
-	how  framing
-	left int64 // of the body, or of the present chunk
-	at   place
-	line []byte // a chunk's size line or a trailer line, as far as it has come
+	framing   framing
+	remaining int64 // bytes left of the body, or of the current chunk
+	state     chunkState
+	line      []byte // size line of a chunk or trailer line, as far as received
 
-	strict bool // lines end in CR LF, and a size is nothing but digits
+	strict bool // require CR LF line ends and chunk sizes of digits alone
 }
 
 var (
-	errFraming  = errors.New("the body's length is told in more than one way or not as a number")
-	errTransfer = errors.New("transfer coding is not chunked")
-	errChunk    = errors.New("malformed chunk")
+	errFraming        = errors.New("the body's length is told in more than one way or not as a number")
+	errTransfer       = errors.New("transfer coding is not chunked")
+	errMalformedChunk = errors.New("malformed chunk")
 )
 
-// bodyOf reads from the fields how a body ends; absent says what holds where they are silent.
-func bodyOf(f textproto.MIMEHeader, absent framing) (body, error) {
+// newBody determines from the fields how a body ends; absent applies if they do not say.
+func newBody(f textproto.MIMEHeader, absent framing) (body, error) {
 	lengths, codings := f["Content-Length"], f["Transfer-Encoding"]
 	switch {
 	case len(codings) > 0 && len(lengths) > 0, len(lengths) > 1, len(codings) > 1:
-		// Two readings of where a body ends are how one request is smuggled inside another.
+		// Two ways to find the end of a body allow request smuggling.
 		return body{}, errFraming
 	case len(codings) == 1:
 		if !strings.EqualFold(codings[0], "chunked") {
 			return body{}, errTransfer
 		}
-		return body{how: byChunks}, nil
+		return body{framing: chunked}, nil
 	case len(lengths) == 1:
 		n, err := strconv.ParseUint(lengths[0], 10, 62)
 		if err != nil {
 			return body{}, errFraming
 		}
-		return body{how: byLength, left: int64(n)}, nil
+		return body{framing: byContentLength, remaining: int64(n)}, nil
 	}
-	return body{how: absent}, nil
+	return body{framing: absent}, nil
 }
 
-// feed hands the body's own bytes to sink and tells how many of b it used and whether the body is whole.
+// feed passes decoded body bytes to sink. It returns how many bytes of b it used and whether the body is complete.
 func (d *body) feed(b []byte, sink func([]byte) error) (used int, whole bool, err error) {
 	for {
 		switch {
-		case d.how == toEnd:
+		case d.framing == untilClose:
 			return len(b), false, sink(b)
-		case d.how == byLength || d.at == inData:
-			n := int(min(d.left, int64(len(b)-used)))
+		case d.framing == byContentLength || d.state == chunkData:
+			n := int(min(d.remaining, int64(len(b)-used)))
 			if n > 0 {
 				if err := sink(b[used : used+n]); err != nil {
 					return used, false, err
 				}
 			}
 			used += n
-			d.left -= int64(n)
-			if d.left > 0 {
+			d.remaining -= int64(n)
+			if d.remaining > 0 {
 				return used, false, nil
 			}
-			if d.how == byLength {
+			if d.framing == byContentLength {
 				return used, true, nil
 			}
-			d.at = afterData
+			d.state = dataEnd
 		default:
 			n := bytes.IndexByte(b[used:], '\n')
 			if n < 0 {
 				d.line = append(d.line, b[used:]...)
 				if len(d.line) > 256 {
-					return used, false, errChunk
+					return used, false, errMalformedChunk
 				}
 				return len(b), false, nil
 			}
@@ -184,24 +186,24 @@
 			text, crlf := strings.CutSuffix(string(d.line), "\r")
 			d.line = d.line[:0]
 			if d.strict && (!crlf || strings.Contains(text, "\r")) {
-				return used, false, errChunk
+				return used, false, errMalformedChunk
 			}
-			if whole, err := d.step(text); whole || err != nil {
+			if whole, err := d.chunkLine(text); whole || err != nil {
 				return used, whole, err
 			}
 		}
 	}
 }
 
-// step takes one line of a chunked body's framing.
-func (d *body) step(text string) (whole bool, err error) {
-	switch d.at {
-	case afterData:
+// chunkLine processes one line of the chunked framing.
+func (d *body) chunkLine(text string) (whole bool, err error) {
+	switch d.state {
+	case dataEnd:
 		if text != "" {
-			return false, errChunk
+			return false, errMalformedChunk
 		}
-		d.at = atSize
-	case inTrailer:
+		d.state = sizeLine
+	case trailer:
 		return text == "", nil
 	default:
 		size, _, _ := strings.Cut(text, ";")
@@ -210,18 +212,18 @@
 		}
 		n, err := strconv.ParseUint(size, 16, 31)
 		if err != nil {
-			return false, errChunk
+			return false, errMalformedChunk
 		}
-		d.left, d.at = int64(n), inData
+		d.remaining, d.state = int64(n), chunkData
 		if n == 0 {
-			d.at = inTrailer
+			d.state = trailer
 		}
 	}
 	return false, nil
 }
 
-// closes tells whether a message ends its connection.
-func closes(version string, f textproto.MIMEHeader) bool {
+// closesConnection reports whether the connection closes after a message.
+func closesConnection(version string, f textproto.MIMEHeader) bool {
 	wants := version == "HTTP/1.0"
 	for _, line := range f["Connection"] {
 		for token := range strings.SplitSeq(line, ",") {
@@ -236,7 +238,7 @@
 	return wants
 }
 
-// response walks one answer.
+// response decodes one HTTP response.
 type response struct {
 	head   head
 	inBody bool
@@ -246,8 +248,8 @@
 	close  bool
 }
 
-// feed calls onHead once and sink for the body's bytes as they come, and tells how many bytes it used and whether the
-// answer is whole.
+// feed calls onHead once, and sink for the body bytes as they arrive. It returns how many bytes it used and
+// whether the response is complete.
 func (r *response) feed(b []byte, onHead func(), sink func([]byte) error) (used int, whole bool, err error) {
 	for !r.inBody {
 		n, done, err := r.head.feed(b[used:])
@@ -255,7 +257,7 @@
 		if err != nil || !done {
 			return used, false, err
 		}
-		if err := r.begin(); err != nil {
+		if err := r.parseHead(); err != nil {
 			return used, false, err
 		}
 		if r.inBody {
@@ -266,8 +268,8 @@
 	return used + n, whole, err
 }
 
-// begin reads a whole head; one that only announces another is passed over.
-func (r *response) begin() error {
+// parseHead parses a complete head; an interim (1xx) response is skipped.
+func (r *response) parseHead() error {
 	first, fields, err := r.head.parse()
 	if err != nil {
 		return err
@@ -281,17 +283,17 @@
 	if r.status < 200 {
 		return nil
 	}
-	r.inBody, r.fields, r.close = true, fields, closes(version, fields)
-	absent := toEnd
+	r.inBody, r.fields, r.close = true, fields, closesConnection(version, fields)
+	absent := untilClose
 	if r.status == 204 || r.status == 304 {
-		absent = byLength
+		absent = byContentLength
 	}
-	r.body, err = bodyOf(fields, absent)
-	if r.body.how == toEnd {
+	r.body, err = newBody(fields, absent)
+	if r.body.framing == untilClose {
 		r.close = true
 	}
 	return err
 }
 
-// reset makes ready for the next answer on the connection; buffers are kept.
+// reset prepares for the next response on the connection and keeps the buffer.
 func (r *response) reset() { *r = response{head: head{buf: r.head.buf[:0]}} }
--- a/internal/wire/platform/relay.go
+++ b/internal/wire/platform/relay.go
@@ -12,22 +12,22 @@
 	"granitewing/logic"
 )
 
-// maxLine bounds a line of a relay: a body of 64 KiB whose every byte is escaped, and its frame.
+// maxLine bounds a line of a response: a body of 64 KiB with every byte escaped, and the JSON around it.
 const maxLine = 6*maxBody + 1024
 
-// NoteKind says what a relay's note tells.
+// NoteKind is what a Note reports.
 type NoteKind uint8
 
-// The kinds of notes.
+// The kinds of notes, with the fields of Note that each uses.
 const (
-	NoteTaken NoteKind = iota // the host has the message, and runs it now or later
+	NoteTaken NoteKind = iota // the host has accepted the message and runs it now or later
 	NoteStarted
 	NoteProgress // Share
-	NoteEnded    // Result, and Content where it was served
-	NoteFree     // the answer is whole; the connection may carry another relay if Keep
+	NoteEnded    // Result, and Content if the result is logic.Served
+	NoteFree     // the response is complete; Keep says whether the connection can be reused
 )
 
-// Note is one thing that a south side host says of a relay.
+// Note is one report by a back-end host about an attempt.
 type Note struct {
 	Kind    NoteKind
 	Share   float64
@@ -36,15 +36,16 @@
 	Keep    bool
 }
 
-// Part is what the relay of one part of several tells its host, in headers that the protocol leaves free.
+// Part describes one part of a gang (a message that runs at several hosts at once) to its host. It is sent in
+// headers that the protocol leaves free.
 type Part struct {
 	Rank   int
 	Peers  []string      // addresses of the hosts of all parts, by rank
-	Within time.Duration // all have to begin within that, or none is to go on
+	Within time.Duration // all parts must start within this time, or none may continue
 }
 
-// AppendRelay appends the request that relays a message to a south side host, or a part of it where it is not nil. Method, target,
-// body, X-Txn and Idempotency-Key go out as they came.
+// AppendRelay appends the request that sends a message to a back-end host, or a part of it if part is not nil.
+// Method, target, body, X-Txn and Idempotency-Key are forwarded unchanged.
 func AppendRelay(b []byte, host string, m *Message, remaining time.Duration, part *Part) []byte {
 	b = append(b, m.Method...)
 	b = append(b, ' ')
@@ -70,37 +71,39 @@
 	return append(b, m.Body...)
 }
 
-// Relay reads the answers on one connection to a south side host, one relay at a time.
+// Relay reads the responses on one connection to a back-end host, one at a time.
 type Relay struct {
-	resp  response
-	lines lines
-	json  fastjson.Parser
-	id    string
-	out   bool // a request is out and its answer is not whole
-	ended bool // the outcome is known
-	on    func(Note)
+	resp    response
+	lines   lineSplitter
+	parser  fastjson.Parser
+	id      string
+	pending bool // a request was sent and its response is incomplete
+	ended   bool // the outcome is known
+	notify  func(Note)
 }
 
 var (
-	errStray = errors.New("bytes where no answer is awaited")
-	errLine  = errors.New("malformed line of a relay")
+	errUnexpectedBytes = errors.New("unexpected bytes: no response is pending")
+	errMalformedLine   = errors.New("malformed line in a host's response")
 )
 
-// NewRelay makes a reader that hands its notes to on.
-func NewRelay(on func(Note)) *Relay { return &Relay{lines: lines{most: maxLine}, on: on} }
+// NewRelay returns a reader that passes its notes to notify.
+func NewRelay(notify func(Note)) *Relay {
+	return &Relay{lines: lineSplitter{maxLen: maxLine}, notify: notify}
+}
 
-// Begin says that the request of a message goes out.
+// Begin prepares for the response to the message with the given id, whose request is about to be sent.
 func (r *Relay) Begin(id string) {
 	r.resp.reset()
 	r.lines.reset()
-	r.id, r.out, r.ended = id, true, false
+	r.id, r.pending, r.ended = id, true, false
 }
 
-// Feed takes bytes as they come. After an error the connection is of no more use; a relay whose end was not
-// told broke.
+// Feed processes received bytes. After an error the connection cannot be used any more, and an attempt without a
+// reported outcome counts as broken.
 func (r *Relay) Feed(b []byte) error {
-	if !r.out {
-		return errStray
+	if !r.pending {
+		return errUnexpectedBytes
 	}
 	used, whole, err := r.resp.feed(b, r.head, func(data []byte) error { return r.lines.feed(data, r.line) })
 	if err == nil && whole {
@@ -109,67 +112,67 @@
 	if err != nil || !whole {
 		return err
 	}
-	r.out = false
+	r.pending = false
 	if !r.ended {
-		// The answer is whole and told no end: as good as a connection that broke.
-		r.end(logic.Broken, nil)
+		// The response is complete without an outcome: treat it like a broken connection.
+		r.reportEnd(logic.Broken, nil)
 	}
-	r.on(Note{Kind: NoteFree, Keep: !r.resp.close && used == len(b)})
+	r.notify(Note{Kind: NoteFree, Keep: !r.resp.close && used == len(b)})
 	return nil
 }
 
-func (r *Relay) end(result logic.Result, content []byte) {
+func (r *Relay) reportEnd(result logic.Result, content []byte) {
 	r.ended = true
-	r.on(Note{Kind: NoteEnded, Result: result, Content: content})
+	r.notify(Note{Kind: NoteEnded, Result: result, Content: content})
 }
 
-// head takes the status: all but 200 is an end by itself.
+// head processes the status line: every status but 200 is an outcome by itself.
 func (r *Relay) head() {
 	switch s := r.resp.status; {
 	case s == 200:
-		r.on(Note{Kind: NoteTaken})
+		r.notify(Note{Kind: NoteTaken})
 	case (s == 503 || s == 504) && r.resp.fields.Get("X-Turned-Away") == "1":
-		r.end(logic.Refused, nil)
+		r.reportEnd(logic.Refused, nil)
 	case s >= 400 && s < 500:
-		// The message's fault and not the host's, which must not be shunned for what a client sends.
-		r.end(logic.Unusable, nil)
+		// The message is at fault, so the host must not be ejected for it.
+		r.reportEnd(logic.Unusable, nil)
 	default:
-		r.end(logic.Failed, nil)
+		r.reportEnd(logic.Failed, nil)
 	}
 }
 
-// line takes one JSON object.
+// line processes one JSON object.
 func (r *Relay) line(text []byte) error {
 	if r.ended || len(text) == 0 {
 		return nil
 	}
-	v, err := r.json.ParseBytes(text)
+	v, err := r.parser.ParseBytes(text)
 	if err != nil || string(v.GetStringBytes("id")) != r.id {
-		// A line that is not of this message must not be served as its result.
-		return errLine
+		// A line for another message must not be returned as this one's result.
+		return errMalformedLine
 	}
 	switch string(v.GetStringBytes("state")) {
 	case "started":
-		r.on(Note{Kind: NoteStarted})
+		r.notify(Note{Kind: NoteStarted})
 	case "running":
 		if s := v.Get("share"); s != nil && s.Type() == fastjson.TypeNumber {
-			r.on(Note{Kind: NoteProgress, Share: s.GetFloat64()})
+			r.notify(Note{Kind: NoteProgress, Share: s.GetFloat64()})
 		}
 	case "done":
 		switch c := v.Get("result"); {
 		case c == nil:
-			r.end(logic.Served, nil)
+			r.reportEnd(logic.Served, nil)
 		case c.Type() == fastjson.TypeString:
-			r.end(logic.Served, append([]byte(nil), c.GetStringBytes()...))
+			r.reportEnd(logic.Served, append([]byte(nil), c.GetStringBytes()...))
 		default:
-			r.end(logic.Served, c.MarshalTo(nil))
+			r.reportEnd(logic.Served, c.MarshalTo(nil))
 		}
 	case "failed":
-		r.end(logic.Failed, nil)
+		r.reportEnd(logic.Failed, nil)
 	case "returned":
-		r.end(logic.Refused, nil)
+		r.reportEnd(logic.Refused, nil)
 	case "lost":
-		r.end(logic.Broken, nil)
+		r.reportEnd(logic.Broken, nil)
 	}
 	return nil
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,15 +9,14 @@
 	"granitewing/logic"
 )
 
-// maxListed bounds the lists that settings may announce, so that a claimed count allocates nothing.
-const maxListed = 4096
+// maxListLen bounds the lists that settings may announce, so that a claimed count does not allocate memory.
+const maxListLen = 4096
 
-// settings are the path=value pairs of a start record.
+// settings holds the path=value pairs of a start record.
 type settings map[string]string
 
-// ParseSettings turns the text of a start record into a Config. Keys that are not known are skipped, and
-// values that cannot be used leave the documented default; only what no default can stand in for is an
-// error, which names the key.
+// ParseSettings parses the text of a start record. Unknown keys are skipped, and unusable values get the
+// documented default. A value for which there is no sensible default is an error that names the key.
 func ParseSettings(text []byte) (logic.Config, error) {
 	s := settings{}
 	for _, line := range strings.Split(string(text), "\n") {
@@ -41,7 +40,7 @@
 		MayCopy:   s.flag("Limits.SecondCopies"),
 
 		MaxAttempts:   s.count("Limits.MaxAttempts", 1),
-		HidesRetry:    s["Clients.MarksRetry"] == "false", // where nothing is said, a short wait is only that
+		HidesRetry:    s["Clients.MarksRetry"] == "false", // if not said, a short wait is no sign of a retry
 		MaxRetryAfter: s.micros("Limits.MaxRetryAfter", 0),
 
 		AnswerSlack:   s.micros("Rules.AnswerSlack", 0),
@@ -61,10 +60,10 @@
 		Pushed:         s["Discovery"] == "automatic",
 		AskWithin:      s.micros("Rules.AskWithin", 0),
 	}
-	// Limits.RetryAfter tells whether the simulator's clients get the advice; it drops it where they do not. On
-	// sockets the header is always allowed, so the advice is always given.
+	// Limits.RetryAfter says whether the simulator's clients receive retry advice; if not, the simulator drops it. On
+	// sockets the Retry-After header is always allowed, so the advice is always given.
 	for _, name := range s.list("Report.Names") {
-		c.Reports = append(c.Reports, fields[name])
+		c.Reports = append(c.Reports, reportFields[name])
 	}
 	var err error
 	if c.Classes, err = s.classes(); err != nil {
@@ -74,16 +73,16 @@
 	return c, nil
 }
 
-// fields maps the wire's names of report values; a name not known maps to FieldUnknown.
-var fields = map[string]logic.Field{
+// reportFields maps the names of load report values on the wire to fields; an unknown name gives FieldUnknown.
+var reportFields = map[string]logic.Field{
 	"busy_reqs": logic.FieldInflight, "pending": logic.FieldQueue, "svc_ms": logic.FieldService,
 	"served_ps": logic.FieldRate, "x0": logic.FieldFreeSlots,
 }
 
 func (s settings) classes() ([]logic.Class, error) {
 	n, err := strconv.Atoi(s["Classes.count"])
-	if err != nil || n < 1 || n > maxListed {
-		return nil, fmt.Errorf("setting Classes.count: want a number from 1 to %d, have %q", maxListed,
+	if err != nil || n < 1 || n > maxListLen {
+		return nil, fmt.Errorf("setting Classes.count: want a number from 1 to %d, have %q", maxListLen,
 			s["Classes.count"])
 	}
 	kinds, stretch := s.list("FamilyInfo.ClassKind"), s.list("FamilyInfo.ClassStretch")
@@ -115,7 +114,7 @@
 			}
 		}
 		if i < len(stretch) {
-			if v, err := strconv.ParseFloat(stretch[i], 64); err == nil && usable(v) {
+			if v, err := strconv.ParseFloat(stretch[i], 64); err == nil && validNumber(v) {
 				out[i].Stretch = v
 			}
 		}
@@ -125,7 +124,7 @@
 
 func (s settings) tenants() []logic.Tenant {
 	n, err := strconv.Atoi(s["Tenants.count"])
-	if err != nil || n < 1 || n > maxListed {
+	if err != nil || n < 1 || n > maxListLen {
 		return nil
 	}
 	out := make([]logic.Tenant, n)
@@ -146,7 +145,7 @@
 func (s settings) flag(key string) bool { return s[key] == "true" }
 
 func (s settings) float(key string, fallback float64) float64 {
-	if v, err := strconv.ParseFloat(s[key], 64); err == nil && usable(v) {
+	if v, err := strconv.ParseFloat(s[key], 64); err == nil && validNumber(v) {
 		return v
 	}
 	return fallback
@@ -163,5 +162,5 @@
 	return fallback
 }
 
-// usable tells whether a setting is a finite number that is not negative.
-func usable(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
+// validNumber reports whether a setting is a finite, non-negative number.
+func validNumber(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
