--- a/internal/system/node/carrier.go
+++ b/internal/system/node/carrier.go
@@ -18,28 +18,30 @@
 	"granitewing/internal/system/workers"
 )
 
-// carrierNode runs a carrier, and is its environment.
+// carrierNode runs a carrier core in this process and implements carrier.Environment for it.
 type carrierNode struct {
-	*runner
-	settings *settings.Settings
-	core     *carrier.Core
-	workers  *workers.Client
-	posts    *http.Client
-	reader   *catalogReader
-	draining atomic.Bool
+	*eventLoop
+	settings       *settings.Settings
+	core           *carrier.Core
+	workers        *workers.Client
+	callbackClient *http.Client
+	catalogReader  *catalogReader
+	draining       atomic.Bool // a graceful shutdown has begun: responses close their connections
 }
 
+// maxCarrierPeers bounds the inbound connections from other carriers.
 const maxCarrierPeers = 4096
 
-// RunCarrier runs a carrier until the context ends, and then drains it.
+// RunCarrier runs a carrier until ctx is cancelled, then shuts it down gracefully within the grace period. It applies the
+// seeds of settings that arrive on changes. It returns an error only when one of its listeners cannot be opened.
 func RunCarrier(ctx context.Context, s *settings.Settings, changes <-chan *settings.Settings) error {
-	n := &carrierNode{runner: newRunner(), settings: s, workers: workers.NewClient(), posts: newPostClient(),
-		reader: newCatalogReader(s.Cloud.Address)}
-	peers, err := link.Listen(s.CarrierAddress(), maxCarrierPeers, n.frame, nil)
+	n := &carrierNode{eventLoop: newEventLoop(), settings: s, workers: workers.NewClient(), callbackClient: newCallbackClient(),
+		catalogReader: newCatalogReader(s.Cloud.Address)}
+	peerServer, err := link.Listen(s.CarrierAddress(), maxCarrierPeers, n.handleFrame, nil)
 	if err != nil {
 		return err
 	}
-	n.do(func() {
+	n.withLock(func() {
 		n.core = carrier.New(n, s)
 		n.events = peerEvents{up: n.core.PeerUp, down: n.core.PeerDown, push: func(address string, frame wire.Frame) {
 			if frame.Kind == wire.FeedUpdate {
@@ -48,68 +50,70 @@
 		}}
 		n.core.Start()
 	})
-	readiness := newEcho()
-	readiness.GET("/-/ready", n.ready)
-	ready, err := startServer(s.Listen.Readiness, readiness)
+	readinessHandler := newEcho()
+	readinessHandler.GET("/-/ready", n.handleReady)
+	readinessServer, err := startServer(s.Listen.Readiness, readinessHandler)
 	if err != nil {
 		return err
 	}
-	connections := newIdleConnections()
-	_, front, err := startTracked(s.Listen.Front, n.frontHandler(), connections.note)
+	connections := newConnectionTracker()
+	_, frontListener, err := startTrackedServer(s.Listen.Front, n.frontHandler(), connections.trackState)
 	if err != nil {
 		return err
 	}
-	go n.follow(changes, func(changed *settings.Settings) {
+	go n.watchSettings(changes, func(changed *settings.Settings) {
 		s.Seeds = changed.Seeds
 		n.core.SeedsChanged()
 	})
-	log.WithField("front", s.Listen.Front).Info("carrier serves")
+	log.WithField("front", s.Listen.Front).Info("carrier is serving")
 	<-ctx.Done()
-	n.drain(front, connections)
-	stopServer(ready, 100*time.Millisecond)
-	peers.Close()
+	n.drain(frontListener, connections)
+	stopServer(readinessServer, 100*time.Millisecond)
+	peerServer.Close()
 	return nil
 }
 
-// acceptForPart of the grace a stopping carrier still takes new connections: the platform needs two looks to send none.
-const acceptForPart = 0.40
+// acceptFraction is the fraction of the grace period during which a stopping carrier still accepts new connections: the
+// platform needs two readiness checks before it stops sending clients here.
+const acceptFraction = 0.40
 
-// drain stops in order: not ready at once; each answer closes its connection; clients are served until the platform sends no
-// more; then the core ends its work. What comes on connections that are still open is refused at once.
-func (n *carrierNode) drain(front net.Listener, connections *idleConnections) {
+// drain shuts down gracefully. The readiness check fails at once and every response closes its connection. Clients are
+// served until the platform sends no more of them; then the core finishes its work. Requests that still arrive on open
+// connections are refused at once.
+func (n *carrierNode) drain(frontListener net.Listener, connections *connectionTracker) {
 	grace := n.settings.Bounds.Grace
-	began := n.Now()
-	log.Info("stopping: clients are sent elsewhere")
+	started := n.Now()
+	log.Info("shutting down: readiness checks fail from now on")
 	n.draining.Store(true)
-	n.do(n.core.StopReady)
-	time.Sleep(time.Duration(acceptForPart * float64(grace)))
-	front.Close()
+	n.withLock(n.core.StopReady)
+	time.Sleep(time.Duration(acceptFraction * float64(grace)))
+	frontListener.Close()
 	done := make(chan struct{})
-	n.do(func() { n.core.Drain(began, func() { close(done) }) })
-	left := func() time.Duration { return grace - (n.Now() - began) - grace/20 }
+	n.withLock(func() { n.core.Drain(started, func() { close(done) }) })
+	remaining := func() time.Duration { return grace - (n.Now() - started) - grace/20 }
 	select {
 	case <-done:
-	case <-time.After(left()):
+	case <-time.After(remaining()):
 	}
-	connections.endAll(left())
-	log.WithField("took", (n.Now() - began).String()).Info("stopped")
+	connections.closeAll(remaining())
+	log.WithField("took", (n.Now() - started).String()).Info("stopped")
 }
 
-func (n *carrierNode) ready(c echo.Context) error {
+func (n *carrierNode) handleReady(c echo.Context) error {
 	ready := false
-	n.do(func() { ready = n.core.Ready() })
+	n.withLock(func() { ready = n.core.Ready() })
 	if !ready {
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
 	return c.NoContent(http.StatusOK)
 }
 
-// frame takes a call of another carrier.
-func (n *carrierNode) frame(peer *link.Peer, frame wire.Frame) {
+// handleFrame passes a call from another carrier to the core. A frame that cannot be decoded closes the connection.
+func (n *carrierNode) handleFrame(peer *link.Peer, frame wire.Frame) {
 	var err error
-	n.do(func() { err = n.core.Handle(frame.Kind, frame.Payload, peer.Answerer(frame.Call)) })
+	n.withLock(func() { err = n.core.Handle(frame.Kind, frame.Payload, peer.Answerer(frame.Call)) })
 	if err != nil {
-		log.WithError(err).WithField("peer", peer.Remote()).Warn("peer's frame is unreadable")
+		log.WithError(err).WithField("peer", peer.Remote()).Warn("cannot decode frame from peer")
 		peer.Close()
 	}
 }
@@ -120,7 +124,7 @@
 // Inform implements carrier.Environment.
 func (n *carrierNode) Inform(event string) { log.Info(event) }
 
-// report logs what an operator should know.
+// report logs a warning for the operator, with err if it is not nil.
 func report(event string, err error) {
 	if err != nil {
 		log.WithError(err).Warn(event)
@@ -129,10 +133,10 @@
 	log.Warn(event)
 }
 
-// ReadCatalog implements carrier.Environment.
+// ReadCatalog implements carrier.Environment. It reads in the background and calls done under the loop's mutex.
 func (n *carrierNode) ReadCatalog(done func(map[string]catalog.Instance, error)) {
 	go func() {
-		instances, err := n.reader.read()
-		n.do(func() { done(instances, err) })
+		instances, err := n.catalogReader.readAll()
+		n.withLock(func() { done(instances, err) })
 	}()
 }
--- a/internal/system/node/drain.go
+++ b/internal/system/node/drain.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// idleConnections closes a server's idle connections without losing a request. http.Server closes a connection that it saw
-// idle a moment ago, although a request may have been read from it meanwhile; here reads are ended by a deadline instead,
-// which a read that has its bytes passes by. What the process has not read, the client may send elsewhere.
-type idleConnections struct {
+// connectionTracker closes a server's idle connections without losing a request. http.Server closes a connection that was
+// idle a moment ago even if a request has been read from it since. The tracker instead ends pending reads by a deadline in
+// the past, which does not affect a read that already has its bytes. A client may safely send a request elsewhere if this
+// process has not read it.
+type connectionTracker struct {
 	mutex sync.Mutex
 	idle  map[net.Conn]bool
 	open  int
 }
 
-func newIdleConnections() *idleConnections { return &idleConnections{idle: map[net.Conn]bool{}} }
+func newConnectionTracker() *connectionTracker { return &connectionTracker{idle: map[net.Conn]bool{}} }
 
-// note is the server's hook for the states of its connections.
-func (c *idleConnections) note(connection net.Conn, state http.ConnState) {
+// trackState is the server's ConnState hook. Connections in StateNew count as idle.
+func (c *connectionTracker) trackState(connection net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch state {
@@ -36,8 +37,9 @@
 	}
 }
 
-// end ends the reads of idle connections, and gives the number of connections that are left.
-func (c *idleConnections) end() int {
+// expireIdle ends the pending reads of idle connections and returns the number of connections that are still open, idle
+// or not.
+func (c *connectionTracker) expireIdle() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for connection := range c.idle {
@@ -46,11 +48,11 @@
 	return c.open
 }
 
-// endAll ends idle connections until none is left, or a time has come.
-func (c *idleConnections) endAll(within time.Duration) {
+// closeAll closes connections as they become idle until none is open or the timeout has passed.
+func (c *connectionTracker) closeAll(within time.Duration) {
 	const interval = 20 * time.Millisecond
 	until := time.Now().Add(within)
-	for c.end() > 0 && time.Now().Before(until) {
+	for c.expireIdle() > 0 && time.Now().Before(until) {
 		time.Sleep(interval)
 	}
 }
--- a/internal/system/node/drain_test.go
+++ b/internal/system/node/drain_test.go
@@ -14,16 +14,17 @@
 	"granitewing/internal/system/wire"
 )
 
-var _ = ginkgo.Describe("Ending idle connections", func() {
-	// Clients send on kept connections while these are ended: each request either gets its whole answer, or was never read.
+var _ = ginkgo.Describe("Closing idle connections", func() {
+	// Clients send requests on keep-alive connections while these are closed. Each request either gets its complete
+	// response or was never read by the server.
 	ginkgo.It("loses no request that was read", func() {
 		var read, answered sync.Map
-		connections := newIdleConnections()
+		connections := newConnectionTracker()
 		handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			read.Store(r.Header.Get(wire.HeaderRequestID), true)
 			w.WriteHeader(http.StatusAccepted)
 		})
-		server, listener, err := startTracked("127.0.0.1:0", handler, connections.note)
+		server, listener, err := startTrackedServer("127.0.0.1:0", handler, connections.trackState)
 		Expect(err).NotTo(HaveOccurred())
 		defer server.Close()
 		const clients = 40
@@ -59,12 +60,12 @@
 		}
 		ready.Wait()
 		close(begin)
-		connections.endAll(10 * time.Second)
-		Expect(connections.end()).To(BeZero())
+		connections.closeAll(10 * time.Second)
+		Expect(connections.expireIdle()).To(BeZero())
 		done.Wait()
 		read.Range(func(id, _ any) bool {
-			_, whole := answered.Load(id)
-			Expect(whole).To(BeTrue(), "request %v was read and got no answer", id)
+			_, found := answered.Load(id)
+			Expect(found).To(BeTrue(), "request %v was read and got no response", id)
 			return true
 		})
 	})
--- a/internal/system/node/full.go
+++ b/internal/system/node/full.go
@@ -10,31 +10,31 @@
 	"granitewing/internal/system/segment"
 )
 
-// Pauses after a disk was found full.
+// Retry intervals after a write failed because the disk was full.
 const (
-	fullPause    = 200 * time.Millisecond // before the next write
-	compactPause = 2 * time.Second        // before a log is replaced by a snapshot
+	diskFullRetryInterval   = 200 * time.Millisecond // before the next write
+	compactionRetryInterval = 2 * time.Second        // before the next attempt to replace a log by a snapshot
 )
 
-// whileFull does something on a disk again and again as long as the disk has no room for it, until the context ends: the
-// process stays up, and goes on as soon as there is room.
-func whileFull(ctx context.Context, do func() error) error {
+// retryWhileDiskFull repeats a disk operation while it fails because the disk is full, until ctx is cancelled. The process
+// stays up and continues as soon as there is free space. Any other error is returned at once.
+func retryWhileDiskFull(ctx context.Context, operation func() error) error {
 	for {
-		err := do()
+		err := operation()
 		if !segment.IsFull(err) {
 			return err
 		}
-		log.WithError(err).Error("the disk has no room; it is tried again")
+		log.WithError(err).Error("disk is full, retrying")
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(fullPause):
+		case <-time.After(diskFullRetryInterval):
 		}
 	}
 }
 
-// unlessStopped is the error of a role, none where it was told to stop.
-func unlessStopped(ctx context.Context, err error) error {
+// ignoreCancellation returns the error of a role, or nil if the error only reports that ctx was cancelled.
+func ignoreCancellation(ctx context.Context, err error) error {
 	if ctx.Err() != nil && errors.Is(err, ctx.Err()) {
 		return nil
 	}
--- a/internal/system/node/http.go
+++ b/internal/system/node/http.go
@@ -19,6 +19,7 @@
 	"granitewing/internal/system/link"
 )
 
+// newEcho returns a router that recovers from panics in handlers and prints nothing at startup.
 func newEcho() *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
@@ -26,29 +27,31 @@
 	return e
 }
 
-// startServer serves HTTP at an address.
+// startServer serves HTTP at an address in the background. It returns link.ListenError if it cannot listen there.
 func startServer(address string, handler http.Handler) (*http.Server, error) {
-	server, _, err := startTracked(address, handler, nil)
+	server, _, err := startTrackedServer(address, handler, nil)
 	return server, err
 }
 
-// startTracked serves HTTP at an address, and gives its listener; note is told the states of connections.
-func startTracked(address string, handler http.Handler, note func(net.Conn, http.ConnState)) (*http.Server, net.Listener, error) {
+// startTrackedServer is startServer with a hook for the states of connections, which may be nil. It also returns the
+// listener, which can be closed before the server is.
+func startTrackedServer(address string, handler http.Handler, connState func(net.Conn, http.ConnState)) (*http.Server, net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, nil, &link.ListenError{Address: address, Err: err}
 	}
 	const headerTimeout, idleTimeout = 3 * time.Second, 30 * time.Second
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-		ErrorLog: stdlog.New(io.Discard, "", 0), ConnState: note}
+		ErrorLog: stdlog.New(io.Discard, "", 0), ConnState: connState}
 	go func() {
 		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			log.WithError(err).WithField("address", address).Error("server ended")
+			log.WithError(err).WithField("address", address).Error("HTTP server failed")
 		}
 	}()
 	return server, listener, nil
 }
 
+// stopServer shuts a server down, and closes its remaining connections after a timeout.
 func stopServer(server *http.Server, within time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -57,11 +60,12 @@
 	}
 }
 
-// BodyTooLargeError tells of a body over the limit.
+// BodyTooLargeError reports that an HTTP body exceeds its limit, which is in bytes.
 type BodyTooLargeError struct{ Limit int64 }
 
 func (e *BodyTooLargeError) Error() string { return fmt.Sprintf("body is over %d bytes", e.Limit) }
 
+// readBody reads a request's body. It returns BodyTooLargeError if the body exceeds limit bytes.
 func readBody(request *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, limit+1))
 	if err != nil {
@@ -73,7 +77,7 @@
 	return body, nil
 }
 
-// catalogReader reads the platform's list.
+// catalogReader reads the list of workers from the platform's discovery API.
 type catalogReader struct {
 	address string
 	client  *http.Client
@@ -86,15 +90,18 @@
 	return &catalogReader{address: address, client: &http.Client{Transport: transport, Timeout: timeout}}
 }
 
-// StatusError tells of an answer with another status than the wanted one.
+// StatusError reports an unexpected HTTP status. Call names the request, such as "GET /instances".
 type StatusError struct {
 	Call   string
 	Status int
 }
 
-func (e *StatusError) Error() string { return fmt.Sprintf("%s: status %d", e.Call, e.Status) }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("%s: status %d", e.Call, e.Status)
+}
 
-func (r *catalogReader) read() (map[string]catalog.Instance, error) {
+// readAll reads all pages of the list. A list that cannot be read completely is an error, never a shorter list.
+func (r *catalogReader) readAll() (map[string]catalog.Instance, error) {
 	reading := catalog.NewReading()
 	token := ""
 	for range catalog.MaxPages {
@@ -108,7 +115,7 @@
 		}
 		token = page.Next
 	}
-	return nil, &catalog.UnreadableError{Reason: "it has no last page"}
+	return nil, &catalog.UnreadableError{Reason: "it has too many pages"}
 }
 
 func (r *catalogReader) readPage(token string) (catalog.Page, error) {
--- a/internal/system/node/http_test.go
+++ b/internal/system/node/http_test.go
@@ -13,7 +13,7 @@
 	"granitewing/internal/system/catalog"
 )
 
-var _ = ginkgo.Describe("The reader of the platform's list", func() {
+var _ = ginkgo.Describe("The reader of the platform's list of workers", func() {
 	const instance = `{"backend":"b","address":"10.0.0.%d:8080","zone":"z","resource-version":"v1","capacity":4,"phase":"ready","cold-remaining-ms":0,"id":"i-%d"}`
 	tokens := []string{"", "p-50", "cDo1MA==", "a&b=c", "50%", "x y+z/?#"}
 
@@ -44,22 +44,22 @@
 	})
 
 	read := func() (map[string]catalog.Instance, error) {
-		return newCatalogReader(strings.TrimPrefix(server.URL, "http://")).read()
+		return newCatalogReader(strings.TrimPrefix(server.URL, "http://")).readAll()
 	}
 
-	ginkgo.It("follows page tokens of any letters", func() {
+	ginkgo.It("follows page tokens with any characters", func() {
 		instances, err := read()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(instances).To(HaveLen(len(tokens)))
 	})
 
-	ginkgo.It("takes no part of a list for the whole", func() {
-		whole := answer
+	ginkgo.It("returns an error, not a partial list, when a page fails", func() {
+		complete := answer
 		answer = func(page int) (int, string) {
 			if page == 2 {
 				return http.StatusTooManyRequests, "{}"
 			}
-			return whole(page)
+			return complete(page)
 		}
 		_, err := read()
 		var status *StatusError
@@ -67,7 +67,7 @@
 		Expect(status.Status).To(Equal(http.StatusTooManyRequests))
 	})
 
-	ginkgo.It("says what can't be read", func() {
+	ginkgo.It("reports an invalid list", func() {
 		answer = func(int) (int, string) { return http.StatusOK, `{"instances":[{"id":""}]}` }
 		_, err := read()
 		var unreadable *catalog.UnreadableError
--- a/internal/system/node/keeper.go
+++ b/internal/system/node/keeper.go
@@ -16,63 +16,66 @@
 	"granitewing/internal/system/wire"
 )
 
-// keeperNode runs a keeper.
+// keeperNode runs a keeper core in this process. One goroutine per control group writes and syncs that group's log.
 type keeperNode struct {
-	*runner
-	settings *settings.Settings
-	core     *keeper.Core
-	disks    [keeper.Groups]*disk.Member
-	wake     [keeper.Groups]chan struct{}
-	server   *link.Server
-	members  map[*link.Peer]keeper.Subscriber
-	byNumber map[keeper.Subscriber]*link.Peer
-	last     keeper.Subscriber
-	reader   *catalogReader
-	pushing  bool
-
-	joiner    *keeper.Joiner
-	connected []string
-	resetting [keeper.Groups]bool
-	leaders   [keeper.Groups]string
-	held      map[string][]heldMessages // by peer
-
-	ctx          context.Context // ends with the role
-	compactAfter [keeper.Groups]time.Duration
+	*eventLoop
+	settings          *settings.Settings
+	core              *keeper.Core
+	disks             [keeper.Groups]*disk.Member
+	wake              [keeper.Groups]chan struct{}
+	server            *link.Server
+	subscribers       map[*link.Peer]keeper.Subscriber
+	peersBySubscriber map[keeper.Subscriber]*link.Peer
+	lastSubscriber    keeper.Subscriber
+	catalogReader     *catalogReader
+	pushScheduled     bool
+
+	joiner         *keeper.Joiner
+	otherKeepers   []string
+	resetRequested [keeper.Groups]bool
+	leaders        [keeper.Groups]string
+	queued         map[string][]queuedMessages // by peer address; see queueForPeer
+
+	ctx            context.Context // cancelled when the role stops
+	nextCompaction [keeper.Groups]time.Duration
 }
 
 const (
-	maxKeeperPeers = 1024
-	peerUpTick     = 20 * time.Millisecond // after a connection came about, until an election that was hastened by it
+	maxKeeperPeers  = 1024
+	peerUpTickDelay = 20 * time.Millisecond // between a new connection and the election that it may hasten
 )
 
-// RunKeeper runs a keeper until the context ends.
+// RunKeeper runs a keeper until ctx is cancelled, then transfers leadership of its groups and stops. It applies the seeds
+// of settings that arrive on changes. It returns an error when the disk or a listener cannot be opened, or when a write to
+// the disk fails for another reason than lack of space.
 func RunKeeper(ctx context.Context, s *settings.Settings, changes <-chan *settings.Settings) error {
-	n := &keeperNode{runner: newRunner(), settings: s, members: map[*link.Peer]keeper.Subscriber{},
-		byNumber: map[keeper.Subscriber]*link.Peer{}, held: map[string][]heldMessages{}, reader: newCatalogReader(s.Cloud.Address), ctx: ctx}
-	if err := n.open(); err != nil {
-		return unlessStopped(ctx, err)
+	n := &keeperNode{eventLoop: newEventLoop(), settings: s, subscribers: map[*link.Peer]keeper.Subscriber{},
+		peersBySubscriber: map[keeper.Subscriber]*link.Peer{}, queued: map[string][]queuedMessages{},
+		catalogReader: newCatalogReader(s.Cloud.Address), ctx: ctx}
+	if err := n.openState(); err != nil {
+		return ignoreCancellation(ctx, err)
 	}
 	n.events = peerEvents{up: func(address string) {
-		n.release(address)
+		n.sendQueued(address)
 		n.core.PeerUp(n.Now())
-		n.After(peerUpTick, func() {
+		n.After(peerUpTickDelay, func() {
 			n.core.Tick(n.Now())
-			n.after()
+			n.dispatchReady()
 		})
 	}}
-	server, err := link.Listen(s.KeeperAddress(s.IP), maxKeeperPeers, n.frame, n.closed)
+	server, err := link.Listen(s.KeeperAddress(s.IP), maxKeeperPeers, n.handleFrame, n.handleClosed)
 	if err != nil {
 		return err
 	}
 	n.server = server
-	operators, err := n.serveOperators()
+	operatorServer, err := n.serveOperatorAPI()
 	if err != nil {
 		return err
 	}
-	go n.follow(changes, func(changed *settings.Settings) { s.Seeds = changed.Seeds })
+	go n.watchSettings(changes, func(changed *settings.Settings) { s.Seeds = changed.Seeds })
 	failures := make(chan error, keeper.Groups)
-	n.do(func() {
-		n.connect()
+	n.withLock(func() {
+		n.connectKeepers()
 		n.tick()
 		n.joiner = keeper.NewJoiner(n, n.core)
 		n.joiner.Step()
@@ -80,65 +83,66 @@
 	for group := range keeper.Groups {
 		go n.persist(group, failures)
 	}
-	log.WithFields(log.Fields{"members": n.connected, "after": n.Now().Round(time.Millisecond).String()}).Info("keeper serves")
+	log.WithFields(log.Fields{"members": n.otherKeepers, "after": n.Now().Round(time.Millisecond).String()}).Info("keeper is serving")
 	select {
 	case err := <-failures:
-		return unlessStopped(ctx, err)
+		return ignoreCancellation(ctx, err)
 	case <-ctx.Done():
 	}
-	n.yield()
-	stopServer(operators, time.Second)
+	n.transferLeadership()
+	stopServer(operatorServer, time.Second)
 	server.Close()
 	return nil
 }
 
-// Times of handing over what a stopping keeper leads.
+// Timing of the leadership transfer when a keeper stops.
 const (
-	yieldInterval = 150 * time.Millisecond
-	yieldMost     = 900 * time.Millisecond
+	transferInterval = 150 * time.Millisecond
+	maxTransferTime  = 900 * time.Millisecond
 )
 
-// yield has other keepers lead what this one leads, as far as they can in a while.
-func (n *keeperNode) yield() {
-	for until := n.Now() + yieldMost; n.Now() < until; time.Sleep(yieldInterval) {
-		yielded := false
-		n.do(func() {
-			yielded = n.core.Yield(n.Now())
-			n.after()
+// transferLeadership asks other keepers to take over the groups that this one leads. It gives up after maxTransferTime.
+func (n *keeperNode) transferLeadership() {
+	for until := n.Now() + maxTransferTime; n.Now() < until; time.Sleep(transferInterval) {
+		transferred := false
+		n.withLock(func() {
+			transferred = n.core.Yield(n.Now())
+			n.dispatchReady()
 		})
-		if yielded {
+		if transferred {
 			return
 		}
 	}
 }
 
-// connect keeps connections to all keepers that are known, and to the seeds.
-func (n *keeperNode) connect() {
+// connectKeepers maintains connections to all known keepers and to the seeds.
+func (n *keeperNode) connectKeepers() {
 	var others []string
 	for _, address := range append(n.core.Keepers(), n.settings.SeedKeepers()...) {
 		if address != n.address() && !slices.Contains(others, address) {
 			others = append(others, address)
 		}
 	}
-	if !slices.Equal(others, n.connected) {
-		n.connected = others
+	if !slices.Equal(others, n.otherKeepers) {
+		n.otherKeepers = others
 		n.Connect(others)
 	}
 }
 
 func (n *keeperNode) address() string { return n.settings.KeeperAddress(n.settings.IP) }
 
-// fresh is the identity of a member on an empty disk: a founder where the whole system starts for the first time and
-// the seeds name this machine, else a newcomer.
-func (n *keeperNode) fresh() disk.Identity {
-	founders := n.settings.SeedKeepers()
-	if n.settings.Bootstrap && slices.Contains(founders, n.address()) {
-		return disk.Identity{ID: n.address(), Founders: founders}
+// newIdentity returns the identity of a group member on an empty disk: a bootstrap member if the whole system starts for
+// the first time and the seeds name this machine, else a new member that has to join.
+func (n *keeperNode) newIdentity() disk.Identity {
+	bootstrapMembers := n.settings.SeedKeepers()
+	if n.settings.Bootstrap && slices.Contains(bootstrapMembers, n.address()) {
+		return disk.Identity{ID: n.address(), Founders: bootstrapMembers}
 	}
 	return disk.Identity{ID: keeper.FreshIdentity(n.address(), member.NewIncarnation(n, n.settings.NodeName))}
 }
 
-func (n *keeperNode) open() error {
+// openState reads the state of all groups from the disk and creates the core from it.
+func (n *keeperNode) openState() error {
 	var stored [keeper.Groups]agreement.Stored
 	options := keeper.Options{Address: n.address(), Tolerance: &n.settings.Tolerance, Random: n.Random,
 		FeedEpoch: member.NewIncarnation(n, n.settings.NodeName)}
@@ -155,82 +159,84 @@
 }
 
 // Others implements keeper.JoinEnvironment.
-func (n *keeperNode) Others() []string { return n.connected }
+func (n *keeperNode) Others() []string { return n.otherKeepers }
 
-// Reset implements keeper.JoinEnvironment: the goroutine that owns the group's disk does it.
+// Reset implements keeper.JoinEnvironment. The goroutine that owns the group's log carries it out.
 func (n *keeperNode) Reset(group int) {
-	n.resetting[group] = true
+	n.resetRequested[group] = true
 	select {
 	case n.wake[group] <- struct{}{}:
 	default:
 	}
 }
 
-// tick lets the core's time pass, and sets its next timer.
+// tick advances the core's clock, does the periodic work and schedules the next tick.
 func (n *keeperNode) tick() {
 	n.core.Tick(n.Now())
-	n.connect()
-	n.noteLeaders()
+	n.connectKeepers()
+	n.logLeaderChanges()
 	n.readCatalog()
-	n.after()
-	const least = 10 * time.Millisecond
-	n.After(max(least, n.core.NextWake()-n.Now()), n.tick)
+	n.dispatchReady()
+	const minInterval = 10 * time.Millisecond
+	n.After(max(minInterval, n.core.NextWake()-n.Now()), n.tick)
 }
 
-// noteLeaders logs who leads a group whenever that changes.
-func (n *keeperNode) noteLeaders() {
+// logLeaderChanges logs the leader of each group whose leader has changed.
+func (n *keeperNode) logLeaderChanges() {
 	for group := range keeper.Groups {
 		leader, _ := n.core.Leader(group)
 		if leader != n.leaders[group] {
 			n.leaders[group] = leader
-			log.WithFields(log.Fields{"group": group, "leader": leader}).Info("leader of a group")
+			log.WithFields(log.Fields{"group": group, "leader": leader}).Info("group leader changed")
 		}
 	}
 }
 
-// after lets go what the core has made ready: writes by the groups' goroutines, pushes to members.
-func (n *keeperNode) after() {
+// dispatchReady starts the work that the core has prepared: writes by the groups' goroutines and pushes to subscribers.
+func (n *keeperNode) dispatchReady() {
 	for group := range n.wake {
 		select {
 		case n.wake[group] <- struct{}{}:
 		default:
 		}
 	}
-	n.push()
+	n.schedulePush()
 }
 
-// pushGather gathers changes of the feed into one update.
-const pushGather = 5 * time.Millisecond
+// pushBatchDelay is the time over which changes of the feed are batched into one update.
+const pushBatchDelay = 5 * time.Millisecond
 
-func (n *keeperNode) push() {
-	if n.pushing {
+// schedulePush pushes pending feed updates to subscribers after pushBatchDelay.
+func (n *keeperNode) schedulePush() {
+	if n.pushScheduled {
 		return
 	}
-	n.pushing = true
-	n.After(pushGather, func() {
-		n.pushing = false
+	n.pushScheduled = true
+	n.After(pushBatchDelay, func() {
+		n.pushScheduled = false
 		for _, push := range n.core.Pushes() {
-			if peer := n.byNumber[push.To]; peer != nil {
+			if peer := n.peersBySubscriber[push.To]; peer != nil {
 				peer.Push(wire.FeedUpdate, push.Payload)
 			}
 		}
 	})
 }
 
+// readCatalog reads the platform's list of workers in the background when the core wants a new reading.
 func (n *keeperNode) readCatalog() {
 	if n.settings.Cloud.Address == "" || !n.core.WantsCatalog(n.Now()) {
 		return
 	}
-	begun := n.Now()
+	started := n.Now()
 	go func() {
-		instances, err := n.reader.read()
+		instances, err := n.catalogReader.readAll()
 		if err != nil {
-			log.WithError(err).Warn("list of workers can't be read")
+			log.WithError(err).Warn("cannot read the list of workers")
 			return
 		}
-		n.do(func() {
-			n.core.CatalogRead(n.Now(), begun, instances)
-			n.push()
+		n.withLock(func() {
+			n.core.CatalogRead(n.Now(), started, instances)
+			n.schedulePush()
 		})
 	}()
 }
--- a/internal/system/node/keeper_disk.go
+++ b/internal/system/node/keeper_disk.go
@@ -16,23 +16,24 @@
 	"granitewing/internal/system/segment"
 )
 
-// openDisks reads what the disk holds of each group, all at once: most of it is waiting for syncs.
+// openDisks opens the logs of all groups concurrently, since most of the time is spent waiting for syncs.
 func (n *keeperNode) openDisks(ctx context.Context) error {
 	var failures [keeper.Groups]error
-	var opened sync.WaitGroup
+	var opening sync.WaitGroup
 	for group := range keeper.Groups {
-		fresh := n.fresh()
-		opened.Go(func() {
-			failures[group] = whileFull(ctx, func() (err error) {
+		fresh := n.newIdentity()
+		opening.Go(func() {
+			failures[group] = retryWhileDiskFull(ctx, func() (err error) {
 				n.disks[group], err = n.openDisk(group, fresh)
 				return err
 			})
 		})
 	}
-	opened.Wait()
+	opening.Wait()
 	return errors.Join(failures[:]...)
 }
 
+// openDisk opens the log of a group. The identity is used only if the disk holds no state of the group.
 func (n *keeperNode) openDisk(group int, fresh disk.Identity) (*disk.Member, error) {
 	folder, err := segment.OpenFolder(filepath.Join(n.settings.DataDir, "control-"+strconv.Itoa(group)))
 	if err != nil {
@@ -41,40 +42,42 @@
 	return disk.Open(folder, fresh)
 }
 
-// reset gives a group's member another identity; it runs on the goroutine that owns the group's disk.
-func (n *keeperNode) reset(group int) error {
-	wanted := false
-	n.do(func() { wanted = n.resetting[group] })
-	if !wanted {
+// resetIfRequested gives a group's member a new identity if Reset has requested it. It runs on the goroutine that owns the
+// group's log.
+func (n *keeperNode) resetIfRequested(group int) error {
+	requested := false
+	n.withLock(func() { requested = n.resetRequested[group] })
+	if !requested {
 		return nil
 	}
 	identity := disk.Identity{ID: keeper.FreshIdentity(n.address(), member.NewIncarnation(n, n.settings.NodeName))}
-	log.WithField("group", group).Warn("the group does without this keeper; it joins anew")
-	if err := whileFull(n.ctx, func() error { return n.disks[group].Begin(identity) }); err != nil {
+	log.WithField("group", group).Warn("this keeper was removed from the group, rejoining with a new identity")
+	if err := retryWhileDiskFull(n.ctx, func() error { return n.disks[group].Begin(identity) }); err != nil {
 		return err
 	}
-	n.do(func() {
-		n.resetting[group] = false
+	n.withLock(func() {
+		n.resetRequested[group] = false
 		n.core.ResetGroup(n.Now(), group, identity.ID)
 		n.joiner.WasReset(group)
 	})
 	return nil
 }
 
-// persist writes, syncs, sends and applies what a group has ready, one after the other.
+// persist processes a group's ready work batch by batch: it writes, syncs, sends messages and applies committed entries. It
+// returns only after a failure, which it sends to failures.
 func (n *keeperNode) persist(group int, failures chan<- error) {
 	for range n.wake[group] {
-		if err := n.reset(group); err != nil {
+		if err := n.resetIfRequested(group); err != nil {
 			failures <- err
 			return
 		}
 		for {
 			var ready agreement.Ready
-			n.do(func() { ready = n.core.Ready(group) })
+			n.withLock(func() { ready = n.core.Ready(group) })
 			if ready.Empty() {
 				break
 			}
-			if err := n.carryOut(group, &ready); err != nil {
+			if err := n.processReady(group, &ready); err != nil {
 				failures <- err
 				return
 			}
@@ -82,15 +85,16 @@
 	}
 }
 
-func (n *keeperNode) carryOut(group int, ready *agreement.Ready) error {
+// processReady saves a batch before its messages are sent and its entries applied.
+func (n *keeperNode) processReady(group int, ready *agreement.Ready) error {
 	if err := n.save(group, ready); err != nil {
 		return err
 	}
 	var failure error
-	n.do(func() {
+	n.withLock(func() {
 		n.send(group, ready.Messages)
 		failure = n.core.Persisted(n.Now(), group, ready)
-		n.push()
+		n.schedulePush()
 	})
 	if failure != nil {
 		return failure
@@ -98,20 +102,21 @@
 	return n.compact(group)
 }
 
-// save writes and syncs; while the disk is full it tries again, and the group goes on without this member.
+// save writes and syncs a batch. While the disk is full it retries, and the group continues without this member.
 func (n *keeperNode) save(group int, ready *agreement.Ready) error {
-	return whileFull(n.ctx, func() error { return n.disks[group].Save(ready) })
+	return retryWhileDiskFull(n.ctx, func() error { return n.disks[group].Save(ready) })
 }
 
-// compact replaces a group's log by a snapshot where it has grown; where there is no room for that, it is tried later.
+// compact replaces a group's log by a snapshot if the log has grown long enough. If the disk is too full for the snapshot,
+// it does nothing until compactionRetryInterval has passed.
 func (n *keeperNode) compact(group int) error {
-	if n.Now() < n.compactAfter[group] {
+	if n.Now() < n.nextCompaction[group] {
 		return nil
 	}
 	var stored agreement.Stored
 	var compacted bool
 	var err error
-	n.do(func() {
+	n.withLock(func() {
 		if n.disks[group].WantsCompaction(n.core.LogLength(group)) {
 			stored, compacted, err = n.core.Compact(group)
 		}
@@ -123,7 +128,7 @@
 	if !segment.IsFull(err) {
 		return err
 	}
-	log.WithError(err).WithField("group", group).Warn("the log is not replaced by a snapshot until there is room")
-	n.compactAfter[group] = n.Now() + compactPause
+	log.WithError(err).WithField("group", group).Warn("disk is full, log compaction postponed")
+	n.nextCompaction[group] = n.Now() + compactionRetryInterval
 	return nil
 }
--- a/internal/system/node/keeper_peers.go
+++ b/internal/system/node/keeper_peers.go
@@ -11,13 +11,14 @@
 	"granitewing/internal/system/wire"
 )
 
-// Bounds of what is held for a peer.
+// Bounds of the queue of messages for a peer that is not connected yet.
 const (
-	holdAnswers = 200 * time.Millisecond // the one who asked goes on asking after a while
-	mostHeld    = 64
+	queuedAnswerTTL  = 200 * time.Millisecond // the peer repeats its request by then
+	maxQueuedPerPeer = 64
 )
 
-// send passes messages to other keepers; one that can't be reached misses them, which the group makes good.
+// send sends a group's messages to other keepers. Messages to a keeper without a connection are dropped, and the group's
+// replication resends what is needed. Batches with a response are queued instead, see queueForPeer.
 func (n *keeperNode) send(group int, messages []agreement.Message) {
 	byPeer := map[string][]agreement.Message{}
 	for _, message := range messages {
@@ -29,37 +30,39 @@
 		case peer == nil:
 		case peer.up:
 			peer.client.Push(wire.AgreementMessages, wire.Encode(&wire.AgreementBody{Group: group, Messages: batch}))
-		case answers(batch):
-			n.hold(address, heldMessages{group: group, messages: batch, until: n.Now() + holdAnswers})
+		case containsAnswer(batch):
+			n.queueForPeer(address, queuedMessages{group: group, messages: batch, expiresAt: n.Now() + queuedAnswerTTL})
 			peer.client.Hurry()
 		}
 	}
 }
 
-// heldMessages wait for the connection to one that has just been heard.
-type heldMessages struct {
-	group    int
-	messages []agreement.Message
-	until    time.Duration
+// queuedMessages is a batch that waits for the connection to a peer from which a request has just arrived.
+type queuedMessages struct {
+	group     int
+	messages  []agreement.Message
+	expiresAt time.Duration
 }
 
-func (n *keeperNode) hold(address string, messages heldMessages) {
-	held := append(n.held[address], messages)
-	n.held[address] = held[max(0, len(held)-mostHeld):]
+// queueForPeer queues a batch until the peer is connected. Beyond maxQueuedPerPeer batches the oldest are dropped.
+func (n *keeperNode) queueForPeer(address string, messages queuedMessages) {
+	held := append(n.queued[address], messages)
+	n.queued[address] = held[max(0, len(held)-maxQueuedPerPeer):]
 }
 
-// release sends what was held for a peer that is connected now.
-func (n *keeperNode) release(address string) {
-	for _, held := range n.held[address] {
-		if n.Now() <= held.until {
+// sendQueued sends the unexpired batches that were queued for a peer, which is connected now.
+func (n *keeperNode) sendQueued(address string) {
+	for _, held := range n.queued[address] {
+		if n.Now() <= held.expiresAt {
 			n.send(held.group, held.messages)
 		}
 	}
-	delete(n.held, address)
+	delete(n.queued, address)
 }
 
-// answers tells whether messages go to one that has just been heard, so that it must be there.
-func answers(messages []agreement.Message) bool {
+// containsAnswer reports whether a batch contains a response. A peer that is owed a response has just sent a request, so it
+// must be reachable.
+func containsAnswer(messages []agreement.Message) bool {
 	for _, message := range messages {
 		if message.Kind.IsAnswer() {
 			return true
@@ -68,34 +71,37 @@
 	return false
 }
 
-// frame takes a frame of a member or another keeper.
-func (n *keeperNode) frame(peer *link.Peer, frame wire.Frame) {
+// handleFrame passes a frame from a subscriber or another keeper to the core. A frame that cannot be decoded closes the
+// connection.
+func (n *keeperNode) handleFrame(peer *link.Peer, frame wire.Frame) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	err := n.core.Handle(n.Now(), n.subscriber(peer), frame.Kind, frame.Payload, peer.Answerer(frame.Call))
+	err := n.core.Handle(n.Now(), n.subscriberFor(peer), frame.Kind, frame.Payload, peer.Answerer(frame.Call))
 	if err != nil {
-		log.WithError(err).WithField("peer", peer.Remote()).Warn("peer's frame is unreadable")
+		log.WithError(err).WithField("peer", peer.Remote()).Warn("cannot decode frame from peer")
 		go peer.Close()
 	}
-	n.after()
+	n.dispatchReady()
 }
 
-func (n *keeperNode) closed(peer *link.Peer) {
-	n.do(func() {
-		if number, known := n.members[peer]; known {
+// handleClosed removes the subscriber of a closed connection.
+func (n *keeperNode) handleClosed(peer *link.Peer) {
+	n.withLock(func() {
+		if number, known := n.subscribers[peer]; known {
 			n.core.Unsubscribe(number)
-			delete(n.members, peer)
-			delete(n.byNumber, number)
+			delete(n.subscribers, peer)
+			delete(n.peersBySubscriber, number)
 		}
 	})
 }
 
-func (n *keeperNode) subscriber(peer *link.Peer) keeper.Subscriber {
-	if number, known := n.members[peer]; known {
+// subscriberFor returns the subscriber number of a connection and assigns one on first use.
+func (n *keeperNode) subscriberFor(peer *link.Peer) keeper.Subscriber {
+	if number, known := n.subscribers[peer]; known {
 		return number
 	}
-	n.last++
-	n.members[peer] = n.last
-	n.byNumber[n.last] = peer
-	return n.last
+	n.lastSubscriber++
+	n.subscribers[peer] = n.lastSubscriber
+	n.peersBySubscriber[n.lastSubscriber] = peer
+	return n.lastSubscriber
 }
--- a/internal/system/node/loop.go
+++ b/internal/system/node/loop.go
@@ -1,4 +1,11 @@
-// Package node runs the system's roles on a real machine: sockets, files, clocks, signals, logs.
+// Package node runs the system's roles on a real machine. The roles' logic is in the packages under
+// internal/system/role, which open no sockets and read no clocks themselves; this package provides sockets, files, clocks,
+// timers, settings and logs.
+//
+// RunCarrier, RunKeeper and RunStore each run one role of one process until a context is cancelled. Each role has an event
+// loop: a mutex under which its core, its timers and its network events run one at a time. Blocking work, such as disk
+// syncs and HTTP requests, runs on goroutines outside the mutex and reports back under it. The core of a store is the
+// exception: one goroutine owns it together with the message log.
 package node
 
 import (
@@ -13,18 +20,18 @@
 	"granitewing/internal/system/wire"
 )
 
-// timer is a callback at a time.
+// timer calls a callback at a time of the loop's clock. Timers of the same time run in the order of their sequence numbers.
 type timer struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	sequence uint64
+	callback func()
 }
 
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
@@ -36,201 +43,208 @@
 	return last
 }
 
-// runner is the loop of one role: everything that touches the role's state runs under its mutex, one after the other.
-type runner struct {
-	mutex  sync.Mutex
-	start  time.Time
-	timers timerHeap
-	order  uint64
-	alarm  *time.Timer
-	due    time.Duration // when the alarm is set for; 0 while it is not
+// eventLoop serializes the work of one role: everything that touches the role's state runs under its mutex. It implements
+// loop.Loop and loop.Peers with the real clock and real connections.
+type eventLoop struct {
+	mutex        sync.Mutex
+	start        time.Time
+	timers       timerHeap
+	lastSequence uint64
+	wakeup       *time.Timer
+	wakeupAt     time.Duration // the time that wakeup is set for; 0 while it is not set
 
 	clients map[string]*peerClient
 	events  peerEvents
 }
 
-// peerEvents are a role's handlers, called under the mutex.
+// peerEvents holds a role's handlers for events of outbound connections, called under the mutex. Any of them may be nil.
 type peerEvents struct {
 	up   func(address string)
 	down func(address string)
 	push func(address string, frame wire.Frame)
 }
 
+// peerClient is the connection to a peer and whether it is up.
 type peerClient struct {
 	client *link.Client
 	up     bool
 }
 
-func newRunner() *runner {
-	r := &runner{start: time.Now(), clients: map[string]*peerClient{}}
-	r.alarm = time.AfterFunc(time.Hour, r.fire)
-	r.alarm.Stop()
-	return r
+func newEventLoop() *eventLoop {
+	l := &eventLoop{start: time.Now(), clients: map[string]*peerClient{}}
+	l.wakeup = time.AfterFunc(time.Hour, l.runDueTimers)
+	l.wakeup.Stop()
+	return l
 }
 
-// do runs something under the mutex.
-func (r *runner) do(something func()) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	something()
+// withLock runs a function under the mutex.
+func (l *eventLoop) withLock(critical func()) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	critical()
 }
 
-// follow takes changed settings until the process ends.
-func (r *runner) follow(changes <-chan *settings.Settings, take func(changed *settings.Settings)) {
+// watchSettings applies changed settings under the mutex until the channel is closed.
+func (l *eventLoop) watchSettings(changes <-chan *settings.Settings, apply func(changed *settings.Settings)) {
 	for changed := range changes {
-		r.do(func() { take(changed) })
+		l.withLock(func() { apply(changed) })
 	}
 }
 
 // Now implements loop.Loop.
-func (r *runner) Now() time.Duration { return time.Since(r.start) }
+func (l *eventLoop) Now() time.Duration { return time.Since(l.start) }
 
 // Wall implements loop.Loop.
-func (r *runner) Wall() int64 { return time.Now().UnixMilli() }
+func (l *eventLoop) Wall() int64 { return time.Now().UnixMilli() }
 
 // Random implements loop.Loop.
-func (r *runner) Random(n int64) int64 {
+func (l *eventLoop) Random(n int64) int64 {
 	if n <= 0 {
 		return 0
 	}
 	return rand.Int64N(n)
 }
 
-// After implements loop.Loop; it is called under the mutex.
-func (r *runner) After(wait time.Duration, do func()) {
-	at := r.Now() + max(wait, 0)
-	r.order++
-	heap.Push(&r.timers, timer{at: at, order: r.order, do: do})
-	r.setAlarm()
+// After implements loop.Loop. It must be called under the mutex, and so is do.
+func (l *eventLoop) After(wait time.Duration, do func()) {
+	at := l.Now() + max(wait, 0)
+	l.lastSequence++
+	heap.Push(&l.timers, timer{at: at, sequence: l.lastSequence, callback: do})
+	l.scheduleWakeup()
 }
 
-// alarmGrain gathers timers that are close to each other into one wake-up.
-const alarmGrain = time.Millisecond
+// timerGranularity is how much earlier than the pending wakeup a timer must be due to move that wakeup. Timers that are
+// close to each other share one wakeup.
+const timerGranularity = time.Millisecond
 
-func (r *runner) setAlarm() {
-	if len(r.timers) == 0 {
+// scheduleWakeup sets the wakeup for the first timer, unless one is set early enough.
+func (l *eventLoop) scheduleWakeup() {
+	if len(l.timers) == 0 {
 		return
 	}
-	first := r.timers[0].at
-	if r.due != 0 && r.due <= first+alarmGrain {
+	first := l.timers[0].at
+	if l.wakeupAt != 0 && l.wakeupAt <= first+timerGranularity {
 		return
 	}
-	r.due = first
-	r.alarm.Reset(max(0, first-r.Now()))
-}
-
-func (r *runner) fire() {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.due = 0
-	now := r.Now()
-	for len(r.timers) > 0 && r.timers[0].at <= now {
-		next := heap.Pop(&r.timers).(timer)
-		next.do()
+	l.wakeupAt = first
+	l.wakeup.Reset(max(0, first-l.Now()))
+}
+
+// runDueTimers runs when the wakeup fires.
+func (l *eventLoop) runDueTimers() {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.wakeupAt = 0
+	now := l.Now()
+	for len(l.timers) > 0 && l.timers[0].at <= now {
+		next := heap.Pop(&l.timers).(timer)
+		next.callback()
 	}
-	r.setAlarm()
+	l.scheduleWakeup()
 }
 
-// Up implements loop.Peers; it is called under the mutex.
-func (r *runner) Up(address string) bool {
-	peer := r.clients[address]
+// Up implements loop.Peers. It must be called under the mutex.
+func (l *eventLoop) Up(address string) bool {
+	peer := l.clients[address]
 	return peer != nil && peer.up
 }
 
-// Break implements loop.Peers; it is called under the mutex.
-func (r *runner) Break(address string) {
-	if peer := r.clients[address]; peer != nil {
+// Break implements loop.Peers. It must be called under the mutex.
+func (l *eventLoop) Break(address string) {
+	if peer := l.clients[address]; peer != nil {
 		go peer.client.Break()
 	}
 }
 
-// Connect implements loop.Peers; it is called under the mutex.
-func (r *runner) Connect(addresses []string) {
+// Connect implements loop.Peers. It must be called under the mutex.
+func (l *eventLoop) Connect(addresses []string) {
 	wanted := map[string]bool{}
 	for _, address := range addresses {
 		wanted[address] = true
-		if r.clients[address] == nil && address != "" {
-			r.open(address)
+		if l.clients[address] == nil && address != "" {
+			l.openClient(address)
 		}
 	}
-	for address, peer := range r.clients {
+	for address, peer := range l.clients {
 		if !wanted[address] {
-			delete(r.clients, address)
+			delete(l.clients, address)
 			go peer.client.Close()
 		}
 	}
 }
 
-func (r *runner) open(address string) {
+// openClient starts a client for an address. Its events are ignored once the address has another client or none.
+func (l *eventLoop) openClient(address string) {
 	peer := &peerClient{}
-	r.clients[address] = peer
-	locked := func(event func()) {
-		r.do(func() {
-			if r.clients[address] == peer {
+	l.clients[address] = peer
+	whileCurrent := func(event func()) {
+		l.withLock(func() {
+			if l.clients[address] == peer {
 				event()
 			}
 		})
 	}
 	peer.client = link.NewClient(address, link.Events{
 		Peers: func() (count int) {
-			r.do(func() { count = len(r.clients) })
+			l.withLock(func() { count = len(l.clients) })
 			return count
 		},
 		Up: func() {
-			locked(func() {
+			whileCurrent(func() {
 				peer.up = true
-				if r.events.up != nil {
-					r.events.up(address)
+				if l.events.up != nil {
+					l.events.up(address)
 				}
 			})
 		},
 		Down: func() {
-			locked(func() {
+			whileCurrent(func() {
 				peer.up = false
-				if r.events.down != nil {
-					r.events.down(address)
+				if l.events.down != nil {
+					l.events.down(address)
 				}
 			})
 		},
 		Push: func(frame wire.Frame) {
-			locked(func() {
-				if r.events.push != nil {
-					r.events.push(address, frame)
+			whileCurrent(func() {
+				if l.events.push != nil {
+					l.events.push(address, frame)
 				}
 			})
 		},
 	})
 }
 
-// Call implements loop.Peers; it is called under the mutex.
-func (r *runner) Call(address string, kind wire.Kind, payload []byte, timeout time.Duration, done func([]byte, error)) {
-	answered := false
+// Call implements loop.Peers. It must be called under the mutex. A call that finds no connection fails with
+// link.ClosedError, one without a response within the timeout with loop.TimeoutError.
+func (l *eventLoop) Call(address string, kind wire.Kind, payload []byte, timeout time.Duration, done func([]byte, error)) {
+	finished := false
 	finish := func(payload []byte, err error) {
-		if answered {
+		if finished {
 			return
 		}
-		answered = true
+		finished = true
 		done(payload, err)
 	}
-	peer := r.clients[address]
+	peer := l.clients[address]
 	if peer == nil || !peer.up {
-		r.After(0, func() { finish(nil, &link.ClosedError{Peer: address}) })
+		l.After(0, func() { finish(nil, &link.ClosedError{Peer: address}) })
 		return
 	}
-	r.After(timeout, func() { finish(nil, &loop.TimeoutError{Peer: address}) })
+	l.After(timeout, func() { finish(nil, &loop.TimeoutError{Peer: address}) })
 	client := peer.client
-	// The client may answer at once where the connection has just broken, and then from this very goroutine.
-	inside := true
-	var early func()
+	// If the connection has just broken, the client may call back synchronously, on this goroutine, which holds the mutex.
+	insideCall := true
+	var deferred func()
 	client.Call(kind, payload, func(payload []byte, err error) {
-		if inside {
-			early = func() { finish(payload, err) }
+		if insideCall {
+			deferred = func() { finish(payload, err) }
 			return
 		}
-		r.do(func() { finish(payload, err) })
+		l.withLock(func() { finish(payload, err) })
 	})
-	inside = false
-	if early != nil {
-		r.After(0, early)
+	insideCall = false
+	if deferred != nil {
+		l.After(0, deferred)
 	}
 }
--- a/internal/system/node/operators.go
+++ b/internal/system/node/operators.go
@@ -17,8 +17,8 @@
 	"granitewing/internal/system/session"
 )
 
-// serveOperators serves the operator's API at the control address.
-func (n *keeperNode) serveOperators() (*http.Server, error) {
+// serveOperatorAPI serves the operators' HTTP API at the control address.
+func (n *keeperNode) serveOperatorAPI() (*http.Server, error) {
 	e := newEcho()
 	e.POST("/-/Config.Replace", n.replaceConfiguration)
 	e.GET("/-/Config.Get", n.getConfiguration)
@@ -35,21 +35,22 @@
 	versionHeader         = "X-Base-Version"
 )
 
-// StatusPath is where a keeper tells what it knows.
+// StatusPath is the path on a keeper's control address that responds with keeper.Status as JSON.
 const StatusPath = "/-/status"
 
 func (n *keeperNode) getStatus(c echo.Context) error {
 	var status keeper.Status
-	n.do(func() { status = n.core.Status(n.Now()) })
+	n.withLock(func() { status = n.core.Status(n.Now()) })
 	return c.JSON(http.StatusOK, &status)
 }
 
-type problem struct {
+// errorResponse is the JSON body of error responses, to clients and operators alike.
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// outcome is how an operator's call went, handed from the loop to the call's goroutine.
-type outcome struct {
+// operatorResult is the result of an operator's request, passed from the event loop to the request's goroutine.
+type operatorResult struct {
 	raw []byte
 	err error
 }
@@ -57,111 +58,116 @@
 func (n *keeperNode) replaceConfiguration(c echo.Context) error {
 	base, err := strconv.ParseUint(c.Request().Header.Get(versionHeader), 10, 64)
 	if err != nil && c.Request().Header.Get(versionHeader) != "" {
-		return c.JSON(http.StatusBadRequest, &problem{Error: versionHeader + " is no number"})
+		return c.JSON(http.StatusBadRequest, &errorResponse{Error: versionHeader + " is not a number"})
 	}
 	raw, err := readBody(c.Request(), maxConfigurationBytes)
 	if err != nil {
-		return c.JSON(http.StatusBadRequest, &problem{Error: err.Error()})
+		return c.JSON(http.StatusBadRequest, &errorResponse{Error: err.Error()})
 	}
-	result := n.ask(func(done func(outcome)) {
+	result := n.awaitResult(func(done func(operatorResult)) {
 		order := configuration.Order{Base: base, Raw: raw}
-		n.core.Replace(n.Now(), order, func(err error) { done(outcome{err: err}) })
+		n.core.Replace(n.Now(), order, func(err error) { done(operatorResult{err: err}) })
 	})
-	return n.answerOperator(c, result)
+	return n.writeResult(c, result)
 }
 
 func (n *keeperNode) getConfiguration(c echo.Context) error {
-	result := n.ask(func(done func(outcome)) {
-		n.core.Read(n.Now(), func(raw []byte, err error) { done(outcome{raw: raw, err: err}) })
+	result := n.awaitResult(func(done func(operatorResult)) {
+		n.core.Read(n.Now(), func(raw []byte, err error) { done(operatorResult{raw: raw, err: err}) })
 	})
-	return n.answerOperator(c, result)
+	return n.writeResult(c, result)
 }
 
-func (n *keeperNode) ask(begin func(done func(outcome))) outcome {
-	answered := make(chan outcome, 1)
+// awaitResult starts an operation under the mutex and waits for its first result. Without a result within the
+// acknowledgement timeout it returns keeper.LostError: the operation may still take effect.
+func (n *keeperNode) awaitResult(start func(done func(operatorResult))) operatorResult {
+	results := make(chan operatorResult, 1)
 	var once sync.Once
-	n.do(func() {
-		begin(func(result outcome) { once.Do(func() { answered <- result }) })
-		n.after()
+	n.withLock(func() {
+		start(func(result operatorResult) { once.Do(func() { results <- result }) })
+		n.dispatchReady()
 	})
 	select {
-	case result := <-answered:
+	case result := <-results:
 		return result
 	case <-time.After(n.settings.Bounds.Ack):
-		return outcome{err: &keeper.LostError{}}
+		return operatorResult{err: &keeper.LostError{}}
 	}
 }
 
-func (n *keeperNode) answerOperator(c echo.Context, result outcome) error {
+// writeResult responds to an operator. It redirects to the leader's control address if this keeper does not lead.
+func (n *keeperNode) writeResult(c echo.Context, result operatorResult) error {
 	var invalid *configuration.InvalidError
 	var conflict *configuration.ConflictError
 	var notLeader *agreement.NotLeaderError
 	var unknown *session.UnknownMachineError
 	var tooFew *session.TooFewError
-	var emptied *session.AlreadyEmptiedError
+	var alreadyDrained *session.AlreadyEmptiedError
 	switch {
 	case errors.As(result.err, &unknown):
-		return c.JSON(http.StatusNotFound, &problem{Error: result.err.Error()})
-	case errors.As(result.err, &tooFew), errors.As(result.err, &emptied):
-		return c.JSON(http.StatusConflict, &problem{Error: result.err.Error()})
+		return c.JSON(http.StatusNotFound, &errorResponse{Error: result.err.Error()})
+	case errors.As(result.err, &tooFew), errors.As(result.err, &alreadyDrained):
+		return c.JSON(http.StatusConflict, &errorResponse{Error: result.err.Error()})
 	case result.err == nil && result.raw != nil:
 		return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, bytes.Clone(result.raw))
 	case result.err == nil && c.Request().Method == http.MethodGet:
-		return c.JSON(http.StatusServiceUnavailable, &problem{Error: "no configuration yet"})
+		return c.JSON(http.StatusServiceUnavailable, &errorResponse{Error: "no configuration yet"})
 	case result.err == nil:
 		return c.JSON(http.StatusOK, &struct{}{})
 	case errors.As(result.err, &invalid):
-		return c.JSON(http.StatusBadRequest, &problem{Error: result.err.Error()})
+		return c.JSON(http.StatusBadRequest, &errorResponse{Error: result.err.Error()})
 	case errors.As(result.err, &conflict):
-		return c.JSON(http.StatusPreconditionFailed, &problem{Error: result.err.Error()})
+		return c.JSON(http.StatusPreconditionFailed, &errorResponse{Error: result.err.Error()})
 	case errors.As(result.err, &notLeader) && notLeader.Leader != "" && notLeader.Leader != n.address():
 		location := "http://" + n.settings.ControlAddress(notLeader.Leader) + c.Request().URL.RequestURI()
 		return c.Redirect(http.StatusTemporaryRedirect, location)
 	}
-	return c.JSON(http.StatusServiceUnavailable, &problem{Error: result.err.Error()})
+	return c.JSON(http.StatusServiceUnavailable, &errorResponse{Error: result.err.Error()})
 }
 
-// startRetirement has a machine's disks emptied. The deadline is the operator's to watch: the emptying goes on past it.
+// startRetirement starts draining a machine's disks. Draining has no deadline here: it is up to the operator to watch one,
+// and the drain continues past it.
 func (n *keeperNode) startRetirement(c echo.Context) error {
 	node := c.Param("node")
-	result := n.ask(func(done func(outcome)) {
-		n.core.RetireMachine(n.Now(), node, func(err error) { done(outcome{err: err}) })
+	result := n.awaitResult(func(done func(operatorResult)) {
+		n.core.RetireMachine(n.Now(), node, func(err error) { done(operatorResult{err: err}) })
 	})
 	if result.err == nil {
-		log.WithField("machine", node).Info("a machine is being emptied")
+		log.WithField("machine", node).Info("machine retirement started")
 	}
-	return n.answerOperator(c, result)
+	return n.writeResult(c, result)
 }
 
-// cancelRetirement has a machine stay that is being emptied, or waits for it.
+// cancelRetirement keeps a machine that is being drained or waits to be drained.
 func (n *keeperNode) cancelRetirement(c echo.Context) error {
 	node := c.Param("node")
-	result := n.ask(func(done func(outcome)) {
-		n.core.CancelRetirement(n.Now(), node, func(err error) { done(outcome{err: err}) })
+	result := n.awaitResult(func(done func(operatorResult)) {
+		n.core.CancelRetirement(n.Now(), node, func(err error) { done(operatorResult{err: err}) })
 	})
 	if result.err == nil {
-		log.WithField("machine", node).Info("a machine is not emptied any more: it stays")
+		log.WithField("machine", node).Info("machine retirement cancelled")
 	}
-	return n.answerOperator(c, result)
+	return n.writeResult(c, result)
 }
 
-type retirementForm struct {
+// retirementResponse is the JSON response to a query for a retirement; Phase is "running" or "succeeded".
+type retirementResponse struct {
 	Phase string `json:"phase"`
 }
 
 func (n *keeperNode) getRetirement(c echo.Context) error {
 	var retired bool
-	result := n.ask(func(done func(outcome)) {
-		n.core.Retired(n.Now(), c.Param("node"), func(emptied bool, err error) {
-			retired = emptied
-			done(outcome{err: err})
+	result := n.awaitResult(func(done func(operatorResult)) {
+		n.core.Retired(n.Now(), c.Param("node"), func(drained bool, err error) {
+			retired = drained
+			done(operatorResult{err: err})
 		})
 	})
 	switch {
 	case result.err != nil:
-		return n.answerOperator(c, result)
+		return n.writeResult(c, result)
 	case retired:
-		return c.JSON(http.StatusOK, &retirementForm{Phase: "succeeded"})
+		return c.JSON(http.StatusOK, &retirementResponse{Phase: "succeeded"})
 	}
-	return c.JSON(http.StatusOK, &retirementForm{Phase: "running"})
+	return c.JSON(http.StatusOK, &retirementResponse{Phase: "running"})
 }
--- a/internal/system/node/store.go
+++ b/internal/system/node/store.go
@@ -20,77 +20,80 @@
 	"granitewing/internal/system/wire"
 )
 
-// storeCall is a frame that waits for the store's goroutine.
+// storeCall is a call that waits for the goroutine that owns the core.
 type storeCall struct {
 	peer  *link.Peer
 	frame wire.Frame
 }
 
-// storeNode runs a store: one goroutine owns the core and the log, so that what gathers while it syncs goes into the
-// next batch.
+// storeNode runs a store core in this process. One goroutine owns the core and the log, so that the calls that arrive
+// during a sync are batched into the next write. The membership session and the repair of replicas run in the event loop.
 type storeNode struct {
-	*runner
-	settings *settings.Settings
-	core     *store.Core
-	log      *segment.Log
-	calls    chan storeCall
-	session  *member.Client
-	filler   *store.Filler
-	work     chan func() // things for the goroutine that owns the core
-	parts    chan filledPart
-	roster   atomic.Pointer[roster]
+	*eventLoop
+	settings      *settings.Settings
+	core          *store.Core
+	log           *segment.Log
+	calls         chan storeCall
+	session       *member.Client
+	backfiller    *store.Filler
+	coreTasks     chan func() // functions to run on the goroutine that owns the core
+	backfillParts chan backfillPart
+	rosterState   atomic.Pointer[rosterState]
 
-	complete     atomic.Bool  // as the core is, for the filler
-	waitingParts atomic.Int32 // parts of a filling that don't lie on the disk
-	unwritten    int32        // those of them that the core has taken
+	complete      atomic.Bool  // copy of the core's state for the backfiller
+	pendingParts  atomic.Int32 // backfill parts that are not synced yet
+	unsyncedParts int32        // pending parts that the core has taken
 
-	repeats   uint64        // runs after a success that were logged
-	fullUntil time.Duration // no write is tried before
+	loggedRepeats uint64        // number of repeated runs that were already logged
+	nextWriteAt   time.Duration // earliest time of the next write after the disk was full
 }
 
-// roster is what the goroutine that owns the core has to know of the roster of disks.
-type roster struct {
+// rosterState is the part of the roster of disks that the goroutine that owns the core needs.
+type rosterState struct {
 	epoch     uint64
-	uncounted bool // this disk is in the roster and doesn't count
+	nonVoting bool // this disk is in the roster and does not count toward the write quorum
 }
 
+// Bounds of the store's connections, queues and log.
 const (
-	maxStorePeers    = 2048
-	maxWaitingCalls  = 8192
-	maxCallsInBatch  = 1024
-	storeSegmentSize = 8 << 20
-	storeIdle        = 500 * time.Millisecond
+	maxStorePeers       = 2048
+	maxQueuedCalls      = 8192
+	maxCallsPerBatch    = 1024
+	storeSegmentSize    = 8 << 20
+	maintenanceInterval = 500 * time.Millisecond
 )
 
-// RunStore runs a store until the context ends.
+// RunStore runs a store until ctx is cancelled, then writes what is pending and closes its membership session. It applies
+// the seeds of settings that arrive on changes. It returns an error when the log or the listener cannot be opened, or when
+// a write fails for another reason than lack of space.
 func RunStore(ctx context.Context, s *settings.Settings, changes <-chan *settings.Settings) error {
-	n := &storeNode{runner: newRunner(), settings: s, calls: make(chan storeCall, maxWaitingCalls),
-		parts: make(chan filledPart), work: make(chan func())}
-	if err := whileFull(ctx, n.open); err != nil {
-		return unlessStopped(ctx, err)
+	n := &storeNode{eventLoop: newEventLoop(), settings: s, calls: make(chan storeCall, maxQueuedCalls),
+		backfillParts: make(chan backfillPart), coreTasks: make(chan func())}
+	if err := retryWhileDiskFull(ctx, n.openLog); err != nil {
+		return ignoreCancellation(ctx, err)
 	}
 	server, err := link.Listen(s.StoreAddress(), maxStorePeers, func(peer *link.Peer, frame wire.Frame) {
 		select {
 		case n.calls <- storeCall{peer: peer, frame: frame}:
 		default:
-			peer.Refuse(frame.Call, wire.RefusalBody{Code: wire.Failed, Reason: "too many calls wait"})
+			peer.Refuse(frame.Call, wire.RefusalBody{Code: wire.Failed, Reason: "too many calls are queued"})
 		}
 	}, nil)
 	if err != nil {
 		return err
 	}
-	n.join()
-	go n.follow(changes, func(changed *settings.Settings) {
+	n.joinCluster()
+	go n.watchSettings(changes, func(changed *settings.Settings) {
 		s.Seeds = changed.Seeds
 		n.session.SetSeeds(s.SeedKeepers())
-		n.connect(n.session.View())
+		n.applyView(n.session.View())
 	})
 	known, pending := n.core.Counts()
 	log.WithFields(log.Fields{"messages": known, "pending": pending, "complete": n.core.Complete(),
-		"after": n.Now().Round(time.Millisecond).String()}).Info("store serves")
+		"after": n.Now().Round(time.Millisecond).String()}).Info("store is serving")
 	failure := make(chan error, 1)
 	stopped := make(chan struct{})
-	go n.own(stopped, failure)
+	go n.runCore(stopped, failure)
 	select {
 	case err := <-failure:
 		return err
@@ -98,16 +101,17 @@
 	}
 	server.Close()
 	close(stopped)
-	left := make(chan struct{}, 1)
-	n.do(func() { n.session.Close(func(error) { left <- struct{}{} }) })
+	sessionClosed := make(chan struct{}, 1)
+	n.withLock(func() { n.session.Close(func(error) { sessionClosed <- struct{}{} }) })
 	select {
-	case <-left:
+	case <-sessionClosed:
 	case <-time.After(300 * time.Millisecond):
 	}
 	return <-failure
 }
 
-func (n *storeNode) open() error {
+// openLog opens the message log, rebuilds the core from it and writes the records that a new disk starts with.
+func (n *storeNode) openLog() error {
 	folder, err := segment.OpenFolder(filepath.Join(n.settings.DataDir, "messages"))
 	if err != nil {
 		return err
@@ -122,16 +126,18 @@
 		return err
 	}
 	n.core.Start(n.settings.Bootstrap, member.NewIncarnation(n, n.settings.NodeName))
-	return n.flush()
+	return n.flushBatch()
 }
 
-// replay reads the whole log, without the collector's turns: what is read is kept, and the limit on memory stands.
+// replay reads the whole log with the garbage collector's pacing turned off, because what is read stays in memory anyway.
+// The memory limit still triggers collections.
 func (n *storeNode) replay() error {
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
 	return n.log.Replay(n.core.Load)
 }
 
-func (n *storeNode) join() {
+// joinCluster opens the membership session and starts the background repair tasks.
+func (n *storeNode) joinCluster() {
 	n.events = peerEvents{
 		up:   func(address string) { n.session.Up(address) },
 		down: func(address string) { n.session.Down(address) },
@@ -140,29 +146,31 @@
 	s := n.settings
 	self := session.Member{Incarnation: member.NewIncarnation(n, s.NodeName), Node: s.NodeName, Role: session.Store,
 		Zone: s.Zone, Address: s.StoreAddress(), Disk: n.core.Disk(), Founder: n.core.Founder()}
-	n.do(func() {
+	n.withLock(func() {
 		n.session = member.NewClient(n, n, s.SeedKeepers(), self, member.Events{
-			Changed: func(_, after *member.View) { n.connect(after) },
-			Keepers: func() { n.connect(n.session.View()) },
-			Fault:   func(err error) { log.WithError(err).Warn("feed is unreadable") },
+			Changed: func(_, after *member.View) { n.applyView(after) },
+			Keepers: func() { n.applyView(n.session.View()) },
+			Fault:   func(err error) { log.WithError(err).Warn("cannot decode feed update") },
 		})
-		n.filler = store.NewFiller(n, n.session, n.core.Disk(), &s.Tolerance, s.RepairRate())
-		emptier := store.NewEmptier(n, n.session, n.core.Disk(), &s.Tolerance, s.RepairRate())
-		asker := store.NewEndsAsker(n, n.session, n.core.Disk(), n.longPending, func(ends []message.End) {
-			go func() { n.work <- func() { n.core.Ends(ends, func() {}) } }()
+		n.backfiller = store.NewFiller(n, n.session, n.core.Disk(), &s.Tolerance, s.RepairRate())
+		drainer := store.NewEmptier(n, n.session, n.core.Disk(), &s.Tolerance, s.RepairRate())
+		outcomeRequester := store.NewEndsAsker(n, n.session, n.core.Disk(), n.longPending, func(ends []message.End) {
+			go func() { n.coreTasks <- func() { n.core.Ends(ends, func() {}) } }()
 		})
 		n.Connect(s.SeedKeepers())
 		n.session.Start()
-		emptier.Start()
-		asker.Start()
+		drainer.Start()
+		outcomeRequester.Start()
 	})
 }
 
-func (n *storeNode) connect(view *member.View) {
+// applyView applies a new view of the membership: it passes the roster to the core's goroutine and the view to the
+// backfiller, and connects to the keepers and to the other disks' stores.
+func (n *storeNode) applyView(view *member.View) {
 	addresses := append([]string(nil), n.session.Keepers()...)
 	own, known := view.Disks[n.core.Disk()]
-	n.roster.Store(&roster{epoch: view.Epoch, uncounted: known && !own.Counted})
-	n.filler.Follow(view)
+	n.rosterState.Store(&rosterState{epoch: view.Epoch, nonVoting: known && !own.Counted})
+	n.backfiller.Follow(view)
 	for id, other := range view.Disks {
 		if id != n.core.Disk() {
 			addresses = append(addresses, other.Member.Address)
@@ -171,9 +179,10 @@
 	n.Connect(addresses)
 }
 
-// flush writes, syncs and answers the batch that has gathered.
-func (n *storeNode) flush() error {
-	if n.Now() < n.fullUntil {
+// flushBatch writes and syncs the pending batch, then sends its responses. After the disk was full it does nothing until
+// diskFullRetryInterval has passed.
+func (n *storeNode) flushBatch() error {
+	if n.Now() < n.nextWriteAt {
 		return nil
 	}
 	batch := n.core.Take()
@@ -183,8 +192,8 @@
 		var full *segment.FullError
 		positions, err = n.log.Append(batch.Payloads...)
 		if errors.As(err, &full) {
-			n.fullUntil = n.Now() + fullPause
-			log.WithError(err).Error("nothing is taken until there is room")
+			n.nextWriteAt = n.Now() + diskFullRetryInterval
+			log.WithError(err).Error("disk is full, refusing new messages")
 			n.core.Full(batch)
 			return nil
 		}
@@ -197,84 +206,86 @@
 	}
 	n.core.Synced(n.Now(), batch, positions)
 	n.complete.Store(n.core.Complete())
-	n.waitingParts.Add(-n.unwritten)
-	n.unwritten = 0
+	n.pendingParts.Add(-n.unsyncedParts)
+	n.unsyncedParts = 0
 	return nil
 }
 
-// own owns the core: it handles what has come, then flushes, until it is stopped.
-func (n *storeNode) own(stopped <-chan struct{}, failure chan<- error) {
-	idle := time.NewTicker(storeIdle)
-	defer idle.Stop()
+// runCore runs on the goroutine that owns the core. It handles what has arrived, then flushes, until it is stopped. It
+// sends exactly one result to failure, which is nil after an orderly stop.
+func (n *storeNode) runCore(stopped <-chan struct{}, failure chan<- error) {
+	maintenance := time.NewTicker(maintenanceInterval)
+	defer maintenance.Stop()
 	for {
 		select {
 		case call := <-n.calls:
-			n.catchUp()
-			n.handle(call)
-			n.gather()
-		case part := <-n.parts:
-			n.catchUp()
+			n.updateCore()
+			n.handleCall(call)
+			n.handleQueuedCalls()
+		case part := <-n.backfillParts:
+			n.updateCore()
 			n.core.TakeCopy(part.messages)
 			if part.last {
 				n.core.CopyFinished()
-				log.Info("all that lay on too few disks was copied; complete from now on")
+				log.Info("backfill finished, the store is complete")
 			}
-			n.unwritten++
-		case do := <-n.work:
-			n.catchUp()
+			n.unsyncedParts++
+		case do := <-n.coreTasks:
+			n.updateCore()
 			do()
-		case <-idle.C:
-			n.catchUp()
+		case <-maintenance.C:
+			n.updateCore()
 			n.reportRepeats()
-			if err := n.clean(); err != nil {
+			if err := n.cleanSegments(); err != nil {
 				failure <- err
 				return
 			}
 		case <-stopped:
-			failure <- n.flush()
+			failure <- n.flushBatch()
 			return
 		}
-		if err := n.flush(); err != nil {
+		if err := n.flushBatch(); err != nil {
 			failure <- err
 			return
 		}
 	}
 }
 
-// catchUp tells the core the time and the roster.
-func (n *storeNode) catchUp() {
+// updateCore passes the current time and roster to the core.
+func (n *storeNode) updateCore() {
 	n.core.Time(n.Now())
-	if followed := n.roster.Load(); followed != nil {
-		n.core.Follow(followed.epoch, followed.uncounted)
+	if current := n.rosterState.Load(); current != nil {
+		n.core.Follow(current.epoch, current.nonVoting)
 	}
 }
 
-func (n *storeNode) gather() {
-	for range maxCallsInBatch {
+// handleQueuedCalls handles the calls that are already queued, so that they share a batch.
+func (n *storeNode) handleQueuedCalls() {
+	for range maxCallsPerBatch {
 		select {
 		case call := <-n.calls:
-			n.handle(call)
+			n.handleCall(call)
 		default:
 			return
 		}
 	}
 }
 
-// reportRepeats logs that messages have run again after a success. Each store that holds them logs it.
+// reportRepeats logs messages that ran again after a success. Every store that holds such a message logs it.
 func (n *storeNode) reportRepeats() {
 	repeats := n.core.Repeats()
-	if repeats.Count > n.repeats {
-		log.WithFields(log.Fields{"messages": repeats.Count - n.repeats, "latest": repeats.Latest}).Warn("messages ran again after a success")
+	if repeats.Count > n.loggedRepeats {
+		log.WithFields(log.Fields{"messages": repeats.Count - n.loggedRepeats, "latest": repeats.Latest}).Warn("messages ran again after a success")
 	}
-	n.repeats = repeats.Count
+	n.loggedRepeats = repeats.Count
 }
 
-// clean has old segments emptied, and removes those that are.
-func (n *storeNode) clean() error {
+// cleanSegments rewrites what is still needed of old segments and removes segments that hold nothing that is needed.
+func (n *storeNode) cleanSegments() error {
 	if err := n.core.Clean(n.log.Segments()); err != nil {
 		return err
 	}
-	if err := n.flush(); err != nil {
+	if err := n.flushBatch(); err != nil {
 		return err
 	}
 	for _, number := range n.core.Removable(n.log.Segments()) {
@@ -286,10 +297,12 @@
 	return nil
 }
 
-func (n *storeNode) handle(call storeCall) {
+// handleCall passes a call to the core, which responds once its batch is synced. A call that the core cannot begin is
+// refused.
+func (n *storeNode) handleCall(call storeCall) {
 	answerer := call.peer.Answerer(call.frame.Call)
 	if err := n.core.Handle(call.frame.Kind, call.frame.Payload, answerer); err != nil {
-		log.WithError(err).WithField("peer", call.peer.Remote()).Warn("call was not carried out")
+		log.WithError(err).WithField("peer", call.peer.Remote()).Warn("call failed")
 		answerer.Refuse(wire.RefusalBody{Code: wire.Failed, Reason: err.Error()})
 	}
 }
--- a/internal/system/node/store_repair.go
+++ b/internal/system/node/store_repair.go
@@ -5,31 +5,32 @@
 	"granitewing/internal/system/wire"
 )
 
-// filledPart is a part of another store's messages, on its way to the goroutine that owns the core.
-type filledPart struct {
+// backfillPart is a batch of copies of another store's messages for the goroutine that owns the core.
+type backfillPart struct {
 	messages []wire.CopiedMessage
 	last     bool
 }
 
-// Fill implements store.RepairEnvironment. Calls come under the mutex, and never more than the channel holds: the filler
-// asks each source for one part at a time, and for none while parts wait.
+// Fill implements store.RepairEnvironment. It is called under the mutex. The number of waiting goroutines is bounded,
+// because the backfiller requests one part at a time from each source, and none while parts are pending.
 func (n *storeNode) Fill(messages []wire.CopiedMessage, last bool) {
-	n.waitingParts.Add(1)
-	go func() { n.parts <- filledPart{messages: messages, last: last} }()
+	n.pendingParts.Add(1)
+	go func() { n.backfillParts <- backfillPart{messages: messages, last: last} }()
 }
 
-// askCore has the goroutine that owns the core ask it something; what ask gives is done under the mutex.
-func (n *storeNode) askCore(ask func(core *store.Core) (done func())) {
+// queryCore runs query on the goroutine that owns the core, and the function that query returns under the mutex.
+func (n *storeNode) queryCore(query func(core *store.Core) (done func())) {
 	go func() {
-		n.work <- func() {
-			done := ask(n.core)
-			go n.do(done)
+		n.coreTasks <- func() {
+			done := query(n.core)
+			go n.withLock(done)
 		}
 	}()
 }
 
+// longPending passes the ids of messages that have been pending for long to done.
 func (n *storeNode) longPending(done func(ids []string)) {
-	n.askCore(func(core *store.Core) func() {
+	n.queryCore(func(core *store.Core) func() {
 		ids := core.LongPending()
 		return func() { done(ids) }
 	})
@@ -37,7 +38,7 @@
 
 // Held implements store.RepairEnvironment.
 func (n *storeNode) Held(body wire.HeldBody, done func(wire.HeldAnswer)) {
-	n.askCore(func(core *store.Core) func() {
+	n.queryCore(func(core *store.Core) func() {
 		answer := core.Held(body)
 		return func() { done(answer) }
 	})
@@ -45,7 +46,7 @@
 
 // Copies implements store.RepairEnvironment.
 func (n *storeNode) Copies(ids []string, done func(wire.CopiesBody, error)) {
-	n.askCore(func(core *store.Core) func() {
+	n.queryCore(func(core *store.Core) func() {
 		copies, err := core.Copies(ids)
 		return func() { done(copies, err) }
 	})
@@ -53,7 +54,7 @@
 
 // Seal implements store.RepairEnvironment.
 func (n *storeNode) Seal(sealed bool, done func()) {
-	n.askCore(func(core *store.Core) func() {
+	n.queryCore(func(core *store.Core) func() {
 		core.Seal(sealed)
 		return done
 	})
@@ -63,7 +64,7 @@
 func (n *storeNode) Complete() bool { return n.complete.Load() }
 
 // Filling implements store.RepairEnvironment.
-func (n *storeNode) Filling() bool { return n.waitingParts.Load() > 0 }
+func (n *storeNode) Filling() bool { return n.pendingParts.Load() > 0 }
 
 // Report implements store.RepairEnvironment.
 func (n *storeNode) Report(event string, err error) { report(event, err) }
