--- a/cmd/granitewing-demo/main.go
+++ b/cmd/granitewing-demo/main.go
@@ -1,5 +1,5 @@
-// Command granitewing-demo runs the whole system on loopback with stand-ins, and shows a message accepted, delivered and
-// read back. Its argument is the built program.
+// Command granitewing-demo runs the whole system on loopback addresses with stand-ins for the workers, and shows how a
+// message is accepted, delivered and queried. Its argument is the path of the built granitewing-system program.
 package main
 
 import (
--- a/cmd/granitewing-system/main.go
+++ b/cmd/granitewing-system/main.go
@@ -1,4 +1,5 @@
-// Command granitewing-system is the whole ingest and dispatch service: one binary, with the role as its subcommand.
+// Command granitewing-system is the complete ingest and dispatch service. The first argument is a subcommand: the role to
+// run, or an operator's command.
 package main
 
 import (
--- a/cmd/granitewing-system/packages_test.go
+++ b/cmd/granitewing-system/packages_test.go
@@ -14,8 +14,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TestPackages compares the Debian packages that deploy/system.toml lists with those that own what a build with cgo and the
-// external linker runs and opens.
+// TestPackages compares the Debian packages listed in deploy/system.toml with the packages that own the files which a build
+// with cgo and the external linker runs and opens. It fails when a needed package is missing or a listed one is not needed.
 func TestPackages(t *testing.T) {
 	if _, err := exec.LookPath("dpkg"); err != nil {
 		t.Skip("not a Debian system")
@@ -33,23 +33,24 @@
 	if !slices.IsSorted(deploy.Packages) {
 		t.Error("the packages are not sorted")
 	}
-	reached := closure(t, deploy.Packages)
-	needed := owners(buildFiles(t))
+	installed := dependencyClosure(t, deploy.Packages)
+	needed := owningPackages(buildFiles(t))
 	for owner, file := range needed {
-		if !reached[owner] {
-			t.Errorf("%s of package %s is used, which is neither listed nor needed by a listed one", file, owner)
+		if !installed[owner] {
+			t.Errorf("%s is used, and its package %s is neither listed nor a dependency of a listed package", file, owner)
 		}
 	}
 	for _, listed := range deploy.Packages {
 		if _, used := needed[listed]; !used && listed != "ca-certificates" && listed != "binutils" {
-			t.Errorf("nothing of the listed package %s is used", listed)
+			t.Errorf("no file of the listed package %s is used", listed)
 		}
 	}
 	if len(needed) < 3 {
-		t.Errorf("only %v are found to be used: the test looks in the wrong place", needed)
+		t.Errorf("found only %v as used packages: the test looks in the wrong place", needed)
 	}
 }
 
+// output runs a program and returns its trimmed output.
 func output(t *testing.T, name string, arguments ...string) string {
 	t.Helper()
 	out, err := exec.Command(name, arguments...).CombinedOutput()
@@ -59,8 +60,8 @@
 	return strings.TrimSpace(string(out))
 }
 
-// closure gives packages and all that they depend on, as far as it is installed.
-func closure(t *testing.T, names []string) map[string]bool {
+// dependencyClosure returns the installed packages among the named ones and their direct and indirect dependencies.
+func dependencyClosure(t *testing.T, names []string) map[string]bool {
 	reached := map[string]bool{}
 	name := regexp.MustCompile(`^[a-z0-9][a-z0-9+.-]*`)
 	for queue := slices.Clone(names); len(queue) > 0; queue = queue[1:] {
@@ -72,7 +73,7 @@
 			if slices.Contains(names, queue[0]) {
 				t.Errorf("the listed package %s is not installed here", queue[0])
 			}
-			continue // virtual, or the alternative that is not installed
+			continue // a virtual package, or an alternative that is not installed
 		}
 		reached[queue[0]] = true
 		for _, dependency := range strings.FieldsFunc(string(out), func(r rune) bool { return r == ',' || r == '|' }) {
@@ -84,8 +85,8 @@
 	return reached
 }
 
-// buildFiles gives the files of the system that a build with cgo runs and opens: the compiler's and linker's programs, what they
-// link, and the headers that the standard library's C code includes.
+// buildFiles returns the system files that a build with cgo runs and opens: the programs of the compiler and linker, the
+// objects and libraries they link, and the headers that the standard library's C code includes.
 func buildFiles(t *testing.T) []string {
 	compiler, err := exec.LookPath("gcc")
 	if err != nil {
@@ -117,10 +118,10 @@
 	return files
 }
 
-// includes gives the lines that include the system's headers in the C code of the standard library's packages with cgo.
+// includes returns the #include lines for system headers in the C code of the standard library's cgo packages.
 func includes(t *testing.T) []string {
 	root := output(t, "go", "env", "GOROOT")
-	foreign := regexp.MustCompile(`_(darwin|windows|freebsd|netbsd|openbsd|dragonfly|solaris|aix|android|s390x|ppc64x?|arm64|arm|riscv64|mips.*|loong64|386|msan|asan)\.|_bsd|_unix_cgo_darwin|libresolv`)
+	otherPlatform := regexp.MustCompile(`_(darwin|windows|freebsd|netbsd|openbsd|dragonfly|solaris|aix|android|s390x|ppc64x?|arm64|arm|riscv64|mips.*|loong64|386|msan|asan)\.|_bsd|_unix_cgo_darwin|libresolv`)
 	line := regexp.MustCompile(`^#include <(.+)>`)
 	var found []string
 	for _, folder := range []string{"runtime/cgo", "net", "os/user"} {
@@ -130,7 +131,7 @@
 		}
 		for _, file := range files {
 			data, err := os.ReadFile(file)
-			if err != nil || foreign.MatchString(filepath.Base(file)) || strings.HasSuffix(file, "_test.go") {
+			if err != nil || otherPlatform.MatchString(filepath.Base(file)) || strings.HasSuffix(file, "_test.go") {
 				continue
 			}
 			for _, text := range strings.Split(string(data), "\n") {
@@ -145,27 +146,27 @@
 		}
 	}
 	if len(found) < 5 || runtime.GOOS != "linux" {
-		t.Fatalf("only %v are included", found)
+		t.Fatalf("found only %v as included headers", found)
 	}
 	return found
 }
 
-// owners gives the packages of files, each with one of its files.
-func owners(files []string) map[string]string {
+// owningPackages returns the packages that own the files, each with one of its files.
+func owningPackages(files []string) map[string]string {
 	var names []string
 	for _, file := range files {
 		names = append(names, file)
 		if path, err := filepath.EvalSymlinks(file); err == nil {
-			// Where /lib is a link to /usr/lib, a package may name either.
+			// If /lib is a symbolic link to /usr/lib, a package may list the file under either path.
 			names = append(names, path, strings.TrimPrefix(path, "/usr"))
 		}
 	}
 	slices.Sort(names)
-	// It fails where any of the names is of no package; the others are told all the same.
+	// dpkg exits with an error if no package owns one of the names, but still reports the others.
 	out, _ := exec.Command("dpkg", append([]string{"-S"}, slices.Compact(names)...)...).Output()
 	found := map[string]string{}
 	for _, line := range strings.Split(string(out), "\n") {
-		if packages, file, is := strings.Cut(line, ": "); is {
+		if packages, file, owned := strings.Cut(line, ": "); owned {
 			owner, _, _ := strings.Cut(packages, ":")
 			found[owner] = file
 		}
--- a/internal/system/demo/demo_suite_test.go
+++ b/internal/system/demo/demo_suite_test.go
@@ -18,7 +18,7 @@
 }
 
 var _ = Describe("The whole system on loopback", func() {
-	It("takes, delivers and tells of messages, and goes on when a machine is stopped", func(ctx context.Context) {
+	It("accepts, delivers and reports messages, also after a machine is stopped", func(ctx context.Context) {
 		folder := GinkgoT().TempDir()
 		binary := filepath.Join(folder, "granitewing")
 		built, err := exec.CommandContext(ctx, "go", "build", "-o", binary, "granitewing/cmd/granitewing-system").CombinedOutput()
@@ -35,7 +35,7 @@
 			}
 		})
 		Expect(Run(ctx, Options{Binary: binary, Folder: folder, Output: &output})).To(Succeed(), output.String())
-		for _, line := range []string{`message first-\d+ was accepted by edge-1`, "edge-2 tells of it: succeeded", "group +sessions +leader 127",
+		for _, line := range []string{`message first-\d+ was accepted by edge-1`, "edge-2 reports it as succeeded", "group +sessions +leader 127",
 			"storage-1 was stopped", `message second-\d+ was accepted by edge-2`, `ran it 1 time\(s\)`} {
 			Expect(output.String()).To(MatchRegexp(line))
 		}
--- a/internal/system/demo/processes.go
+++ b/internal/system/demo/processes.go
@@ -10,17 +10,17 @@
 	"granitewing/internal/system/settings"
 )
 
-// Shape of the system that is run.
+// Size and limits of the system.
 const (
-	machinesWithDisk = 3
-	edgeMachines     = 2
-	memoryMB         = 256
-	diskMB           = 64
-	files            = 1024
-	graceS           = 6
+	storageMachines = 3
+	edgeMachines    = 2
+	memoryMB        = 256
+	diskMB          = 64
+	maxFiles        = 1024
+	graceS          = 6
 )
 
-// machine is one of the system's machines, and the processes on it.
+// machine is one of the system's machines with its running processes.
 type machine struct {
 	loopback.Machine
 	processes []*process
@@ -30,10 +30,10 @@
 type process struct {
 	role    string
 	command *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{}
 }
 
-// start runs a role on a machine, with its log in the folder.
+// start starts a role's process on a machine; its output goes to the role's log file.
 func (m *machine) start(layout *loopback.Layout, binary, role string) error {
 	path, err := layout.WriteSettings(&m.Machine, role, true)
 	if err != nil {
@@ -50,29 +50,29 @@
 		output.Close()
 		return err
 	}
-	p := &process{role: role, command: command, ended: make(chan struct{})}
+	p := &process{role: role, command: command, exited: make(chan struct{})}
 	go func() {
 		command.Wait() //nolint:errcheck // how it ended is in its log
 		output.Close()
-		close(p.ended)
+		close(p.exited)
 	}()
 	m.processes = append(m.processes, p)
 	return nil
 }
 
-const stopWithin = 5 * time.Second
+const stopTimeout = 5 * time.Second
 
-// stop ends a machine's processes in order, or by force after a while.
+// stop terminates a machine's processes, and kills those that have not exited after stopTimeout.
 func (m *machine) stop() {
 	for _, p := range m.processes {
 		p.command.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
 	}
 	for _, p := range m.processes {
 		select {
-		case <-p.ended:
-		case <-time.After(stopWithin):
+		case <-p.exited:
+		case <-time.After(stopTimeout):
 			p.command.Process.Kill() //nolint:errcheck // it may have ended
-			<-p.ended
+			<-p.exited
 		}
 	}
 	m.processes = nil
--- a/internal/system/demo/standins.go
+++ b/internal/system/demo/standins.go
@@ -1,5 +1,6 @@
-// Package demo runs the whole system on loopback, with stand-ins for the platform's list of workers and for the workers
-// themselves, and shows a message accepted, delivered and read back.
+// Package demo runs the whole system as real processes on loopback addresses, with stand-ins for the workers and for the
+// platform's list of workers. Run shows how messages are accepted, delivered and queried, and that one storage machine may
+// stop.
 package demo
 
 import (
@@ -22,8 +23,10 @@
 	runs     map[string]int // by message
 }
 
-const workTime = 20 * time.Millisecond
+// processingTime is how long a worker takes to run a message.
+const processingTime = 20 * time.Millisecond
 
+// startWorker starts a worker on a free port. It returns StandInError if it cannot listen.
 func startWorker(id string) (*worker, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,25 +38,27 @@
 	return w, nil
 }
 
-func (w *worker) handle(answer http.ResponseWriter, request *http.Request) {
+// handle runs a message and signs its response. It rejects messages that are meant for another worker.
+func (w *worker) handle(response http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("X-Request-Id")
-	answer.Header().Set("X-Request-Id", id)
-	if meant := request.Header.Get("X-Expect-Instance"); meant != "" && meant != w.id {
-		answer.WriteHeader(http.StatusMisdirectedRequest)
+	response.Header().Set("X-Request-Id", id)
+	if expected := request.Header.Get("X-Expect-Instance"); expected != "" && expected != w.id {
+		response.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	if _, err := io.Copy(io.Discard, request.Body); err != nil {
 		return
 	}
-	time.Sleep(workTime)
+	time.Sleep(processingTime)
 	w.mutex.Lock()
 	w.runs[id]++
 	w.mutex.Unlock()
-	answer.Header().Set("X-Response-Signature", "done-by-"+w.id)
-	answer.WriteHeader(http.StatusOK)
+	response.Header().Set("X-Response-Signature", "done-by-"+w.id)
+	response.WriteHeader(http.StatusOK)
 }
 
-func (w *worker) ran(id string) int {
+// runCount returns how often the worker ran a message.
+func (w *worker) runCount(id string) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.runs[id]
@@ -65,6 +70,7 @@
 	server   *http.Server
 }
 
+// startPlatform starts a server that responds to every request with the list of workers.
 func startPlatform(service string, workers []*worker) (*platform, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,22 +86,24 @@
 		return nil, &StandInError{Name: "list of workers", Err: err}
 	}
 	p := &platform{listener: listener}
-	p.server = &http.Server{Handler: http.HandlerFunc(func(answer http.ResponseWriter, _ *http.Request) {
-		answer.Header().Set("Content-Type", "application/json")
-		answer.Write(body) //nolint:errcheck // the reader asks again
+	p.server = &http.Server{Handler: http.HandlerFunc(func(response http.ResponseWriter, _ *http.Request) {
+		response.Header().Set("Content-Type", "application/json")
+		response.Write(body) //nolint:errcheck // the client retries
 	})}
 	go p.server.Serve(listener) //nolint:errcheck // ends with the demo
 	return p, nil
 }
 
-// StandInError tells that a stand-in can't be started.
+// StandInError reports that a stand-in cannot be started. Name is the worker's id or "list of workers".
 type StandInError struct {
 	Name string
 	Err  error
 }
 
-func (e *StandInError) Error() string { return fmt.Sprintf("stand-in %s: %v", e.Name, e.Err) }
+func (e *StandInError) Error() string {
+	return fmt.Sprintf("cannot start stand-in for %s: %v", e.Name, e.Err)
+}
 
 func (e *StandInError) Unwrap() error { return e.Err }
 
-func zoneOf(i int) string { return fmt.Sprintf("zone-%c", 'a'+i%machinesWithDisk) }
+func zoneOf(i int) string { return fmt.Sprintf("zone-%c", 'a'+i%storageMachines) }
--- a/internal/system/loopback/layout.go
+++ b/internal/system/loopback/layout.go
@@ -1,5 +1,6 @@
-// Package loopback lays out the system's machines on this machine's loopback addresses: ports, settings files and a list of workers for
-// runs of the real program.
+// Package loopback prepares runs of the real program as a system of several machines on one host, where each Machine has
+// its own loopback address. FreePorts finds a port range, a Layout derives addresses and settings files from it, and
+// ListOfWorkers encodes the platform's list of workers.
 package loopback
 
 import (
@@ -12,38 +13,39 @@
 	"text/template"
 )
 
-// PortsOfRange is the number of ports of the range that roles use among each other.
+// PortsOfRange is the number of ports in the range for connections between roles.
 const PortsOfRange = 16
 
-// PortsOfMachine is the number of ports that a machine needs, those that are called from outside among them.
+// PortsOfMachine is the number of consecutive ports that a machine needs: PortsOfRange and the three ports for clients,
+// readiness checks and operators.
 const PortsOfMachine = PortsOfRange + 3
 
-// Machine is one machine: an address of its own.
+// Machine is a simulated machine with its own loopback address.
 type Machine struct {
 	Name string
 	IP   string
 	Zone string
 }
 
-// Layout is what all settings files of a system share.
+// Layout holds what the settings files of all machines of a system share.
 type Layout struct {
-	Folder    string // of settings files, data and logs, one folder a machine
-	FirstPort int    // the same on all machines
-	Cloud     string // address of the platform's list of workers
+	Folder    string // holds settings files, data and logs, in one folder per machine
+	FirstPort int    // first port of each machine
+	Cloud     string // host and port of the platform's discovery API
 	Seeds     []string
 	MemoryMB  int
 	DiskMB    int
-	Files     int // descriptors of a process
-	GraceS    int // of a stop, in seconds
+	Files     int // limit on file descriptors per process
+	GraceS    int // grace period of a graceful shutdown, in seconds
 }
 
-// Front is where a carrier of a machine takes clients.
+// Front returns the address where a machine's carrier serves clients.
 func (l *Layout) Front(m *Machine) string { return l.at(m, PortsOfRange) }
 
-// Ready is where a carrier tells whether it is ready.
+// Ready returns the address of a carrier's readiness check.
 func (l *Layout) Ready(m *Machine) string { return l.at(m, PortsOfRange+1) }
 
-// Control is where a keeper takes operators.
+// Control returns the address where a machine's keeper serves operators.
 func (l *Layout) Control(m *Machine) string { return l.at(m, PortsOfRange+2) }
 
 func (l *Layout) at(m *Machine, offset int) string {
@@ -80,7 +82,8 @@
 rate-per-s = 50
 `))
 
-type settingsForm struct {
+// settingsData is the input of settingsTemplate.
+type settingsData struct {
 	Layout      *Layout
 	Machine     *Machine
 	Role        string
@@ -89,7 +92,8 @@
 	Bootstrap   bool
 }
 
-// WriteSettings writes the settings file of a role on a machine, with its data folder, and gives the file's path.
+// WriteSettings writes the settings file of a role on a machine, creates the role's data folder and returns the file's path.
+// bootstrap is the setting that allows a role on an empty disk to start a new system.
 func (l *Layout) WriteSettings(m *Machine, role string, bootstrap bool) (string, error) {
 	quoted := make([]string, 0, len(l.Seeds))
 	for _, seed := range l.Seeds {
@@ -99,7 +103,7 @@
 	if err := os.MkdirAll(data, 0o755); err != nil {
 		return "", err
 	}
-	form := settingsForm{Layout: l, Machine: m, Role: role, LastPort: l.FirstPort + PortsOfRange - 1, Seeds: strings.Join(quoted, ", "),
+	form := settingsData{Layout: l, Machine: m, Role: role, LastPort: l.FirstPort + PortsOfRange - 1, Seeds: strings.Join(quoted, ", "),
 		Data: data, Bootstrap: bootstrap}
 	var text bytes.Buffer
 	if err := settingsTemplate.Execute(&text, &form); err != nil {
@@ -109,12 +113,12 @@
 	return path, os.WriteFile(path, text.Bytes(), 0o600)
 }
 
-// LogPath is where a role's output goes.
+// LogPath returns the path of the file for a role's output. The folder exists after WriteSettings.
 func (l *Layout) LogPath(m *Machine, role string) string {
 	return filepath.Join(l.Folder, m.Name, role+".log")
 }
 
-// Worker is one worker of the platform's list.
+// Worker is an entry of the platform's list of workers.
 type Worker struct {
 	ID       string `json:"id"`
 	Backend  string `json:"backend"`
@@ -125,7 +129,7 @@
 	Phase    string `json:"phase"`
 }
 
-// ListOfWorkers is the platform's answer that lists workers, all on one page.
+// ListOfWorkers encodes the response of the platform's discovery API with all workers on one page.
 func ListOfWorkers(workers []Worker) ([]byte, error) {
 	return json.Marshal(struct {
 		Instances []Worker `json:"instances"`
--- a/internal/system/loopback/loopback_test.go
+++ b/internal/system/loopback/loopback_test.go
@@ -21,10 +21,10 @@
 	}
 	defer listener.Close()
 	if portsFree([]string{other, taken}, from, PortsOfMachine) {
-		t.Error("a port is taken at one address, and the range is told as free")
+		t.Error("the range is reported free although a port is taken at one address")
 	}
 	if !portsFree([]string{other}, from, PortsOfMachine) {
-		t.Error("the range is free at the other address, and not told as free")
+		t.Error("the range is reported taken although it is free at the other address")
 	}
 }
 
--- a/internal/system/loopback/ports.go
+++ b/internal/system/loopback/ports.go
@@ -7,20 +7,21 @@
 	"strings"
 )
 
-// NoPortsError tells that no range of ports is free.
+// NoPortsError reports that FreePorts found no range that is free at all addresses.
 type NoPortsError struct{ Addresses []string }
 
 func (e *NoPortsError) Error() string {
-	return "no range of ports is free at " + strings.Join(e.Addresses, ", ")
+	return "no free port range at " + strings.Join(e.Addresses, ", ")
 }
 
-// FreePorts finds a range of ports for machines that is free at all of some addresses now. The search begins anywhere, since others
-// may look for ports at the same time.
+// FreePorts returns the first of PortsOfMachine consecutive ports that are currently free at all of the addresses. It
+// returns NoPortsError if there is no such range. The search starts at a random range because other processes may search
+// at the same time. Nothing reserves the ports.
 func FreePorts(addresses []string) (int, error) {
 	const first, ranges, step = 21000, 156, 64
-	begin := rand.IntN(ranges)
-	for turn := range ranges {
-		from := first + (begin+turn)%ranges*step
+	offset := rand.IntN(ranges)
+	for attempt := range ranges {
+		from := first + (offset+attempt)%ranges*step
 		if portsFree(addresses, from, PortsOfMachine) {
 			return from, nil
 		}
@@ -28,6 +29,7 @@
 	return 0, &NoPortsError{Addresses: addresses}
 }
 
+// portsFree reports whether count ports are free at all of the addresses.
 func portsFree(addresses []string, from, count int) bool {
 	for _, ip := range addresses {
 		for port := from; port < from+count; port++ {
