--- a/internal/system/soak/clients_test.go
+++ b/internal/system/soak/clients_test.go
@@ -16,34 +16,35 @@
 	"granitewing/internal/system/wire"
 )
 
-// Shape of the traffic.
+// Parameters of the traffic.
 const (
-	clientPause   = 25 * time.Millisecond // between two messages of one client, in the middle
-	clientWait    = 3 * time.Second
-	lossSlack     = 400 * time.Millisecond // after the last byte of a request, until which its carrier may not have read it
-	keysOfOrdered = 40
-	orderedHost   = "ordered.example"
-	freeHost      = "free.example"
-	pacedHost     = "paced.example"
-	calledHost    = "called.example" // its messages' ends are owed to the receiver
+	meanSendInterval = 25 * time.Millisecond // between two messages of one client
+	responseTimeout  = 3 * time.Second
+	unreadWindow     = 400 * time.Millisecond // how long after the client wrote it a request may be unread
+	orderingKeys     = 40
+	orderedHost      = "ordered.example"
+	freeHost         = "free.example"
+	pacedHost        = "paced.example"
+	callbackHost     = "called.example" // its messages require a callback to the receiver
 )
 
-// client sends messages over one connection for as long as that lasts, whatever its carrier is told to do, and then goes to another.
+// client sends messages over one connection, whatever happens to its carrier, until the connection fails or the carrier
+// closes it. Then it connects to a random carrier.
 type client struct {
-	rig        *rig
-	judge      *judge
+	cluster    *cluster
+	checker    *checker
 	random     *rand.Rand
 	name       string
-	receiver   string // URL of call-backs
+	receiver   string // callback URL
 	connection net.Conn
 	reader     *bufio.Reader
 	sent       int
 }
 
 func (c *client) run(stop <-chan struct{}) {
-	defer c.leave()
+	defer c.disconnect()
 	for {
-		pause := clientPause/2 + time.Duration(c.random.Int64N(int64(clientPause)))
+		pause := meanSendInterval/2 + time.Duration(c.random.Int64N(int64(meanSendInterval)))
 		select {
 		case <-stop:
 			return
@@ -57,8 +58,8 @@
 }
 
 func (c *client) connect() bool {
-	edge := c.rig.edges[c.random.IntN(len(c.rig.edges))]
-	connection, err := net.DialTimeout("tcp", edge.rig.layout.Front(&edge.Machine), 300*time.Millisecond)
+	edge := c.cluster.edges[c.random.IntN(len(c.cluster.edges))]
+	connection, err := net.DialTimeout("tcp", edge.cluster.layout.Front(&edge.Machine), 300*time.Millisecond)
 	if err != nil {
 		return false
 	}
@@ -66,18 +67,19 @@
 	return true
 }
 
-func (c *client) leave() {
+func (c *client) disconnect() {
 	if c.connection != nil {
 		c.connection.Close()
 		c.connection = nil
 	}
 }
 
-// send sends one message and reads its answer.
+// send sends one message and reads the response. A connection that fails before the response is a violation, unless the
+// carrier may have closed it without reading the request or a fault excuses it.
 func (c *client) send() {
 	c.sent++
 	id := fmt.Sprintf("%s-%d", c.name, c.sent)
-	host, key := c.kind()
+	host, key := c.chooseRoute()
 	body := bodyOf(id)
 	var text strings.Builder
 	fmt.Fprintf(&text, "POST /in/x HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: 1500\r\nContent-Length: %d\r\n", host, wire.HeaderRequestID, id,
@@ -85,16 +87,16 @@
 	if key != "" {
 		fmt.Fprintf(&text, "%s: %s\r\n", wire.HeaderOrderingKey, key)
 	}
-	called := host == calledHost
-	if called {
+	wantsCallback := host == callbackHost
+	if wantsCallback {
 		fmt.Fprintf(&text, "%s: %s\r\n", wire.HeaderCallback, c.receiver)
 	}
 	text.WriteString("\r\n" + body)
-	calmBefore := c.judge.inCalm()
-	c.judge.sent(id, key, called)
-	_ = c.connection.SetDeadline(time.Now().Add(clientWait))
+	strictBefore := c.checker.isStrict()
+	c.checker.sent(id, key, wantsCallback)
+	_ = c.connection.SetDeadline(time.Now().Add(responseTimeout))
 	if _, err := c.connection.Write([]byte(text.String())); err != nil {
-		c.leave()
+		c.disconnect()
 		return
 	}
 	written := time.Now()
@@ -103,34 +105,35 @@
 		_, err = io.Copy(io.Discard, response.Body)
 	}
 	if err != nil {
-		if calmBefore && c.judge.inCalm() && (!closedUnread(err) || time.Since(written) > lossSlack) {
-			c.judge.breaks("LOST", fmt.Sprintf("%s was sent whole and its connection ended without an answer %s later: %v", id,
+		if strictBefore && c.checker.isStrict() && (!maybeClosedUnread(err) || time.Since(written) > unreadWindow) {
+			c.checker.violation("LOST", fmt.Sprintf("%s was sent completely and its connection failed without a response %s later: %v", id,
 				time.Since(written), err))
 		}
-		c.leave()
+		c.disconnect()
 		return
 	}
 	if got := response.Header.Get(wire.HeaderRequestID); got != "" && got != id {
-		c.judge.breaks("MIXED", fmt.Sprintf("%s got the answer to %s", id, got))
+		c.checker.violation("MIXED", fmt.Sprintf("%s got the response to %s", id, got))
 	}
-	c.judge.answered(id, response.StatusCode)
+	c.checker.answered(id, response.StatusCode)
 	if response.Close {
-		c.leave()
+		c.disconnect()
 	}
 }
 
-// closedUnread tells of a connection that its carrier may have closed before it read the request.
-func closedUnread(err error) bool {
+// maybeClosedUnread reports whether an error may mean that the carrier closed the connection before it read the request.
+func maybeClosedUnread(err error) bool {
 	text := err.Error()
 	return strings.Contains(text, "EOF") || strings.Contains(text, "reset")
 }
 
-func (c *client) kind() (host, key string) {
+// chooseRoute draws a route by its host, with an ordering key for the ordered route.
+func (c *client) chooseRoute() (host, key string) {
 	switch c.random.IntN(4) {
 	case 0, 1:
-		return orderedHost, fmt.Sprintf("key-%d", c.random.IntN(keysOfOrdered))
+		return orderedHost, fmt.Sprintf("key-%d", c.random.IntN(orderingKeys))
 	case 2:
-		return calledHost, ""
+		return callbackHost, ""
 	}
 	if c.random.IntN(3) > 0 {
 		return freeHost, ""
@@ -138,16 +141,16 @@
 	return pacedHost, ""
 }
 
-// clients are all clients.
+// clients runs all clients, each on its own goroutine.
 type clients struct {
 	stopped chan struct{}
 	running sync.WaitGroup
 }
 
-func startClients(r *rig, j *judge, receiver string, count int, seed uint64) *clients {
+func startClients(cluster *cluster, checker *checker, receiver string, count int, seed uint64) *clients {
 	cs := &clients{stopped: make(chan struct{})}
 	for i := range count {
-		c := &client{rig: r, judge: j, random: rand.New(rand.NewPCG(seed, uint64(i))), name: fmt.Sprintf("c%d", i), receiver: receiver}
+		c := &client{cluster: cluster, checker: checker, random: rand.New(rand.NewPCG(seed, uint64(i))), name: fmt.Sprintf("c%d", i), receiver: receiver}
 		cs.running.Go(func() { c.run(cs.stopped) })
 	}
 	return cs
@@ -158,17 +161,18 @@
 	cs.running.Wait()
 }
 
-type stateForm struct {
+// messageState is a carrier's JSON response to a query for a message.
+type messageState struct {
 	Phase string `json:"phase"`
 	Stamp string `json:"stamp"`
 }
 
-// askState asks some carrier for a message's state; false where it does not know.
-func (r *rig) askState(id string, turn int) (stateForm, bool) {
-	var state stateForm
-	edge := r.edges[turn%len(r.edges)]
-	call := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := call.Get(fmt.Sprintf("http://%s/-/message/%s", edge.rig.layout.Front(&edge.Machine), url.PathEscape(id)))
+// queryState queries a carrier, chosen by attempt, for a message's state. It returns false if the carrier does not know it.
+func (c *cluster) queryState(id string, attempt int) (messageState, bool) {
+	var state messageState
+	edge := c.edges[attempt%len(c.edges)]
+	httpClient := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := httpClient.Get(fmt.Sprintf("http://%s/-/message/%s", edge.cluster.layout.Front(&edge.Machine), url.PathEscape(id)))
 	if err != nil {
 		return state, false
 	}
--- a/internal/system/soak/judge_test.go
+++ b/internal/system/soak/judge_test.go
@@ -6,275 +6,296 @@
 	"time"
 )
 
-// Windows of the rules.
+// Limits of the rules.
 const (
-	contact      = 4 * time.Second // a trouble excuses what it may have brought about for so long
-	failuresMost = 4               // that a route allows
-	budgetTimes  = 3
-	ceilingSpan  = 5 * time.Second
-	ceilingOver  = 1.1
-	ceilingSlack = 5
-	maxBroken    = 200
+	excuseWindow  = 4 * time.Second // an unplanned fault excuses its possible effects for this long after it ends
+	maxFailures   = 4               // failed runs after which a message of any route is a dead letter
+	budgetFactor  = 3               // a message may fail up to this multiple of maxFailures and run again
+	rateWindow    = 5 * time.Second // over which the rate of the rate-limited service is counted
+	rateTolerance = 1.1             // factor over the configured rate that is still allowed
+	rateSlack     = 5               // additional arrivals that are allowed in a window
+	maxViolations = 200             // that are kept with their text
 )
 
-// record is what the outside saw of a message.
+// record is what clients, workers and the receiver observed of a message.
 type record struct {
-	id       string
-	key      string
-	sent     time.Time
-	accepted time.Time // when its client had read the 202; zero before
-	refused  bool
-	runs     int
-	failures int
-	ended    time.Time
-	stamps   map[string]bool
-	callback bool // its end is owed to the receiver
-	told     int  // call-backs that the receiver took
+	id            string
+	key           string
+	sent          time.Time
+	accepted      time.Time // when the client had read the 202 response; zero before
+	refused       bool
+	runs          int
+	failures      int
+	completed     time.Time
+	stamps        map[string]bool
+	wantsCallback bool // the receiver must get a callback
+	callbacks     int  // number of callbacks that the receiver accepted
 }
 
-// judge keeps what clients, workers and the operator saw, and says which rules that breaks.
-type judge struct {
-	mutex     sync.Mutex
-	records   map[string]*record
-	byKey     map[string][]*record // those that were sent and have not ended
-	trouble   time.Time            // until when a trouble excuses
-	endpoint  []time.Time          // arrivals at the service with a rate
-	broken    []string
-	counts    map[string]int // of broken rules, by rule
-	started   time.Time
-	repeated  int
-	allStamps int
+// checker records what clients, workers, the receiver and the operator observe, and which rules it violates. The rules:
+//
+//	LOST     a message, response or callback is lost
+//	MIXED    a response, stamp or callback does not belong to the message
+//	REFUSED  a refused message runs
+//	UNASKED  a message runs that was not sent, or with another key or body
+//	TWICE    a message runs again after a success
+//	BUDGET   a message runs after far more failures than its route allows
+//	ORDER    a message runs before an earlier one with the same key has completed
+//	CEILING  the rate-limited service receives more messages than its rate
+//	CONFIG   a configuration change is refused or lost
+//
+// TWICE, BUDGET and lost responses count only while no unplanned fault excuses them.
+type checker struct {
+	mutex            sync.Mutex
+	records          map[string]*record
+	openByKey        map[string][]*record // messages that were sent and have neither completed nor been refused
+	excusedUntil     time.Time            // end of the window in which unplanned faults excuse violations
+	endpointArrivals []time.Time          // recent arrivals at the rate-limited service
+	violations       []string
+	counts           map[string]int // violations by rule
+	started          time.Time
+	repeatedRuns     int
+	lastStamp        int
 }
 
-func newJudge() *judge {
-	return &judge{records: map[string]*record{}, byKey: map[string][]*record{}, counts: map[string]int{}, started: time.Now()}
+func newChecker() *checker {
+	return &checker{records: map[string]*record{}, openByKey: map[string][]*record{}, counts: map[string]int{}, started: time.Now()}
 }
 
-func (j *judge) breakRule(rule, what string) {
-	j.counts[rule]++
-	if len(j.broken) < maxBroken {
-		j.broken = append(j.broken, fmt.Sprintf("%.3f s %s: %s", time.Since(j.started).Seconds(), rule, what))
+// addViolation records a violation; the mutex must be held.
+func (c *checker) addViolation(rule, text string) {
+	c.counts[rule]++
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, fmt.Sprintf("%.3f s %s: %s", time.Since(c.started).Seconds(), rule, text))
 	}
 }
 
-// breaks notes a broken rule.
-func (j *judge) breaks(rule, what string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.breakRule(rule, what)
+// violation records a violation that another part of the test has found.
+func (c *checker) violation(rule, text string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.addViolation(rule, text)
 }
 
-// unplanned notes that something unplanned happens, and goes on for a while.
-func (j *judge) unplanned(lasts time.Duration) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if until := time.Now().Add(lasts + contact); until.After(j.trouble) {
-		j.trouble = until
+// excuse notes an unplanned fault of the given duration.
+func (c *checker) excuse(duration time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if until := time.Now().Add(duration + excuseWindow); until.After(c.excusedUntil) {
+		c.excusedUntil = until
 	}
 }
 
-func (j *judge) calm() bool { return time.Now().After(j.trouble) }
+// strict is isStrict with the mutex held.
+func (c *checker) strict() bool { return time.Now().After(c.excusedUntil) }
 
-// inCalm tells whether nothing unplanned has happened lately.
-func (j *judge) inCalm() bool {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	return j.calm()
+// isStrict reports whether no recent unplanned fault excuses violations.
+func (c *checker) isStrict() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.strict()
 }
 
-func (j *judge) sent(id, key string, callback bool) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	r := &record{id: id, key: key, callback: callback, sent: time.Now(), stamps: map[string]bool{}}
-	j.records[id] = r
+// sent records a message before its client sends it.
+func (c *checker) sent(id, key string, callback bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	r := &record{id: id, key: key, wantsCallback: callback, sent: time.Now(), stamps: map[string]bool{}}
+	c.records[id] = r
 	if key != "" {
-		j.byKey[key] = append(j.byKey[key], r)
+		c.openByKey[key] = append(c.openByKey[key], r)
 	}
 }
 
-func (j *judge) answered(id string, status int) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	r := j.records[id]
+// answered records the status of a client's response.
+func (c *checker) answered(id string, status int) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	r := c.records[id]
 	switch status {
 	case 202:
 		r.accepted = time.Now()
 	case 429, 503, 408, 421:
 		r.refused = true
 		if r.runs > 0 {
-			j.breakRule("REFUSED", id+" was refused and has run")
+			c.addViolation("REFUSED", id+" was refused and has already run")
 		}
-		j.forget(r)
+		c.removeOpen(r)
 	}
 }
 
-func (j *judge) began(id, key, service, body string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	r := j.records[id]
+// runStarted records that a worker starts to run a message, and checks that it may.
+func (c *checker) runStarted(id, key, service, body string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	r := c.records[id]
 	if r == nil || key != r.key || body != bodyOf(id) {
-		j.breakRule("UNASKED", id+" runs and was not sent so")
+		c.addViolation("UNASKED", id+" runs but was not sent with this key and body")
 		return
 	}
 	if r.refused {
-		j.breakRule("REFUSED", id+" was refused and runs")
+		c.addViolation("REFUSED", id+" was refused and runs")
 	}
 	if len(r.stamps) > 0 {
-		j.repeated++
-		if j.calm() {
-			j.breakRule("TWICE", id+" runs again after a success")
+		c.repeatedRuns++
+		if c.strict() {
+			c.addViolation("TWICE", id+" runs again after a success")
 		}
 	}
-	if r.failures > budgetTimes*failuresMost && j.calm() {
-		j.breakRule("BUDGET", fmt.Sprintf("%s runs again after %d failures", id, r.failures))
+	if r.failures > budgetFactor*maxFailures && c.strict() {
+		c.addViolation("BUDGET", fmt.Sprintf("%s runs again after %d failures", id, r.failures))
 	}
 	r.runs++
-	if service == serviceSlow {
-		j.arrived()
+	if service == serviceRateLimited {
+		c.endpointArrived()
 	}
-	j.checkOrder(r)
+	c.checkOrder(r)
 }
 
-// checkOrder sees that all messages of the key that were accepted before this one was sent have ended.
-func (j *judge) checkOrder(r *record) {
-	if r.key == "" || !r.ended.IsZero() {
+// checkOrder checks that all messages of the same key that were accepted before this one was sent have completed.
+func (c *checker) checkOrder(r *record) {
+	if r.key == "" || !r.completed.IsZero() {
 		return
 	}
-	for _, other := range j.byKey[r.key] {
-		if other != r && other.ended.IsZero() && !other.accepted.IsZero() && other.accepted.Before(r.sent) {
-			j.breakRule("ORDER", fmt.Sprintf("%s begins before %s has ended", r.id, other.id))
+	for _, other := range c.openByKey[r.key] {
+		if other != r && other.completed.IsZero() && !other.accepted.IsZero() && other.accepted.Before(r.sent) {
+			c.addViolation("ORDER", fmt.Sprintf("%s starts before %s has completed", r.id, other.id))
 		}
 	}
 }
 
-func (j *judge) arrived() {
+// endpointArrived checks the rate of the rate-limited service over a sliding window.
+func (c *checker) endpointArrived() {
 	now := time.Now()
-	j.endpoint = append(j.endpoint, now)
-	for now.Sub(j.endpoint[0]) > ceilingSpan {
-		j.endpoint = j.endpoint[1:]
+	c.endpointArrivals = append(c.endpointArrivals, now)
+	for now.Sub(c.endpointArrivals[0]) > rateWindow {
+		c.endpointArrivals = c.endpointArrivals[1:]
 	}
 	rate := float64(endpointRate)
-	if most := int(rate*ceilingSpan.Seconds()*ceilingOver) + ceilingSlack; len(j.endpoint) > most {
-		j.breakRule("CEILING", fmt.Sprintf("%d arrivals at the endpoint within %s", len(j.endpoint), ceilingSpan))
+	if limit := int(rate*rateWindow.Seconds()*rateTolerance) + rateSlack; len(c.endpointArrivals) > limit {
+		c.addViolation("CEILING", fmt.Sprintf("%d arrivals at the endpoint within %s", len(c.endpointArrivals), rateWindow))
 	}
 }
 
-func (j *judge) succeeded(id string) (stamp string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.allStamps++
-	stamp = fmt.Sprintf("stamp-%s-%d", id, j.allStamps)
-	if r := j.records[id]; r != nil {
+// succeeded records a successful run and returns a stamp that is unique to it.
+func (c *checker) succeeded(id string) (stamp string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.lastStamp++
+	stamp = fmt.Sprintf("stamp-%s-%d", id, c.lastStamp)
+	if r := c.records[id]; r != nil {
 		r.stamps[stamp] = true
-		j.end(r)
+		c.complete(r)
 	}
 	return stamp
 }
 
-func (j *judge) failed(id string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if r := j.records[id]; r != nil {
-		if r.failures++; r.failures >= failuresMost {
-			j.end(r)
+// failed records a failed run. After maxFailures of them the message has completed as a dead letter.
+func (c *checker) failed(id string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if r := c.records[id]; r != nil {
+		if r.failures++; r.failures >= maxFailures {
+			c.complete(r)
 		}
 	}
 }
 
-func (j *judge) end(r *record) {
-	if r.ended.IsZero() {
-		r.ended = time.Now()
-		j.forget(r)
+func (c *checker) complete(r *record) {
+	if r.completed.IsZero() {
+		r.completed = time.Now()
+		c.removeOpen(r)
 	}
 }
 
-// forget takes a message out of its key's, which others are held against.
-func (j *judge) forget(r *record) {
-	open := j.byKey[r.key]
+// removeOpen removes a message from the open ones of its key, which checkOrder compares others with.
+func (c *checker) removeOpen(r *record) {
+	open := c.openByKey[r.key]
 	for i, other := range open {
 		if other == r {
-			j.byKey[r.key] = append(open[:i:i], open[i+1:]...)
+			c.openByKey[r.key] = append(open[:i:i], open[i+1:]...)
 			return
 		}
 	}
 }
 
-// told judges a state that a carrier tells of a message.
-func (j *judge) told(id, phase, stamp string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	r := j.records[id]
+// stateReported checks the state that a carrier reports for a message.
+func (c *checker) stateReported(id, phase, stamp string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	r := c.records[id]
 	switch {
 	case phase == "succeeded" && !r.stamps[stamp]:
-		j.breakRule("MIXED", id+" is told as succeeded with a stamp of no run")
-	case phase == "dead_letter" && r.ended.IsZero():
-		j.breakRule("LOST", id+" is told as dead and has not ended")
+		c.addViolation("MIXED", id+" is reported as succeeded with a stamp that no run returned")
+	case phase == "dead_letter" && r.completed.IsZero():
+		c.addViolation("LOST", id+" is reported as a dead letter and has not completed")
 	}
 }
 
-// calledBack judges a call-back.
-func (j *judge) calledBack(form callbackForm) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	r := j.records[form.ID]
+// callbackReceived checks a callback that the receiver accepted.
+func (c *checker) callbackReceived(body callbackBody) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	r := c.records[body.ID]
 	switch {
-	case r == nil || !r.callback:
-		j.breakRule("MIXED", form.ID+" is called back and asked for none")
+	case r == nil || !r.wantsCallback:
+		c.addViolation("MIXED", body.ID+" has a callback that was not requested")
 		return
-	case form.Phase == "succeeded" && !r.stamps[form.Stamp]:
-		j.breakRule("MIXED", form.ID+" is called back with a stamp of no run")
-	case form.Phase != "succeeded" && r.ended.IsZero():
-		j.breakRule("MIXED", form.ID+" is called back as "+form.Phase+" and has not ended")
+	case body.Phase == "succeeded" && !r.stamps[body.Stamp]:
+		c.addViolation("MIXED", body.ID+" has a callback with a stamp that no run returned")
+	case body.Phase != "succeeded" && r.completed.IsZero():
+		c.addViolation("MIXED", body.ID+" has a callback with phase "+body.Phase+" and has not completed")
 	}
-	r.told++
+	r.callbacks++
 }
 
-// untold gives the ids of what was accepted and has ended, and whose call-back the receiver has not got.
-func (j *judge) untold() []string {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+// missingCallbacks returns the ids of accepted and completed messages whose required callback has not arrived.
+func (c *checker) missingCallbacks() []string {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var found []string
-	for id, r := range j.records {
-		if r.callback && !r.accepted.IsZero() && !r.ended.IsZero() && r.told == 0 {
+	for id, r := range c.records {
+		if r.wantsCallback && !r.accepted.IsZero() && !r.completed.IsZero() && r.callbacks == 0 {
 			found = append(found, id)
 		}
 	}
 	return found
 }
 
-// calls counts the call-backs that came, and those that were not the first of their message.
-func (j *judge) calls() (came, again int) {
-	for _, r := range j.records {
-		came += r.told
-		again += max(0, r.told-1)
+// countCallbacks counts all callbacks, and those that were not the first of their message. The mutex must be held.
+func (c *checker) countCallbacks() (received, repeated int) {
+	for _, r := range c.records {
+		received += r.callbacks
+		repeated += max(0, r.callbacks-1)
 	}
-	return came, again
+	return received, repeated
 }
 
-// accepted gives the ids of what was accepted, and of these the ones that have not ended.
-func (j *judge) accepted() (all, open []string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	for id, r := range j.records {
+// accepted returns the ids of all accepted messages, and of those among them that have not completed.
+func (c *checker) accepted() (all, open []string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for id, r := range c.records {
 		if r.accepted.IsZero() {
 			continue
 		}
 		all = append(all, id)
-		if r.ended.IsZero() {
+		if r.completed.IsZero() {
 			open = append(open, id)
 		}
 	}
 	return all, open
 }
 
-// summary gives the figures of a run.
-func (j *judge) summary() string {
-	all, open := j.accepted()
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	came, again := j.calls()
-	return fmt.Sprintf("%d sent, %d accepted, %d of them open, %d runs repeated, %d call-backs and %d of them again, broken %v", len(j.records), len(all),
-		len(open), j.repeated, came, again, j.counts)
+// summary returns the figures of a run for the log.
+func (c *checker) summary() string {
+	all, open := c.accepted()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	received, repeated := c.countCallbacks()
+	return fmt.Sprintf("%d sent, %d accepted, %d of them open, %d runs after a success, %d callbacks, %d of them repeated, violations %v", len(c.records), len(all),
+		len(open), c.repeatedRuns, received, repeated, c.counts)
 }
 
+// bodyOf returns the body of a message, which contains its id.
 func bodyOf(id string) string { return "body of " + id }
--- a/internal/system/soak/machines_test.go
+++ b/internal/system/soak/machines_test.go
@@ -13,50 +13,51 @@
 	"granitewing/internal/system/settings"
 )
 
-// Shape of the machines.
+// Size and limits of the machines.
 const (
-	memoryMB     = 284
-	diskMB       = 200
-	files        = 8000
-	graceS       = 5
-	seedsMost    = 3
-	addressesOf  = 200 // of one kind in one network of addresses
-	restartPause = 200 * time.Millisecond
+	memoryMB           = 284
+	diskMB             = 200
+	maxFiles           = 8000
+	graceS             = 5
+	maxSeeds           = 3
+	addressesPerSubnet = 200 // machines of one kind per 127.x.y.0/24 network
+	restartDelay       = 200 * time.Millisecond
 )
 
-// machine is one of the system's machines, and its roles' processes.
+// machine is one of the system's machines with its roles' processes.
 type machine struct {
 	loopback.Machine
-	rig   *rig
-	roles []string
+	cluster *cluster
+	roles   []string
 
 	mutex     sync.Mutex
-	processes map[string]*process // by role, those that run
-	ended     bool                // none is started any more
+	processes map[string]*process // running ones, by role
+	stopped   bool                // no process is started any more
 }
 
 // process is one running process of the program.
 type process struct {
 	command *exec.Cmd
-	gone    chan struct{}
+	exited  chan struct{}
 }
 
-// start starts a role's process. One that ends is started again after a pause, as the platform does.
+// start starts a role's process unless it runs. A process that exits is restarted after restartDelay, as the platform
+// would do.
 func (m *machine) start(role string, bootstrap bool) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.ended || m.processes[role] != nil {
+	if m.stopped || m.processes[role] != nil {
 		return nil
 	}
-	path, err := m.rig.layout.WriteSettings(&m.Machine, role, bootstrap)
+	path, err := m.cluster.layout.WriteSettings(&m.Machine, role, bootstrap)
 	if err != nil {
 		return err
 	}
-	output, err := os.OpenFile(m.rig.layout.LogPath(&m.Machine, role), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	output, err := os.OpenFile(m.cluster.layout.LogPath(&m.Machine, role), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	command := exec.Command(m.rig.binary, role)
+	command := exec.Command(m.cluster.binary, role)
 	command.Env = append(os.Environ(), settings.PathVariable+"="+path)
 	command.Stdout, command.Stderr = output, output
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -64,40 +65,41 @@
 		output.Close()
 		return err
 	}
-	p := &process{command: command, gone: make(chan struct{})}
+	p := &process{command: command, exited: make(chan struct{})}
 	m.processes[role] = p
-	m.rig.running.Add(1)
+	m.cluster.running.Add(1)
 	go m.watch(role, p, output)
 	return nil
 }
 
+// watch waits for a process to exit and restarts its role.
 func (m *machine) watch(role string, p *process, output *os.File) {
-	defer m.rig.running.Done()
-	_ = p.command.Wait() // how it ended is in its log
+	defer m.cluster.running.Done()
+	_ = p.command.Wait() // the reason of its exit is in its log
 	output.Close()
 	m.mutex.Lock()
 	delete(m.processes, role)
 	m.mutex.Unlock()
-	close(p.gone)
-	time.Sleep(restartPause)
+	close(p.exited)
+	time.Sleep(restartDelay)
 	if err := m.start(role, false); err != nil {
-		m.rig.failure(err)
+		m.cluster.addFailure(err)
 	}
 }
 
-// signal sends a signal to a role's process, where it runs.
+// signal sends a signal to a role's process if it runs.
 func (m *machine) signal(role string, signal syscall.Signal) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if p := m.processes[role]; p != nil {
-		_ = p.command.Process.Signal(signal) // it may have ended
+		_ = p.command.Process.Signal(signal) // the process may have exited
 	}
 }
 
-// isReady asks a carrier whether it is ready.
+// isReady reports whether the machine's carrier passes its readiness check.
 func (m *machine) isReady() bool {
-	call := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := call.Get("http://" + m.rig.layout.Ready(&m.Machine) + "/-/ready")
+	httpClient := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := httpClient.Get("http://" + m.cluster.layout.Ready(&m.Machine) + "/-/ready")
 	if err != nil {
 		return false
 	}
@@ -105,23 +107,23 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// stop ends the machine's processes for good.
+// stop kills the machine's processes and waits for them; none is restarted.
 func (m *machine) stop() {
 	m.mutex.Lock()
-	m.ended = true
+	m.stopped = true
 	var left []*process
 	for _, p := range m.processes {
 		left = append(left, p)
 	}
 	m.mutex.Unlock()
 	for _, p := range left {
-		_ = p.command.Process.Kill() // it may have ended
-		<-p.gone
+		_ = p.command.Process.Kill() // the process may have exited
+		<-p.exited
 	}
 }
 
-// rig is the whole system, with stand-ins for all that is around it.
-type rig struct {
+// cluster is the system under test: all its machines and their common layout.
+type cluster struct {
 	binary  string
 	layout  loopback.Layout
 	edges   []*machine
@@ -132,46 +134,50 @@
 	failures []string
 }
 
-func (r *rig) failure(err error) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.failures = append(r.failures, err.Error())
+// addFailure records an error of the test itself, such as a process that cannot be started.
+func (c *cluster) addFailure(err error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.failures = append(c.failures, err.Error())
 }
 
-// lay gives the machines their names and addresses, and finds ports that are free at all of them. net is the second number of their
-// addresses, which sets runs beside each other apart.
-func (r *rig) lay(net, edges, storage int) error {
+// layOut creates the machines with their names and addresses, and finds ports that are free at all of them. net is the
+// second byte of their addresses; parallel runs use different ones.
+func (c *cluster) layOut(net, edges, storage int) error {
 	for i := range edges {
-		r.edges = append(r.edges, r.machine("edge", net, 1, i, "carrier"))
+		c.edges = append(c.edges, c.newMachine("edge", net, 1, i, "carrier"))
 	}
 	for i := range storage {
-		r.storage = append(r.storage, r.machine("storage", net, 2, i, "keeper", "store"))
+		c.storage = append(c.storage, c.newMachine("storage", net, 2, i, "keeper", "store"))
 	}
 	var addresses []string
-	for _, m := range r.machines() {
+	for _, m := range c.machines() {
 		addresses = append(addresses, m.IP)
 	}
 	ports, err := loopback.FreePorts(addresses)
 	if err != nil {
 		return err
 	}
-	r.layout.FirstPort = ports
-	for _, m := range r.storage[:min(seedsMost, len(r.storage))] {
-		r.layout.Seeds = append(r.layout.Seeds, r.layout.Control(&m.Machine))
+	c.layout.FirstPort = ports
+	for _, m := range c.storage[:min(maxSeeds, len(c.storage))] {
+		c.layout.Seeds = append(c.layout.Seeds, c.layout.Control(&m.Machine))
 	}
 	return nil
 }
 
-func (r *rig) machine(kind string, net, subnet, number int, roles ...string) *machine {
-	ip := fmt.Sprintf("127.%d.%d.%d", net, subnet+2*(number/addressesOf), 1+number%addressesOf)
+// newMachine returns a machine of a kind, which is "edge" or "storage".
+func (c *cluster) newMachine(kind string, net, subnet, number int, roles ...string) *machine {
+	ip := fmt.Sprintf("127.%d.%d.%d", net, subnet+2*(number/addressesPerSubnet), 1+number%addressesPerSubnet)
 	return &machine{Machine: loopback.Machine{Name: fmt.Sprintf("%s-%d", kind, number+1), IP: ip, Zone: fmt.Sprintf("zone-%c", 'a'+number%3)},
-		rig: r, roles: roles, processes: map[string]*process{}}
+		cluster: c, roles: roles, processes: map[string]*process{}}
 }
 
-func (r *rig) machines() []*machine { return append(append([]*machine(nil), r.storage...), r.edges...) }
+func (c *cluster) machines() []*machine {
+	return append(append([]*machine(nil), c.storage...), c.edges...)
+}
 
-func (r *rig) start() error {
-	for _, m := range r.machines() {
+func (c *cluster) start() error {
+	for _, m := range c.machines() {
 		for _, role := range m.roles {
 			if err := m.start(role, true); err != nil {
 				return err
@@ -181,11 +187,11 @@
 	return nil
 }
 
-func (r *rig) stop() {
+func (c *cluster) stop() {
 	var stopping sync.WaitGroup
-	for _, m := range r.machines() {
+	for _, m := range c.machines() {
 		stopping.Go(m.stop)
 	}
 	stopping.Wait()
-	r.running.Wait()
+	c.running.Wait()
 }
--- a/internal/system/soak/operator_test.go
+++ b/internal/system/soak/operator_test.go
@@ -12,38 +12,39 @@
 	"granitewing/internal/system/configuration"
 )
 
-// Times of the operator's calls.
+// Timing of the operator's requests.
 const (
-	orderPause = 150 * time.Millisecond
-	orderTries = 80
-	orderWait  = 2 * time.Second
+	operatorRetryInterval = 150 * time.Millisecond
+	maxOperatorAttempts   = 80
+	operatorTimeout       = 2 * time.Second
 )
 
-// operator changes the configuration, one change after the other; now and then two at once.
+// operator changes the configuration, one change at a time, and reads it back.
 type operator struct {
-	rig     *rig
-	judge   *judge
-	random  *rand.Rand
-	static  string // address of the endpoint
-	client  http.Client
-	mutex   sync.Mutex
-	version uint64
-	acked   uint64
-	changes int
+	cluster         *cluster
+	checker         *checker
+	random          *rand.Rand
+	endpointAddress string // address of the endpoint
+	client          http.Client
+	mutex           sync.Mutex
+	version         uint64
+	acknowledged    uint64
+	changes         int
 }
 
-func newOperator(r *rig, j *judge, seed uint64, static string) *operator {
-	return &operator{rig: r, judge: j, random: rand.New(rand.NewPCG(seed, 1<<32)), static: static,
-		client: http.Client{Timeout: orderWait, Transport: &http.Transport{DisableKeepAlives: true}}}
+func newOperator(cluster *cluster, checker *checker, seed uint64, endpointAddress string) *operator {
+	return &operator{cluster: cluster, checker: checker, random: rand.New(rand.NewPCG(seed, 1<<32)), endpointAddress: endpointAddress,
+		client: http.Client{Timeout: operatorTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// document is a configuration; ordered and free name the services of these routes.
+// document returns a configuration. ordered, free and paced name the services of the routes of these names; the callback
+// route uses that of free. The version determines how many unused routes it also has.
 func (o *operator) document(version uint64, ordered, free, paced string, timeout int) []byte {
 	route := func(host, service string, inOrder bool) string {
-		called := host == calledHost
+		wantsCallback := host == callbackHost
 		return fmt.Sprintf(`{"name":"%s","host":"%s","path-prefix":"/in/","kind":"async","timeout-ms":%d,"target-latency-ms":200,"priority":1,`+
 			`"backend":"%s","retries":%d,"ordered":%t,"retention-s":90,"callback-url":%t,"target-start-ms":1000}`,
-			host, host, timeout, service, failuresMost, inOrder, called)
+			host, host, timeout, service, maxFailures, inOrder, wantsCallback)
 	}
 	idle := ""
 	for i := range version % 4 {
@@ -52,40 +53,43 @@
 	return []byte(fmt.Sprintf(`{"resource-version":%d,"routes":[%s,%s,%s,%s%s],"services":[`+
 		`{"name":"one","max-connections":200,"rate-per-s":0,"static":null},{"name":"two","max-connections":200,"rate-per-s":0,"static":null},`+
 		`{"name":"endpoint","max-connections":60,"rate-per-s":%d,"static":"%s"}],"limits":{}}`,
-		version, route(orderedHost, ordered, true), route(freeHost, free, false), route(calledHost, free, false), route(pacedHost, paced, false), idle, endpointRate, o.static))
+		version, route(orderedHost, ordered, true), route(freeHost, free, false), route(callbackHost, free, false), route(pacedHost, paced, false), idle, endpointRate, o.endpointAddress))
 }
 
+// next returns a random configuration with a version above the last one.
 func (o *operator) next() []byte {
 	o.version += 1 + o.random.Uint64N(3)
-	lists := []string{serviceOne, serviceTwo}
-	paced := []string{serviceSlow, serviceSlow, serviceOne}[o.random.IntN(3)]
-	return o.document(o.version, lists[o.random.IntN(2)], lists[o.random.IntN(2)], paced, 900+o.random.IntN(400))
+	services := []string{serviceOne, serviceTwo}
+	paced := []string{serviceRateLimited, serviceRateLimited, serviceOne}[o.random.IntN(3)]
+	return o.document(o.version, services[o.random.IntN(2)], services[o.random.IntN(2)], paced, 900+o.random.IntN(400))
 }
 
-// change sends a change on top of the newest version until it is answered clearly; it tells whether it was taken.
+// change submits a configuration based on the last acknowledged version and retries until the outcome is clear. It reports
+// whether the change was accepted. A refusal is a violation.
 func (o *operator) change() bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	raw, version := o.next(), o.version
-	for turn := range orderTries {
-		status := o.order(raw, o.acked, turn)
+	for attempt := range maxOperatorAttempts {
+		status := o.replace(raw, o.acknowledged, attempt)
 		switch status {
 		case http.StatusOK:
-			o.acked = version
+			o.acknowledged = version
 			o.changes++
 			return true
 		case http.StatusPreconditionFailed, http.StatusBadRequest:
-			o.judge.breaks("CONFIG", fmt.Sprintf("version %d on top of %d is refused with %d", version, o.acked, status))
+			o.checker.violation("CONFIG", fmt.Sprintf("version %d based on %d is refused with status %d", version, o.acknowledged, status))
 			return false
 		}
-		time.Sleep(orderPause)
+		time.Sleep(operatorRetryInterval)
 	}
 	return false
 }
 
-func (o *operator) order(raw []byte, base uint64, turn int) int {
-	keeper := o.rig.storage[(turn+o.random.IntN(len(o.rig.storage)))%len(o.rig.storage)]
-	request, err := http.NewRequest(http.MethodPost, "http://"+o.rig.layout.Control(&keeper.Machine)+"/-/Config.Replace", bytes.NewReader(raw))
+// replace submits a configuration to one keeper and returns the HTTP status, 0 without a response.
+func (o *operator) replace(raw []byte, base uint64, attempt int) int {
+	keeper := o.cluster.storage[(attempt+o.random.IntN(len(o.cluster.storage)))%len(o.cluster.storage)]
+	request, err := http.NewRequest(http.MethodPost, "http://"+o.cluster.layout.Control(&keeper.Machine)+"/-/Config.Replace", bytes.NewReader(raw))
 	if err != nil {
 		return 0
 	}
@@ -99,19 +103,19 @@
 	return response.StatusCode
 }
 
-// read gives the version that some keeper tells as the newest; false where none does.
+// read returns the configuration version that a keeper reports as current. It returns false if none reports one.
 func (o *operator) read() (uint64, bool) {
-	for turn := range orderTries {
-		keeper := o.rig.storage[turn%len(o.rig.storage)]
-		response, err := o.client.Get("http://" + o.rig.layout.Control(&keeper.Machine) + "/-/Config.Get")
+	for attempt := range maxOperatorAttempts {
+		keeper := o.cluster.storage[attempt%len(o.cluster.storage)]
+		response, err := o.client.Get("http://" + o.cluster.layout.Control(&keeper.Machine) + "/-/Config.Get")
 		if err == nil {
-			raw, failure := io.ReadAll(response.Body)
+			raw, readErr := io.ReadAll(response.Body)
 			response.Body.Close()
-			if document, invalid := configuration.Parse(raw); failure == nil && invalid == nil && response.StatusCode == http.StatusOK {
+			if document, parseErr := configuration.Parse(raw); readErr == nil && parseErr == nil && response.StatusCode == http.StatusOK {
 				return document.Version, true
 			}
 		}
-		time.Sleep(orderPause)
+		time.Sleep(operatorRetryInterval)
 	}
 	return 0, false
 }
--- a/internal/system/soak/soak_test.go
+++ b/internal/system/soak/soak_test.go
@@ -1,8 +1,12 @@
-// Package soak plays the program as it is built, many real processes of it on loopback, with stand-ins for the platform, the workers and
-// the operator, through series of signals, ends and changes that overlap, and judges by what clients, workers and the operator saw.
+// Package soak runs many real processes of the built program on loopback addresses, with stand-ins for the platform, the
+// workers, the clients, the receiver of callbacks and the operator. A seeded schedule of overlapping signals, restarts and
+// configuration changes disturbs them. The verdict depends only on what the stand-ins observe.
 //
-// In CI one short run of each kind with a seed: of all that may happen, and of planned work alone. By hand SOAK_SEEDS runs follow from SOAK_FIRST, SOAK_BESIDE of them at a time, with SOAK_EDGES carriers,
-// SOAK_STORAGE machines with a disk, SOAK_CLIENTS clients and SOAK_SECONDS of traffic each.
+// CI runs one short run of each kind with a fixed seed: TestSoak with all kinds of faults, TestSoakPlanned with planned
+// work only. For longer runs set environment variables: SOAK_FIRST is the first seed, SOAK_SEEDS the number of seeds,
+// SOAK_BESIDE the number of parallel runs, SOAK_EDGES the number of carriers, SOAK_STORAGE that of storage machines,
+// SOAK_CLIENTS that of clients, and SOAK_SECONDS the duration of each run's traffic. SOAK_BINARY is a prebuilt program to
+// test instead of this tree.
 package soak
 
 import (
@@ -19,54 +23,58 @@
 	"granitewing/internal/system/loopback"
 )
 
-// Shape of the run in CI.
+// Parameters of the run in CI, and limits of every run.
 const (
-	usualEdges   = 6
-	usualStorage = 3
-	usualClients = 12
-	usualSeconds = 30
-	readyWithin  = 20 * time.Second
-	endedWithin  = 30 * time.Second
-	statesAsked  = 300
-	firstNet     = 40
+	defaultEdges      = 6
+	defaultStorage    = 3
+	defaultClients    = 12
+	defaultSeconds    = 30
+	readyTimeout      = 20 * time.Second
+	completionTimeout = 30 * time.Second
+	maxStateQueries   = 300
+	firstSubnet       = 40
 )
 
-func number(name string, otherwise int) int {
+// intFromEnv returns the integer in an environment variable, or the fallback.
+func intFromEnv(name string, fallback int) int {
 	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return value
 	}
-	return otherwise
+	return fallback
 }
 
-// TestSoak plays runs of all kinds of happenings.
-func TestSoak(t *testing.T) { soakSeeds(t, false) }
+// TestSoak guards against violations of the delivery rules under all kinds of faults.
+func TestSoak(t *testing.T) { runSeeds(t, false) }
 
-// TestSoakPlanned plays runs of planned work alone, where nothing excuses a second run of a message.
-func TestSoakPlanned(t *testing.T) { soakSeeds(t, true) }
+// TestSoakPlanned guards against violations during planned work alone, where nothing excuses that a message runs again
+// after a success.
+func TestSoakPlanned(t *testing.T) { runSeeds(t, true) }
 
-func soakSeeds(t *testing.T, planned bool) {
-	binary := builtProgram(t)
-	first, seeds, beside := number("SOAK_FIRST", 1), number("SOAK_SEEDS", 1), number("SOAK_BESIDE", 1)
+// runSeeds runs all seeds; each parallel run has its own network of addresses.
+func runSeeds(t *testing.T, planned bool) {
+	binary := buildProgram(t)
+	first, seeds, parallel := intFromEnv("SOAK_FIRST", 1), intFromEnv("SOAK_SEEDS", 1), intFromEnv("SOAK_BESIDE", 1)
 	var running sync.WaitGroup
-	turns := make(chan int, beside)
-	for place := range beside {
-		turns <- place
+	freeSlots := make(chan int, parallel)
+	for slot := range parallel {
+		freeSlots <- slot
 	}
 	for seed := first; seed < first+seeds; seed++ {
-		place := <-turns
+		slot := <-freeSlots
 		running.Go(func() {
-			defer func() { turns <- place }()
-			soak(t, binary, uint64(seed), firstNet+place, planned)
+			defer func() { freeSlots <- slot }()
+			runSeed(t, binary, uint64(seed), firstSubnet+slot, planned)
 		})
 	}
 	running.Wait()
 }
 
-// builtProgram gives the program: SOAK_BINARY, an earlier build to compare with, or the one of this tree.
-func builtProgram(t *testing.T) string {
+// buildProgram returns the path of the program: SOAK_BINARY, such as an earlier build to compare with, or a new build of
+// this tree.
+func buildProgram(t *testing.T) string {
 	t.Helper()
-	if earlier := os.Getenv("SOAK_BINARY"); earlier != "" {
-		return earlier
+	if prebuilt := os.Getenv("SOAK_BINARY"); prebuilt != "" {
+		return prebuilt
 	}
 	binary := filepath.Join(t.TempDir(), "granitewing")
 	if built, err := exec.Command("go", "build", "-o", binary, "granitewing/cmd/granitewing-system").CombinedOutput(); err != nil {
@@ -75,118 +83,120 @@
 	return binary
 }
 
-// soak plays one run.
-func soak(t *testing.T, binary string, seed uint64, net int, planned bool) {
+// runSeed runs one seed. It keeps the folder with the logs if a rule was violated.
+func runSeed(t *testing.T, binary string, seed uint64, net int, planned bool) {
 	folder, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
 		t.Error(err)
 		return
 	}
-	began := time.Now()
-	broken, summary := play(t, binary, folder, seed, net, planned)
-	t.Logf("seed %d: %s, %s", seed, summary, time.Since(began).Round(time.Second))
-	if len(broken) == 0 {
+	started := time.Now()
+	violations, summary := runScenario(t, binary, folder, seed, net, planned)
+	t.Logf("seed %d: %s, %s", seed, summary, time.Since(started).Round(time.Second))
+	if len(violations) == 0 {
 		os.RemoveAll(folder)
 		return
 	}
-	t.Errorf("seed %d breaks %d rules (logs in %s):\n%s", seed, len(broken), folder, strings.Join(broken[:min(len(broken), 20)], "\n"))
+	t.Errorf("seed %d: %d violations (logs in %s):\n%s", seed, len(violations), folder, strings.Join(violations[:min(len(violations), 20)], "\n"))
 }
 
-func play(t *testing.T, binary, folder string, seed uint64, net int, planned bool) (broken []string, summary string) {
-	j := newJudge()
-	ws, err := startWorkers(workersEach, j)
+// runScenario starts the cluster, runs the traffic and checks the result.
+func runScenario(t *testing.T, binary, folder string, seed uint64, net int, planned bool) (violations []string, summary string) {
+	checker := newChecker()
+	ws, err := startWorkers(workersPerService, checker)
 	if err != nil {
 		return []string{err.Error()}, "not started"
 	}
 	defer ws.stop()
-	receiver, err := startReceiver(j, seed)
+	receiver, err := startReceiver(checker, seed)
 	if err != nil {
 		return []string{err.Error()}, "not started"
 	}
 	defer receiver.stop()
-	r := &rig{binary: binary, layout: loopback.Layout{Folder: folder, Cloud: ws.address, MemoryMB: memoryMB, DiskMB: diskMB, Files: files, GraceS: graceS}}
-	if err := r.lay(net, number("SOAK_EDGES", usualEdges), number("SOAK_STORAGE", usualStorage)); err != nil {
+	cluster := &cluster{binary: binary, layout: loopback.Layout{Folder: folder, Cloud: ws.address, MemoryMB: memoryMB, DiskMB: diskMB, Files: maxFiles, GraceS: graceS}}
+	if err := cluster.layOut(net, intFromEnv("SOAK_EDGES", defaultEdges), intFromEnv("SOAK_STORAGE", defaultStorage)); err != nil {
 		return []string{err.Error()}, "not started"
 	}
-	defer r.stop()
-	if err := r.start(); err != nil {
+	defer cluster.stop()
+	if err := cluster.start(); err != nil {
 		return []string{err.Error()}, "not started"
 	}
-	o := newOperator(r, j, seed, ws.endpoint.listener.Addr().String())
-	if !o.change() || !r.ready(readyWithin) {
+	o := newOperator(cluster, checker, seed, ws.endpoint.listener.Addr().String())
+	if !o.change() || !cluster.waitReady(readyTimeout) {
 		return []string{"the system was not ready in time"}, "not ready"
 	}
-	traffic(r, j, o, receiver, seed, planned)
-	judgeEnd(r, j, o)
-	j.mutex.Lock()
-	broken = append(broken, j.broken...)
-	j.mutex.Unlock()
-	r.mutex.Lock()
-	broken = append(broken, r.failures...)
-	r.mutex.Unlock()
-	return broken, fmt.Sprintf("%s, %d changes, %d processes", j.summary(), o.changes, len(r.edges)+2*len(r.storage))
+	runTraffic(cluster, checker, o, receiver, seed, planned)
+	checkOutcome(cluster, checker, o)
+	checker.mutex.Lock()
+	violations = append(violations, checker.violations...)
+	checker.mutex.Unlock()
+	cluster.mutex.Lock()
+	violations = append(violations, cluster.failures...)
+	cluster.mutex.Unlock()
+	return violations, fmt.Sprintf("%s, %d changes, %d processes", checker.summary(), o.changes, len(cluster.edges)+2*len(cluster.storage))
 }
 
-// traffic has clients send while the chaos goes on; every third seed ends with the end of all processes at once.
-func traffic(r *rig, j *judge, o *operator, receiver *receiver, seed uint64, planned bool) {
-	cs := startClients(r, j, receiver.url(), number("SOAK_CLIENTS", usualClients), seed)
-	c := startChaos(r, j, o, seed, planned)
-	time.Sleep(time.Duration(number("SOAK_SECONDS", usualSeconds)) * time.Second)
+// runTraffic lets clients send while the chaos goes on. Every third seed ends by killing all processes at once.
+func runTraffic(cluster *cluster, checker *checker, o *operator, receiver *receiver, seed uint64, planned bool) {
+	cs := startClients(cluster, checker, receiver.url(), intFromEnv("SOAK_CLIENTS", defaultClients), seed)
+	c := startChaos(cluster, checker, o, seed, planned)
+	time.Sleep(time.Duration(intFromEnv("SOAK_SECONDS", defaultSeconds)) * time.Second)
 	c.stop()
 	if seed%3 == 0 {
-		c.everything()
-		time.Sleep(contact)
+		c.killAll()
+		time.Sleep(excuseWindow)
 	}
 	cs.stop()
-	receiver.hear()
+	receiver.endOutages()
 }
 
-// ready waits until most carriers are ready.
-func (r *rig) ready(within time.Duration) bool {
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+// waitReady waits until three quarters of the carriers are ready. It returns false after a timeout.
+func (c *cluster) waitReady(within time.Duration) bool {
+	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		count := 0
-		for _, m := range r.edges {
+		for _, m := range c.edges {
 			if m.isReady() {
 				count++
 			}
 		}
-		if 4*count >= 3*len(r.edges) {
+		if 4*count >= 3*len(c.edges) {
 			return true
 		}
 	}
 	return false
 }
 
-// judgeEnd waits until all that was accepted has ended and every call-back was made, and reads states and the configuration back.
-func judgeEnd(r *rig, j *judge, o *operator) {
-	for end := time.Now().Add(endedWithin); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-		if _, open := j.accepted(); len(open) == 0 && len(j.untold()) == 0 {
+// checkOutcome waits until all accepted messages have completed and all callbacks have arrived, then reads back message
+// states and the configuration.
+func checkOutcome(cluster *cluster, checker *checker, o *operator) {
+	for deadline := time.Now().Add(completionTimeout); time.Now().Before(deadline); time.Sleep(200 * time.Millisecond) {
+		if _, open := checker.accepted(); len(open) == 0 && len(checker.missingCallbacks()) == 0 {
 			break
 		}
 	}
-	for _, id := range j.untold() {
-		j.breaks("LOST", id+" has ended, and its call-back never came")
+	for _, id := range checker.missingCallbacks() {
+		checker.violation("LOST", id+" has completed and its callback never arrived")
 	}
-	all, open := j.accepted()
+	all, open := checker.accepted()
 	for _, id := range open {
-		j.breaks("LOST", id+" was accepted and has not ended")
+		checker.violation("LOST", id+" was accepted and has not completed")
 	}
-	asked := append(open, all...)
-	for turn, id := range asked[:min(len(asked), statesAsked)] {
+	ids := append(open, all...)
+	for first, id := range ids[:min(len(ids), maxStateQueries)] {
 		known := false
 		for try := 0; try < 20 && !known; try++ {
-			var state stateForm
-			if state, known = r.askState(id, turn+try); known {
-				j.told(id, state.Phase, state.Stamp)
+			var state messageState
+			if state, known = cluster.queryState(id, first+try); known {
+				checker.stateReported(id, state.Phase, state.Stamp)
 				continue
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		if !known {
-			j.breaks("LOST", id+" was accepted and is not known")
+			checker.violation("LOST", id+" was accepted and no carrier knows it")
 		}
 	}
-	if version, read := o.read(); !read || version < o.acked {
-		j.breaks("CONFIG", fmt.Sprintf("version %d was acknowledged, %d is read back", o.acked, version))
+	if version, read := o.read(); !read || version < o.acknowledged {
+		checker.violation("CONFIG", fmt.Sprintf("version %d was acknowledged, %d is read back", o.acknowledged, version))
 	}
 }
--- a/internal/system/soak/workers_test.go
+++ b/internal/system/soak/workers_test.go
@@ -14,44 +14,45 @@
 	"granitewing/internal/system/wire"
 )
 
-// Services of the soak. Both lists of workers take every kind of message, so that routes may be given to either; the endpoint has a rate.
+// Services of the soak test. The workers of services one and two accept every kind of message, so that routes may use
+// either; the endpoint is a rate-limited service with a static address.
 const (
-	serviceOne   = "one"
-	serviceTwo   = "two"
-	serviceSlow  = "endpoint"
-	endpointRate = 30
-	workersEach  = 4
-	slots        = 8
-	queueOfSlots = 3
+	serviceOne         = "one"
+	serviceTwo         = "two"
+	serviceRateLimited = "endpoint"
+	endpointRate       = 30 // messages per second
+	workersPerService  = 4
+	slots              = 8 // capacity of a worker
+	queueFactor        = 3 // a worker accepts this multiple of its slots
 )
 
-// Parts of the answers, in per cent.
+// Behaviour of the workers. Names with Percent are shares of the responses.
 const (
-	failShare = 1
-	lateShare = 15 // answers that come once more, later
-	lateMost  = 120 * time.Millisecond
-	workLeast = 3 * time.Millisecond
-	workMore  = 50 * time.Millisecond
+	failPercent       = 1
+	duplicatePercent  = 15 // responses that are sent again later
+	maxDuplicateDelay = 120 * time.Millisecond
+	minWork           = 3 * time.Millisecond
+	workSpread        = 50 * time.Millisecond
 )
 
-// worker is a stand-in for one worker.
+// worker is a stand-in for one worker of a service.
 type worker struct {
 	id       string
 	service  string
 	zone     string
 	listener net.Listener
-	judge    *judge
+	checker  *checker
 
-	mutex sync.Mutex
-	held  int
+	mutex    sync.Mutex
+	inFlight int
 }
 
-func startWorker(id, service, zone string, j *judge) (*worker, error) {
+func startWorker(id, service, zone string, checker *checker) (*worker, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &worker{id: id, service: service, zone: zone, listener: listener, judge: j}
+	w := &worker{id: id, service: service, zone: zone, listener: listener, checker: checker}
 	go func() {
 		for {
 			connection, err := listener.Accept()
@@ -64,7 +65,8 @@
 	return w, nil
 }
 
-// workerConnection is one connection of a carrier; what is written once more, later, may come between two answers.
+// workerConnection is a connection from a carrier. The mutex serializes responses with duplicates that are sent later,
+// which may arrive between two responses.
 type workerConnection struct {
 	net.Conn
 	mutex sync.Mutex
@@ -77,6 +79,7 @@
 	return err
 }
 
+// serve handles the requests of one connection, and repeats some of the responses.
 func (w *worker) serve(raw net.Conn) {
 	connection := &workerConnection{Conn: raw}
 	defer connection.Close()
@@ -94,8 +97,8 @@
 		if connection.answer(text) != nil {
 			return
 		}
-		if rand.IntN(100) < lateShare {
-			time.AfterFunc(time.Duration(rand.Int64N(int64(lateMost))), func() { _ = connection.answer(text) })
+		if rand.IntN(100) < duplicatePercent {
+			time.AfterFunc(time.Duration(rand.Int64N(int64(maxDuplicateDelay))), func() { _ = connection.answer(text) })
 		}
 		if request.Close {
 			return
@@ -103,72 +106,75 @@
 	}
 }
 
-// handle runs a message, or turns it away, and gives the answer.
+// handle runs a message or rejects it, and returns the response.
 func (w *worker) handle(request *http.Request, body string) string {
 	id := request.Header.Get(wire.HeaderRequestID)
-	if meant := request.Header.Get(wire.HeaderInstance); meant != "" && meant != w.id {
+	if expected := request.Header.Get(wire.HeaderInstance); expected != "" && expected != w.id {
 		return answer(421, id, "")
 	}
 	if !w.enter() {
 		return answer(503, id, wire.HeaderNotExecuted+": full\r\n")
 	}
 	defer w.leave()
-	w.judge.began(id, request.Header.Get(wire.HeaderOrderingKey), w.service, body)
-	time.Sleep(workLeast + time.Duration(rand.Int64N(int64(workMore))))
-	if rand.IntN(100) < failShare {
-		w.judge.failed(id)
+	w.checker.runStarted(id, request.Header.Get(wire.HeaderOrderingKey), w.service, body)
+	time.Sleep(minWork + time.Duration(rand.Int64N(int64(workSpread))))
+	if rand.IntN(100) < failPercent {
+		w.checker.failed(id)
 		return answer(500, id, "")
 	}
-	stamp := w.judge.succeeded(id)
+	stamp := w.checker.succeeded(id)
 	return answer(200, id, wire.HeaderSignature+": "+stamp+"\r\n")
 }
 
+// enter reserves a place for a message. It returns false if the worker is full.
 func (w *worker) enter() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.held >= slots*queueOfSlots {
+	if w.inFlight >= slots*queueFactor {
 		return false
 	}
-	w.held++
+	w.inFlight++
 	return true
 }
 
 func (w *worker) leave() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.held--
+	w.inFlight--
 }
 
+// answer formats an HTTP response; headers holds complete lines.
 func answer(status int, id, headers string) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n%s: %s\r\n%sContent-Length: 2\r\n\r\nok", status, http.StatusText(status), wire.HeaderRequestID, id, headers)
 }
 
-// workers are all workers, and the platform's list of them.
+// workers holds all workers and the server of the platform's list of workers.
 type workers struct {
-	all      []*worker
+	pool     []*worker
 	endpoint *worker
 	platform *http.Server
 	address  string
 }
 
-func startWorkers(each int, j *judge) (*workers, error) {
+func startWorkers(perService int, checker *checker) (*workers, error) {
 	ws := &workers{}
 	for _, service := range []string{serviceOne, serviceTwo} {
-		for i := range each {
-			w, err := startWorker(fmt.Sprintf("%s-%d", service, i), service, fmt.Sprintf("zone-%c", 'a'+i%3), j)
+		for i := range perService {
+			w, err := startWorker(fmt.Sprintf("%s-%d", service, i), service, fmt.Sprintf("zone-%c", 'a'+i%3), checker)
 			if err != nil {
 				return nil, err
 			}
-			ws.all = append(ws.all, w)
+			ws.pool = append(ws.pool, w)
 		}
 	}
 	var err error
-	if ws.endpoint, err = startWorker("", serviceSlow, "zone-a", j); err != nil {
+	if ws.endpoint, err = startWorker("", serviceRateLimited, "zone-a", checker); err != nil {
 		return nil, err
 	}
 	return ws, ws.startPlatform()
 }
 
+// startPlatform starts the server of the list of workers. The endpoint is not listed.
 func (ws *workers) startPlatform() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -176,7 +182,7 @@
 	}
 	ws.address = listener.Addr().String()
 	var listed []loopback.Worker
-	for _, w := range ws.all {
+	for _, w := range ws.pool {
 		listed = append(listed, loopback.Worker{ID: w.id, Backend: w.service, Address: w.listener.Addr().String(), Zone: w.zone, Version: "1",
 			Capacity: slots, Phase: "ready"})
 	}
@@ -186,7 +192,7 @@
 	}
 	ws.platform = &http.Server{Handler: http.HandlerFunc(func(answer http.ResponseWriter, _ *http.Request) {
 		answer.Header().Set(wire.HeaderContentType, "application/json")
-		_, _ = answer.Write(body) // the reader asks again
+		_, _ = answer.Write(body) // the client retries
 	})}
 	go func() { _ = ws.platform.Serve(listener) }()
 	return nil
@@ -194,7 +200,7 @@
 
 func (ws *workers) stop() {
 	ws.platform.Close()
-	for _, w := range append(ws.all, ws.endpoint) {
+	for _, w := range append(ws.pool, ws.endpoint) {
 		w.listener.Close()
 	}
 }
