--- a/internal/system/catalog/catalog.go
+++ b/internal/system/catalog/catalog.go
@@ -1,4 +1,7 @@
-// Package catalog reads the platform's list of workers and tells what changed between two readings.
+// Package catalog reads the platform's list of workers, which comes in pages.
+//
+// ParsePage decodes one page, a Reading gathers the pages of one pass over the list, and Merge combines its result with
+// the list that was known before.
 package catalog
 
 import (
@@ -7,32 +10,32 @@
 	"time"
 )
 
-// Instance is one start of a worker, as the platform lists it.
+// Instance is one running instance of a worker, as the platform lists it. A restarted worker is another instance.
 type Instance struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
-	Service  string
-	Address  string
+	Service  string // name of the service that it runs
+	Address  string // host and port
 	Zone     string
 	Version  string
 	Capacity int
 	Draining bool
-	// Cold is the time that it stays slow, as told when it was first seen.
+	// Cold is the remaining slow-start time that the platform reported when the instance was first listed.
 	Cold time.Duration
 }
 
-// Page is one answer of the platform.
+// Page is one page of the platform's list.
 type Page struct {
 	Instances []Instance
-	Next      string // token of the following page, empty on the last
+	Next      string // token of the next page, empty on the last
 }
 
-// UnreadableError tells of an answer that is no page.
+// UnreadableError is the error for a malformed page.
 type UnreadableError struct{ Reason string }
 
-func (e *UnreadableError) Error() string { return "instance list can't be read: " + e.Reason }
+func (e *UnreadableError) Error() string { return "malformed list of workers: " + e.Reason }
 
-type instanceForm struct {
+type instanceJSON struct {
 	ID       string  `json:"id"`
 	Backend  string  `json:"backend"`
 	Address  string  `json:"address"`
@@ -43,36 +46,36 @@
 	Cold     float64 `json:"cold-remaining-ms"`
 }
 
-type pageForm struct {
-	Instances *[]instanceForm `json:"instances"`
+type pageJSON struct {
+	Instances *[]instanceJSON `json:"instances"`
 	Next      *string         `json:"next-page-token"`
 }
 
-// The phases of an instance.
+// Values of the field "phase".
 const (
 	phaseReady    = "ready"
 	phaseDraining = "draining"
 )
 
-// ParsePage reads one answer of the platform.
+// ParsePage decodes and validates one page, in JSON. Its errors are of type *UnreadableError.
 func ParsePage(body []byte) (Page, error) {
-	var form pageForm
-	if err := json.Unmarshal(body, &form); err != nil {
+	var parsed pageJSON
+	if err := json.Unmarshal(body, &parsed); err != nil {
 		return Page{}, &UnreadableError{Reason: err.Error()}
 	}
-	if form.Instances == nil {
+	if parsed.Instances == nil {
 		return Page{}, &UnreadableError{Reason: "instances are missing"}
 	}
 	page := Page{}
-	if form.Next != nil {
-		page.Next = *form.Next
+	if parsed.Next != nil {
+		page.Next = *parsed.Next
 	}
-	for i, entry := range *form.Instances {
+	for i, entry := range *parsed.Instances {
 		if entry.ID == "" || entry.Backend == "" || entry.Address == "" {
 			return Page{}, &UnreadableError{Reason: fmt.Sprintf("instances[%d] has no id, backend or address", i)}
 		}
 		if entry.Phase != phaseReady && entry.Phase != phaseDraining {
-			return Page{}, &UnreadableError{Reason: fmt.Sprintf("instances[%d] has phase %q", i, entry.Phase)}
+			return Page{}, &UnreadableError{Reason: fmt.Sprintf("instances[%d] has unknown phase %q", i, entry.Phase)}
 		}
 		page.Instances = append(page.Instances, Instance{ID: entry.ID, Service: entry.Backend, Address: entry.Address,
 			Zone: entry.Zone, Version: entry.Version, Capacity: entry.Capacity, Draining: entry.Phase == phaseDraining,
@@ -81,31 +84,31 @@
 	return page, nil
 }
 
-// Reading gathers the pages of one reading of the list.
+// Reading gathers the pages of one pass over the list.
 type Reading struct{ instances map[string]Instance }
 
-// MaxPages bounds the pages of one reading.
+// MaxPages bounds the pages of one pass over the list.
 const MaxPages = 1000
 
-// NewReading starts a reading.
+// NewReading returns a Reading without pages.
 func NewReading() *Reading { return &Reading{instances: map[string]Instance{}} }
 
-// Add takes a page.
+// Add adds the instances of a page.
 func (r *Reading) Add(page Page) {
 	for _, instance := range page.Instances {
 		if old, known := r.instances[instance.ID]; known {
-			// Listed twice while the list moved under the reading: draining is never taken back.
+			// The list changed between two pages, so that the instance is on both. Draining is never undone.
 			instance.Draining = instance.Draining || old.Draining
 		}
 		r.instances[instance.ID] = instance
 	}
 }
 
-// Instances gives what was read, by id.
+// Instances returns the instances of the pages added so far, by ID.
 func (r *Reading) Instances() map[string]Instance { return r.instances }
 
-// Merge gives the list that follows from a reading: a worker keeps the coldness with which it was first seen, and one
-// that was draining stays so.
+// Merge returns the instances of a new reading. An instance that was known before keeps the slow-start time with which
+// it was first listed, and one that was draining stays draining.
 func Merge(before, reading map[string]Instance) map[string]Instance {
 	after := make(map[string]Instance, len(reading))
 	for id, instance := range reading {
--- a/internal/system/command/command.go
+++ b/internal/system/command/command.go
@@ -1,4 +1,5 @@
-// Package command is the command line of the system: a subcommand for each role, and verbs for people.
+// Package command implements the command line of the system: a subcommand for each role, and subcommands with which
+// operators check files, inspect disks and query a running keeper. Execute runs it.
 package command
 
 import (
@@ -25,28 +26,29 @@
 // Exit codes.
 const (
 	exitFailed = 1
-	exitUsage  = 2
+	exitUsage  = 2 // wrong arguments or settings
 )
 
-// usageError marks what the caller has to change: arguments or settings.
+// usageError marks an error that the caller has to correct in the arguments or settings.
 type usageError struct{ err error }
 
 func (e *usageError) Error() string { return e.err.Error() }
 
 func (e *usageError) Unwrap() error { return e.err }
 
-// Execute runs the command line and gives the exit code.
-func Execute(arguments []string, output, errors_ io.Writer) int {
-	log.SetHandler(logfmt.New(errors_))
+// Execute runs the command line and returns the exit code: 0 on success, 2 for wrong arguments or settings, else 1.
+// Errors go to errorOutput as one line, and log records in logfmt.
+func Execute(arguments []string, output, errorOutput io.Writer) int {
+	log.SetHandler(logfmt.New(errorOutput))
 	root := newRoot()
 	root.SetArgs(arguments)
 	root.SetOut(output)
-	root.SetErr(errors_)
+	root.SetErr(errorOutput)
 	err := root.Execute()
 	if err == nil {
 		return 0
 	}
-	fmt.Fprintln(errors_, "granitewing:", err)
+	fmt.Fprintln(errorOutput, "granitewing:", err)
 	var usage *usageError
 	var fault *settings.Error
 	if errors.As(err, &usage) || errors.As(err, &fault) || strings.HasPrefix(err.Error(), "unknown command") {
@@ -58,27 +60,28 @@
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "granitewing",
-		Short:         "Ingest and dispatch service: takes messages, keeps them, delivers each to the worker of least cost",
+		Short:         "Ingest and dispatch service: accepts messages, stores them and delivers each to the worker of least cost",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &usageError{err: err} })
 	root.AddCommand(
-		newRole("carrier", "Take clients' messages and deliver them", node.RunCarrier),
-		newRole("keeper", "Keep the configuration, the sessions and who owns what", node.RunKeeper),
-		newRole("store", "Keep messages on disk", node.RunStore),
+		newRole("carrier", "Accept clients' messages and deliver them", node.RunCarrier),
+		newRole("keeper", "Keep the replicated control state: configuration, sessions and ownership", node.RunKeeper),
+		newRole("store", "Store messages on disk", node.RunStore),
 		newCheck(), newInspect(), newStatus(),
 	)
 	return root
 }
 
-type runRole func(ctx context.Context, s *settings.Settings, changes <-chan *settings.Settings) error
+// roleFunc runs a role until ctx is done. It receives changed settings on changes.
+type roleFunc func(ctx context.Context, s *settings.Settings, changes <-chan *settings.Settings) error
 
-func newRole(name, short string, run runRole) *cobra.Command {
+func newRole(name, short string, run roleFunc) *cobra.Command {
 	return &cobra.Command{
 		Use:     name,
 		Short:   short,
-		Long:    short + ".\nThe settings file is named by " + settings.PathVariable + "; without it " + settings.DefaultPath + " is read.",
+		Long:    short + ".\nThe environment variable " + settings.PathVariable + " holds the path of the settings file; the default is " + settings.DefaultPath + ".",
 		Example: "  " + settings.PathVariable + "=local.toml granitewing " + name,
 		Args: func(command *cobra.Command, arguments []string) error {
 			if err := cobra.NoArgs(command, arguments); err != nil {
@@ -86,12 +89,12 @@
 			}
 			return nil
 		},
-		RunE: func(*cobra.Command, []string) error { return start(run) },
+		RunE: func(*cobra.Command, []string) error { return runUntilSignal(run) },
 	}
 }
 
-// start runs a role until it is told to stop.
-func start(run runRole) error {
+// runUntilSignal loads the settings and runs a role until the process receives SIGTERM or an interrupt.
+func runUntilSignal(run roleFunc) error {
 	s, err := settings.Load(settings.Path())
 	if err != nil {
 		return err
@@ -103,20 +106,20 @@
 	return run(ctx, s, watchSettings(ctx, settings.Path()))
 }
 
-// memoryShare of the machine's limit that the collector aims to stay under.
-const memoryShare = 0.75
+// memoryLimitShare is the share of the memory limit in the settings that the garbage collector tries to stay below.
+const memoryLimitShare = 0.75
 
 func limitMemory(s *settings.Settings) {
 	if s.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.Limits.MemoryMB) * (1 << 20)))
 	}
 }
 
-const settingsInterval = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
-// watchSettings reads the settings file again on SIGHUP, and whenever it has changed without one. A file that can't be used
-// changes nothing. What a process was started with stays in force but for the seeds: addresses and limits don't change in
-// its life.
+// watchSettings reloads the settings file on SIGHUP and whenever a poll finds that it has changed. The new settings are
+// sent on the returned channel, which is closed when ctx is done. A file that is not valid changes nothing. A running
+// role applies only the new seeds: its addresses and limits stay as they were at its start.
 func watchSettings(ctx context.Context, path string) <-chan *settings.Settings {
 	changes := make(chan *settings.Settings)
 	signals := make(chan os.Signal, 1)
@@ -131,7 +134,7 @@
 				return
 			case <-signals:
 				signalled = true
-			case <-time.After(settingsInterval):
+			case <-time.After(settingsPollInterval):
 			}
 			data, err := os.ReadFile(path)
 			if err == nil && bytes.Equal(data, last) && !signalled {
@@ -140,10 +143,10 @@
 			last = data
 			s, err := settings.Load(path)
 			if err != nil {
-				log.WithError(err).Error("the changed settings can't be used")
+				log.WithError(err).Error("invalid settings file, keeping the previous settings")
 				continue
 			}
-			log.Info("the settings were read again")
+			log.Info("settings reloaded")
 			changes <- s
 		}
 	}()
--- a/internal/system/command/command_test.go
+++ b/internal/system/command/command_test.go
@@ -18,7 +18,7 @@
 		return code, out.String(), err.String()
 	}
 
-	ginkgo.It("shows its roles with an example each", func() {
+	ginkgo.It("lists its subcommands, each with an example", func() {
 		code, output, _ := run("--help")
 		Expect(code).To(BeZero())
 		for _, role := range []string{"carrier", "keeper", "store", "check", "inspect", "status"} {
@@ -28,7 +28,7 @@
 		}
 	})
 
-	ginkgo.It("ends with 2 and one line on wrong usage", func() {
+	ginkgo.It("exits with 2 and one line of output on wrong usage", func() {
 		for _, arguments := range [][]string{{"keeper", "extra"}, {"keeper", "--nothing"}, {"nobody"}, {"check"}, {"status"}} {
 			code, _, errors := run(arguments...)
 			Expect(code).To(Equal(exitUsage), "%v", arguments)
@@ -36,7 +36,7 @@
 		}
 	})
 
-	ginkgo.It("ends with 2 where the settings can't be used, and names the key", func() {
+	ginkgo.It("exits with 2 if the settings are not valid, and names the key", func() {
 		path := filepath.Join(ginkgo.GinkgoT().TempDir(), "local.toml")
 		Expect(os.WriteFile(path, []byte(`node-name = "x"`), 0o644)).To(Succeed())
 		ginkgo.GinkgoT().Setenv(settings.PathVariable, path)
@@ -45,7 +45,7 @@
 		Expect(errors).To(ContainSubstring("ip"))
 	})
 
-	ginkgo.It("checks a configuration", func() {
+	ginkgo.It("validates a configuration", func() {
 		path := filepath.Join(ginkgo.GinkgoT().TempDir(), "configuration.json")
 		Expect(os.WriteFile(path, []byte(`{"resource-version":3,"routes":[],"services":[]}`), 0o644)).To(Succeed())
 		code, output, _ := run("check", "configuration", path)
--- a/internal/system/command/people.go
+++ b/internal/system/command/people.go
@@ -14,8 +14,8 @@
 	"granitewing/internal/system/settings"
 )
 
-// exactly wants so many arguments; fewer or more are wrong usage.
-func exactly(count int) cobra.PositionalArgs {
+// exactArgs returns a check for an exact number of arguments, whose failure is a usage error.
+func exactArgs(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, arguments []string) error {
 		if err := cobra.ExactArgs(count)(command, arguments); err != nil {
 			return &usageError{err: err}
@@ -24,8 +24,8 @@
 	}
 }
 
-// group is a verb that needs another word.
-func group(use, short, example string, verbs ...*cobra.Command) *cobra.Command {
+// newVerbGroup returns a command that needs one of its subcommands; it is a usage error without one.
+func newVerbGroup(use, short, example string, verbs ...*cobra.Command) *cobra.Command {
 	command := &cobra.Command{Use: use, Short: short, Example: example, RunE: func(command *cobra.Command, _ []string) error {
 		return &usageError{err: &missingVerbError{command: command.CommandPath()}}
 	}}
@@ -33,16 +33,16 @@
 	return command
 }
 
-// missingVerbError tells that a word is missing or unknown.
+// missingVerbError is the error for a missing or unknown subcommand.
 type missingVerbError struct{ command string }
 
 func (e *missingVerbError) Error() string {
-	return fmt.Sprintf("%s needs one of its verbs; see %s --help", e.command, e.command)
+	return fmt.Sprintf("%s requires a subcommand; see %s --help", e.command, e.command)
 }
 
 func newCheck() *cobra.Command {
 	checkSettings := &cobra.Command{
-		Use: "settings FILE", Short: "Check a settings file", Args: exactly(1),
+		Use: "settings FILE", Short: "Check a settings file", Args: exactArgs(1),
 		Example: "  granitewing check settings /etc/granitewing/local.toml",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			s, err := settings.Load(arguments[0])
@@ -55,7 +55,7 @@
 		},
 	}
 	checkConfiguration := &cobra.Command{
-		Use: "configuration FILE", Short: "Check an operator's configuration", Args: exactly(1),
+		Use: "configuration FILE", Short: "Check an operator's configuration document", Args: exactArgs(1),
 		Example: "  granitewing check configuration next.json",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			raw, err := os.ReadFile(arguments[0])
@@ -70,54 +70,55 @@
 			return nil
 		},
 	}
-	return group("check", "Check files before they are used", "  granitewing check configuration next.json", checkSettings, checkConfiguration)
+	return newVerbGroup("check", "Validate files before they are used", "  granitewing check configuration next.json", checkSettings, checkConfiguration)
 }
 
 func newInspect() *cobra.Command {
 	messages := &cobra.Command{
-		Use: "messages FOLDER", Short: "Tell what a store's log holds; the store must not be running", Args: exactly(1),
+		Use: "messages FOLDER", Short: "Show the contents of a store's log; the store must not be running", Args: exactArgs(1),
 		Example: "  granitewing inspect messages /data/store/messages",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return inspectMessages(command, arguments[0])
 		},
 	}
 	control := &cobra.Command{
-		Use: "control FOLDER", Short: "Tell what a keeper's log of one group holds; the keeper must not be running", Args: exactly(1),
+		Use: "control FOLDER", Short: "Show the contents of a keeper's log of one replica group; the keeper must not be running", Args: exactArgs(1),
 		Example: "  granitewing inspect control /data/keeper/control-0",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return inspectControl(command, arguments[0])
 		},
 	}
 	roster := &cobra.Command{
-		Use: "roster FOLDER", Short: "Tell which disks and emptyings a keeper's sessions have", Args: exactly(1),
-		Long:    "Tell which disks and emptyings the sessions' group has in a keeper's folder. Entries that may not be committed are among them.",
+		Use: "roster FOLDER", Short: "Show the disks and drains in a keeper's log of the sessions group", Args: exactArgs(1),
+		Long:    "Show the disks and drains in a keeper's log of the sessions group, including log entries that may not be committed.",
 		Example: "  granitewing inspect roster /data/keeper/control-1",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return inspectRoster(command.OutOrStdout(), arguments[0])
 		},
 	}
-	return group("inspect", "Tell what lies on a disk", "  granitewing inspect messages /data/store/messages", messages, control, roster)
+	return newVerbGroup("inspect", "Show the contents of a disk", "  granitewing inspect messages /data/store/messages", messages, control, roster)
 }
 
-// readOnly is a folder that nothing is written to: what a log would create is thrown away.
-type readOnly struct{ *segment.Folder }
+// readOnlyFolder is a folder that is never modified: files that a log creates in it are discarded.
+type readOnlyFolder struct{ *segment.Folder }
 
-type nowhere struct{}
+// discardFile is a file that discards writes and has nothing to read.
+type discardFile struct{}
 
-func (nowhere) Write(data []byte) (int, error)       { return len(data), nil }
-func (nowhere) ReadAt([]byte, int64) (int, error)    { return 0, os.ErrClosed }
-func (nowhere) Close() error                         { return nil }
-func (nowhere) Sync() error                          { return nil }
-func (readOnly) Create(string) (segment.File, error) { return nowhere{}, nil }
-func (readOnly) Remove(string) error                 { return nil }
-func (readOnly) SyncFolder() error                   { return nil }
+func (discardFile) Write(data []byte) (int, error)         { return len(data), nil }
+func (discardFile) ReadAt([]byte, int64) (int, error)      { return 0, os.ErrClosed }
+func (discardFile) Close() error                           { return nil }
+func (discardFile) Sync() error                            { return nil }
+func (readOnlyFolder) Create(string) (segment.File, error) { return discardFile{}, nil }
+func (readOnlyFolder) Remove(string) error                 { return nil }
+func (readOnlyFolder) SyncFolder() error                   { return nil }
 
 func openReadOnly(path string) (segment.Files, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, &segment.FileError{Operation: "open", Name: path, Err: err}
 	}
 	folder, err := segment.OpenFolder(path)
-	return readOnly{folder}, err
+	return readOnlyFolder{folder}, err
 }
 
 func inspectMessages(command *cobra.Command, path string) error {
@@ -138,9 +139,9 @@
 	if err != nil {
 		return err
 	}
-	known, pending := core.Counts()
+	recorded, pending := core.Counts()
 	output := command.OutOrStdout()
-	fmt.Fprintf(output, "disk %s, complete %t: %d messages known, %d pending, %d bytes\n", core.Disk(), core.Complete(), known, pending, core.Bytes())
+	fmt.Fprintf(output, "disk %s, complete %t: %d messages known, %d pending, %d bytes\n", core.Disk(), core.Complete(), recorded, pending, core.Bytes())
 	numbers := make([]uint64, 0, len(records))
 	for number := range records {
 		numbers = append(numbers, number)
@@ -153,18 +154,18 @@
 }
 
 func inspectControl(command *cobra.Command, path string) error {
-	member, err := openMember(path)
+	member, err := openGroupMember(path)
 	if err != nil {
 		return err
 	}
 	stored := member.Stored()
-	fmt.Fprintf(command.OutOrStdout(), "member %s: term %d, vote %q, snapshot at %d, %d entries behind it, voters %v\n", member.ID(),
+	fmt.Fprintf(command.OutOrStdout(), "member %s: term %d, vote %q, snapshot at %d, %d entries after it, voters %v\n", member.ID(),
 		stored.HardState.Term, stored.HardState.Vote, stored.Snapshot.Index, len(stored.Entries), stored.Snapshot.Members.Voters)
 	return nil
 }
 
-// openMember reads what a folder has of a group's member, without changing it.
-func openMember(path string) (*disk.Member, error) {
+// openGroupMember reads the state of a replica group's member from a folder, without modifying it.
+func openGroupMember(path string) (*disk.Member, error) {
 	files, err := openReadOnly(path)
 	if err != nil {
 		return nil, err
--- a/internal/system/command/roster.go
+++ b/internal/system/command/roster.go
@@ -13,21 +13,21 @@
 	"granitewing/internal/system/session"
 )
 
-// inspectRoster prints what a folder of the sessions' group knows of disks and of machines that are being emptied.
+// inspectRoster prints the disks and the draining machines in a folder of the sessions group.
 func inspectRoster(output io.Writer, path string) error {
-	member, err := openMember(path)
+	member, err := openGroupMember(path)
 	if err != nil {
 		return err
 	}
-	state, err := sessionsOf(member)
+	state, err := loadSessions(member)
 	if err != nil {
 		return err
 	}
 	return printRoster(output, state)
 }
 
-// sessionsOf makes the table of sessions that a member's disk has.
-func sessionsOf(member *disk.Member) (*session.State, error) {
+// loadSessions rebuilds the session state from the snapshot and the log entries on a member's disk.
+func loadSessions(member *disk.Member) (*session.State, error) {
 	stored := member.Stored()
 	state := session.NewState()
 	if len(stored.Snapshot.Data) > 0 {
@@ -43,7 +43,7 @@
 		if err := msgpack.Unmarshal(entry.Data, &command); err != nil {
 			return nil, &session.MalformedError{Err: err}
 		}
-		_ = state.Apply(command) // what is refused has changed nothing
+		_ = state.Apply(command) // a refused command changes nothing
 	}
 	return state, nil
 }
@@ -52,10 +52,10 @@
 	fmt.Fprintf(output, "roster %d\n", state.Epoch())
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	for id, entry := range ordered.Map(state.Disks()) {
-		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s\n", id, entry.Member.Node, pick(entry.Counted, "counts", "being filled"), mark(entry.Leaving, ", being emptied"))
+		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s\n", id, entry.Member.Node, choose(entry.Counted, "counts toward quorum", "backfilling"), textIf(entry.Leaving, ", draining"))
 	}
 	for _, emptying := range state.Emptyings(keeper.Groups) {
-		fmt.Fprintf(table, "emptying\t%s\t%s\twaits for %s\n", emptying.Node, pick(emptying.Begun, "takes no messages", "not begun"), emptying.Waits)
+		fmt.Fprintf(table, "drain\t%s\t%s\twaits for %s\n", emptying.Node, choose(emptying.Begun, "accepts no messages", "not started"), emptying.Waits)
 	}
 	return table.Flush()
 }
--- a/internal/system/command/roster_test.go
+++ b/internal/system/command/roster_test.go
@@ -9,8 +9,8 @@
 	"granitewing/internal/system/tolerance"
 )
 
-// Both what a running keeper tells and what lies on its disk say which machines are being emptied, and what they wait for.
-func TestEmptyingsAreShown(t *testing.T) {
+// Both a running keeper's status and the contents of its disk must show the draining machines and what they wait for.
+func TestDrainsAreShown(t *testing.T) {
 	state := session.NewState()
 	state.Apply(session.Command{Kind: session.Tolerate, Tolerance: &tolerance.Tolerance{Machines: 1}})
 	for _, node := range []string{"a", "b", "c", "d"} {
@@ -21,9 +21,9 @@
 	if err := printRoster(&onDisk, state); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"disk-b", "being emptied", "emptying  b", "takes no messages", "waits for its disk to hand over"} {
+	for _, want := range []string{"disk-b", ", draining", "drain  b", "accepts no messages", "waits for its disk to hand over"} {
 		if !bytes.Contains(onDisk.Bytes(), []byte(want)) {
-			t.Errorf("%q is not in\n%s", want, &onDisk)
+			t.Errorf("%q is missing in\n%s", want, &onDisk)
 		}
 	}
 	var running bytes.Buffer
@@ -31,7 +31,7 @@
 	if err := printStatus(&running, status); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Contains(running.Bytes(), []byte("emptying  b  for 12s or more  not begun  waits for another disk")) {
-		t.Errorf("the status says\n%s", &running)
+	if !bytes.Contains(running.Bytes(), []byte("drain  b  for 12s or more  not started  waits for another disk")) {
+		t.Errorf("unexpected status output\n%s", &running)
 	}
 }
--- a/internal/system/command/status.go
+++ b/internal/system/command/status.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	statusTimeout = 5 * time.Second
-	maxStatus     = 16 << 20
+	statusTimeout  = 5 * time.Second
+	maxStatusBytes = 16 << 20
 )
 
-// KeeperError tells that a keeper's status can't be had.
+// KeeperError is the error for a keeper whose status cannot be fetched or decoded.
 type KeeperError struct {
-	Address string
+	Address string // control address, as given on the command line
 	Err     error
 }
 
@@ -34,8 +34,8 @@
 func newStatus() *cobra.Command {
 	var asJSON bool
 	command := &cobra.Command{
-		Use: "status ADDRESS", Short: "Tell what a running keeper knows of the fleet", Args: exactly(1),
-		Long:    "Tell what a running keeper knows of the fleet. ADDRESS is one that serves operators.",
+		Use: "status ADDRESS", Short: "Show what a running keeper knows of the fleet", Args: exactArgs(1),
+		Long:    "Show what a running keeper knows of the fleet. ADDRESS is the keeper's control address.",
 		Example: "  granitewing status 10.0.0.4:8001",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			raw, err := fetchStatus(command.Context(), arguments[0])
@@ -53,7 +53,7 @@
 			return printStatus(command.OutOrStdout(), &status)
 		},
 	}
-	command.Flags().BoolVar(&asJSON, "json", false, "as the keeper gives it, in JSON")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the keeper's answer as JSON")
 	return command
 }
 
@@ -72,9 +72,10 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, &node.StatusError{Call: "GET " + node.StatusPath, Status: response.StatusCode}
 	}
-	return io.ReadAll(io.LimitReader(response.Body, maxStatus))
+	return io.ReadAll(io.LimitReader(response.Body, maxStatusBytes))
 }
 
+// printStatus prints a status as a table for operators.
 func printStatus(output io.Writer, status *keeper.Status) error {
 	fmt.Fprintf(output, "keeper %s: configuration %d, roster %d", status.Keeper, status.Configuration, status.Roster)
 	if status.CatalogAge != "" {
@@ -83,8 +84,8 @@
 	fmt.Fprintln(output)
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	for _, group := range status.Groups {
-		fmt.Fprintf(table, "group\t%s\tleader %s\tterm %d\tapplied %d\tvoters %d, learners %d%s\n", group.Name, orNobody(group.Leader),
-			group.Term, group.Applied, len(group.Voters), len(group.Learners), wholeness(group.Whole))
+		fmt.Fprintf(table, "group\t%s\tleader %s\tterm %d\tapplied %d\tvoters %d, learners %d%s\n", group.Name, nameOrNobody(group.Leader),
+			group.Term, group.Applied, len(group.Voters), len(group.Learners), quorumHealth(group.Whole))
 	}
 	units := map[string]int{}
 	for _, unit := range status.Units {
@@ -96,42 +97,43 @@
 			owns = fmt.Sprintf("owns %d units", units[m.Incarnation])
 		}
 		fmt.Fprintf(table, "%s\t%s\tzone %s\t%s\t%s\t%s%s\n", m.Role, m.Node, m.Zone, m.Address, m.Incarnation, owns,
-			mark(m.Stopping, ", stopping"))
+			textIf(m.Stopping, ", stopping"))
 	}
 	for _, disk := range status.Disks {
-		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s%s\n", disk.Disk, disk.Node, pick(disk.Live, "live", "gone"),
-			pick(disk.Counted, ", counts", ", being filled"), mark(disk.Leaving, ", being emptied"))
+		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s%s\n", disk.Disk, disk.Node, choose(disk.Live, "live", "gone"),
+			choose(disk.Counted, ", counts toward quorum", ", backfilling"), textIf(disk.Leaving, ", draining"))
 	}
 	for _, emptying := range status.Emptyings {
-		fmt.Fprintf(table, "emptying\t%s\tfor %s or more\t%s\twaits for %s\n", emptying.Node, emptying.Age, pick(emptying.Begun, "takes no messages", "not begun"), emptying.Waits)
+		fmt.Fprintf(table, "drain\t%s\tfor %s or more\t%s\twaits for %s\n", emptying.Node, emptying.Age, choose(emptying.Begun, "accepts no messages", "not started"), emptying.Waits)
 	}
 	if status.CatalogAge == "" {
-		status.Services = nil // only the leader of the sessions reads the list of workers
+		status.Services = nil // only the leader of the sessions group reads the list of workers
 	}
 	for _, service := range status.Services {
 		fmt.Fprintf(table, "service\t%s\tworkers %d\tdraining %d\n", service.Service, service.Workers, service.Draining)
 	}
 	for _, gone := range status.Departed {
-		fmt.Fprintf(table, "departed\t%s\tadopted by %s\n", gone.Incarnation, orNobody(gone.Adopter))
+		fmt.Fprintf(table, "departed\t%s\tadopted by %s\n", gone.Incarnation, nameOrNobody(gone.Adopter))
 	}
 	return table.Flush()
 }
 
-// wholeness tells what a group's leader says of it.
-func wholeness(whole *bool) string {
+// quorumHealth describes whether a group survives the tolerated losses, as its leader reports it; others report
+// nothing.
+func quorumHealth(whole *bool) string {
 	if whole == nil {
 		return ""
 	}
-	return pick(*whole, ", whole", ", NOT whole: it may not bear the next loss")
+	return choose(*whole, ", healthy", ", DEGRADED: may not survive the next loss")
 }
 
-func orNobody(name string) string { return pick(name != "", name, "nobody") }
+func nameOrNobody(name string) string { return choose(name != "", name, "nobody") }
 
-func mark(wanted bool, text string) string { return pick(wanted, text, "") }
+func textIf(condition bool, text string) string { return choose(condition, text, "") }
 
-func pick(first bool, one, other string) string {
-	if first {
-		return one
+func choose(condition bool, whenTrue, whenFalse string) string {
+	if condition {
+		return whenTrue
 	}
-	return other
+	return whenFalse
 }
--- a/internal/system/configuration/document.go
+++ b/internal/system/configuration/document.go
@@ -1,5 +1,9 @@
-// Package configuration reads, checks and keeps the operator's configurations: the document itself, the table that
-// routes requests by it, and the replicated state that decides which document is current.
+// Package configuration reads and validates the operators' configuration, a versioned JSON document of routes and
+// services.
+//
+// Parse turns the JSON text into a Document. A Table routes requests by a document. State is the replicated state of
+// the configuration shard, which decides which document is current: an Order replaces the document of a given version
+// by one with a higher version.
 package configuration
 
 import (
@@ -12,34 +16,34 @@
 	"time"
 )
 
-// Route sends the requests of a host and a path prefix to a service.
+// Route maps the requests for a host and a path prefix to a service.
 type Route struct {
 	Name        string
 	Host        string // lower case
 	PathPrefix  string
-	Kind        string
-	Service     string
-	Timeout     time.Duration // of one delivery
-	TargetAck   time.Duration // for the answer that accepts a message
-	TargetStart time.Duration // for the start of a run, after first send and delay
-	Retention   time.Duration
-	Priority    int // 0 is the highest
-	Retries     int // failed attempts that end a message
-	Ordered     bool
-	Callback    bool
-}
-
-// Service is a backend.
+	Kind        string        // as in the document, not interpreted here
+	Service     string        // name of the service
+	Timeout     time.Duration // of one delivery attempt
+	TargetAck   time.Duration // target latency of the response that accepts a message
+	TargetStart time.Duration // target time until a run starts, counted from the first send plus the message's delay
+	Retention   time.Duration // how long a message may wait
+	Priority    int           // 0 is the highest
+	Retries     int           // number of failed attempts after which a message is a dead letter; at least 1
+	Ordered     bool          // messages with the same ordering key are delivered in order
+	Callback    bool          // messages may name a call-back URL, which is notified of their outcome
+}
+
+// Service is a back end that runs messages.
 type Service struct {
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	Rate           float64 // messages a second over the fleet; 0 is no limit
-	Idempotent     bool
-	Static         string // address of the one endpoint; empty where workers are listed
+	Rate           float64 // messages per second over the whole fleet; 0 means no limit
+	Idempotent     bool    // a message may run more than once
+	Static         string  // address of the only endpoint; empty if the platform lists the workers
 }
 
-// Limits bounds what clients may send.
+// Limits bound clients' requests and connections. Sizes are in bytes.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -47,18 +51,18 @@
 	IdleTimeout    time.Duration
 }
 
-// Document is one configuration, read and checked.
+// Document is a parsed and validated configuration.
 type Document struct {
 	Version  uint64
 	Routes   []Route
-	Services map[string]*Service
+	Services map[string]*Service // by name
 	Limits   Limits
-	Raw      []byte // as the operator sent it
+	Raw      []byte // the JSON text as the operator sent it
 }
 
-// InvalidError tells why a configuration can't be used.
+// InvalidError is the error for a configuration that is malformed or not valid.
 type InvalidError struct {
-	Key    string // where in the document, such as routes[3].timeout-ms
+	Key    string // path in the document, such as routes[3].timeout-ms; empty if the whole document is at fault
 	Reason string
 }
 
@@ -69,7 +73,7 @@
 	return fmt.Sprintf("invalid configuration: %s: %s", e.Key, e.Reason)
 }
 
-// Defaults where a configuration gives no limit.
+// Defaults for what a configuration leaves out.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 256 << 10
@@ -78,7 +82,9 @@
 	defaultRetention     = 90 * time.Second
 )
 
-type routeForm struct {
+// routeJSON, serviceJSON, limitsJSON and documentJSON are the JSON form of a document. Pointers distinguish a missing
+// value from zero.
+type routeJSON struct {
 	Name        string   `json:"name"`
 	Host        string   `json:"host"`
 	PathPrefix  string   `json:"path-prefix"`
@@ -95,7 +101,7 @@
 	Weight      *float64 `json:"weight"`
 }
 
-type serviceForm struct {
+type serviceJSON struct {
 	Name           string  `json:"name"`
 	HealthPath     string  `json:"health-path"`
 	MaxConnections int     `json:"max-connections"`
@@ -104,41 +110,42 @@
 	Static         *string `json:"static"`
 }
 
-type limitsForm struct {
+type limitsJSON struct {
 	MaxHeaderBytes int     `json:"max-header-bytes"`
 	MaxBodyBytes   int     `json:"max-body-bytes"`
 	HeaderTimeout  float64 `json:"header-timeout-ms"`
 	IdleTimeout    float64 `json:"idle-timeout-ms"`
 }
 
-type documentForm struct {
+type documentJSON struct {
 	Version  *uint64        `json:"resource-version"`
-	Routes   *[]routeForm   `json:"routes"`
-	Services *[]serviceForm `json:"services"`
-	Limits   limitsForm     `json:"limits"`
+	Routes   *[]routeJSON   `json:"routes"`
+	Services *[]serviceJSON `json:"services"`
+	Limits   limitsJSON     `json:"limits"`
 }
 
-// Parse reads a whole configuration and checks all that can be checked without knowing the current one.
+// Parse reads a configuration and validates everything that does not depend on the current one. Its errors are of type
+// *InvalidError.
 func Parse(raw []byte) (*Document, error) {
-	var form documentForm
+	var parsed documentJSON
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	if err := decoder.Decode(&form); err != nil {
-		return nil, &InvalidError{Reason: "can't be read: " + err.Error()}
+	if err := decoder.Decode(&parsed); err != nil {
+		return nil, &InvalidError{Reason: "not a JSON document of the expected form: " + err.Error()}
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, &InvalidError{Reason: "something follows the document"}
+		return nil, &InvalidError{Reason: "unexpected data after the JSON document"}
 	}
-	if form.Version == nil {
+	if parsed.Version == nil {
 		return nil, &InvalidError{Key: "resource-version", Reason: "is missing"}
 	}
-	if form.Routes == nil || form.Services == nil {
+	if parsed.Routes == nil || parsed.Services == nil {
 		return nil, &InvalidError{Reason: "routes or services are missing"}
 	}
-	document := &Document{Version: *form.Version, Raw: append([]byte(nil), raw...), Limits: limitsOf(form.Limits)}
-	if err := document.takeServices(*form.Services); err != nil {
+	document := &Document{Version: *parsed.Version, Raw: append([]byte(nil), raw...), Limits: limitsFromJSON(parsed.Limits)}
+	if err := document.addServices(*parsed.Services); err != nil {
 		return nil, err
 	}
-	if err := document.takeRoutes(*form.Routes); err != nil {
+	if err := document.addRoutes(*parsed.Routes); err != nil {
 		return nil, err
 	}
 	return document, nil
@@ -148,7 +155,8 @@
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-func limitsOf(form limitsForm) Limits {
+// limitsFromJSON returns the limits, with defaults for those that are missing, zero or negative.
+func limitsFromJSON(form limitsJSON) Limits {
 	limits := Limits{MaxHeaderBytes: form.MaxHeaderBytes, MaxBodyBytes: form.MaxBodyBytes,
 		HeaderTimeout: milliseconds(form.HeaderTimeout), IdleTimeout: milliseconds(form.IdleTimeout)}
 	if limits.MaxHeaderBytes <= 0 {
@@ -166,7 +174,8 @@
 	return limits
 }
 
-func (d *Document) takeServices(forms []serviceForm) error {
+// addServices validates the services and adds them.
+func (d *Document) addServices(forms []serviceJSON) error {
 	d.Services = make(map[string]*Service, len(forms))
 	for i, form := range forms {
 		key := fmt.Sprintf("services[%d]", i)
@@ -174,7 +183,7 @@
 			return &InvalidError{Key: key + ".name", Reason: "is missing"}
 		}
 		if d.Services[form.Name] != nil {
-			return &InvalidError{Key: key + ".name", Reason: "is there twice: " + form.Name}
+			return &InvalidError{Key: key + ".name", Reason: "duplicates the name " + form.Name}
 		}
 		if form.Rate < 0 {
 			return &InvalidError{Key: key + ".rate-per-s", Reason: "is negative"}
@@ -189,9 +198,10 @@
 	return nil
 }
 
-func (d *Document) takeRoutes(forms []routeForm) error {
-	type place struct{ host, prefix string }
-	places := make(map[place]string, len(forms))
+// addRoutes validates the routes and adds them. The services must have been added before.
+func (d *Document) addRoutes(forms []routeJSON) error {
+	type routeMatch struct{ host, prefix string }
+	routeNames := make(map[routeMatch]string, len(forms))
 	d.Routes = make([]Route, 0, len(forms))
 	for i, form := range forms {
 		key := fmt.Sprintf("routes[%d]", i)
@@ -199,37 +209,40 @@
 			return err
 		}
 		host := strings.ToLower(form.Host)
-		at := place{host, form.PathPrefix}
-		if other, taken := places[at]; taken {
-			return &InvalidError{Key: key, Reason: "has the host and prefix of route " + other}
+		match := routeMatch{host, form.PathPrefix}
+		if other, taken := routeNames[match]; taken {
+			return &InvalidError{Key: key, Reason: "has the same host and path prefix as route " + other}
 		}
-		places[at] = form.Name
-		d.Routes = append(d.Routes, routeOf(&form, host))
+		routeNames[match] = form.Name
+		d.Routes = append(d.Routes, routeFromJSON(&form, host))
 	}
 	return nil
 }
 
-func (d *Document) checkRoute(key string, form *routeForm) error {
+// checkRoute validates one route; key is its path in the document, for errors.
+func (d *Document) checkRoute(key string, form *routeJSON) error {
 	switch {
 	case form.Name == "":
 		return &InvalidError{Key: key + ".name", Reason: "is missing"}
 	case form.Host == "":
 		return &InvalidError{Key: key + ".host", Reason: "is missing"}
 	case !strings.HasPrefix(form.PathPrefix, "/"):
-		return &InvalidError{Key: key + ".path-prefix", Reason: "does not begin with /"}
+		return &InvalidError{Key: key + ".path-prefix", Reason: "does not start with /"}
 	case form.Timeout == nil || *form.Timeout <= 0:
-		return &InvalidError{Key: key + ".timeout-ms", Reason: "is not over 0"}
+		return &InvalidError{Key: key + ".timeout-ms", Reason: "must be greater than 0"}
 	case d.Services[form.Backend] == nil:
-		return &InvalidError{Key: key + ".backend", Reason: "names no service: " + form.Backend}
+		return &InvalidError{Key: key + ".backend", Reason: "refers to an unknown service: " + form.Backend}
 	case form.Weight != nil && *form.Weight <= 0:
-		return &InvalidError{Key: key + ".weight", Reason: "is not over 0"}
+		return &InvalidError{Key: key + ".weight", Reason: "must be greater than 0"}
 	case form.Retries < 0:
 		return &InvalidError{Key: key + ".retries", Reason: "is negative"}
 	}
 	return nil
 }
 
-func routeOf(form *routeForm, host string) Route {
+// routeFromJSON returns the route, with defaults for what is missing. Retries counts attempts, of which there is always
+// one.
+func routeFromJSON(form *routeJSON, host string) Route {
 	route := Route{
 		Name: form.Name, Host: host, PathPrefix: form.PathPrefix, Kind: form.Kind, Service: form.Backend,
 		Timeout: milliseconds(*form.Timeout), TargetAck: milliseconds(form.TargetAck),
--- a/internal/system/configuration/state.go
+++ b/internal/system/configuration/state.go
@@ -7,42 +7,43 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxHistory bounds the orders that are remembered, so that a repeat of any of them is acknowledged again.
+// maxHistory bounds the accepted orders that are remembered, so that a repeat of any of them is acknowledged again.
 const maxHistory = 8192
 
-// Order is a configuration that an operator sends, and the version that it builds on.
+// Order is an operator's request to replace the current configuration.
 type Order struct {
-	Base uint64
-	Raw  []byte
+	Base uint64 // version that must be current; 0 before the first configuration
+	Raw  []byte // the new document, as JSON text
 }
 
-// ConflictError answers an order that builds on another version than the current one.
+// ConflictError is the error for an order whose base version is not the current one.
 type ConflictError struct{ Current, Base uint64 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("version %d is in place, the order builds on %d", e.Current, e.Base)
+	return fmt.Sprintf("the current configuration version is %d, but the update is based on version %d", e.Current, e.Base)
 }
 
-// taken is one order that was committed.
-type taken struct {
+// acceptedOrder identifies an order that was committed and accepted.
+type acceptedOrder struct {
 	Version uint64
-	Hash    [sha256.Size]byte
+	Hash    [sha256.Size]byte // of Order.Raw
 }
 
-// State is the replicated state of the configuration shard.
+// State is the replicated state of the configuration shard: the current document and the orders that led to it. It is
+// not safe for concurrent use.
 type State struct {
 	current *Document
-	history []taken // ascending by version
+	history []acceptedOrder // ascending by version
 	hashes  map[[sha256.Size]byte]uint64
 }
 
-// NewState is the state before the first order.
+// NewState returns the state before the first order.
 func NewState() *State { return &State{hashes: map[[sha256.Size]byte]uint64{}} }
 
-// Current is the newest configuration, nil before the first.
+// Current returns the current configuration, nil before the first one.
 func (s *State) Current() *Document { return s.current }
 
-// Version is the current version, 0 before the first.
+// Version returns the version of the current configuration, 0 before the first one.
 func (s *State) Version() uint64 {
 	if s.current == nil {
 		return 0
@@ -50,8 +51,8 @@
 	return s.current.Version
 }
 
-// Check judges an order against the state: nil and true where this very order was taken already, nil and false where
-// it can be taken, else an error.
+// Check validates an order against the state without changing it. It returns true if an order with the same text was
+// accepted before, false and no error if the order can be accepted, and otherwise an *InvalidError or a *ConflictError.
 func (s *State) Check(order Order) (known bool, err error) {
 	if _, known := s.hashes[sha256.Sum256(order.Raw)]; known {
 		return true, nil
@@ -70,7 +71,8 @@
 	return false, nil
 }
 
-// Apply takes a committed order: nil where it is, or was already, taken.
+// Apply applies a committed order. It returns nil if the order is accepted now or was accepted before, and otherwise
+// the error of Check.
 func (s *State) Apply(order Order) error {
 	known, err := s.Check(order)
 	if known || err != nil {
@@ -80,52 +82,53 @@
 	if err != nil {
 		return err
 	}
-	s.remember(taken{Version: document.Version, Hash: sha256.Sum256(order.Raw)})
+	s.recordAccepted(acceptedOrder{Version: document.Version, Hash: sha256.Sum256(order.Raw)})
 	s.current = document
 	return nil
 }
 
-func (s *State) remember(order taken) {
+// recordAccepted appends an order to the history and forgets the oldest one beyond maxHistory.
+func (s *State) recordAccepted(order acceptedOrder) {
 	s.history = append(s.history, order)
 	s.hashes[order.Hash] = order.Version
 	if len(s.history) > maxHistory {
 		delete(s.hashes, s.history[0].Hash)
-		s.history = append([]taken(nil), s.history[1:]...)
+		s.history = append([]acceptedOrder(nil), s.history[1:]...)
 	}
 }
 
-// stored is the snapshot of a State.
-type stored struct {
+// snapshot is the encoded form of a State. The fields are stored under their names.
+type snapshot struct {
 	Raw     []byte
-	History []taken
+	History []acceptedOrder
 }
 
-// Snapshot is the whole state in bytes.
+// Snapshot returns the encoded state.
 func (s *State) Snapshot() ([]byte, error) {
-	form := stored{History: s.history}
+	encoded := snapshot{History: s.history}
 	if s.current != nil {
-		form.Raw = s.current.Raw
+		encoded.Raw = s.current.Raw
 	}
-	return msgpack.Marshal(&form)
+	return msgpack.Marshal(&encoded)
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state by a snapshot. After an *InvalidError the state is unchanged.
 func (s *State) Restore(data []byte) error {
-	var form stored
-	if err := msgpack.Unmarshal(data, &form); err != nil {
-		return &InvalidError{Reason: "snapshot can't be read: " + err.Error()}
+	var decoded snapshot
+	if err := msgpack.Unmarshal(data, &decoded); err != nil {
+		return &InvalidError{Reason: "cannot decode the snapshot: " + err.Error()}
 	}
-	fresh := NewState()
-	for _, order := range form.History {
-		fresh.remember(order)
+	restored := NewState()
+	for _, order := range decoded.History {
+		restored.recordAccepted(order)
 	}
-	if len(form.Raw) > 0 {
-		document, err := Parse(form.Raw)
+	if len(decoded.Raw) > 0 {
+		document, err := Parse(decoded.Raw)
 		if err != nil {
 			return err
 		}
-		fresh.current = document
+		restored.current = document
 	}
-	*s = *fresh
+	*s = *restored
 	return nil
 }
--- a/internal/system/configuration/table.go
+++ b/internal/system/configuration/table.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// Table finds the route of a request. It is never changed after it was made.
+// Table finds the route of a request. It is immutable.
 type Table struct {
-	Document *Document
-	hosts    map[string][]*Route // longest prefix first
-	names    map[string]*Route
+	Document     *Document
+	routesByHost map[string][]*Route // by host in lower case, longest path prefix first
+	routesByName map[string]*Route
 }
 
-// NewTable indexes a document.
+// NewTable returns the table of a document, which must not be modified afterwards.
 func NewTable(document *Document) *Table {
-	table := &Table{Document: document, hosts: map[string][]*Route{}, names: map[string]*Route{}}
+	table := &Table{Document: document, routesByHost: map[string][]*Route{}, routesByName: map[string]*Route{}}
 	for i := range document.Routes {
 		route := &document.Routes[i]
-		table.hosts[route.Host] = append(table.hosts[route.Host], route)
-		table.names[route.Name] = route
+		table.routesByHost[route.Host] = append(table.routesByHost[route.Host], route)
+		table.routesByName[route.Name] = route
 	}
-	for _, routes := range table.hosts {
+	for _, routes := range table.routesByHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].PathPrefix) > len(routes[j].PathPrefix) })
 	}
 	return table
 }
 
-// Match is the route of a Host header and a path, nil where there is none.
+// Match returns the route with the longest path prefix that matches a Host header and a path, or nil if there is none.
 func (t *Table) Match(host, path string) *Route {
-	for _, route := range t.hosts[hostName(host)] {
+	for _, route := range t.routesByHost[hostName(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
@@ -36,10 +36,10 @@
 	return nil
 }
 
-// Service is the service of a route.
+// Service returns the service of a route.
 func (t *Table) Service(route *Route) *Service { return t.Document.Services[route.Service] }
 
-// hostName is a Host header without port, in lower case.
+// hostName returns a Host header without the port, in lower case.
 func hostName(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
--- a/internal/system/feed/feed.go
+++ b/internal/system/feed/feed.go
@@ -1,40 +1,44 @@
-// Package feed is a table of keyed values with a log of its changes. A subscriber bootstraps from a snapshot and tails
-// the changes from an offset; one that is too far behind, or has offsets of another life, gets a new snapshot.
+// Package feed provides a table of key-value pairs with a log of its changes, to which other processes subscribe.
+//
+// A subscriber bootstraps from a snapshot of the Table and then follows the changes from its Position, an offset in the
+// log. One that is too far behind, or whose position belongs to another epoch of the table, gets a new snapshot. Each
+// Update carries either a snapshot or changes. The package sends nothing itself.
 package feed
 
 import (
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// maxChanges is the number of changes that are kept for subscribers that are behind.
+// maxChanges is the number of changes that the log keeps at least for subscribers that are behind. It holds up to twice
+// as many before it is truncated.
 const maxChanges = 4096
 
-// Change sets a key, or deletes it where Value is nil.
+// Change sets a key, or deletes it if Value is nil.
 type Change struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      string
 	Value    []byte
 }
 
-// Position of a subscriber.
+// Position is a subscriber's position in the log of a table. The zero value is the position before any snapshot.
 type Position struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	Epoch    string   // of the table's life
-	Offset   uint64
+	Epoch    string   // of the table that the offset belongs to
+	Offset   uint64   // number of changes applied since the table was made
 }
 
-// Update brings a subscriber from its position to another.
+// Update brings a subscriber to a later position, by changes or by a snapshot.
 type Update struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	Position Position
-	Base     Position // that the changes follow, where they are not the whole
-	Whole    bool     // the changes are all there is: what isn't named is gone
+	Position Position // after the update
+	Base     Position // before the first change; unset in a snapshot
+	Whole    bool     // the update is a snapshot: keys that are not among the changes no longer exist
 	Changes  []Change
 }
 
-// AppliesAt tells whether an update brings a subscriber at a position further, or leaves it there. Its changes may begin before
-// the position: each sets or deletes a key, so that carrying some out once more ends in the same table, as long as none that followed
-// them is missing.
+// AppliesAt reports whether a subscriber at a position can apply the update, which brings it forward or leaves it where
+// it is. The changes may begin before the position: each one sets or deletes a key, so that applying some of them again
+// yields the same table, as long as the update also contains every later change up to the position.
 func (u *Update) AppliesAt(position Position) bool {
 	if u.Whole {
 		return true
@@ -42,37 +46,39 @@
 	return u.Base.Epoch == position.Epoch && u.Base.Offset <= position.Offset && position.Offset <= u.Position.Offset
 }
 
-// Table is the source of a feed. It belongs to one goroutine.
+// Table is the source of a feed. It is not safe for concurrent use.
 type Table struct {
 	epoch   string
 	offset  uint64 // of the latest change
 	values  *iradix.Tree[[]byte]
-	changes []Change // the latest ones; the last has offset
+	changes []Change // the latest ones, in order; the last one has the offset above
 }
 
-// NewTable makes an empty table; epoch must differ from that of any other life.
+// NewTable returns an empty table. The epoch must differ from that of every other table that a subscriber may have
+// followed, such as one of an earlier incarnation of the process.
 func NewTable(epoch string) *Table { return &Table{epoch: epoch, values: iradix.New[[]byte]()} }
 
-// Set sets a key; nothing happens where it has that value.
+// Set sets a key. It logs no change if the key has that value already.
 func (t *Table) Set(key string, value []byte) {
-	if old, held := t.values.Get([]byte(key)); held && string(old) == string(value) {
+	if old, exists := t.values.Get([]byte(key)); exists && string(old) == string(value) {
 		return
 	}
 	t.values, _, _ = t.values.Insert([]byte(key), value)
-	t.log(Change{Key: key, Value: value})
+	t.appendChange(Change{Key: key, Value: value})
 }
 
-// Delete removes a key.
+// Delete removes a key. It logs no change if there is no such key.
 func (t *Table) Delete(key string) {
-	values, _, held := t.values.Delete([]byte(key))
-	if !held {
+	values, _, existed := t.values.Delete([]byte(key))
+	if !existed {
 		return
 	}
 	t.values = values
-	t.log(Change{Key: key})
+	t.appendChange(Change{Key: key})
 }
 
-func (t *Table) log(change Change) {
+// appendChange appends a change to the log and drops the oldest ones once it has more than twice maxChanges.
+func (t *Table) appendChange(change Change) {
 	t.offset++
 	t.changes = append(t.changes, change)
 	if len(t.changes) > 2*maxChanges {
@@ -80,7 +86,7 @@
 	}
 }
 
-// Keys gives all keys with a prefix.
+// Keys returns all keys with a prefix, in ascending order.
 func (t *Table) Keys(prefix string) []string {
 	var keys []string
 	t.values.Root().WalkPrefix([]byte(prefix), func(key []byte, _ []byte) bool {
@@ -90,16 +96,18 @@
 	return keys
 }
 
-// Offset is the offset of the latest change.
+// Offset returns the offset of the latest change, 0 before the first one.
 func (t *Table) Offset() uint64 { return t.offset }
 
-// Reaches tells whether the changes behind a position are still known; who is elsewhere is given the whole table.
+// Reaches reports whether the log still has all changes after a position. A subscriber at any other position needs a
+// snapshot.
 func (t *Table) Reaches(position Position) bool {
 	oldest := t.offset - uint64(len(t.changes))
 	return position.Epoch == t.epoch && position.Offset >= oldest && position.Offset <= t.offset
 }
 
-// Since gives what a subscriber at a position lacks.
+// Since returns the update that brings a subscriber at a position to the latest one: the changes after its position, or
+// a snapshot if the log does not reach back to it.
 func (t *Table) Since(position Position) Update {
 	update := Update{Position: Position{Epoch: t.epoch, Offset: t.offset}}
 	oldest := t.offset - uint64(len(t.changes))
--- a/internal/system/feed/feed_test.go
+++ b/internal/system/feed/feed_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// apply brings a subscriber's copy to where an update leads.
+// apply returns a subscriber's copy of the table after an update.
 func apply(copy map[string]string, update Update) map[string]string {
 	if update.Whole {
 		copy = map[string]string{}
@@ -23,22 +23,22 @@
 }
 
 var _ = ginkgo.Describe("A feed", func() {
-	ginkgo.It("bootstraps from a snapshot and tails the changes", func() {
-		table := NewTable("life")
+	ginkgo.It("bootstraps from a snapshot and follows the changes", func() {
+		table := NewTable("epoch")
 		table.Set("a", []byte("1"))
 		first := table.Since(Position{})
 		Expect(first.Whole).To(BeTrue())
-		held := apply(nil, first)
+		copied := apply(nil, first)
 		table.Set("b", []byte("2"))
 		table.Delete("a")
 		second := table.Since(first.Position)
 		Expect(second.Whole).To(BeFalse())
 		Expect(second.Changes).To(HaveLen(2))
-		Expect(apply(held, second)).To(Equal(map[string]string{"b": "2"}))
+		Expect(apply(copied, second)).To(Equal(map[string]string{"b": "2"}))
 	})
 
-	ginkgo.It("logs no change where nothing changed", func() {
-		table := NewTable("life")
+	ginkgo.It("logs no change if a value stays the same or a key does not exist", func() {
+		table := NewTable("epoch")
 		table.Set("a", []byte("1"))
 		offset := table.Offset()
 		table.Set("a", []byte("1"))
@@ -46,8 +46,8 @@
 		Expect(table.Offset()).To(Equal(offset))
 	})
 
-	ginkgo.It("gives a new snapshot over a gap, and to a subscriber of another life", func() {
-		table := NewTable("life")
+	ginkgo.It("sends a new snapshot after a gap, and to a subscriber of another epoch", func() {
+		table := NewTable("epoch")
 		table.Set("a", []byte("1"))
 		position := table.Since(Position{}).Position
 		for i := range 3 * maxChanges {
@@ -57,6 +57,6 @@
 		Expect(update.Whole).To(BeTrue())
 		Expect(update.Changes).To(HaveLen(2))
 		Expect(table.Since(Position{Epoch: "other", Offset: table.Offset()}).Whole).To(BeTrue())
-		Expect(table.Since(Position{Epoch: "life", Offset: table.Offset() + 5}).Whole).To(BeTrue())
+		Expect(table.Since(Position{Epoch: "epoch", Offset: table.Offset() + 5}).Whole).To(BeTrue())
 	})
 })
--- a/internal/system/member/client.go
+++ b/internal/system/member/client.go
@@ -12,127 +12,130 @@
 	"granitewing/internal/system/wire"
 )
 
-// Times of a session, on the monotonic clock.
+// Intervals and timeouts of a session, on the monotonic clock.
 const (
 	heartbeatInterval = 450 * time.Millisecond
 	callTimeout       = 600 * time.Millisecond
 	openTimeout       = 1500 * time.Millisecond
-	retryPause        = 100 * time.Millisecond
-	soonPause         = 40 * time.Millisecond // of a member that has just started, as long as soonTries last
-	soonTries         = 25
-	leaderPause       = 20 * time.Millisecond // where a keeper has named the one that leads
+	retryDelay        = 100 * time.Millisecond
+	startupRetryDelay = 40 * time.Millisecond // before the first session, for maxStartupRetries attempts
+	maxStartupRetries = 25
+	redirectDelay     = 20 * time.Millisecond // when a keeper has named the current leader
 )
 
-// RefusedError is a keeper's refusal, as the driver hands it on.
+// RefusedError is the error of a call that a keeper refused. The driver that carries the calls implements it.
 type RefusedError interface {
 	error
 	Refusal() wire.RefusalBody
 }
 
-// Events of a client.
+// Events are the callbacks of a client.
 type Events struct {
-	// Changed is called when the view has changed.
+	// Changed is called after each change of the view.
 	Changed func(before, after *View)
-	// Lost is called when the session is over: what was owned under the incarnation is not any more.
+	// Lost is called when the keepers report that the session has ended: the process no longer owns the units that it
+	// owned under this incarnation.
 	Lost func()
-	// Keepers is called when connections to other keepers are wanted.
+	// Keepers is called when Client.Keepers has gained an address that needs a connection.
 	Keepers func()
-	// Fault is called with what a keeper sent that can't be read.
+	// Fault is called with the error when a feed update from a keeper cannot be decoded.
 	Fault func(err error)
 }
 
-// Client keeps one session.
+// Client opens and renews the session of one process with the leader of the keepers, and maintains the View from the
+// feed. Like the loop that it runs on, it is single-threaded.
 type Client struct {
 	loop    loop.Loop
 	peers   loop.Peers
-	seeds   []string // addresses of the keepers that the settings name
-	keepers []string // these and all that the feed names
+	seeds   []string // addresses of the keepers in the settings
+	keepers []string // seeds, the keepers in the feed, and those named as leader in refusals
 	events  Events
 
-	member     session.Member
-	view       *View
-	position   feed.Position
-	current    int // of keepers
-	open       bool
-	opening    bool
-	closed     bool
-	failures   int
-	leaseUntil time.Duration
-	catalogAt  time.Duration // when the list of workers that the feed gives was read
-	round      uint64        // of the connection; answers of former ones are passed over
-	ownersAt   string        // keeper that leads the owners' shard asked last, as far as known
+	member          session.Member
+	view            *View
+	position        feed.Position
+	keeperIndex     int // index into keepers of the one that the session uses
+	sessionOpen     bool
+	opening         bool
+	closed          bool
+	failures        int
+	leaseUntil      time.Duration
+	catalogReadAt   time.Duration // when the list of workers in the view was read from the platform
+	generation      uint64        // rises with each attempt to open a session; answers to earlier attempts are ignored
+	ownershipLeader string        // last known leader of the ownership shard of the latest release; empty if unknown
 }
 
-// NewClient makes a client; Start begins.
+// NewClient returns a client for the process self. The keepers are the addresses from the settings; there must be at
+// least one. The client does nothing until Start is called.
 func NewClient(l loop.Loop, peers loop.Peers, keepers []string, self session.Member, events Events) *Client {
 	return &Client{loop: l, peers: peers, seeds: keepers, keepers: slices.Clone(keepers), events: events, member: self, view: emptyView(),
-		catalogAt: -time.Hour}
+		catalogReadAt: -time.Hour}
 }
 
-// Start opens the session.
+// Start begins to open a session, with a keeper chosen at random.
 func (c *Client) Start() {
-	c.current = int(c.loop.Random(int64(len(c.keepers))))
-	c.tryOpen()
+	c.keeperIndex = int(c.loop.Random(int64(len(c.keepers))))
+	c.openSession()
 }
 
-// View is what is known of the fleet.
+// View returns the current view of the fleet. The caller must not modify it.
 func (c *Client) View() *View { return c.view }
 
-// Incarnation is the one of the session.
+// Incarnation returns the identifier of the current session: each session that replaces an ended one gets a new one.
 func (c *Client) Incarnation() string { return c.member.Incarnation }
 
-// Keeper is the address of the keeper that the session is with.
-func (c *Client) Keeper() string { return c.keepers[c.current] }
+// Keeper returns the address of the keeper that the client uses for its session.
+func (c *Client) Keeper() string { return c.keepers[c.keeperIndex] }
 
-// Holds tells whether the process may act on its session now.
+// Holds reports whether the session's lease is valid, so that the process may act on what it owns.
 func (c *Client) Holds() bool { return c.loop.Now() < c.leaseUntil }
 
-// Joined tells whether a session was ever opened under the incarnation.
+// Joined reports whether a session was ever opened under the current incarnation.
 func (c *Client) Joined() bool { return c.leaseUntil > 0 }
 
-// InContact tells whether a keeper answers.
-func (c *Client) InContact() bool { return c.open }
+// InContact reports whether a session is open, with a keeper that answers.
+func (c *Client) InContact() bool { return c.sessionOpen }
 
-func (c *Client) tryOpen() {
+func (c *Client) openSession() {
 	if c.closed || c.opening {
 		return
 	}
-	c.open = false
+	c.sessionOpen = false
 	c.opening = true
-	c.round++
-	round := c.round
-	address := c.keepers[c.current]
+	c.generation++
+	generation := c.generation
+	address := c.keepers[c.keeperIndex]
 	if !c.peers.Up(address) {
 		c.opening = false
-		c.turn("")
+		c.switchKeeper("")
 		return
 	}
 	sent := c.loop.Now()
 	body := wire.OpenSessionBody{Member: c.member, Position: c.position, Renew: c.Joined()}
 	c.peers.Call(address, wire.OpenSession, wire.Encode(&body), openTimeout, func(payload []byte, err error) {
-		if c.round != round || c.closed {
+		if c.generation != generation || c.closed {
 			return
 		}
 		c.opening = false
-		c.opened(sent, payload, err)
+		c.handleOpenAnswer(sent, payload, err)
 	})
 }
 
-func (c *Client) opened(sent time.Duration, payload []byte, err error) {
+func (c *Client) handleOpenAnswer(sent time.Duration, payload []byte, err error) {
 	var answer wire.OpenSessionAnswer
 	if err == nil {
 		err = wire.Decode(wire.OpenSession, payload, &answer)
 	}
-	if c.refused(err) {
+	if c.handleCallError(err) {
 		return
 	}
-	c.open, c.failures = true, 0
+	c.sessionOpen, c.failures = true, 0
 	c.leaseUntil = max(c.leaseUntil, sent+answer.Lease)
-	c.scheduleBeat(c.round)
+	c.scheduleHeartbeat(c.generation)
 }
 
-// leaderOf is the keeper that a refusal points to, or empty.
-func leaderOf(err error) string {
+// leaderFromRefusal returns the address of the leader that a refusal names, or "" for any other error.
+func leaderFromRefusal(err error) string {
 	var refused RefusedError
 	if errors.As(err, &refused) {
 		return refused.Refusal().Leader
@@ -140,95 +143,97 @@
 	return ""
 }
 
-// refused deals with a call of the session that failed: another session, or another keeper.
-func (c *Client) refused(err error) bool {
+// handleCallError reports whether a call of the session failed. If the session has ended, it starts another one;
+// on any other error, it switches to another keeper.
+func (c *Client) handleCallError(err error) bool {
 	switch {
 	case err == nil:
 		return false
-	case sessionOver(err):
-		c.sessionLost()
+	case isUnknownSession(err):
+		c.restartSession()
 	default:
-		c.turn(leaderOf(err))
+		c.switchKeeper(leaderFromRefusal(err))
 	}
 	return true
 }
 
-// sessionOver tells whether a keeper said that the session has ended.
-func sessionOver(err error) bool {
+// isUnknownSession reports whether err is a keeper's refusal because the session has ended.
+func isUnknownSession(err error) bool {
 	var refused RefusedError
 	return errors.As(err, &refused) && refused.Refusal().Code == wire.UnknownSession
 }
 
-// turn goes to another keeper, after a pause.
-func (c *Client) turn(leader string) {
-	c.open = false
-	c.round++
-	round := c.round
-	c.current = (c.current + 1) % len(c.keepers)
+// switchKeeper opens the session with another keeper after a randomized delay: with leader if it is not empty, else
+// with the next one of the list.
+func (c *Client) switchKeeper(leader string) {
+	c.sessionOpen = false
+	c.generation++
+	generation := c.generation
+	c.keeperIndex = (c.keeperIndex + 1) % len(c.keepers)
 	if leader != "" {
-		c.head(leader)
+		c.selectKeeper(leader)
 	}
 	c.failures++
-	pause := retryPause
-	if !c.Joined() && c.failures <= soonTries {
-		pause = soonPause
+	pause := retryDelay
+	if !c.Joined() && c.failures <= maxStartupRetries {
+		pause = startupRetryDelay
 	}
 	if leader != "" && c.failures == 1 {
-		pause = leaderPause
+		pause = redirectDelay
 	}
 	pause = pause/2 + time.Duration(c.loop.Random(int64(pause)))
 	c.loop.After(pause, func() {
-		if c.round == round {
-			c.tryOpen()
+		if c.generation == generation {
+			c.openSession()
 		}
 	})
 }
 
-// head turns to a keeper that another named as the leader; it need be none of those that the settings name.
-func (c *Client) head(leader string) {
+// selectKeeper selects the keeper that another one named as the leader. Its address may be missing from the settings.
+func (c *Client) selectKeeper(leader string) {
 	if !slices.Contains(c.keepers, leader) {
 		c.keepers = append(c.keepers, leader)
 		if c.events.Keepers != nil {
 			c.events.Keepers()
 		}
 	}
-	c.current = slices.Index(c.keepers, leader)
+	c.keeperIndex = slices.Index(c.keepers, leader)
 }
 
-func (c *Client) scheduleBeat(round uint64) {
+func (c *Client) scheduleHeartbeat(generation uint64) {
 	c.loop.After(heartbeatInterval, func() {
-		if c.round == round && !c.closed {
-			c.beat(round)
+		if c.generation == generation && !c.closed {
+			c.sendHeartbeat(generation)
 		}
 	})
 }
 
-func (c *Client) beat(round uint64) {
+func (c *Client) sendHeartbeat(generation uint64) {
 	sent := c.loop.Now()
 	body := wire.HeartbeatBody{Incarnation: c.member.Incarnation, Position: c.position}
-	c.peers.Call(c.keepers[c.current], wire.Heartbeat, wire.Encode(&body), callTimeout, func(payload []byte, err error) {
-		if c.round != round || c.closed {
+	c.peers.Call(c.keepers[c.keeperIndex], wire.Heartbeat, wire.Encode(&body), callTimeout, func(payload []byte, err error) {
+		if c.generation != generation || c.closed {
 			return
 		}
-		c.beaten(sent, round, payload, err)
+		c.handleHeartbeatAnswer(sent, generation, payload, err)
 	})
 }
 
-func (c *Client) beaten(sent time.Duration, round uint64, payload []byte, err error) {
+func (c *Client) handleHeartbeatAnswer(sent time.Duration, generation uint64, payload []byte, err error) {
 	var answer wire.HeartbeatAnswer
 	if err == nil {
 		err = wire.Decode(wire.Heartbeat, payload, &answer)
 	}
-	if c.refused(err) {
+	if c.handleCallError(err) {
 		return
 	}
 	c.leaseUntil = max(c.leaseUntil, sent+keeper.MemberLease)
-	c.catalogAt = max(c.catalogAt, sent-answer.CatalogAge)
-	c.scheduleBeat(round)
+	c.catalogReadAt = max(c.catalogReadAt, sent-answer.CatalogAge)
+	c.scheduleHeartbeat(generation)
 }
 
-// sessionLost begins a session under another incarnation, which says whom it replaces.
-func (c *Client) sessionLost() {
+// restartSession opens a session under a new incarnation, which names the incarnation that it replaces.
+func (c *Client) restartSession() {
 	c.leaseUntil = 0
 	c.member.Replaces = c.member.Incarnation
 	c.member.Incarnation = NewIncarnation(c.loop, c.member.Node)
@@ -236,10 +241,10 @@
 		c.events.Lost()
 	}
 	c.opening = false
-	c.turn(c.keepers[c.current])
+	c.switchKeeper(c.keepers[c.keeperIndex])
 }
 
-// NewIncarnation draws the name of a life of a process.
+// NewIncarnation returns a random identifier for one incarnation of a process, "NODE+xxxxxxxx".
 func NewIncarnation(l loop.Loop, node string) string {
 	const digits = "0123456789abcdefghijklmnopqrstuvwxyz"
 	const length = 8
@@ -250,39 +255,41 @@
 	return string(name)
 }
 
-// Up tells that a connection to a peer came about: where no session is open it is tried there at once.
+// Up notifies the client that a connection to a peer is established. If the peer is a keeper and no session is open,
+// the client tries to open one there at once.
 func (c *Client) Up(address string) {
-	at := slices.Index(c.keepers, address)
-	if at < 0 || c.open || c.opening || c.closed {
+	index := slices.Index(c.keepers, address)
+	if index < 0 || c.sessionOpen || c.opening || c.closed {
 		return
 	}
-	c.current = at
-	c.tryOpen()
+	c.keeperIndex = index
+	c.openSession()
 }
 
-// Down tells that the connection to a peer broke.
+// Down notifies the client that the connection to a peer is broken.
 func (c *Client) Down(address string) {
-	if address == c.keepers[c.current] && (c.open || c.opening) {
+	if address == c.keepers[c.keeperIndex] && (c.sessionOpen || c.opening) {
 		c.opening = false
-		c.turn("")
+		c.switchKeeper("")
 	}
 }
 
-// Stopping tells the keepers that the process was asked to stop, so that what it owns moves to others.
+// Stopping notifies the keepers that the process is shutting down, so that its units move to other carriers.
 func (c *Client) Stopping() {
 	if c.member.Stopping {
 		return
 	}
 	c.member.Stopping = true
-	if c.open {
-		c.tryOpen()
+	if c.sessionOpen {
+		c.openSession()
 	}
 }
 
-// Close ends the session; done is called when the keepers have taken it, or on failure.
+// Close ends the session and its lease. It calls done with nil once the keepers have recorded that, or with the error
+// of the call. The client opens no other session afterwards.
 func (c *Client) Close(done func(err error)) {
 	c.leaseUntil = 0
 	body := wire.CloseSessionBody{Incarnation: c.member.Incarnation}
 	c.closed = true
-	c.peers.Call(c.keepers[c.current], wire.CloseSession, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
+	c.peers.Call(c.keepers[c.keeperIndex], wire.CloseSession, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
 }
--- a/internal/system/member/orders.go
+++ b/internal/system/member/orders.go
@@ -4,36 +4,40 @@
 	"granitewing/internal/system/wire"
 )
 
-// Settle tells the keepers that a departed carrier's messages have all ended.
+// Settle notifies the keepers that all messages of a departed carrier have completed. Here and in the methods below,
+// done is called once with the error of the call; after any error but a refusal the outcome is unknown.
 func (c *Client) Settle(incarnation string, done func(err error)) {
 	body := wire.SettleBody{Incarnation: incarnation}
-	c.peers.Call(c.keepers[c.current], wire.SettleDeparted, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
+	c.peers.Call(c.keepers[c.keeperIndex], wire.SettleDeparted, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
 }
 
-// CountDisk tells the keepers that this store's disk was filled.
+// CountDisk notifies the keepers that this store's disk has been backfilled, so that it can count toward the write
+// quorum.
 func (c *Client) CountDisk(done func(err error)) {
 	body := wire.CountDiskBody{Disk: c.member.Disk}
-	c.peers.Call(c.keepers[c.current], wire.CountDisk, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
+	c.peers.Call(c.keepers[c.keeperIndex], wire.CountDisk, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
 }
 
-// DiskEmptied tells the keepers that all that lies on this store's leaving disk lies on enough others, by the roster of an epoch.
+// DiskEmptied notifies the keepers that every message on this store's leaving disk has enough replicas on other disks,
+// by the roster of disks of the given epoch.
 func (c *Client) DiskEmptied(epoch uint64, done func(err error)) {
 	body := wire.DiskEmptiedBody{Disk: c.member.Disk, Epoch: epoch}
-	c.peers.Call(c.keepers[c.current], wire.DiskEmptied, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
+	c.peers.Call(c.keepers[c.keeperIndex], wire.DiskEmptied, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
 }
 
-// Release hands a unit over as its owner was asked to. The error is a refusal with the code StaleOffer where the unit
-// stays with its owner; after any other the outcome is not known, and the call is to be repeated.
+// Release hands a unit over to the carrier that it was offered to. The token is the owner's fencing token and offer the
+// number of the offer. A refusal with the code StaleOffer means that the unit stays with its owner; after any other
+// error the outcome is unknown and the caller must repeat the call.
 func (c *Client) Release(unit string, token, offer uint64, done func(err error)) {
-	address := c.ownersAt
+	address := c.ownershipLeader
 	if address == "" || !c.peers.Up(address) {
 		address = c.keepers[c.loop.Random(int64(len(c.keepers)))]
 	}
 	body := wire.ReleaseUnitBody{Unit: unit, Token: token, Offer: offer}
 	c.peers.Call(address, wire.ReleaseUnit, wire.Encode(&body), callTimeout, func(_ []byte, err error) {
-		c.ownersAt = address
+		c.ownershipLeader = address
 		if err != nil {
-			c.ownersAt = leaderOf(err)
+			c.ownershipLeader = leaderFromRefusal(err)
 		}
 		done(err)
 	})
--- a/internal/system/member/view.go
+++ b/internal/system/member/view.go
@@ -1,4 +1,11 @@
-// Package member is a process's place in the fleet: its session with the keepers, and what it learns from their feed.
+// Package member is the client side of fleet membership, for carriers and stores.
+//
+// A Client keeps one session with the leader of the keepers. It opens the session, renews its lease by heartbeats,
+// follows the leader when it changes, and starts a session under a new incarnation after the keepers have ended the old
+// one. A process may act on what it owns only while Client.Holds returns true.
+//
+// The keeper pushes a feed of changes to each open session. The client applies them to a View, an immutable snapshot of
+// the fleet: members, disks, owners of units, workers and the configuration. Events report changes of both.
 package member
 
 import (
@@ -14,17 +21,17 @@
 	"granitewing/internal/system/wire"
 )
 
-// View is what a process knows of the fleet. A view is never changed; updates make a new one.
+// View is what a process knows of the fleet. A view is immutable: each update yields a new one.
 type View struct {
-	Table        *configuration.Table // nil before the first configuration
-	Members      map[string]session.Member
-	Disks        map[string]session.Disk // by identity
-	Epoch        uint64                  // of the roster of disks
-	Departed     map[string]session.Departed
-	Owners       map[string]ownership.Owner
-	Instances    map[string]catalog.Instance
-	Keepers      map[string]bool // addresses
-	CatalogKnown bool
+	Table        *configuration.Table        // routes requests; nil before the first configuration
+	Members      map[string]session.Member   // live carriers and stores, by incarnation
+	Disks        map[string]session.Disk     // by disk identity
+	Epoch        uint64                      // of the roster of disks
+	Departed     map[string]session.Departed // carriers that left messages behind, by incarnation
+	Owners       map[string]ownership.Owner  // by unit
+	Instances    map[string]catalog.Instance // workers, by instance ID
+	Keepers      map[string]bool             // set of addresses
+	CatalogKnown bool                        // the list of workers was read at least once
 }
 
 func emptyView() *View {
@@ -41,40 +48,43 @@
 	return to
 }
 
-// touched tells which tables an update changes, so that only these are copied.
-type touched struct{ members, disks, departed, owners, instances, keepers bool }
+// copiedTables records which maps of a new view are already copies, so that an update copies only those that it
+// changes.
+type copiedTables struct{ members, disks, departed, owners, instances, keepers bool }
 
-// maxOwnersKept bounds the records of units that a view keeps although the feed has them no more.
-const maxOwnersKept = 8192
+// maxRetainedOwners bounds the ownership records that a view retains after the feed has dropped them.
+const maxRetainedOwners = 8192
 
-// next gives the view that follows from an update. A configuration is never left for an older one, nor an owner for an
-// older record of it, or for none: a keeper that leads anew may lack a shard for a while, or lag in it, and whoever took such a
-// record for news would begin anew under a token that it, or another since, has used.
-func (v *View) next(update feed.Update) (*View, error) {
-	fresh := *v
-	var copied touched
+// withUpdate returns the view after an update. It never replaces a configuration by an older one, nor an ownership
+// record by an older one or by none. A keeper that has just become the leader may lack an ownership shard for a while,
+// or lag behind in it. A process that accepted its stale records could start again under a fencing token that it, or a
+// later owner, has already used.
+func (v *View) withUpdate(update feed.Update) (*View, error) {
+	updated := *v
+	var copied copiedTables
 	if update.Whole {
 		empty := emptyView()
-		fresh.Members, fresh.Disks, fresh.Departed = empty.Members, empty.Disks, empty.Departed
-		fresh.Keepers = empty.Keepers
-		copied = touched{members: true, disks: true, departed: true, keepers: true}
-		if len(v.Owners) > maxOwnersKept {
-			fresh.Owners, copied.owners = empty.Owners, true
+		updated.Members, updated.Disks, updated.Departed = empty.Members, empty.Disks, empty.Departed
+		updated.Keepers = empty.Keepers
+		copied = copiedTables{members: true, disks: true, departed: true, keepers: true}
+		if len(v.Owners) > maxRetainedOwners {
+			updated.Owners, copied.owners = empty.Owners, true
 		}
-		if hasKey(update.Changes, keeper.KeyCatalog) {
-			fresh.Instances = empty.Instances
+		if setsKey(update.Changes, keeper.KeyCatalog) {
+			updated.Instances = empty.Instances
 			copied.instances = true
 		}
 	}
 	for _, change := range update.Changes {
-		if err := fresh.apply(v, change, &copied); err != nil {
+		if err := updated.applyChange(v, change, &copied); err != nil {
 			return nil, err
 		}
 	}
-	return &fresh, nil
+	return &updated, nil
 }
 
-func hasKey(changes []feed.Change, key string) bool {
+// setsKey reports whether changes contain a value for key.
+func setsKey(changes []feed.Change, key string) bool {
 	for _, change := range changes {
 		if change.Key == key && change.Value != nil {
 			return true
@@ -83,7 +93,9 @@
 	return false
 }
 
-func (v *View) apply(before *View, change feed.Change, copied *touched) error {
+// applyChange applies one change to v, a copy of before whose maps are shared with it unless copied says otherwise.
+// Keys of unknown kinds, from newer keepers, are ignored.
+func (v *View) applyChange(before *View, change feed.Change, copied *copiedTables) error {
 	prefix, name := splitKey(change.Key)
 	switch prefix {
 	case keeper.KeyConfiguration:
@@ -91,9 +103,9 @@
 	case keeper.KeyCatalog:
 		v.CatalogKnown = true
 	case keeper.PrefixMember:
-		return set(&v.Members, &copied.members, name, change.Value)
+		return setEntry(&v.Members, &copied.members, name, change.Value)
 	case keeper.PrefixDisk:
-		return set(&v.Disks, &copied.disks, name, change.Value)
+		return setEntry(&v.Disks, &copied.disks, name, change.Value)
 	case keeper.KeyRoster:
 		var epoch uint64
 		if err := wire.Decode(wire.FeedUpdate, change.Value, &epoch); err != nil {
@@ -101,12 +113,12 @@
 		}
 		v.Epoch = max(v.Epoch, epoch)
 	case keeper.PrefixDeparted:
-		return set(&v.Departed, &copied.departed, name, change.Value)
+		return setEntry(&v.Departed, &copied.departed, name, change.Value)
 	case keeper.PrefixOwner:
-		if change.Value == nil && len(v.Owners) <= maxOwnersKept {
+		if change.Value == nil && len(v.Owners) <= maxRetainedOwners {
 			return nil
 		}
-		if err := set(&v.Owners, &copied.owners, name, change.Value); err != nil {
+		if err := setEntry(&v.Owners, &copied.owners, name, change.Value); err != nil {
 			return err
 		}
 		if old := before.Owners[name]; v.Owners[name].OlderThan(old) {
@@ -122,11 +134,12 @@
 		}
 		v.Keepers[name] = true
 	case keeper.PrefixInstance:
-		return set(&v.Instances, &copied.instances, name, change.Value)
+		return setEntry(&v.Instances, &copied.instances, name, change.Value)
 	}
 	return nil
 }
 
+// splitKey splits a feed key behind its first slash; a key without a slash is all prefix.
 func splitKey(key string) (prefix, name string) {
 	slash := strings.IndexByte(key, '/')
 	if slash < 0 {
@@ -135,6 +148,7 @@
 	return key[:slash+1], key[slash+1:]
 }
 
+// applyConfiguration replaces the table of routes if raw has a higher version than the current one.
 func (v *View) applyConfiguration(raw []byte) error {
 	document, err := configuration.Parse(raw)
 	if err != nil {
@@ -146,7 +160,9 @@
 	return nil
 }
 
-func set[V any](table *map[string]V, copied *bool, name string, encoded []byte) error {
+// setEntry decodes a value into an entry of a table, or deletes the entry if encoded is nil. It copies the table first
+// unless that was done before.
+func setEntry[V any](table *map[string]V, copied *bool, name string, encoded []byte) error {
 	if !*copied {
 		*table = copyMap(*table)
 		*copied = true
@@ -163,7 +179,7 @@
 	return nil
 }
 
-// Carriers gives the live carriers' number.
+// Carriers returns the number of live carriers.
 func (v *View) Carriers() int {
 	count := 0
 	for _, member := range v.Members {
@@ -174,7 +190,7 @@
 	return count
 }
 
-// Counted gives the disks that messages lie on.
+// Counted returns the disks that count toward the write quorum, by identity.
 func (v *View) Counted() map[string]session.Disk {
 	counted := make(map[string]session.Disk, len(v.Disks))
 	for id, disk := range v.Disks {
@@ -185,7 +201,7 @@
 	return counted
 }
 
-// Missing gives the counted disks without a live store.
+// Missing returns the disks that count toward the write quorum but have no live store, in ascending order of identity.
 func (v *View) Missing() []string {
 	live := map[string]bool{}
 	for _, member := range v.Members {
--- a/internal/system/member/view_test.go
+++ b/internal/system/member/view_test.go
@@ -17,12 +17,12 @@
 		return feed.Change{Key: keeper.PrefixOwner + unit, Value: wire.Encode(&owner)}
 	}
 	follow := func(view *View, whole bool, changes ...feed.Change) *View {
-		next, err := view.next(feed.Update{Whole: whole, Changes: changes})
+		next, err := view.withUpdate(feed.Update{Whole: whole, Changes: changes})
 		Expect(err).NotTo(HaveOccurred())
 		return next
 	}
 
-	ginkgo.It("never takes an older record of an owner, even after one that names none", func() {
+	ginkgo.It("never accepts an older ownership record, even after an update without one", func() {
 		mine, others := ownership.Owner{Incarnation: "a", Token: 5}, ownership.Owner{Incarnation: "b", Token: 6}
 		view := follow(emptyView(), true, record("key/1", others))
 		for name, without := range map[string]*View{
@@ -36,9 +36,9 @@
 		}
 	})
 
-	ginkgo.It("does not keep records without end that the feed has no more", func() {
+	ginkgo.It("bounds the ownership records that it retains after the feed has dropped them", func() {
 		var changes []feed.Change
-		for i := range maxOwnersKept + 1 {
+		for i := range maxRetainedOwners + 1 {
 			changes = append(changes, record(fmt.Sprintf("paced/%d", i), ownership.Owner{Incarnation: "a", Token: 1}))
 		}
 		view := follow(emptyView(), true, changes...)
--- a/internal/system/settings/form.go
+++ b/internal/system/settings/form.go
@@ -9,8 +9,8 @@
 	"granitewing/internal/system/tolerance"
 )
 
-// form is the file as it is written; what it leaves out is zero.
-type form struct {
+// fileTOML is the TOML form of the settings file. Missing keys are zero.
+type fileTOML struct {
 	NodeName        string   `toml:"node-name"`
 	Role            string   `toml:"role"`
 	MachineClass    string   `toml:"machine-class"`
@@ -39,7 +39,7 @@
 		Zones    int `toml:"zones"`
 		Regions  int `toml:"regions"`
 	} `toml:"fault-tolerance"`
-	Zones  map[string]string `toml:"zones"` // the region of each
+	Zones  map[string]string `toml:"zones"` // region by zone
 	Bounds struct {
 		Contact     float64 `toml:"contact-ms"`
 		Ack         float64 `toml:"ack-ms"`
@@ -62,29 +62,30 @@
 	} `toml:"repair"`
 }
 
-func (f *form) check(path string) error {
-	fault := func(key, reason string) error { return &Error{File: path, Key: key, Reason: reason} }
+// validate returns an *Error for the first value that cannot be used.
+func (f *fileTOML) validate(path string) error {
+	invalid := func(key, reason string) error { return &Error{File: path, Key: key, Reason: reason} }
 	switch {
 	case f.NodeName == "":
-		return fault("node-name", "is missing")
+		return invalid("node-name", "is missing")
 	case net.ParseIP(f.IP) == nil:
-		return fault("ip", strconv.Quote(f.IP)+" is no address")
-	case len(f.PortRange) != 2 || f.PortRange[0] <= 0 || f.PortRange[1] < f.PortRange[0]+portsNeeded-1 || f.PortRange[1] > 65535:
-		return fault("port-range", fmt.Sprintf("%v is no range of %d ports or more", f.PortRange, portsNeeded))
+		return invalid("ip", strconv.Quote(f.IP)+" is not an IP address")
+	case len(f.PortRange) != 2 || f.PortRange[0] <= 0 || f.PortRange[1] < f.PortRange[0]+requiredPorts-1 || f.PortRange[1] > 65535:
+		return invalid("port-range", fmt.Sprintf("%v is not a range of at least %d ports", f.PortRange, requiredPorts))
 	case len(f.Seeds) == 0:
-		return fault("seeds", "are missing")
+		return invalid("seeds", "are missing")
 	case f.FaultTolerance.Machines < 0:
-		return fault("fault-tolerance.machines", "is negative")
+		return invalid("fault-tolerance.machines", "is negative")
 	case f.FaultTolerance.Zones < 0:
-		return fault("fault-tolerance.zones", "is negative")
+		return invalid("fault-tolerance.zones", "is negative")
 	case f.FaultTolerance.Regions < 0:
-		return fault("fault-tolerance.regions", "is negative")
+		return invalid("fault-tolerance.regions", "is negative")
 	case f.Repair.LinkShare != nil && (*f.Repair.LinkShare <= 0 || *f.Repair.LinkShare > 1):
-		return fault("repair.link-share", fmt.Sprintf("%g is not over 0 and at most 1", *f.Repair.LinkShare))
+		return invalid("repair.link-share", fmt.Sprintf("%g is not greater than 0 and at most 1", *f.Repair.LinkShare))
 	}
 	for i, seed := range f.Seeds {
 		if _, _, err := net.SplitHostPort(seed); err != nil {
-			return fault(fmt.Sprintf("seeds[%d]", i), err.Error())
+			return invalid(fmt.Sprintf("seeds[%d]", i), err.Error())
 		}
 	}
 	for key, address := range map[string]string{"listen.front": f.Listen.Front, "listen.readiness": f.Listen.Readiness,
@@ -93,20 +94,22 @@
 			continue
 		}
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return fault(key, err.Error())
+			return invalid(key, err.Error())
 		}
 	}
 	return nil
 }
 
-func milliseconds(value, otherwise float64) time.Duration {
+// milliseconds converts a value in milliseconds, or fallback if the value is missing, zero or negative.
+func milliseconds(value, fallback float64) time.Duration {
 	if value <= 0 {
-		value = otherwise
+		value = fallback
 	}
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-func (f *form) settings() *Settings {
+// toSettings returns the settings, with defaults for missing bounds.
+func (f *fileTOML) toSettings() *Settings {
 	overage := f.Bounds.Overage
 	if overage < 1 {
 		overage = 1
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads and checks the settings file that the platform writes for each process of the system.
+// Package settings reads and validates the settings file, in TOML, which the platform writes for each process of the
+// system. Load returns the Settings of a process; the methods of Settings derive addresses and rates from them.
 package settings
 
 import (
@@ -11,80 +12,82 @@
 	"granitewing/internal/system/tolerance"
 )
 
-// PathVariable names the environment variable with the file's path.
+// PathVariable is the name of the environment variable that holds the path of the settings file.
 const PathVariable = "GRANITEWING_CONFIG"
 
-// DefaultPath is where the file lies when the variable is not set.
+// DefaultPath is the path of the settings file if the variable is not set.
 const DefaultPath = "/etc/granitewing/local.toml"
 
-// Settings of one process.
+// Settings are the settings of one process.
 type Settings struct {
-	NodeName        string
-	Role            string
-	MachineClass    string
-	Serves          []string
+	NodeName        string   // name of the machine
+	Role            string   // carrier, keeper or store
+	MachineClass    string   // not used by the roles
+	Serves          []string // not used by the roles
 	IP              string
 	Zone            string
-	FirstPort       int
+	FirstPort       int // first port of the range for calls between roles
 	LastPort        int
-	Seeds           []string
-	Bootstrap       bool
-	CountsForQuorum bool
-	DataDir         string
+	Seeds           []string // control addresses, host and port, of some keepers
+	Bootstrap       bool     // this process starts a new system if its disk is empty
+	CountsForQuorum bool     // not used by the roles
+	DataDir         string   // directory for what the role stores
 	Listen          Listen
 	Limits          Limits
-	Tolerance       tolerance.Tolerance // what may be lost at one time
+	Tolerance       tolerance.Tolerance // machines, zones and regions that may be lost at the same time
 	Bounds          Bounds
 	Cloud           Cloud
 	Repair          Repair
 }
 
-// Repair bounds what the filling and emptying of disks take from the rest.
+// Repair bounds the resources that the backfill and the drain of disks take from other traffic.
 type Repair struct {
-	// LinkShare is the part of the machine's link that copies of messages take at the most.
+	// LinkShare is the maximum share of the machine's link for copies of messages, greater than 0 and at most 1.
 	LinkShare float64
 }
 
-// defaultLinkShare leaves most of the link to the carriers' messages; docs/system.md has what was measured with it.
+// defaultLinkShare leaves most of the link to the carriers' messages. Measurements with it are in docs/system.md.
 const defaultLinkShare = 0.25
 
-// Listen holds the addresses that the role serves.
+// Listen holds the HTTP addresses, host and port, on which the role serves clients (Front), the readiness probe
+// (Readiness) and operators (Control). An empty address is not served.
 type Listen struct{ Front, Readiness, Control string }
 
-// Limits of the machine.
+// Limits are the resource limits of the process on its machine. Zero means that the file gives no limit.
 type Limits struct {
-	CPUShare  float64
-	MemoryMB  int
-	MaxFiles  int
+	CPUShare  float64 // not used by the roles
+	MemoryMB  int     // in MiB
+	MaxFiles  int     // open file descriptors; not used by the roles
 	DiskBytes int64
-	LinkBytes float64 // a second; 0 where the file does not tell
+	LinkBytes float64 // bytes per second
 }
 
-// Bounds are the times that the rules in force give.
+// Bounds are the time limits that the system must keep. The roles use Ack, Grace and Status; the file sets the others
+// too.
 type Bounds struct {
 	Contact     time.Duration
-	Ack         time.Duration
+	Ack         time.Duration // for the answer to an operator's call
 	Drain       time.Duration
-	Grace       time.Duration
+	Grace       time.Duration // for a graceful shutdown
 	ConfigApply time.Duration
-	Status      time.Duration
+	Status      time.Duration // for which the state of a completed message can be queried
 	Callback    time.Duration
 	Early       time.Duration
 	Window      time.Duration // over which the rate of a service is counted
-	Overage     float64
+	Overage     float64       // factor of a service's rate that may be reached in a window; at least 1
 }
 
-// Cloud is the platform's list of workers.
+// Cloud says where the platform's list of workers is read.
 type Cloud struct {
-	Address string
-	Rate    float64 // calls a second over all processes
-	MaxLag  time.Duration
+	Address string        // host and port; empty if there is no list
+	Rate    float64       // maximum calls per second by all processes together
+	MaxLag  time.Duration // how far the list may lag behind the platform
 }
 
-// Error tells what is wrong with a settings file.
+// Error is the error for a settings file that cannot be read or has an invalid value.
 type Error struct {
 	File   string
-	Key    string
+	Key    string // such as listen.front; empty if the whole file is at fault
 	Reason string
 }
 
@@ -95,7 +98,7 @@
 	return fmt.Sprintf("settings %s: %s: %s", e.File, e.Key, e.Reason)
 }
 
-// Path is where the settings file of this process lies.
+// Path returns the path of this process's settings file: the value of PathVariable, or else DefaultPath.
 func Path() string {
 	if path := os.Getenv(PathVariable); path != "" {
 		return path
@@ -103,7 +106,8 @@
 	return DefaultPath
 }
 
-// Load reads and checks a settings file. Keys that it doesn't know are passed over: the platform may add some.
+// Load reads and validates a settings file. It ignores unknown keys, since the platform may add some. Its errors are of
+// type *Error.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -112,17 +116,18 @@
 	return Parse(path, data)
 }
 
-// Parse checks the bytes of a settings file.
+// Parse parses and validates the contents of a settings file. The path is used in errors, which are of type *Error.
 func Parse(path string, data []byte) (*Settings, error) {
-	var f form
-	if err := toml.Unmarshal(data, &f); err != nil {
+	var document fileTOML
+	if err := toml.Unmarshal(data, &document); err != nil {
 		return nil, &Error{File: path, Reason: err.Error()}
 	}
-	if err := f.check(path); err != nil {
+	if err := document.validate(path); err != nil {
 		return nil, err
 	}
-	return f.settings(), nil
+	return document.toSettings(), nil
 }
 
-// RepairRate is how many bytes a second the filling and emptying of disks may move; 0 is without a bound.
+// RepairRate returns the maximum rate, in bytes per second, at which the backfill and the drain of disks may copy
+// messages; 0 means no limit.
 func (s *Settings) RepairRate() float64 { return s.Limits.LinkBytes * s.Repair.LinkShare }
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"granitewing/internal/system/tolerance"
 )
 
-const file = `
+const validFile = `
 node-name = "edge-a-1"
 role = "carrier"
 ip = "10.1.0.40"
@@ -42,8 +42,8 @@
 `
 
 var _ = ginkgo.Describe("The settings file", func() {
-	ginkgo.It("is read, with keys of later versions passed over", func() {
-		s, err := Parse("local.toml", []byte(file))
+	ginkgo.It("is parsed, ignoring unknown keys of later versions", func() {
+		s, err := Parse("local.toml", []byte(validFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Tolerance).To(Equal(tolerance.Tolerance{Machines: 1, Zones: 2, RegionOf: map[string]string{"a": "north", "b": "south"}}))
 		Expect(s.Bounds.Grace).To(Equal(6 * time.Second))
@@ -56,14 +56,14 @@
 		Expect(s.ControlAddress("10.2.0.43:7780")).To(Equal("10.2.0.43:8064"))
 	})
 
-	ginkgo.It("bounds what a repair moves by a part of the link", func() {
-		s, err := Parse("local.toml", []byte(file+"[repair]\nlink-share = 0.5\n"))
+	ginkgo.It("limits the repair rate to a share of the link", func() {
+		s, err := Parse("local.toml", []byte(validFile+"[repair]\nlink-share = 0.5\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.RepairRate()).To(Equal(600e6 / 8 * 0.5))
 	})
 
-	ginkgo.DescribeTable("names the key at fault", func(old, new, key string) {
-		_, err := Parse("local.toml", []byte(strings.Replace(file, old, new, 1)))
+	ginkgo.DescribeTable("is rejected with the key at fault", func(old, new, key string) {
+		_, err := Parse("local.toml", []byte(strings.Replace(validFile, old, new, 1)))
 		var fault *Error
 		Expect(errors.As(err, &fault)).To(BeTrue())
 		Expect(fault.Key).To(Equal(key))
@@ -76,12 +76,12 @@
 		ginkgo.Entry("a seed without port", `"10.2.0.43:8064"`, `"10.2.0.43"`, "seeds[1]"),
 		ginkgo.Entry("a listener without port", `front = "10.1.0.40:8069"`, `front = "10.1.0.40"`, "listen.front"),
 		ginkgo.Entry("negative tolerance", "machines = 1", "machines = -1", "fault-tolerance.machines"),
-		ginkgo.Entry("no share of the link for repairs", "[cloud]", "[repair]\nlink-share = 0\n[cloud]", "repair.link-share"),
-		ginkgo.Entry("more than the link for repairs", "[cloud]", "[repair]\nlink-share = 1.5\n[cloud]", "repair.link-share"),
-		ginkgo.Entry("no TOML", `zone = "a"`, `zone = `, ""),
+		ginkgo.Entry("a link share of zero for repairs", "[cloud]", "[repair]\nlink-share = 0\n[cloud]", "repair.link-share"),
+		ginkgo.Entry("a link share above one for repairs", "[cloud]", "[repair]\nlink-share = 1.5\n[cloud]", "repair.link-share"),
+		ginkgo.Entry("invalid TOML", `zone = "a"`, `zone = `, ""),
 	)
 
-	ginkgo.It("is missed by name", func() {
+	ginkgo.It("yields an error of its own type if it does not exist", func() {
 		_, err := Load("/nowhere/local.toml")
 		var fault *Error
 		Expect(errors.As(err, &fault)).To(BeTrue())
--- a/internal/system/wire/headers.go
+++ b/internal/system/wire/headers.go
@@ -1,6 +1,6 @@
 package wire
 
-// Headers of the HTTP protocol that clients, carriers and workers speak.
+// Headers of the HTTP protocol between clients, carriers and workers.
 const (
 	HeaderRequestID   = "X-Request-Id"
 	HeaderOrderingKey = "X-Ordering-Key"
--- a/internal/system/wire/messages.go
+++ b/internal/system/wire/messages.go
@@ -9,49 +9,49 @@
 	"granitewing/internal/system/session"
 )
 
-// Kind tells calls, answers and pushes apart.
+// Kind is the kind of a frame: an answer, a certain call or a certain push.
 type Kind uint8
 
-// The kinds. An answer has the kind Answer, and Refusal where the peer could not carry out the call.
+// The kinds, grouped by the role that serves the call. The values are part of the protocol.
 const (
-	Answer Kind = iota + 1
-	Refusal
-	Greeting // push: the first frame of who was connected to
+	Answer   Kind = iota + 1 // to a call that was carried out; the type of its body depends on the call
+	Refusal                  // to a call that was not carried out, with a RefusalBody
+	Greeting                 // push: the first frame from the side that accepted the connection
 
 	// To keepers.
-	AgreementMessages // push: between keepers
-	OpenSession
-	Heartbeat
-	CloseSession
-	SettleDeparted
-	JoinGroup
-	CountDisk
-	DiskEmptied
-	FeedUpdate // push: from a keeper to a member
+	AgreementMessages // push between keepers, with an AgreementBody
+	OpenSession       // with an OpenSessionBody, answered by an OpenSessionAnswer
+	Heartbeat         // with a HeartbeatBody, answered by a HeartbeatAnswer
+	CloseSession      // with a CloseSessionBody
+	SettleDeparted    // with a SettleBody
+	JoinGroup         // from a keeper, with a JoinGroupBody
+	CountDisk         // from a store, with a CountDiskBody
+	DiskEmptied       // from a store, with a DiskEmptiedBody
+	FeedUpdate        // push from a keeper to a member, encoded by EncodeUpdate
 
 	// To stores.
-	PutMessage
-	VoidMessage
-	PutEnds
-	CallbackDone
-	ListUnit
-	FindMessage
-	ListHeld
-	FetchCopies
-	PutCopies
-	FindEnds
+	PutMessage   // with a PutBody
+	VoidMessage  // with a VoidBody
+	PutEnds      // with an EndsBody
+	CallbackDone // with a CallbackDoneBody
+	ListUnit     // with a ListBody, answered by a ListAnswer
+	FindMessage  // with a FindBody, answered by a FindAnswer
+	ListHeld     // with a HeldBody, answered by a HeldAnswer
+	FetchCopies  // with a FetchBody, answered by a CopiesBody
+	PutCopies    // with a CopiesBody
+	FindEnds     // with a FindEndsBody, answered by a FoundEnds
 
 	// To carriers.
-	ReserveSequence
-	ConfirmMessage
-	ForwardMessage
+	ReserveSequence // with a ReserveBody, answered by a ReserveAnswer
+	ConfirmMessage  // with a DeliverBody for a message with a reserved sequence number, answered by a DeliverAnswer
+	ForwardMessage  // with a DeliverBody, answered by a DeliverAnswer
 
 	// To keepers.
-	ReleaseUnit
-	GroupLeft
+	ReleaseUnit // from a carrier, with a ReleaseUnitBody
+	GroupLeft   // from a keeper, with a GroupLeftBody
 
 	// To carriers.
-	TakeTurn
+	TakeTurn // with a TakeTurnBody, answered by a TakeTurnAnswer
 )
 
 // RefusalBody is the payload of a Refusal.
@@ -59,150 +59,151 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Code     RefusalCode
 	Reason   string
-	Leader   string // address of the keeper that leads, where that is known
+	Leader   string // address of the keeper that leads; empty if unknown
 }
 
-// RefusalCode tells why a call was not carried out.
+// RefusalCode is the reason why a call was not carried out.
 type RefusalCode uint8
 
-// The codes.
+// The codes. The values are part of the protocol.
 const (
-	NotLeader RefusalCode = iota + 1
-	UnknownSession
-	NotOwner
-	NotReady
-	Voided
-	Failed
-	Removed
-	StaleRoster
-	StaleOffer
+	NotLeader      RefusalCode = iota + 1 // the keeper does not lead the group; RefusalBody.Leader may name the leader
+	UnknownSession                        // the session has ended: the member must open another under a new incarnation
+	NotOwner                              // the carrier does not own the unit, or its messages have been taken over
+	NotReady                              // the owner of the unit cannot serve the call now; it may be repeated
+	Voided                                // the message has been cancelled
+	Failed                                // any other reason, such as a full disk
+	Removed                               // the keeper was removed from the group that it wants to join
+	StaleRoster                           // the call is for an older roster of disks than the store's
+	StaleOffer                            // the offer of the unit was withdrawn: the unit stays with its owner
 )
 
-// AgreementBody carries messages of one group.
+// AgreementBody carries messages of the agreement protocol of one replica group.
 type AgreementBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Group    int
 	Messages []agreement.Message
 }
 
-// JoinGroupBody asks a group's leader to let a newcomer follow.
+// JoinGroupBody asks the leader of a replica group to add a keeper as a learner.
 type JoinGroupBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Group    int
 	Member   string
-	Knows    bool // the newcomer's disk names a group already
+	Knows    bool // the disk of the keeper already holds state of a group
 }
 
-// GroupLeftBody tells the leader of the sessions that a control group does without a machine that is being emptied.
+// GroupLeftBody notifies the leader of the sessions group that a replica group has removed a draining machine.
 type GroupLeftBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Node     string
 	Group    int
 }
 
-// OpenSessionBody opens a member's session, or renews it on another connection.
+// OpenSessionBody opens the session of a member, or renews it, on another connection or with a changed Member.
 type OpenSessionBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Member   session.Member
-	Position feed.Position
-	Renew    bool // the session was open before; where it is over, it can't be opened again
+	Position feed.Position // that the member has reached in the feed
+	Renew    bool          // the session was open before: if it has ended, the call is refused
 }
 
-// OpenSessionAnswer tells how long the session lasts without a heartbeat.
+// OpenSessionAnswer grants the lease of a session.
 type OpenSessionAnswer struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Lease    time.Duration
+	_msgpack struct{}      `msgpack:",as_array"`
+	Lease    time.Duration // for which the member may act on its session, counted from when it sent the call
 }
 
-// HeartbeatBody keeps a session.
+// HeartbeatBody renews the lease of a session.
 type HeartbeatBody struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Incarnation string
 	Position    feed.Position // that the member has reached in the feed
 }
 
-// HeartbeatAnswer tells how old the keeper's list of workers is.
+// HeartbeatAnswer contains the age of the keeper's list of workers.
 type HeartbeatAnswer struct {
 	_msgpack   struct{} `msgpack:",as_array"`
 	CatalogAge time.Duration
 }
 
-// CloseSessionBody ends a session; all that the member did is over.
+// CloseSessionBody ends the session of a member that shuts down: nothing happens under its incarnation any more.
 type CloseSessionBody struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Incarnation string
 }
 
-// SettleBody tells that a departed carrier's messages have all ended.
+// SettleBody notifies the keepers that all messages of a departed carrier have completed.
 type SettleBody struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Incarnation string
 }
 
-// CountDiskBody tells that a store's disk was filled from the others.
+// CountDiskBody notifies the keepers that a store's disk has been backfilled from the other disks.
 type CountDiskBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Disk     string
 }
 
-// DiskEmptiedBody tells that all that lies on a leaving disk lies on enough others, by the roster of an epoch.
+// DiskEmptiedBody notifies the keepers that all messages on a leaving disk have enough replicas on other disks, by the
+// roster of disks of the given epoch.
 type DiskEmptiedBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Disk     string
-	Epoch    uint64 // 0 of earlier versions, which tell none
+	Epoch    uint64 // 0 from earlier versions, which do not send it
 }
 
 // ReleaseUnitBody hands a unit over to the carrier that it was offered to.
 type ReleaseUnitBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Unit     string
-	Token    uint64
-	Offer    uint64
+	Token    uint64 // the owner's fencing token
+	Offer    uint64 // number of the offer
 }
 
-// FindEndsBody asks which of some messages have ended.
+// FindEndsBody queries the outcomes of some messages.
 type FindEndsBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	IDs      []string
 }
 
-// PutBody stores a message, at the disks of a roster.
+// PutBody stores a message on a disk that the roster of the given epoch contains.
 type PutBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Message  message.Message
 	Epoch    uint64
 }
 
-// VoidBody makes a message void: it never runs, whether or not its bytes came or still come.
+// VoidBody cancels a message: it never runs, whether the store has received it already or receives it later.
 type VoidBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
 }
 
-// EndsBody records ends.
+// EndsBody records the outcomes of messages.
 type EndsBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Ends     []message.End
 }
 
-// FoundEnds tells the ends of messages that were asked for.
+// FoundEnds contains the outcomes that a store has of the messages in a FindEndsBody.
 type FoundEnds struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Ends     []message.End
-	Complete bool // the store holds all that a counted one has to: it knows no end of the others
+	Complete bool // the store has all that a disk must have to count toward the write quorum: no outcome of the others
 }
 
-// CallbackDoneBody records that the ends of messages were told.
+// CallbackDoneBody records that the call-backs with the outcomes of messages were made.
 type CallbackDoneBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	IDs      []string
 }
 
-// ListBody asks for a unit's messages that have not ended, or whose call-back is owed.
+// ListBody asks for a unit's messages that have not completed, or whose call-back is pending.
 type ListBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Unit     string
-	After    uint64 // place behind which the list goes on
+	After    uint64 // position after which the list continues; 0 for its start
 }
 
 // ListedMessage is one message of a list.
@@ -210,66 +211,70 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Message  message.Message
 	Phase    message.Phase
-	Stamp    string
-	Age      time.Duration // since it came to the store, or less: what passed while the store was down is not known
+	Stamp    string        // of the successful run
+	Age      time.Duration // since the store received it, or less: the store cannot measure the time while it is down
 }
 
-// ListAnswer is a part of a unit's list.
+// ListAnswer is a part of the list of a unit's messages.
 type ListAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Messages []ListedMessage
-	Next     uint64 // for the next call
-	More     bool
-	Complete bool // the store holds all that a counted one has to
+	Next     uint64 // ListBody.After of the next call
+	More     bool   // the list continues
+	Complete bool   // the store holds everything that a disk must hold to count toward the write quorum
 }
 
-// FindBody asks for a message's state.
+// FindBody asks for the state of a message.
 type FindBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
-	WithBody bool
+	WithBody bool // the answer contains the message's body, if the store has it
 }
 
-// FindAnswer tells what a store knows of a message.
+// FindAnswer contains the state of a message, as a store has it.
 type FindAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	Known    bool
+	Known    bool     // the store holds the message or its outcome
 	Phase    message.Phase
-	Stamp    string
+	Stamp    string // of the successful run
 	Body     []byte
 	HasBody  bool
-	Complete bool
+	Complete bool // as in ListAnswer
 }
 
-// HeldBody asks what a store holds, from a place on.
+// HeldBody asks for the list of what a store holds, after a position.
 type HeldBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	After    uint64
 }
 
-// HeldState tells what a store holds of a message.
+// HeldState is the set of what a store holds of a message.
 type HeldState uint8
 
-// The parts of a HeldState.
+// The elements of a HeldState.
 const (
-	HeldBytes HeldState = 1 << iota // the message itself, which somebody may still need
-	HeldEnd                         // that it has ended
-	HeldVoid                        // that it is void
-	HeldOwed                        // that its end is still owed to its call-back URL
+	HeldBytes HeldState = 1 << iota // the message itself, which may still be needed
+	HeldEnd                         // its outcome
+	HeldVoid                        // that it has been cancelled
+	HeldOwed                        // that the call-back with its outcome is still pending
 )
 
-// Has tells whether all of some parts are held.
+// Has reports whether the set contains all of some elements.
 func (s HeldState) Has(parts HeldState) bool { return s&parts == parts }
 
-// HeldAnswer is a part of what a store holds, in the order of the latest changes. A message that has changed comes again.
+// HeldAnswer is a part of the list of what a store holds, in the order in which the messages last changed. A message
+// that changes after it was listed is listed again.
 type HeldAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	IDs      []string
-	States   []HeldState // of the messages in IDs
-	Next     uint64      // for the next call
-	More     bool
-	Epoch    uint64 // of a roster: all that was taken for an older one is told, and nothing more is taken for one
-	// Disk is the identity of the disk whose store answers. Another than the one that was meant may answer at its machine's address.
+	States   []HeldState // of the messages in IDs, in the same order
+	Next     uint64      // HeldBody.After of the next call
+	More     bool        // the list continues
+	// Epoch is that of a roster of disks: the list has everything that was stored for older rosters, and the store
+	// accepts nothing more for them.
+	Epoch uint64
+	// Disk is the identity of the disk whose store answers. It may differ from the expected one, because a store with
+	// another disk may answer at its machine's address.
 	Disk string
 }
 
@@ -279,65 +284,68 @@
 	IDs      []string
 }
 
-// CopiedMessage is one record of a copy.
+// CopiedMessage is the copy of what a store holds of one message.
 type CopiedMessage struct {
 	_msgpack struct{}        `msgpack:",as_array"`
-	Message  message.Message // without body where it has ended
-	End      *message.End
-	Void     bool
-	Age      time.Duration // since it came to the store
+	Message  message.Message // only with ID and unit if the message itself is not needed any more, or was cancelled
+	End      *message.End    // the outcome; nil if there is none
+	Void     bool            // the message has been cancelled
+	Age      time.Duration   // since the store received it
 }
 
-// CopiesBody is copies of messages: the answer of FetchCopies, which may be of the first ones only, and what PutCopies
-// has a store keep.
+// CopiesBody contains copies of messages: the answer to FetchCopies, which may cover only the first of the requested
+// messages, or what PutCopies stores.
 type CopiesBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Messages []CopiedMessage
-	More     bool // of an answer: of the others there may be copies as well
+	More     bool // in an answer: it was cut at its maximum size, and the store may hold the remaining messages too
 }
 
-// ReserveBody asks the owner of a unit for a place in its order.
+// ReserveBody asks the owner of a unit for a sequence number for a message.
 type ReserveBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Unit     string
 	ID       string
-	Service  string // that the message is for
-	// Retention is the message's: how long it may wait.
+	Service  string // that runs the message
+	// Retention is how long the message may wait.
 	Retention time.Duration
 }
 
-// ReserveAnswer is the place; none where too much waits, and RetryAfter tells when to ask again.
+// ReserveAnswer contains the reserved sequence number. If RetryAfter is not zero, none was reserved because too many
+// messages wait, and the client should retry after that time.
 type ReserveAnswer struct {
 	_msgpack   struct{} `msgpack:",as_array"`
-	Token      uint64
+	Token      uint64   // the owner's fencing token
 	Sequence   uint64
 	RetryAfter time.Duration
 }
 
-// TakeTurnBody asks who spaces what is sent to a service with a rate for the next turn.
+// TakeTurnBody asks the carrier that enforces the rate limit of a service for the next send permit.
 type TakeTurnBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  string
-	Urgent   bool // it is for a message that was taken over
+	Urgent   bool // the permit is for a message that was taken over from another carrier
 }
 
-// TakeTurnAnswer gives a turn. Wait is the time until it, or, where none is granted, until it makes sense to ask again.
+// TakeTurnAnswer grants a send permit or not. Wait is the time until the permit may be used or, if none is granted,
+// until the caller should ask again.
 type TakeTurnAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Granted  bool
 	Wait     time.Duration
 }
 
-// DeliverAnswer tells that the owner has a message. RetryAfter is for how long it would rather have no more, 0 at most times.
+// DeliverAnswer acknowledges that the owner of the unit has accepted a message. RetryAfter is for how long the owner
+// asks clients to send no more messages; usually 0.
 type DeliverAnswer struct {
 	_msgpack   struct{} `msgpack:",as_array"`
 	RetryAfter time.Duration
 }
 
-// DeliverBody hands a stored message to the owner of its unit; of ConfirmMessage and ForwardMessage.
+// DeliverBody passes a stored message to the owner of its unit, in ConfirmMessage and ForwardMessage.
 type DeliverBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Message  message.Message
-	Holders  []string // nodes of the stores that hold it
-	Age      time.Duration
+	Holders  []string      // nodes of the stores that hold it, or were asked to store it
+	Age      time.Duration // since the accepting carrier received it
 }
--- a/internal/system/wire/update.go
+++ b/internal/system/wire/update.go
@@ -8,27 +8,27 @@
 	"granitewing/internal/system/feed"
 )
 
-// The first byte of a feed update's payload.
+// Values of the first byte of a feed update's payload.
 const (
 	updatePlain      = 0
 	updateCompressed = 1
 )
 
 const (
-	compressFrom = 1 << 10  // bytes of an update; smaller ones go as they are
-	maxUpdate    = 64 << 20 // bytes of an update that is not compressed
+	compressThreshold = 1 << 10  // bytes; smaller updates are sent without compression
+	maxUpdateSize     = 64 << 20 // bytes of an update after decompression
 )
 
-// UpdateError tells of a feed update that can't be read.
+// UpdateError is the error for a feed update whose encoding is invalid.
 type UpdateError struct{ Reason string }
 
-func (e *UpdateError) Error() string { return "feed update: " + e.Reason }
+func (e *UpdateError) Error() string { return "invalid feed update: " + e.Reason }
 
-// EncodeUpdate gives the payload of a feed update. A whole table is compressed: every member gets one whenever the leader of the
-// sessions changes.
+// EncodeUpdate returns the payload of a feed update. Updates of 1 KiB or more, such as snapshots, are compressed: every
+// member gets a snapshot whenever the leader of the sessions group changes.
 func EncodeUpdate(update *feed.Update) []byte {
 	encoded := Encode(update)
-	if len(encoded) < compressFrom {
+	if len(encoded) < compressThreshold {
 		return append([]byte{updatePlain}, encoded...)
 	}
 	payload := make([]byte, 1+s2.MaxEncodedLen(len(encoded)))
@@ -37,25 +37,25 @@
 	return append([]byte(nil), payload[:1+len(compressed)]...)
 }
 
-// DecodeUpdate reads the payload of a feed update.
+// DecodeUpdate decodes the payload of a feed update. Its errors are of type *UpdateError or *PayloadError.
 func DecodeUpdate(payload []byte) (feed.Update, error) {
 	var update feed.Update
 	if len(payload) == 0 {
-		return update, &UpdateError{Reason: "it is empty"}
+		return update, &UpdateError{Reason: "empty payload"}
 	}
 	encoded := payload[1:]
 	switch payload[0] {
 	case updatePlain:
 	case updateCompressed:
 		length, err := s2.DecodedLen(encoded)
-		if err != nil || length > maxUpdate {
-			return update, &UpdateError{Reason: fmt.Sprintf("%d bytes, %v", length, err)}
+		if err != nil || length > maxUpdateSize {
+			return update, &UpdateError{Reason: fmt.Sprintf("decompressed length of %d bytes, %v", length, err)}
 		}
 		if encoded, err = s2.Decode(nil, encoded); err != nil {
 			return update, &UpdateError{Reason: err.Error()}
 		}
 	default:
-		return update, &UpdateError{Reason: fmt.Sprintf("it begins with %d", payload[0])}
+		return update, &UpdateError{Reason: fmt.Sprintf("unknown encoding %d", payload[0])}
 	}
 	return update, Decode(FeedUpdate, encoded, &update)
 }
--- a/internal/system/wire/update_test.go
+++ b/internal/system/wire/update_test.go
@@ -16,8 +16,8 @@
 	ginkgo.RunSpecs(t, "Wire")
 }
 
-// tableOf is an update with the whole of a table of workers.
-func tableOf(workers int) feed.Update {
+// workerTable returns a snapshot update with the given number of workers.
+func workerTable(workers int) feed.Update {
 	update := feed.Update{Position: feed.Position{Epoch: "e", Offset: uint64(workers)}, Whole: true}
 	for i := range workers {
 		instance := catalog.Instance{ID: fmt.Sprintf("i-%016x", uint64(i)*0x9e3779b97f4a7c15), Service: "archive",
@@ -28,20 +28,20 @@
 }
 
 var _ = ginkgo.Describe("A feed update", func() {
-	ginkgo.DescribeTable("comes back as it was", func(workers int) {
-		update := tableOf(workers)
+	ginkgo.DescribeTable("is decoded as it was encoded", func(workers int) {
+		update := workerTable(workers)
 		read, err := DecodeUpdate(EncodeUpdate(&update))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(read).To(Equal(update))
-	}, ginkgo.Entry("of one change", 1), ginkgo.Entry("of many", 3000))
+	}, ginkgo.Entry("with one change", 1), ginkgo.Entry("with many changes", 3000))
 
-	ginkgo.It("takes half the bytes at the most where it is a whole table", func() {
-		update := tableOf(3000)
+	ginkgo.It("is compressed to less than half of its size if it is a snapshot", func() {
+		update := workerTable(3000)
 		Expect(len(EncodeUpdate(&update))).To(BeNumerically("<", len(Encode(&update))/2))
 	})
 
-	ginkgo.It("tells what is wrong with a payload that can't be read", func() {
-		update := tableOf(100)
+	ginkgo.It("is rejected if its encoding is invalid", func() {
+		update := workerTable(100)
 		whole := EncodeUpdate(&update)
 		for _, payload := range [][]byte{nil, {7}, whole[:len(whole)/2], append([]byte{updateCompressed}, 0xff, 0xff, 0xff, 0xff, 0x7f)} {
 			_, err := DecodeUpdate(payload)
@@ -51,7 +51,7 @@
 })
 
 func BenchmarkUpdate(b *testing.B) {
-	update := tableOf(3000)
+	update := workerTable(3000)
 	payload := EncodeUpdate(&update)
 	b.ReportMetric(float64(len(payload))/float64(len(Encode(&update))), "share")
 	b.Run("encode", func(b *testing.B) {
