--- a/internal/system/command/roster.go
+++ b/internal/system/command/roster.go
@@ -54,8 +54,8 @@
 	for id, entry := range ordered.Map(state.Disks()) {
 		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s\n", id, entry.Member.Node, choose(entry.Counted, "counts toward quorum", "backfilling"), textIf(entry.Leaving, ", draining"))
 	}
-	for _, emptying := range state.Emptyings(keeper.Groups) {
-		fmt.Fprintf(table, "drain\t%s\t%s\twaits for %s\n", emptying.Node, choose(emptying.Begun, "accepts no messages", "not started"), emptying.Waits)
+	for _, drain := range state.Emptyings(keeper.Groups) {
+		fmt.Fprintf(table, "drain\t%s\t%s\twaits for %s\n", drain.Node, choose(drain.Begun, "accepts no messages", "not started"), drain.Waits)
 	}
 	return table.Flush()
 }
--- a/internal/system/command/status.go
+++ b/internal/system/command/status.go
@@ -103,8 +103,8 @@
 		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s%s\n", disk.Disk, disk.Node, choose(disk.Live, "live", "gone"),
 			choose(disk.Counted, ", counts toward quorum", ", backfilling"), textIf(disk.Leaving, ", draining"))
 	}
-	for _, emptying := range status.Emptyings {
-		fmt.Fprintf(table, "drain\t%s\tfor %s or more\t%s\twaits for %s\n", emptying.Node, emptying.Age, choose(emptying.Begun, "accepts no messages", "not started"), emptying.Waits)
+	for _, drain := range status.Emptyings {
+		fmt.Fprintf(table, "drain\t%s\tfor %s or more\t%s\twaits for %s\n", drain.Node, drain.Age, choose(drain.Begun, "accepts no messages", "not started"), drain.Waits)
 	}
 	if status.CatalogAge == "" {
 		status.Services = nil // only the leader of the sessions group reads the list of workers
@@ -112,8 +112,8 @@
 	for _, service := range status.Services {
 		fmt.Fprintf(table, "service\t%s\tworkers %d\tdraining %d\n", service.Service, service.Workers, service.Draining)
 	}
-	for _, gone := range status.Departed {
-		fmt.Fprintf(table, "departed\t%s\tadopted by %s\n", gone.Incarnation, nameOrNobody(gone.Adopter))
+	for _, departed := range status.Departed {
+		fmt.Fprintf(table, "departed\t%s\tadopted by %s\n", departed.Incarnation, nameOrNobody(departed.Adopter))
 	}
 	return table.Flush()
 }
@@ -127,10 +127,13 @@
 	return choose(*whole, ", healthy", ", DEGRADED: may not survive the next loss")
 }
 
+// nameOrNobody returns name, or "nobody" if it is empty.
 func nameOrNobody(name string) string { return choose(name != "", name, "nobody") }
 
+// textIf returns text if the condition holds, else "".
 func textIf(condition bool, text string) string { return choose(condition, text, "") }
 
+// choose returns one of two texts by a condition.
 func choose(condition bool, whenTrue, whenFalse string) string {
 	if condition {
 		return whenTrue
--- a/internal/system/configuration/document.go
+++ b/internal/system/configuration/document.go
@@ -36,10 +36,10 @@
 // Service is a back end that runs messages.
 type Service struct {
 	Name           string
-	HealthPath     string
+	HealthPath     string // not used by the roles
 	MaxConnections int
 	Rate           float64 // messages per second over the whole fleet; 0 means no limit
-	Idempotent     bool    // a message may run more than once
+	Idempotent     bool    // declared safe to run a message more than once; not used by the roles
 	Static         string  // address of the only endpoint; empty if the platform lists the workers
 }
 
@@ -210,7 +210,7 @@
 		}
 		host := strings.ToLower(form.Host)
 		match := routeMatch{host, form.PathPrefix}
-		if other, taken := routeNames[match]; taken {
+		if other, duplicate := routeNames[match]; duplicate {
 			return &InvalidError{Key: key, Reason: "has the same host and path prefix as route " + other}
 		}
 		routeNames[match] = form.Name
--- a/internal/system/member/client_test.go
+++ b/internal/system/member/client_test.go
@@ -22,8 +22,8 @@
 func (r *refusal) Refusal() wire.RefusalBody { return r.body }
 
 const (
-	first  = "10.0.0.1:7000"
-	second = "10.0.0.2:7000"
+	firstKeeper  = "10.0.0.1:7000"
+	secondKeeper = "10.0.0.2:7000"
 )
 
 var _ = ginkgo.Describe("A client of the keepers", func() {
@@ -34,10 +34,10 @@
 
 	ginkgo.BeforeEach(func() {
 		lost, faults = 0, nil
-		peers = &simulated.Loop{Reachable: map[string]bool{first: true, second: true}}
+		peers = &simulated.Loop{Reachable: map[string]bool{firstKeeper: true, secondKeeper: true}}
 		peers.Answer = acceptAll
 		self := session.Member{Incarnation: "edge-1+a", Node: "edge-1", Role: session.Carrier}
-		client = NewClient(peers, peers, []string{first, second}, self, Events{
+		client = NewClient(peers, peers, []string{firstKeeper, secondKeeper}, self, Events{
 			Changed: func(_, _ *View) {},
 			Lost:    func() { lost++ },
 			Fault:   func(err error) { faults = append(faults, err) },
@@ -56,17 +56,17 @@
 	})
 
 	ginkgo.It("switches to the leader that a refusal names, even if the settings do not list it", func() {
-		const third = "10.0.0.3:7000"
-		peers.Reachable[third] = true
+		const thirdKeeper = "10.0.0.3:7000"
+		peers.Reachable[thirdKeeper] = true
 		peers.Answer = func(address string, kind wire.Kind, payload []byte) ([]byte, error) {
-			if address != third {
-				return nil, &refusal{body: wire.RefusalBody{Code: wire.NotLeader, Leader: third}}
+			if address != thirdKeeper {
+				return nil, &refusal{body: wire.RefusalBody{Code: wire.NotLeader, Leader: thirdKeeper}}
 			}
 			return acceptAll(address, kind, payload)
 		}
 		client.Start()
 		peers.Pass(time.Second)
-		Expect(client.Keeper()).To(Equal(third))
+		Expect(client.Keeper()).To(Equal(thirdKeeper))
 		Expect(client.Holds()).To(BeTrue())
 	})
 
@@ -108,7 +108,7 @@
 		})
 
 		ginkgo.It("bootstraps from a snapshot, then applies changes, and reports its position with each heartbeat", func() {
-			table.Set(keeper.PrefixKeeper+first, []byte{1})
+			table.Set(keeper.PrefixKeeper+firstKeeper, []byte{1})
 			table.Set(keeper.PrefixOwner+"paced/s", owner(3))
 			push(feed.Position{})
 			Expect(client.View().Owners["paced/s"].Token).To(BeEquivalentTo(3))
@@ -179,11 +179,11 @@
 
 		ginkgo.It("ignores updates from other keepers, and reports updates that it cannot decode", func() {
 			before := client.View()
-			table.Set(keeper.PrefixKeeper+second, []byte{1})
+			table.Set(keeper.PrefixKeeper+secondKeeper, []byte{1})
 			update := table.Since(feed.Position{})
-			other := first
-			if client.Keeper() == first {
-				other = second
+			other := firstKeeper
+			if client.Keeper() == firstKeeper {
+				other = secondKeeper
 			}
 			client.Push(other, wire.EncodeUpdate(&update))
 			Expect(client.View()).To(BeIdenticalTo(before))
--- a/internal/system/member/orders.go
+++ b/internal/system/member/orders.go
@@ -5,7 +5,7 @@
 )
 
 // Settle notifies the keepers that all messages of a departed carrier have completed. Here and in the methods below,
-// done is called once with the error of the call; after any error but a refusal the outcome is unknown.
+// done is called once: with nil when the keepers have recorded it, or with the error of the call.
 func (c *Client) Settle(incarnation string, done func(err error)) {
 	body := wire.SettleBody{Incarnation: incarnation}
 	c.peers.Call(c.keepers[c.keeperIndex], wire.SettleDeparted, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
--- a/internal/system/member/view.go
+++ b/internal/system/member/view.go
@@ -40,6 +40,7 @@
 		Instances: map[string]catalog.Instance{}, Keepers: map[string]bool{}}
 }
 
+// copyMap returns a copy with room for another entry.
 func copyMap[V any](from map[string]V) map[string]V {
 	to := make(map[string]V, len(from)+1)
 	for key, value := range from {
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -62,8 +62,7 @@
 	LinkBytes float64 // bytes per second
 }
 
-// Bounds are the time limits that the system must keep. The roles use Ack, Grace and Status; the file sets the others
-// too.
+// Bounds are the time limits that the system must keep. Only Ack, Grace and Status are used by the roles.
 type Bounds struct {
 	Contact     time.Duration
 	Ack         time.Duration // for the answer to an operator's call
