--- a/internal/system/command/command.go
+++ b/internal/system/command/command.go
@@ -143,7 +143,7 @@
 			last = data
 			s, err := settings.Load(path)
 			if err != nil {
-				log.WithError(err).Error("invalid settings file, keeping the previous settings")
+				log.WithError(err).Error("cannot load the settings file, keeping the previous settings")
 				continue
 			}
 			log.Info("settings reloaded")
--- a/internal/system/member/client.go
+++ b/internal/system/member/client.go
@@ -36,7 +36,8 @@
 	// Lost is called when the keepers report that the session has ended: the process no longer owns the units that it
 	// owned under this incarnation.
 	Lost func()
-	// Keepers is called when Client.Keepers has gained an address that needs a connection.
+	// Keepers is called when a refusal has added a leader to Client.Keepers, which needs a connection. Keepers that the
+	// feed adds are reported by Changed.
 	Keepers func()
 	// Fault is called with the error when a feed update from a keeper cannot be decoded.
 	Fault func(err error)
