--- a/internal/system/command/command.go
+++ b/internal/system/command/command.go
@@ -109,6 +109,7 @@
 // memoryLimitShare is the share of the memory limit in the settings that the garbage collector tries to stay below.
 const memoryLimitShare = 0.75
 
+// limitMemory sets the memory limit of the Go runtime from the settings.
 func limitMemory(s *settings.Settings) {
 	if s.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.Limits.MemoryMB) * (1 << 20)))
--- a/internal/system/command/people.go
+++ b/internal/system/command/people.go
@@ -113,6 +113,7 @@
 func (readOnlyFolder) Remove(string) error                 { return nil }
 func (readOnlyFolder) SyncFolder() error                   { return nil }
 
+// openReadOnly opens an existing folder without modifying it.
 func openReadOnly(path string) (segment.Files, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, &segment.FileError{Operation: "open", Name: path, Err: err}
--- a/internal/system/member/view.go
+++ b/internal/system/member/view.go
@@ -95,7 +95,7 @@
 }
 
 // applyChange applies one change to v, a copy of before whose maps are shared with it unless copied says otherwise.
-// Keys of unknown kinds, from newer keepers, are ignored.
+// Keys of unknown kinds are ignored.
 func (v *View) applyChange(before *View, change feed.Change, copied *copiedTables) error {
 	prefix, name := splitKey(change.Key)
 	switch prefix {
