--- a/internal/fleet/court/court.go
+++ b/internal/fleet/court/court.go
@@ -1,5 +1,8 @@
-// Package court has a dispatcher judge hosts with the other members of its fleet: it carries votes between its book, the
-// ledger that brings those of others, and the decisions. It does no I/O and reads no clock.
+// Package court ejects failing hosts together with the other members of a fleet (outlier detection). It connects the
+// dispatcher's own observations (package verdict), the ledger that brings the votes of the other members, and the
+// scheduler, which avoids a host while a verdict holds.
+//
+// The dispatcher makes one Court and calls Sit in every round of reports. The package does no I/O and reads no clock.
 package court
 
 import (
@@ -13,28 +16,30 @@
 	"granitewing/logic"
 )
 
-// Court is one dispatcher's. It must not be used by two goroutines at once.
+// Court holds the votes and verdicts of one dispatcher. It must not be used by two goroutines at once.
 type Court struct {
 	book     *verdict.Book
 	judge    *verdict.Judge
-	own      []verdict.Vote
+	ownVotes []verdict.Vote
 	verdicts []verdict.Verdict
-	passed   int // verdicts begun in all
-	last     map[logic.WorkerID]bool
+	begun    int                     // verdicts begun since the start
+	ejected  map[logic.WorkerID]bool // hosts with a verdict in the last round
 }
 
-// New makes the court of a dispatcher of a zone, and has its core tell what it finds.
+// New returns the court of the dispatcher named self in a zone. It makes core report the outcomes of its attempts to
+// it.
 func New(self string, zone int, core *memory.Core) *Court {
 	book := verdict.NewBook(zone)
 	core.Tell(book)
 	return &Court{book: book, judge: verdict.NewJudge(self, book)}
 }
 
-// roundsTold is for how many rounds a verdict holds without being told anew.
-const roundsTold = 3
+// verdictRounds is the number of rounds for which a verdict holds if it is not renewed.
+const verdictRounds = 3
 
-// Sit tells the decisions the verdicts that hold now and the runs of others, and puts this dispatcher's own votes and runs
-// into its report.
+// Sit runs one round. It passes the verdicts that hold now and the runs of the other members to the core, and puts this
+// dispatcher's own votes and runs into its report. members is the number of dispatchers with a valid report, this one
+// included; every is the time between two rounds.
 func (c *Court) Sit(now int64, l *ledger.Ledger, core *memory.Core, members int, every time.Duration, own *ledger.Report) {
 	for _, r := range l.Ran(now) {
 		core.HeardRan(now, r.Host, r.Run, r.Work)
@@ -45,12 +50,12 @@
 		}
 	})
 	slices.SortFunc(own.Ran, func(a, b ledger.Ran) int { return cmp.Or(cmp.Compare(b.Work, a.Work), cmp.Compare(a.Host, b.Host)) })
-	votes := l.Votes(now, c.own)
-	c.own = c.book.Votes(now, votes)
-	own.Votes = c.own
+	votes := l.Votes(now, c.ownVotes)
+	c.ownVotes = c.book.Votes(now, votes)
+	own.Votes = c.ownVotes
 	c.verdicts = nil
 	if len(votes) == 0 {
-		c.last = nil
+		c.ejected = nil
 		return
 	}
 	var hosts []verdict.Host
@@ -58,28 +63,28 @@
 		hosts = append(hosts, verdict.Host{ID: id, Kind: h.Kind, Zone: h.Zone, Weight: max(h.Weight, 1e-6)})
 	})
 	c.verdicts = c.judge.Judge(now, votes, hosts, members)
-	before := c.last
-	c.last = map[logic.WorkerID]bool{}
+	before := c.ejected
+	c.ejected = map[logic.WorkerID]bool{}
 	for _, v := range c.verdicts {
-		core.Verdict(now, v.Host, now+roundsTold*every.Microseconds())
-		c.last[v.Host] = true
+		core.Verdict(now, v.Host, now+verdictRounds*every.Microseconds())
+		c.ejected[v.Host] = true
 		if !before[v.Host] {
-			c.passed++
+			c.begun++
 		}
 	}
 }
 
-// State is what a court tells of itself.
+// State is a snapshot of a court, for metrics.
 type State struct {
-	Against  int // its own votes against hosts
-	Verdicts []verdict.Verdict
-	Passed   int // verdicts begun in all
+	Against  int               // this dispatcher's own votes against hosts
+	Verdicts []verdict.Verdict // that hold now
+	Passed   int               // verdicts begun since the start
 }
 
-// State tells how things are.
+// State returns the state after the last round.
 func (c *Court) State() State {
-	s := State{Verdicts: c.verdicts, Passed: c.passed}
-	for _, v := range c.own {
+	s := State{Verdicts: c.verdicts, Passed: c.begun}
+	for _, v := range c.ownVotes {
 		s.Against += int(v.Bad)
 	}
 	return s
--- a/internal/fleet/draw/draw.go
+++ b/internal/fleet/draw/draw.go
@@ -1,16 +1,17 @@
-// Package draw gives numbers that all members of a fleet draw alike.
+// Package draw hashes names into numbers that are the same at all members of a fleet, so that they make the same choice
+// without communication.
 package draw
 
 import "hash/fnv"
 
-// Of is the number of two texts.
+// Of returns the hash of two strings.
 func Of(a, b string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(a))
 	h.Write([]byte{0})
 	h.Write([]byte(b))
 	x := h.Sum64()
-	x ^= x >> 31 // the low bits of names that differ in their last byte are alike
+	x ^= x >> 31 // FNV leaves the low bits of names that differ only in the last byte similar
 	x *= 0x9e3779b97f4a7c15
 	return x ^ x>>29
 }
--- a/internal/fleet/ledger/encode.go
+++ b/internal/fleet/ledger/encode.go
@@ -11,45 +11,58 @@
 	"granitewing/logic"
 )
 
-// The form of a report in a message of the membership's library: a version, the kind, the sender's name, its incarnation and
-// sequence, for how many it speaks and how old that is, and what it holds and is asked for, each list after its length.
-// Votes follow, nine bytes each, runs, twelve, and of a load the figures that are not 0, each after its place. Big endian; figures are 32 bit floats.
+// The encoding of a report inside a message of the membership library, all integers in big endian and all figures as
+// 32-bit floats:
+//
+//	1 byte   version
+//	1 byte   kind
+//	1 byte   length of the sender's name, then the name
+//	8 bytes  incarnation
+//	8 bytes  sequence number
+//	2 bytes  members covered
+//	4 bytes  age in microseconds
+//	2 bytes  number of hosts with outstanding work, then 8 bytes each: host, work
+//	2 bytes  number of data sets, then 12 bytes each: set, load
+//	2 bytes  number of votes, then 9 bytes each: host, zone, bad, good
+//	2 bytes  number of runs, then 12 bytes each: host, running time, work
+//	1 byte   0 if there is no load, else one more than its nonzero figures, then 5 bytes each: index, figure
 const (
-	version  = 4
-	nameMost = 128
-	// MessageMost is what a dispatcher's report of itself takes at most: it fits one datagram of a common network beside
-	// the library's own head.
+	version       = 4
+	maxNameLength = 128
+	// MessageMost is the maximum size in bytes of a dispatcher's report of itself. It fits one datagram of a common
+	// network together with the header of the membership library.
 	MessageMost = 1300
-	// SumMost is what a sum takes at most; beyond MessageMost a network may carry it in pieces.
+	// SumMost is the maximum size in bytes of a sum. The network may fragment one that is larger than MessageMost.
 	SumMost = 16_000
 )
 
-// ErrForm tells that bytes are no report.
-var ErrForm = errors.New("ledger: not a report")
+// ErrForm says that a message is not a well-formed report.
+var ErrForm = errors.New("ledger: malformed report")
 
-// Append appends a report's bytes. What does not fit a message is left out, the least of it first.
+// Append appends the encoding of a report to b and returns the extended slice. Entries that do not fit a message are
+// left out: first runs, then outstanding work, each from the end of its list, where the smallest entries are.
 func Append(b []byte, r *Report) []byte {
 	start := len(b)
-	name := r.From[:min(len(r.From), nameMost)]
+	name := r.From[:min(len(r.From), maxNameLength)]
 	b = append(b, version, byte(r.Kind), byte(len(name)))
 	b = append(b, name...)
 	b = binary.BigEndian.AppendUint64(b, r.Incarnation)
 	b = binary.BigEndian.AppendUint64(b, r.Seq)
 	b = binary.BigEndian.AppendUint16(b, uint16(r.Members))
 	b = binary.BigEndian.AppendUint32(b, uint32(r.Age))
-	most, sets := MessageMost, AskedMost
+	maxSize, maxSets := MessageMost, AskedMost
 	if r.Kind != Own {
-		most, sets = SumMost, sumMost
+		maxSize, maxSets = SumMost, maxSumEntries
 	}
-	asked := r.Asked[:min(len(r.Asked), sets)]
-	votes := r.Votes[:min(len(r.Votes), sumMost)] // the first are those against hosts
+	asked := r.Asked[:min(len(r.Asked), maxSets)]
+	votes := r.Votes[:min(len(r.Votes), maxSumEntries)] // votes against hosts come first
 	if r.Kind == Own {
 		votes = votes[:min(len(votes), verdict.VotesMost)]
 	}
 	load := appendLoad(nil, r.Load)
-	room := most - (len(b) - start) - 8 - 12*len(asked) - voteSize*len(votes) - len(load)
-	held := r.Held[:min(len(r.Held), room/8)]
-	ran := r.Ran[:min(len(r.Ran), (room-8*len(held))/ranSize)] // what is outstanding matters more
+	space := maxSize - (len(b) - start) - 8 - 12*len(asked) - voteSize*len(votes) - len(load)
+	held := r.Held[:min(len(r.Held), space/8)]
+	ran := r.Ran[:min(len(r.Ran), (space-8*len(held))/runSize)] // outstanding work is more important than runs
 	b = binary.BigEndian.AppendUint16(b, uint16(len(held)))
 	for _, h := range held {
 		b = binary.BigEndian.AppendUint32(b, uint32(h.Host))
@@ -76,16 +89,17 @@
 	return append(b, load...)
 }
 
-// appendLoad appends a load: the number of its figures, one more than there are so that 0 is no load, and the figures.
+// appendLoad appends a load: one more than the number of its nonzero figures, so that 0 means no load, and those
+// figures, each after its index.
 func appendLoad(b []byte, l *slack.Load) []byte {
 	if l == nil {
 		return append(b, 0)
 	}
-	at := len(b)
+	countAt := len(b)
 	b = append(b, 1)
 	for i, v := range l {
-		if v > nothing {
-			b[at]++
+		if v > negligible {
+			b[countAt]++
 			b = append(b, byte(i))
 			b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(v)))
 		}
@@ -93,15 +107,16 @@
 	return b
 }
 
+// parseLoad reads what appendLoad wrote; it must take up all of b.
 func parseLoad(b []byte) (*slack.Load, error) {
 	if len(b) == 1 && b[0] == 0 {
 		return nil, nil
 	}
-	if len(b) == 0 || len(b) != 1+loadSize*(int(b[0])-1) {
+	if len(b) == 0 || len(b) != 1+figureSize*(int(b[0])-1) {
 		return nil, ErrForm
 	}
 	l := &slack.Load{}
-	for b = b[1:]; len(b) > 0; b = b[loadSize:] {
+	for b = b[1:]; len(b) > 0; b = b[figureSize:] {
 		if b[0] >= slack.Size {
 			return nil, ErrForm
 		}
@@ -110,20 +125,21 @@
 	return l, nil
 }
 
-// Bytes of a vote, of the runs at a host, and of a figure of a load.
+// Encoded sizes in bytes of a vote, of the runs at a host, and of a figure of a load.
 const (
-	voteSize = 9
-	ranSize  = 12
-	loadSize = 5
+	voteSize   = 9
+	runSize    = 12
+	figureSize = 5
 )
 
-// Parse reads a report. Its figures are not checked here but by Hear.
+// Parse decodes a report. It returns an error that wraps ErrForm for bytes that are not a report of this version. It
+// does not check the figures; Hear does.
 func Parse(b []byte) (*Report, error) {
 	if len(b) < 3 || b[0] != version {
-		return nil, fmt.Errorf("%w of version %d", ErrForm, version)
+		return nil, fmt.Errorf("%w: want version %d", ErrForm, version)
 	}
 	kind, n := Kind(b[1]), int(b[2])
-	if b = b[3:]; kind >= kinds || n == 0 || n > nameMost || len(b) < n+24 {
+	if b = b[3:]; kind >= kinds || n == 0 || n > maxNameLength || len(b) < n+24 {
 		return nil, ErrForm
 	}
 	r := &Report{Kind: kind, From: string(b[:n]), Incarnation: binary.BigEndian.Uint64(b[n:]), Seq: binary.BigEndian.Uint64(b[n+8:]),
@@ -156,13 +172,13 @@
 		b = b[voteSize:]
 	}
 	n = int(binary.BigEndian.Uint16(b))
-	if b = b[2:]; len(b) < ranSize*n {
+	if b = b[2:]; len(b) < runSize*n {
 		return nil, ErrForm
 	}
 	for ; n > 0; n-- {
 		run, work := math.Float32frombits(binary.BigEndian.Uint32(b[4:])), math.Float32frombits(binary.BigEndian.Uint32(b[8:]))
 		r.Ran = append(r.Ran, Ran{logic.WorkerID(binary.BigEndian.Uint32(b)), float64(run), float64(work)})
-		b = b[ranSize:]
+		b = b[runSize:]
 	}
 	var err error
 	r.Load, err = parseLoad(b)
--- a/internal/fleet/ledger/hub.go
+++ b/internal/fleet/ledger/hub.go
@@ -12,31 +12,32 @@
 	"granitewing/logic"
 )
 
-// In a small fleet each member tells all others. In a larger one that would cost each of them work that grows with the
-// fleet; there some members are hubs. A member tells one hub of itself, a hub tells the other hubs the sum of its group and
-// each of its group the sum of all the rest. Who is a hub, and who tells which, goes by hashes of the names of those that
-// are there: nobody is asked, and where two see different members a hub still sums whoever tells it.
+// In a small fleet each member reports to all others. In a larger one that would cost each member work that grows with
+// the fleet, so there some members are hubs. A member reports itself to one hub. A hub reports the sum of its group to
+// the other hubs, and to each member of its group the sum of all other members. The hubs, and the hub of each member,
+// follow from rendezvous hashing of the names of the present members, without any election. If two members see
+// different memberships, a hub still sums the members that report to it.
 
-// meshMost is up to how many members each tells all others.
-const meshMost = 12
+// maxMeshMembers is the fleet size up to which every member is a hub and so reports to all others.
+const maxMeshMembers = 12
 
-// avoidFor is for how many times Deaf a hub that did not answer is left alone.
-const avoidFor = 5
+// avoidFactor times Limits.Deaf is how long a hub that did not answer is not chosen.
+const avoidFactor = 5
 
-// movedRounds is in how many rounds a hub is told that it is left: datagrams are lost.
-const movedRounds = 5
+// noticeRounds is the number of rounds in which a member repeats that it moved, because datagrams may be lost.
+const noticeRounds = 5
 
-// Out is a report and whom it goes to.
+// Out is a report and the names of the members that it is sent to.
 type Out struct {
 	*Report
 	To []string
 }
 
-// Asks tells whether an answer is expected of those that it goes to.
+// Asks reports whether the receivers are expected to answer.
 func (o *Out) Asks() bool { return o.Kind == Own || o.Kind == Group }
 
-// first gives the n of some names whose hash with a salt is highest, highest first.
-func first(names []string, salt string, n int) []string {
+// rendezvous returns the n names with the highest hashes for a salt, highest first.
+func rendezvous(names []string, salt string, n int) []string {
 	type scored struct {
 		name string
 		hash uint64
@@ -53,131 +54,134 @@
 	return out
 }
 
-// hubs gives those of the fleet that sum; others are the members beside this one.
+// hubs returns the hubs of the fleet; others are all members but this one.
 func (l *Ledger) hubs(others []string) []string {
 	all := append(slices.Clone(others), l.self)
 	n := l.limits.Hubs
 	if n == 0 {
-		if n = len(all); n > meshMost {
+		if n = len(all); n > maxMeshMembers {
 			n = int(math.Ceil(math.Sqrt(float64(n))))
 		}
 	}
-	return first(all, "", n)
+	return rendezvous(all, "", n)
 }
 
-// choose finds the hub that this dispatcher tells: itself if it is one, else the first by its own hash that answers.
-func (l *Ledger) choose(now int64, hubs []string) string {
+// chooseHub returns the hub that this dispatcher reports to: itself if it is a hub, else the first by its own hash that
+// is not avoided, or simply the first if all are.
+func (l *Ledger) chooseHub(now int64, hubs []string) string {
 	if slices.Contains(hubs, l.self) {
-		return l.move(now, l.self)
+		return l.switchHub(now, l.self)
 	}
 	if l.hub != "" && l.hub != l.self {
-		heard := l.since
+		lastAnswer := l.hubSince
 		if p := l.peers[source{l.hub, Rest}]; p != nil {
-			heard = max(heard, p.at)
+			lastAnswer = max(lastAnswer, p.receivedAt)
 		}
-		if now-heard > l.limits.Deaf {
-			l.avoid[l.hub] = now + avoidFor*l.limits.Deaf
+		if now-lastAnswer > l.limits.Deaf {
+			l.avoidUntil[l.hub] = now + avoidFactor*l.limits.Deaf
 		}
 	}
-	for name, until := range l.avoid {
+	for name, until := range l.avoidUntil {
 		if now >= until || !slices.Contains(hubs, name) {
-			delete(l.avoid, name)
+			delete(l.avoidUntil, name)
 		}
 	}
-	order := first(hubs, l.self, len(hubs))
+	order := rendezvous(hubs, l.self, len(hubs))
 	hub := order[0]
 	for _, h := range order {
-		if _, avoided := l.avoid[h]; !avoided {
+		if _, avoided := l.avoidUntil[h]; !avoided {
 			hub = h
 			break
 		}
 	}
-	return l.move(now, hub)
+	return l.switchHub(now, hub)
 }
 
-// move has this dispatcher tell a hub from now on. The one before is told so, since it would count it beside the new one.
-func (l *Ledger) move(now int64, hub string) string {
+// switchHub makes hub the one that this dispatcher reports to. The previous hub is notified in the next rounds; without
+// that, both hubs would count this dispatcher.
+func (l *Ledger) switchHub(now int64, hub string) string {
 	if hub != l.hub {
-		l.left, l.still = l.hub, movedRounds
-		l.hub, l.since = hub, now
+		l.previousHub, l.noticesLeft = l.hub, noticeRounds
+		l.hub, l.hubSince = hub, now
 	}
 	return hub
 }
 
-// Round says what to tell whom now. own is what this dispatcher says of itself, others the members beside it.
+// Round returns the reports to send in this round and their receivers. own is this dispatcher's report of itself;
+// others are all other members that are present.
 func (l *Ledger) Round(now int64, own *Report, others []string) []Out {
 	if len(others) == 0 {
 		return nil
 	}
 	hubs := l.hubs(others)
-	isHub := l.choose(now, hubs) == l.self
+	isHub := l.chooseHub(now, hubs) == l.self
 	var out []Out
 	if !isHub {
 		out = append(out, Out{own, []string{l.hub}})
 	}
-	group, all := sum{}, sum{}
-	var tellers []source
+	group, all := aggregate{}, aggregate{}
+	var groupMembers []source
 	for _, key := range l.order {
 		switch p := l.peers[key]; {
-		case p.gone || now-p.at > l.limits.Believe:
+		case p.gone || now-p.receivedAt > l.limits.Believe:
 		case key.kind == Own:
 			group.add(p, now, 1)
 			all.add(p, now, 1)
-			tellers = append(tellers, key)
+			groupMembers = append(groupMembers, key)
 		case key.kind == Group:
 			all.add(p, now, 1)
 		}
 	}
-	if l.still > 0 {
-		l.still--
-		if l.left != "" && l.left != l.self && slices.Contains(others, l.left) {
-			out = append(out, Out{&Report{Kind: Moved, From: own.From, Incarnation: own.Incarnation, Seq: own.Seq}, []string{l.left}})
+	if l.noticesLeft > 0 {
+		l.noticesLeft--
+		if l.previousHub != "" && l.previousHub != l.self && slices.Contains(others, l.previousHub) {
+			out = append(out, Out{&Report{Kind: Moved, From: own.From, Incarnation: own.Incarnation, Seq: own.Seq}, []string{l.previousHub}})
 		}
 	}
 	if isHub {
-		self := &peer{members: 1, at: now, held: own.Held, asked: own.Asked, votes: own.Votes, ran: own.Ran, load: own.Load}
+		self := &peer{members: 1, receivedAt: now, held: own.Held, asked: own.Asked, votes: own.Votes, ran: own.Ran, load: own.Load}
 		group.add(self, now, 1)
 		all.add(self, now, 1)
 	}
-	if group.members == 0 && (l.left != l.self || l.still == 0) {
-		return out // it sums for nobody, and the hubs know
+	if group.members == 0 && (l.previousHub != l.self || l.noticesLeft == 0) {
+		return out // no member reports to this one, and the other hubs know that it is no hub
 	}
 	if to := slices.DeleteFunc(hubs, func(h string) bool { return h == l.self }); len(to) > 0 {
 		out = append(out, Out{group.report(Group, own), to})
 	}
-	for _, key := range tellers {
+	for _, key := range groupMembers {
 		rest := all.without(l.peers[key], now)
 		out = append(out, Out{rest.report(Rest, own), []string{key.name}})
 	}
 	return out
 }
 
-// sum is what several have outstanding and are asked for.
-type sum struct {
+// aggregate is the sum of the reports of several members.
+type aggregate struct {
 	members int
-	age     float64 // of all of them together, microseconds
+	age     float64 // sum of the ages of all members' reports, in microseconds
 	held    map[logic.WorkerID]float64
 	asked   map[uint64]float64
-	votes   map[voter][2]int // for and against
-	ran     map[logic.WorkerID][2]float64
+	votes   map[voteKey][2]int            // for and against
+	ran     map[logic.WorkerID][2]float64 // running time and work
 	load    slack.Load
-	loads   int // that are in it
+	loads   int // number of reports with a load
 }
 
-// voter is on whom and from where votes are.
-type voter struct {
+// voteKey groups votes by the host that they are about and the zone of those who cast them.
+type voteKey struct {
 	host logic.WorkerID
 	zone uint8
 }
 
-// add adds what a peer has, or with a sign of -1 takes it away.
-func (s *sum) add(p *peer, now int64, sign int) {
+// add adds a peer's report; a sign of -1 subtracts it.
+func (s *aggregate) add(p *peer, now int64, sign int) {
 	if s.held == nil {
-		s.held, s.asked, s.votes = map[logic.WorkerID]float64{}, map[uint64]float64{}, map[voter][2]int{}
+		s.held, s.asked, s.votes = map[logic.WorkerID]float64{}, map[uint64]float64{}, map[voteKey][2]int{}
 		s.ran = map[logic.WorkerID][2]float64{}
 	}
 	s.members += sign * p.members
-	s.age += float64(sign) * float64(p.members) * float64(now-p.at+p.age)
+	s.age += float64(sign) * float64(p.members) * float64(now-p.receivedAt+p.age)
 	for _, h := range p.held {
 		s.held[h.Host] += float64(sign) * h.Work
 	}
@@ -185,8 +189,8 @@
 		s.asked[a.Set] += float64(sign) * a.Load
 	}
 	for _, v := range p.votes {
-		n := s.votes[voter{v.Host, v.Zone}]
-		s.votes[voter{v.Host, v.Zone}] = [2]int{n[0] + sign*int(v.Good), n[1] + sign*int(v.Bad)}
+		n := s.votes[voteKey{v.Host, v.Zone}]
+		s.votes[voteKey{v.Host, v.Zone}] = [2]int{n[0] + sign*int(v.Good), n[1] + sign*int(v.Bad)}
 	}
 	for _, r := range p.ran {
 		n := s.ran[r.Host]
@@ -198,9 +202,9 @@
 	}
 }
 
-// Load gives the load of all others that are believed now, and for how many members it speaks.
+// Load returns the load of all other members with a valid report, and the number of members that it covers.
 func (l *Ledger) Load(now int64) (sum slack.Load, members int) {
-	from, members := l.believed(now)
+	from, members := l.validPeers(now)
 	for _, p := range from {
 		if p.load != nil {
 			sum.Add(p.load, 1)
@@ -209,8 +213,9 @@
 	return sum, members
 }
 
-// runs gives the runs of a sum, by host; of what is nearly nothing only the rounding is left.
-func (s *sum) runs() []Ran {
+// runs returns the runs by host, most work first. It leaves out hosts with hardly any work, where subtraction may have
+// left nothing but a rounding error.
+func (s *aggregate) runs() []Ran {
 	var out []Ran
 	for host, n := range s.ran {
 		if n[0] > 0 && n[1] > RanLeast {
@@ -221,21 +226,21 @@
 	return out[:min(len(out), HeldMost)]
 }
 
-// RanLeast is the work of runs that are worth telling of, seconds.
+// RanLeast is the work, in seconds, above which the runs at a host are reported.
 const RanLeast = 1e-3
 
-// Ran gives the runs of all others that are believed now.
+// Ran returns the runs of all other members with a valid report, summed by host.
 func (l *Ledger) Ran(now int64) []Ran {
-	s := sum{}
-	from, _ := l.believed(now)
+	s := aggregate{}
+	from, _ := l.validPeers(now)
 	for _, p := range from {
 		s.add(&peer{ran: p.ran}, now, 1)
 	}
 	return s.runs()
 }
 
-// counted gives the votes of a sum, those against first.
-func (s *sum) counted() []verdict.Vote {
+// voteCounts returns the votes by host and zone, those with the most votes against first.
+func (s *aggregate) voteCounts() []verdict.Vote {
 	var out []verdict.Vote
 	for of, n := range s.votes {
 		if n[0] > 0 || n[1] > 0 {
@@ -245,23 +250,24 @@
 	slices.SortFunc(out, func(a, b verdict.Vote) int {
 		return cmp.Or(cmp.Compare(b.Bad, a.Bad), cmp.Compare(a.Host, b.Host), cmp.Compare(a.Zone, b.Zone))
 	})
-	return out[:min(len(out), sumMost)]
+	return out[:min(len(out), maxSumEntries)]
 }
 
-// Votes gives the votes of all that are believed now, of others and of this dispatcher's own.
+// Votes returns the votes of all other members with a valid report together with this dispatcher's own, by host and
+// zone.
 func (l *Ledger) Votes(now int64, own []verdict.Vote) []verdict.Vote {
-	s := sum{}
-	from, _ := l.believed(now)
+	s := aggregate{}
+	from, _ := l.validPeers(now)
 	for _, p := range from {
 		s.add(&peer{votes: p.votes}, now, 1)
 	}
 	s.add(&peer{votes: own}, now, 1)
-	return s.counted()
+	return s.voteCounts()
 }
 
-// without is the sum of all but one that is in it.
-func (s *sum) without(p *peer, now int64) *sum {
-	out := &sum{s.members, s.age, make(map[logic.WorkerID]float64, len(s.held)), make(map[uint64]float64, len(s.asked)), maps.Clone(s.votes), maps.Clone(s.ran), s.load, s.loads}
+// without returns the sum without one peer that is part of it.
+func (s *aggregate) without(p *peer, now int64) *aggregate {
+	out := &aggregate{s.members, s.age, make(map[logic.WorkerID]float64, len(s.held)), make(map[uint64]float64, len(s.asked)), maps.Clone(s.votes), maps.Clone(s.ran), s.load, s.loads}
 	for host, work := range s.held {
 		out.held[host] = work
 	}
@@ -272,38 +278,39 @@
 	return out
 }
 
-// nothing is what is left of a sum of fractions when its parts are taken away again.
-const nothing = 1e-9
+// negligible is a bound on the rounding error that remains of a floating-point sum when all its parts are subtracted.
+const negligible = 1e-9
 
-// report makes a report of a sum, in the name and with the sequence of this dispatcher's own.
-func (s *sum) report(kind Kind, own *Report) *Report {
+// report makes a report of the sum with the name, incarnation and sequence number of this dispatcher's own report.
+func (s *aggregate) report(kind Kind, own *Report) *Report {
 	r := &Report{Kind: kind, Members: s.members, From: own.From, Incarnation: own.Incarnation, Seq: own.Seq}
-	r.Age = min(int64(math.Max(s.age, 0)/float64(max(s.members, 1))), ageMost)
-	most := float64(max(s.members, 1))
+	r.Age = min(int64(math.Max(s.age, 0)/float64(max(s.members, 1))), maxAge)
+	members := float64(max(s.members, 1))
 	for host, work := range s.held {
-		if work > nothing {
-			r.Held = append(r.Held, Held{host, min(work, workMost*most)})
+		if work > negligible {
+			r.Held = append(r.Held, Held{host, min(work, maxWork*members)})
 		}
 	}
 	for set, load := range s.asked {
-		if load > nothing {
-			r.Asked = append(r.Asked, Asked{set, min(load, loadMost*most)})
+		if load > negligible {
+			r.Asked = append(r.Asked, Asked{set, min(load, maxLoad*members)})
 		}
 	}
-	r.Votes, r.Ran = s.counted(), s.runs()
+	r.Votes, r.Ran = s.voteCounts(), s.runs()
 	if s.loads > 0 {
 		r.Load = &slack.Load{}
 		for i, v := range s.load {
-			if v > nothing {
-				r.Load[i] = min(v, loadMost*most)
+			if v > negligible {
+				r.Load[i] = min(v, maxLoad*members)
 			}
 		}
 	}
-	r.trim(sumMost)
+	r.trim(maxSumEntries)
 	return r
 }
 
-// trim sorts what a report holds, most first, and leaves out the least beyond its bounds.
+// trim sorts the work and the demand of a report, largest first, and drops what exceeds its bounds. sets bounds the
+// data sets.
 func (r *Report) trim(sets int) {
 	slices.SortFunc(r.Held, func(a, b Held) int { return cmp.Or(cmp.Compare(b.Work, a.Work), cmp.Compare(a.Host, b.Host)) })
 	slices.SortFunc(r.Asked, func(a, b Asked) int { return cmp.Or(cmp.Compare(b.Load, a.Load), cmp.Compare(a.Set, b.Set)) })
--- a/internal/fleet/ledger/hub_test.go
+++ b/internal/fleet/ledger/hub_test.go
@@ -10,17 +10,17 @@
 	"granitewing/logic"
 )
 
-// fleet is members that tell each other by rounds, over ways that a test may cut.
+// fleet is a simulated fleet whose members exchange reports in rounds, over links that a test may cut.
 type fleet struct {
 	now     int64
 	names   []string
 	ledgers map[string]*Ledger
-	work    map[string]float64 // of each, at host 1
+	work    map[string]float64 // of each member, at host 1
 	cut     func(from, to string) bool
 	seq     uint64
-	judges  bool // each votes against host 1, where it ran for two seconds
-	told    int  // datagrams of the last round
-	most    int  // of one member in the last round
+	votes   bool // each member votes against host 1 and reports runs of two seconds there
+	sent    int  // datagrams in the last round
+	busiest int  // datagrams sent and received by the busiest member in the last round
 }
 
 func newFleet(n int, limits Limits) *fleet {
@@ -33,19 +33,19 @@
 	return f
 }
 
-const every = second / 4
+const roundInterval = second / 4
 
-// Outstanding implements Source for one member.
-type works float64
+// constantSource is a Source with the same figure for the work at host 1 and the demand for data set 7.
+type constantSource float64
 
-func (w works) Outstanding(tell func(logic.WorkerID, float64)) { tell(1, float64(w)) }
-func (w works) Demand(_ int64, tell func(uint64, float64))     { tell(7, float64(w)) }
+func (c constantSource) Outstanding(tell func(logic.WorkerID, float64)) { tell(1, float64(c)) }
+func (c constantSource) Demand(_ int64, tell func(uint64, float64))     { tell(7, float64(c)) }
 
-// round has all tell once; what is told comes before the next round. gone are not there.
+// round has every member send its reports once; they arrive within the round. The members in gone are absent.
 func (f *fleet) round(gone ...string) {
-	f.now += every
+	f.now += roundInterval
 	f.seq++
-	f.told, f.most = 0, 0
+	f.sent, f.busiest = 0, 0
 	sent := map[string]int{}
 	for _, from := range f.names {
 		if slices.Contains(gone, from) {
@@ -53,8 +53,8 @@
 		}
 		others := slices.DeleteFunc(slices.Clone(f.names), func(n string) bool { return n == from || slices.Contains(gone, n) })
 		f.ledgers[from].Members(len(others))
-		own := Of(from, 1, f.seq, f.now, works(f.work[from]))
-		if f.judges {
+		own := Of(from, 1, f.seq, f.now, constantSource(f.work[from]))
+		if f.votes {
 			own.Votes = []verdict.Vote{{Host: 1, Zone: uint8(slices.Index(f.names, from) % 3), Bad: 1}}
 			own.Ran = []Ran{{1, 2, 1}}
 		}
@@ -62,7 +62,7 @@
 			for _, to := range out.To {
 				sent[from]++
 				sent[to]++
-				f.told++
+				f.sent++
 				if !f.cut(from, to) && f.ledgers[to] != nil {
 					f.ledgers[to].Hear(f.now, out.Report)
 				}
@@ -70,20 +70,21 @@
 		}
 	}
 	for _, n := range sent {
-		f.most = max(f.most, n)
+		f.busiest = max(f.busiest, n)
 	}
 }
 
-// sees is what a member believes the others have at host 1, and for how many of them that speaks.
-func (f *fleet) sees(name string) (float64, int) {
-	t := &told{work: map[logic.WorkerID]float64{}, sets: map[uint64]float64{}}
+// observed returns the work that a member knows the others to have at host 1, and how many members that covers.
+func (f *fleet) observed(name string) (float64, int) {
+	t := &received{work: map[logic.WorkerID]float64{}, sets: map[uint64]float64{}}
 	heard := f.ledgers[name].Tell(f.now, []logic.WorkerID{1}, t)
 	return t.work[1], heard
 }
 
-// Whatever the size, each sees what all others have, once, after four rounds, and sees it change; what it costs the busiest
-// grows with the square root alone. One that claims to speak for the rest, and is not its hub, is not believed.
-func TestHubsSeeAll(t *testing.T) {
+// In a fleet of any size, each member knows the work of all others after four rounds, counts it once, and follows a
+// change. The cost at the busiest member grows with the square root of the fleet. A sender of a Rest report that is not
+// the member's hub is ignored.
+func TestReportsReachAllMembers(t *testing.T) {
 	for _, n := range []int{2, 12, 13, 30, 100, 300} {
 		f := newFleet(n, Limits{})
 		for _, more := range []float64{0, 10} {
@@ -92,53 +93,53 @@
 				f.round()
 			}
 			for _, name := range f.names {
-				f.ledgers[name].Hear(f.now, &Report{Kind: Rest, From: "liar", Seq: f.seq, Members: membersMost, Held: []Held{{1, 1e6}}})
+				f.ledgers[name].Hear(f.now, &Report{Kind: Rest, From: "impostor", Seq: f.seq, Members: maxMembers, Held: []Held{{1, 1e6}}})
 				want := float64(n) + more - f.work[name]
-				if work, heard := f.sees(name); heard != n-1 || work < want-1e-6 || work > want+1e-6 {
-					t.Fatalf("of %d, %s hears %d and sees %v, want %v", n, name, heard, work, want)
+				if work, heard := f.observed(name); heard != n-1 || work < want-1e-6 || work > want+1e-6 {
+					t.Fatalf("fleet of %d: %s covers %d members and knows work %v, want %v", n, name, heard, work, want)
 				}
 			}
 		}
-		if n == 300 && (f.most > 150 || f.told > 4*n) {
-			t.Errorf("of 300 the busiest sends and hears %d a round, all send %d", f.most, f.told)
+		if n == 300 && (f.busiest > 150 || f.sent > 4*n) {
+			t.Errorf("fleet of 300: the busiest member sends and receives %d datagrams a round, all members send %d", f.busiest, f.sent)
 		}
 	}
 }
 
-// A hub that stands still: its group goes to the next one within the time after which it is deaf, though membership still
-// takes it for alive; once it is long silent it counts for nothing.
-func TestHubThatStandsStill(t *testing.T) {
+// A hub stops responding while membership still considers it alive. Its group moves to other hubs within Limits.Deaf,
+// and its own reports expire. After the links work again every member counts every other once.
+func TestUnresponsiveHub(t *testing.T) {
 	f := newFleet(40, Limits{Hubs: 4})
 	for range 4 {
 		f.round()
 	}
-	dead := f.ledgers["n0"].hubs(f.names[1:])[0]
-	f.cut = func(from, to string) bool { return from == dead || to == dead }
-	for range 6 + 2*8 { // deaf after six rounds, believed for eight
+	stalled := f.ledgers["n0"].hubs(f.names[1:])[0]
+	f.cut = func(from, to string) bool { return from == stalled || to == stalled }
+	for range 6 + 2*8 { // a hub is left after six rounds without an answer; a report is valid for eight
 		f.round()
 	}
 	for _, name := range f.names {
-		if work, heard := f.sees(name); name != dead && (heard != 38 || work > 39.1) {
-			t.Errorf("%s hears %d and sees %v", name, heard, work)
+		if work, heard := f.observed(name); name != stalled && (heard != 38 || work > 39.1) {
+			t.Errorf("%s covers %d members and knows work %v", name, heard, work)
 		}
 	}
-	if _, heard := f.sees(dead); heard != 0 {
-		t.Errorf("the one that is cut off hears %d", heard)
+	if _, heard := f.observed(stalled); heard != 0 {
+		t.Errorf("the hub that is cut off covers %d members, want 0", heard)
 	}
 	f.cut = func(_, _ string) bool { return false }
-	for range 6 + 8 + 6*avoidFor {
+	for range 6 + 8 + 6*avoidFactor {
 		f.round()
 	}
 	for _, name := range f.names {
-		if work, heard := f.sees(name); heard != 39 || work < 39-1e-6 || work > 39+1e-6 {
-			t.Errorf("once all is whole, %s hears %d and sees %v", name, heard, work)
+		if work, heard := f.observed(name); heard != 39 || work < 39-1e-6 || work > 39+1e-6 {
+			t.Errorf("after the links work again, %s covers %d members and knows work %v", name, heard, work)
 		}
 	}
 }
 
-// Members go from hub to hub while all links are whole, as hubs come and go: after three rounds each is
-// counted once.
-func TestNobodyStaysCountedTwice(t *testing.T) {
+// Members change their hubs as hubs leave and return, while all links work. A member that two hubs count at first is
+// counted once after three rounds.
+func TestMovedMemberIsCountedOnce(t *testing.T) {
 	f := newFleet(40, Limits{Hubs: 4})
 	for range 6 {
 		f.round()
@@ -153,22 +154,23 @@
 		for i := range 20 {
 			f.round(gone...)
 			for _, name := range f.names {
-				if work, heard := f.sees(name); !slices.Contains(gone, name) && i >= 3 && heard != 39-len(gone) {
-					t.Fatalf("%v gone, round %d: %s hears %d and sees %v", gone, i, name, heard, work)
+				if work, heard := f.observed(name); !slices.Contains(gone, name) && i >= 3 && heard != 39-len(gone) {
+					t.Fatalf("without %v, round %d: %s covers %d members and knows work %v", gone, i, name, heard, work)
 				}
 			}
 		}
 	}
 }
 
-// All hubs are beyond a cut: those on this side hear nobody and so decide alone, until membership gives the others up.
-func TestHubsBeyondACut(t *testing.T) {
+// A partition separates all hubs from the other members. Those receive nothing and use no sums until membership
+// declares the hubs dead; then they choose new ones among themselves.
+func TestPartitionFromAllHubs(t *testing.T) {
 	f := newFleet(30, Limits{Hubs: 3})
 	hubs := f.ledgers["n0"].hubs(f.names[1:])
-	var here []string
+	var remaining []string
 	for _, n := range f.names {
 		if !slices.Contains(hubs, n) {
-			here = append(here, n)
+			remaining = append(remaining, n)
 		}
 	}
 	for range 4 {
@@ -178,32 +180,32 @@
 	for range 12 {
 		f.round()
 	}
-	for _, n := range here {
-		if work, _ := f.sees(n); work != 0 {
-			t.Errorf("%s sees %v of those whom it does not hear", n, work)
+	for _, n := range remaining {
+		if work, _ := f.observed(n); work != 0 {
+			t.Errorf("%s knows work %v of members that it has no report of", n, work)
 		}
 	}
 	for range 12 {
 		f.round(hubs...)
 	}
-	for _, n := range here {
-		if work, heard := f.sees(n); heard != 26 || work < 26-1e-6 || work > 26+1e-6 {
-			t.Errorf("%s hears %d and sees %v", n, heard, work)
+	for _, n := range remaining {
+		if work, heard := f.observed(n); heard != 26 || work < 26-1e-6 || work > 26+1e-6 {
+			t.Errorf("%s covers %d members and knows work %v", n, heard, work)
 		}
 	}
 }
 
-// A hub that tells nonsense is refused, whatever it claims to speak for.
-func TestSumsAreBounded(t *testing.T) {
+// A sum with figures that are impossible for the members that it claims to cover is refused.
+func TestOutOfRangeSumsAreRefused(t *testing.T) {
 	for name, r := range map[string]*Report{
-		"more work than its members can have": {Kind: Rest, From: "h", Seq: 1, Members: 2, Held: []Held{{1, 2*workMost + 1}}},
-		"more load than its members can have": {Kind: Group, From: "h", Seq: 1, Members: 2, Asked: []Asked{{1, 2*loadMost + 1}}},
-		"more members than any fleet":         {Kind: Rest, From: "h", Seq: 1, Members: membersMost + 1},
-		"fewer than none":                     {Kind: Rest, From: "h", Seq: 1, Members: -1},
-		"news from before its time":           {Kind: Rest, From: "h", Seq: 1, Members: 1, Age: -1},
-		"news of long ago":                    {Kind: Rest, From: "h", Seq: 1, Members: 1, Age: ageMost + 1},
-		"of no kind":                          {Kind: kinds, From: "h", Seq: 1, Members: 1},
-		"too many data sets":                  {Kind: Group, From: "h", Seq: 1, Members: 1, Asked: make([]Asked, sumMost+1)},
+		"more work than its members can have": {Kind: Rest, From: "h", Seq: 1, Members: 2, Held: []Held{{1, 2*maxWork + 1}}},
+		"more load than its members can have": {Kind: Group, From: "h", Seq: 1, Members: 2, Asked: []Asked{{1, 2*maxLoad + 1}}},
+		"too many members":                    {Kind: Rest, From: "h", Seq: 1, Members: maxMembers + 1},
+		"a negative number of members":        {Kind: Rest, From: "h", Seq: 1, Members: -1},
+		"a negative age":                      {Kind: Rest, From: "h", Seq: 1, Members: 1, Age: -1},
+		"an age above the bound":              {Kind: Rest, From: "h", Seq: 1, Members: 1, Age: maxAge + 1},
+		"an unknown kind":                     {Kind: kinds, From: "h", Seq: 1, Members: 1},
+		"too many data sets":                  {Kind: Group, From: "h", Seq: 1, Members: 1, Asked: make([]Asked, maxSumEntries+1)},
 	} {
 		if err := New("me", Limits{}).Hear(0, r); err != ErrRange {
 			t.Errorf("%s: %v", name, err)
@@ -211,11 +213,11 @@
 	}
 }
 
-// Votes and runs of a fleet with hubs come to each member once, and its own not among the runs.
-func TestVotesAndRunsThroughHubs(t *testing.T) {
+// In a fleet with hubs each member receives every vote once, and the runs of all other members but not its own.
+func TestVotesAndRunsReachAllMembers(t *testing.T) {
 	const members = 30
 	f := newFleet(members, Limits{})
-	f.judges = true
+	f.votes = true
 	for range 8 {
 		f.round()
 	}
@@ -230,11 +232,11 @@
 			bad += int(v.Bad)
 		}
 		if bad != members || len(ran) != 1 || math.Abs(ran[0].Run-2*(members-1)) > 1e-6 || math.Abs(ran[0].Work-(members-1)) > 1e-6 {
-			t.Errorf("%s: %d votes, runs %v", name, bad, ran)
+			t.Errorf("%s: %d votes against the host, runs %v", name, bad, ran)
 		}
 	}
-	liar := &Report{From: "x", Incarnation: 1, Seq: 1, Votes: []verdict.Vote{{Host: 1, Zone: 0, Bad: 1}, {Host: 1, Zone: 1, Bad: 1}}}
-	if err := f.ledgers["n0"].Hear(f.now, liar); err != ErrRange {
-		t.Error("two votes of one on one host:", err)
+	twoVotes := &Report{From: "x", Incarnation: 1, Seq: 1, Votes: []verdict.Vote{{Host: 1, Zone: 0, Bad: 1}, {Host: 1, Zone: 1, Bad: 1}}}
+	if err := f.ledgers["n0"].Hear(f.now, twoVotes); err != ErrRange {
+		t.Error("a report of one member with two votes on one host:", err)
 	}
 }
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -1,9 +1,13 @@
-// Package ledger keeps what the other dispatchers of a fleet say that they have outstanding at each host and are asked for,
-// and says how much of it may be believed. It does no I/O and reads no clock; times are microseconds on the caller's clock.
+// Package ledger keeps what the other dispatchers of a fleet report: the work that each has outstanding at every host
+// and the demand that each receives for every data set. It also decides how much of that may be trusted.
 //
-// News has an age: it is the time since it was heard, and past Limits.Believe a peer's news counts for nothing. A process
-// that wakes up late is known by its incarnation and sequence. Where too few of the members are heard nothing is told, and
-// the decisions are those of a dispatcher that shares nothing.
+// A dispatcher calls Hear with each report that arrives, Tell to pass the sums to its own scheduler, and Round to learn
+// which reports to send to whom. Votes, Ran and Load give the other sums. Append and Parse are the encoding of a
+// report. The package does no I/O and reads no clock; times are microseconds on the caller's clock.
+//
+// A report is valid for Limits.Believe after it arrived; then it no longer counts. Reports of a process that wakes up
+// late are recognized by their incarnation and sequence number and refused. If too few of the members have a valid
+// report, Tell passes on nothing and the dispatcher decides as one that shares nothing.
 package ledger
 
 import (
@@ -18,65 +22,65 @@
 	"granitewing/logic"
 )
 
-// Limits bound what is believed. The zero value of a field means its default.
+// Limits bound which reports are accepted and for how long they count. A field of zero means its default.
 type Limits struct {
-	Believe int64   // microseconds for which a peer's news counts; default 2 s
-	Gap     int64   // microseconds that two reports of a peer are apart at least; default 20 ms
-	Quorum  float64 // share of the other members that must be heard; default a half
-	Peers   int     // default 2,000
-	Hubs    int     // members that sum for the others; 0 is all of up to 12, and the square root of more
-	Deaf    int64   // microseconds without an answer after which a hub is left for the next; default 1.5 s
+	Believe int64   // microseconds for which a peer's report is valid; default 2 s
+	Gap     int64   // minimum microseconds between two reports of a peer; default 20 ms
+	Quorum  float64 // share of the other members that must have a valid report; default 0.5
+	Peers   int     // maximum number of senders kept; default 2,000
+	Hubs    int     // members that sum for the others; 0 means all members up to 12, and the square root of more
+	Deaf    int64   // microseconds without an answer after which a hub is left for the next one; default 1.5 s
 }
 
-// Bounds on one report. What a dispatcher has outstanding is bounded by its open messages, so more is nonsense.
+// Bounds on one report. A dispatcher's outstanding work is bounded by its open messages, so a larger figure is invalid.
 const (
-	HeldMost  = 1024
-	AskedMost = 48  // data sets of one dispatcher
-	sumMost   = 512 // data sets of a sum
-	workMost  = 1e5 // slot-seconds of one dispatcher at one host
-	loadMost  = 1e5 // slots a second of one dispatcher for one data set
-	ageMost   = 60_000_000
-	ranMost   = 60   // seconds of work in the runs of one dispatcher at a host: one that lies weighs no more
-	slowMost  = 1000 // seconds for a second of work
+	HeldMost      = 1024 // hosts in one report, both of outstanding work and of runs
+	AskedMost     = 48   // data sets in the report of one dispatcher
+	maxSumEntries = 512  // data sets, and votes, in a sum
+	maxWork       = 1e5  // slot-seconds of one dispatcher at one host
+	maxLoad       = 1e5  // slots a second of one dispatcher for one data set
+	maxAge        = 60_000_000
+	maxRunWork    = 60   // seconds of work in the runs of one dispatcher at a host; limits the weight of a false report
+	maxSlowdown   = 1000 // seconds of running time for a second of work
 )
 
 // Kind says for whom a report speaks.
 type Kind uint8
 
-// The kinds of reports: a member tells its hub of itself, a hub tells the other hubs of its group, and tells each of the
-// group of all the rest.
+// The kinds of reports. A member reports itself to its hub. A hub reports its group to the other hubs, and to each
+// member of the group the sum of all other members of the fleet.
 const (
-	Own Kind = iota
-	Group
-	Rest
-	Moved // a member tells the hub that it told so far that another counts it from now on
+	Own   Kind = iota // the sender alone
+	Group             // the members that report to the sender, and the sender if it is a hub
+	Rest              // all members but the receiver
+	Moved             // tells the previous hub that another hub counts the sender from now on
 	kinds
 )
 
-// Held is slot-work, in seconds on a standard core, outstanding at a host.
+// Held is the work outstanding at a host: slots times seconds on a standard core.
 type Held struct {
 	Host logic.WorkerID
 	Work float64
 }
 
-// Asked is the slots a second for which a dispatcher is asked with a data set.
+// Asked is the demand, in slots a second, that a dispatcher receives for a data set.
 type Asked struct {
 	Set  uint64
 	Load float64
 }
 
-// Ran is the running time and the work (seconds on a standard core) of runs at a host of late.
+// Ran is the running time in seconds, and the work in seconds on a standard core, of recent runs at a host.
 type Ran struct {
 	Host      logic.WorkerID
 	Run, Work float64
 }
 
-// Report is what one dispatcher says, of itself or of those that it sums. Of one name a higher incarnation is a later
-// process, and within it and a kind a higher sequence later news.
+// Report is what one dispatcher reports, of itself or of the members that it sums. A higher incarnation of the same
+// name is a later process; within an incarnation and a kind, a higher sequence number is a later report.
 type Report struct {
 	Kind        Kind
-	Members     int   // dispatchers for which it speaks, where that is a sum
-	Age         int64 // mean age of what is in it when it was sent, microseconds
+	Members     int   // number of dispatchers that a sum covers
+	Age         int64 // mean age of the contents when the report was sent, in microseconds
 	From        string
 	Incarnation uint64
 	Seq         uint64
@@ -84,43 +88,43 @@
 	Asked       []Asked
 	Votes       []verdict.Vote
 	Ran         []Ran
-	Load        *slack.Load // nil: it does not tell
+	Load        *slack.Load // nil: the report has no load
 }
 
 // The reasons for which a report is refused.
 var (
-	ErrSelf  = errors.New("ledger: a report in this dispatcher's own name")
-	ErrOld   = errors.New("ledger: older than what was heard of its sender")
-	ErrRange = errors.New("ledger: a figure out of range")
-	ErrFlood = errors.New("ledger: too soon after the last report of its sender")
-	ErrFull  = errors.New("ledger: more senders than are kept")
+	ErrSelf  = errors.New("ledger: report without a sender or in this dispatcher's own name")
+	ErrOld   = errors.New("ledger: report is older than the latest of its sender")
+	ErrRange = errors.New("ledger: figure out of range")
+	ErrFlood = errors.New("ledger: report came too soon after the last one of its sender")
+	ErrFull  = errors.New("ledger: too many senders")
 )
 
-// Counts is what was heard and refused since the start.
+// Counts are the reports accepted and refused since the start, by reason.
 type Counts struct {
 	Heard, Old, Range, Flood, Full, Self int
 	Strange                              int // figures of hosts that this dispatcher does not know
 }
 
-// Ledger is one dispatcher's. It must not be used by two goroutines at once.
+// Ledger holds the reports that one dispatcher received. It must not be used by two goroutines at once.
 type Ledger struct {
-	self    string
-	limits  Limits
-	members int // others that are there, as far as membership knows
-	peers   map[source]*peer
-	order   []source // of peers, sorted: sums of fractions depend on it, and a play has to repeat
-	counts  Counts
-	told    map[logic.WorkerID]float64 // work of the others, while it is summed
-	sets    map[uint64]float64
-
-	hub   string // that this dispatcher tells
-	since int64  // from when on
-	avoid map[string]int64
-	left  string // the hub before, which is told so
-	still int    // rounds in which it is, and other hubs are told that this is none any more
+	self       string
+	limits     Limits
+	members    int // other members, according to membership
+	peers      map[source]*peer
+	order      []source // keys of peers, sorted: float sums depend on the order, and a simulated run must repeat
+	counts     Counts
+	workByHost map[logic.WorkerID]float64 // scratch space of Tell
+	loadBySet  map[uint64]float64         // scratch space of Tell
+
+	hub         string           // the hub that this dispatcher reports to
+	hubSince    int64            // when it chose that hub
+	avoidUntil  map[string]int64 // hubs that did not answer, until when they are not chosen
+	previousHub string           // the hub before, which gets Moved reports
+	noticesLeft int              // rounds left to send Moved, or to report to other hubs that this is no hub any more
 }
 
-// source is who speaks, and for whom.
+// source identifies a sender and the kind of its reports.
 type source struct {
 	name string
 	kind Kind
@@ -130,12 +134,13 @@
 	return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.name, b.name))
 }
 
+// peer is the latest report of a source.
 type peer struct {
-	members          int
-	age              int64
+	members          int   // dispatchers that the report covers
+	age              int64 // mean age of its contents when it was sent, in microseconds
 	incarnation, seq uint64
-	at               int64
-	gone, moved      bool
+	receivedAt       int64
+	gone, moved      bool // gone: counts for nothing until a later report; moved: not listed by Peers
 	held             []Held
 	asked            []Asked
 	votes            []verdict.Vote
@@ -143,20 +148,21 @@
 	load             *slack.Load
 }
 
-// New makes a ledger for the dispatcher named self.
+// New returns an empty ledger of the dispatcher named self.
 func New(self string, limits Limits) *Ledger {
 	limits.Believe = cmp.Or(limits.Believe, 2_000_000)
 	limits.Gap = cmp.Or(limits.Gap, 20_000)
 	limits.Quorum = cmp.Or(limits.Quorum, 0.5)
 	limits.Peers = cmp.Or(limits.Peers, 2000)
 	limits.Deaf = cmp.Or(limits.Deaf, 1_500_000)
-	return &Ledger{self: self, limits: limits, peers: map[source]*peer{}, avoid: map[string]int64{}, told: map[logic.WorkerID]float64{}, sets: map[uint64]float64{}}
+	return &Ledger{self: self, limits: limits, peers: map[source]*peer{}, avoidUntil: map[string]int64{}, workByHost: map[logic.WorkerID]float64{}, loadBySet: map[uint64]float64{}}
 }
 
-// Members says how many other dispatchers are there; news of fewer of them is scaled to all.
+// Members sets how many other dispatchers are in the fleet. Sums of the reports of fewer are scaled up to this number.
 func (l *Ledger) Members(n int) { l.members = n }
 
-// Hear takes a report at the time at which it came. One that is refused changes nothing.
+// Hear takes a report that arrived at the time now. It returns ErrSelf, ErrOld, ErrRange, ErrFlood or ErrFull for a
+// report that it refuses; such a report is counted and changes nothing else.
 func (l *Ledger) Hear(now int64, r *Report) error {
 	key := source{r.From, r.Kind}
 	if r.Kind == Moved {
@@ -167,17 +173,17 @@
 	case r.From == l.self || r.From == "":
 		l.counts.Self++
 		return ErrSelf
-	case p != nil && now-p.at <= forgetAfter*l.limits.Believe && (r.Incarnation < p.incarnation || r.Incarnation == p.incarnation && r.Seq <= p.seq):
+	case p != nil && now-p.receivedAt <= forgetFactor*l.limits.Believe && (r.Incarnation < p.incarnation || r.Incarnation == p.incarnation && r.Seq <= p.seq):
 		l.counts.Old++
 		return ErrOld
 	case !inRange(r):
 		l.counts.Range++
 		return ErrRange
-	case p != nil && r.Incarnation == p.incarnation && now-p.at < l.limits.Gap:
+	case p != nil && r.Incarnation == p.incarnation && now-p.receivedAt < l.limits.Gap:
 		l.counts.Flood++
 		return ErrFlood
 	case p == nil && len(l.peers) >= l.limits.Peers:
-		if !l.room(now) {
+		if !l.evictSilent(now) {
 			l.counts.Full++
 			return ErrFull
 		}
@@ -188,56 +194,60 @@
 		i, _ := slices.BinarySearchFunc(l.order, key, source.compare)
 		l.order = slices.Insert(l.order, i, key)
 	}
-	*p = peer{members: r.Members, age: r.Age, incarnation: r.Incarnation, seq: r.Seq, at: now, held: append(p.held[:0], r.Held...), asked: append(p.asked[:0], r.Asked...), votes: append(p.votes[:0], r.Votes...), ran: append(p.ran[:0], r.Ran...), load: r.Load}
+	*p = peer{members: r.Members, age: r.Age, incarnation: r.Incarnation, seq: r.Seq, receivedAt: now, held: append(p.held[:0], r.Held...), asked: append(p.asked[:0], r.Asked...), votes: append(p.votes[:0], r.Votes...), ran: append(p.ran[:0], r.Ran...), load: r.Load}
 	switch r.Kind {
 	case Own:
 		p.members, p.age = 1, 0
 	case Moved:
-		*p = peer{incarnation: r.Incarnation, seq: r.Seq, at: now, gone: true, moved: true}
+		*p = peer{incarnation: r.Incarnation, seq: r.Seq, receivedAt: now, gone: true, moved: true}
 	case Group:
-		p.moved = r.Members == 0 // it is a hub no more
+		p.moved = r.Members == 0 // the sender is no longer a hub
 	}
 	l.counts.Heard++
 	return nil
 }
 
+// inRange reports whether all figures of a report are within bounds. The bounds of a sum grow with the members it
+// covers.
 func inRange(r *Report) bool {
-	fine := func(v, most float64) bool { return v >= 0 && v <= most } // false of NaN as well
-	speaks, sets, votes := 1.0, AskedMost, verdict.VotesMost
+	within := func(v, limit float64) bool { return v >= 0 && v <= limit } // false for NaN as well
+	covered, sets, votes := 1.0, AskedMost, verdict.VotesMost
 	if r.Kind != Own {
-		speaks, sets, votes = float64(max(r.Members, 1)), sumMost, sumMost
+		covered, sets, votes = float64(max(r.Members, 1)), maxSumEntries, maxSumEntries
 	}
-	return r.Kind < kinds && r.Members >= 0 && r.Members <= membersMost && r.Age >= 0 && r.Age <= ageMost &&
-		len(r.Held) <= HeldMost && len(r.Asked) <= sets && len(r.Votes) <= votes && fair(r.Votes, int(speaks)) &&
-		len(r.Ran) <= HeldMost && !slices.ContainsFunc(r.Ran, func(a Ran) bool { return !fine(a.Work, ranMost*speaks) || !fine(a.Run, slowMost*a.Work) }) &&
-		!slices.ContainsFunc(r.Held, func(h Held) bool { return !fine(h.Work, workMost*speaks) }) &&
-		!slices.ContainsFunc(r.Asked, func(a Asked) bool { return !fine(a.Load, loadMost*speaks) }) &&
-		(r.Load == nil || !slices.ContainsFunc(r.Load[:], func(v float64) bool { return !fine(v, loadMost*speaks) }))
+	return r.Kind < kinds && r.Members >= 0 && r.Members <= maxMembers && r.Age >= 0 && r.Age <= maxAge &&
+		len(r.Held) <= HeldMost && len(r.Asked) <= sets && len(r.Votes) <= votes && oneVoteEach(r.Votes, int(covered)) &&
+		len(r.Ran) <= HeldMost && !slices.ContainsFunc(r.Ran, func(a Ran) bool { return !within(a.Work, maxRunWork*covered) || !within(a.Run, maxSlowdown*a.Work) }) &&
+		!slices.ContainsFunc(r.Held, func(h Held) bool { return !within(h.Work, maxWork*covered) }) &&
+		!slices.ContainsFunc(r.Asked, func(a Asked) bool { return !within(a.Load, maxLoad*covered) }) &&
+		(r.Load == nil || !slices.ContainsFunc(r.Load[:], func(v float64) bool { return !within(v, maxLoad*covered) }))
 }
 
-// fair tells whether nobody has more votes on a host than there are dispatchers for which it speaks.
-func fair(votes []verdict.Vote, speaks int) bool {
+// oneVoteEach reports whether no host has more votes than the number of dispatchers that the report covers.
+func oneVoteEach(votes []verdict.Vote, covered int) bool {
 	cast := map[logic.WorkerID]int{}
 	return !slices.ContainsFunc(votes, func(v verdict.Vote) bool {
 		cast[v.Host] += int(v.Bad) + int(v.Good)
-		return cast[v.Host] > speaks
+		return cast[v.Host] > covered
 	})
 }
 
-// membersMost bounds the dispatchers for which a sum may speak.
-const membersMost = 10_000
+// maxMembers bounds the number of dispatchers that a sum may claim to cover.
+const maxMembers = 10_000
 
-// forgetAfter is how many times Believe a silent peer's incarnation is remembered, so that its old news stays refused. No
-// datagram is on its way for so long; after that its place may go to another, and it may come back with a clock set back.
-const forgetAfter = 30
+// forgetFactor times Limits.Believe is how long the incarnation of a silent peer is remembered, so that its old reports
+// stay refused. No datagram stays in the network for so long. After that the peer's entry may be evicted for another
+// sender, and the peer itself may come back with a lower incarnation because its clock was set back.
+const forgetFactor = 30
 
-// room makes a place by forgetting the peer that has been silent longest.
-func (l *Ledger) room(now int64) bool {
+// evictSilent makes space for a new sender by removing the peer that has been silent longest. It reports false if no
+// peer has been silent for long enough to be forgotten.
+func (l *Ledger) evictSilent(now int64) bool {
 	var oldest source
-	at := now - forgetAfter*l.limits.Believe
+	at := now - forgetFactor*l.limits.Believe
 	for key, p := range l.peers {
-		if p.at < at {
-			oldest, at = key, p.at
+		if p.receivedAt < at {
+			oldest, at = key, p.receivedAt
 		}
 	}
 	if oldest.name == "" {
@@ -249,34 +259,37 @@
 	return true
 }
 
-// Gone says that membership has given a peer's process up: what it has counts for nothing. Membership may be wrong, of one
-// that stood still or was cut off; so later news of that process counts again, and what it said before stays refused.
+// Gone records that membership has declared a peer's process dead: its reports no longer count. Membership may be wrong
+// about a process that was paused or cut off, so later reports of that process count again; earlier ones stay refused.
 func (l *Ledger) Gone(name string, incarnation uint64) {
 	for kind := range kinds {
 		if p := l.peers[source{name, kind}]; p != nil && p.incarnation <= incarnation {
-			*p = peer{incarnation: incarnation, seq: p.seq, at: p.at, gone: true}
+			*p = peer{incarnation: incarnation, seq: p.seq, receivedAt: p.receivedAt, gone: true}
 		}
 	}
 }
 
-// Telling is where the sums go.
+// Telling receives the sums that Tell makes.
 type Telling interface {
+	// Heard takes the work, in slot-seconds, that the other dispatchers have at a host, as of the time at.
 	Heard(now int64, host logic.WorkerID, work float64, at int64)
+	// HeardDemand takes the other dispatchers' demand for a data set, in slots a second, which is valid until a time.
 	HeardDemand(set uint64, load float64, until int64)
 }
 
-// believed gives those whose news counts now: this dispatcher's own sources, or the sum of all the rest that its hub, or the
-// one before, has told last, whichever speaks for more. Of others that claim to speak for the rest nothing is believed.
-func (l *Ledger) believed(now int64) (from []*peer, members int) {
+// validPeers returns the reports that count now and the number of members that they cover. These are either the reports
+// of this dispatcher's own sources, or the latest Rest report of its hub or its previous hub, whichever covers more
+// members. Rest reports of other senders are ignored.
+func (l *Ledger) validPeers(now int64) (from []*peer, members int) {
 	var rest *peer
 	for _, key := range l.order {
 		p := l.peers[key]
 		switch {
-		case p.gone || now-p.at > l.limits.Believe:
+		case p.gone || now-p.receivedAt > l.limits.Believe:
 		case key.kind != Rest:
 			from, members = append(from, p), members+p.members
-		case key.name != l.hub && key.name != l.left:
-		case rest == nil || p.at >= rest.at:
+		case key.name != l.hub && key.name != l.previousHub:
+		case rest == nil || p.receivedAt >= rest.receivedAt:
 			rest = p
 		}
 	}
@@ -286,101 +299,104 @@
 	return from, members
 }
 
-// Tell sums what the others have at each of some hosts and tells it, with the mean time of the news that it rests on.
-// It tells nothing where less than the quorum was heard; what was told before then fades as any sighting does.
+// Tell passes to the receiver the sum of the others' work at each of the given hosts, with the mean time of the reports
+// behind it, and the sum of their demand for each data set. It returns the number of members with a valid report. Below
+// the quorum it passes nothing on; figures passed on earlier then decay in the receiver as every observation does.
 func (l *Ledger) Tell(now int64, hosts []logic.WorkerID, to Telling) (heard int) {
-	clear(l.told)
-	clear(l.sets)
+	clear(l.workByHost)
+	clear(l.loadBySet)
 	for _, h := range hosts {
-		l.told[h] = 0
+		l.workByHost[h] = 0
 	}
 	at := 0.0
-	from, heard := l.believed(now)
+	from, heard := l.validPeers(now)
 	for _, p := range from {
-		at += float64(p.at-p.age) * float64(p.members)
+		at += float64(p.receivedAt-p.age) * float64(p.members)
 		for _, h := range p.held {
-			if _, known := l.told[h.Host]; known {
-				l.told[h.Host] += h.Work
+			if _, known := l.workByHost[h.Host]; known {
+				l.workByHost[h.Host] += h.Work
 			} else {
 				l.counts.Strange++
 			}
 		}
 		for _, a := range p.asked {
-			l.sets[a.Set] += a.Load
+			l.loadBySet[a.Set] += a.Load
 		}
 	}
 	if heard == 0 || float64(heard) < l.limits.Quorum*float64(l.members) {
 		return heard
 	}
-	// Those not heard are taken to be like those that are.
+	// Members without a valid report are assumed to be like those with one.
 	scale := math.Max(float64(l.members)/float64(heard), 1)
 	when := int64(at / float64(heard))
 	for _, h := range hosts {
-		to.Heard(now, h, l.told[h]*scale, when)
+		to.Heard(now, h, l.workByHost[h]*scale, when)
 	}
-	for set, load := range l.sets {
+	for set, load := range l.loadBySet {
 		to.HeardDemand(set, load*scale, when+l.limits.Believe)
 	}
 	return heard
 }
 
-// Believes is for how many microseconds news counts.
+// Believes returns for how many microseconds a report is valid.
 func (l *Ledger) Believes() int64 { return l.limits.Believe }
 
-// Counts tells what was heard and refused.
+// Counts returns the numbers of reports accepted and refused.
 func (l *Ledger) Counts() Counts { return l.counts }
 
-// Source is what a dispatcher knows of itself.
+// Source gives a dispatcher's own figures.
 type Source interface {
+	// Outstanding calls tell with the work, in slot-seconds, that the dispatcher has at each host.
 	Outstanding(tell func(host logic.WorkerID, work float64))
+	// Demand calls tell with the demand, in slots a second, that the dispatcher receives for each data set.
 	Demand(now int64, tell func(set uint64, load float64))
 }
 
-// Of makes a dispatcher's report of itself; of the data sets it names those that it is asked for most.
+// Of makes a dispatcher's report of itself. Of the data sets it includes the AskedMost with the highest demand.
 func Of(from string, incarnation, seq uint64, now int64, s Source) *Report {
 	r := &Report{From: from, Incarnation: incarnation, Seq: seq}
 	s.Outstanding(func(host logic.WorkerID, work float64) {
-		r.Held = append(r.Held, Held{host, min(work, workMost)})
+		r.Held = append(r.Held, Held{host, min(work, maxWork)})
 	})
-	s.Demand(now, func(set uint64, load float64) { r.Asked = append(r.Asked, Asked{set, min(load, loadMost)}) })
+	s.Demand(now, func(set uint64, load float64) { r.Asked = append(r.Asked, Asked{set, min(load, maxLoad)}) })
 	r.trim(AskedMost)
 	return r
 }
 
-// ErrInUse tells that another process has the address at which a dispatcher takes part in its fleet.
+// ErrInUse says that another process uses the address at which a dispatcher joins its fleet.
 var ErrInUse = errors.New("the address is in use")
 
-// News is a report with the time at which it came.
+// News is a report with the time at which it arrived.
 type News struct {
 	*Report
 	At time.Time
 }
 
-// Process is one process of a dispatcher.
+// Process identifies one process of a dispatcher.
 type Process struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Heard is what membership has brought since it was last asked.
+// Heard is what membership received since it was last asked.
 type Heard struct {
 	News    []News
-	Gone    []Process
-	Members []string // others that are there now
-	Bad     int      // messages that were no report, or found no room
-	Old     int      // reports of which a later one of the same sender had come already
+	Gone    []Process // processes that left or were declared dead
+	Members []string  // other members that are there now
+	Bad     int       // messages that were malformed or dropped for lack of space
+	Old     int       // reports dropped because a later one of the same sender was already there
 }
 
-// Peer is what is known of one sender.
+// Peer is the state of one sender.
 type Peer struct {
-	Speaks      int // dispatchers that its report speaks for
+	Speaks      int // dispatchers that its latest report covers
 	Name        string
 	Incarnation uint64
-	At          int64 // of its last report
-	Gone        bool
+	At          int64 // when its latest report arrived, in microseconds
+	Gone        bool  // membership has declared it dead
 }
 
-// Peers lists all senders but those that tell another hub now.
+// Peers lists all senders except members that moved to another hub and hubs that resigned.
 func (l *Ledger) Peers() []Peer {
 	out := make([]Peer, 0, len(l.order))
 	for _, key := range l.order {
@@ -388,7 +404,7 @@
 		if p.moved {
 			continue
 		}
-		out = append(out, Peer{p.members, key.name, p.incarnation, p.at, p.gone})
+		out = append(out, Peer{p.members, key.name, p.incarnation, p.receivedAt, p.gone})
 	}
 	return out
 }
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -12,30 +12,32 @@
 	"granitewing/logic"
 )
 
-// told is what a ledger told last.
-type told struct {
+// received is a Telling that keeps what a ledger last passed on.
+type received struct {
 	work map[logic.WorkerID]float64
 	at   int64
 	sets map[uint64]float64
 }
 
-func (t *told) Heard(_ int64, host logic.WorkerID, work float64, at int64) {
+func (t *received) Heard(_ int64, host logic.WorkerID, work float64, at int64) {
 	t.work[host], t.at = work, at
 }
-func (t *told) HeardDemand(set uint64, load float64, _ int64) { t.sets[set] = load }
+func (t *received) HeardDemand(set uint64, load float64, _ int64) { t.sets[set] = load }
 
-func tell(l *Ledger, now int64, hosts ...logic.WorkerID) *told {
-	t := &told{work: map[logic.WorkerID]float64{}, sets: map[uint64]float64{}}
+// sums returns what a ledger passes on at a time.
+func sums(l *Ledger, now int64, hosts ...logic.WorkerID) *received {
+	t := &received{work: map[logic.WorkerID]float64{}, sets: map[uint64]float64{}}
 	l.Tell(now, hosts, t)
 	return t
 }
 
-func says(from string, incarnation, seq uint64, held ...Held) *Report {
+func ownReport(from string, incarnation, seq uint64, held ...Held) *Report {
 	return &Report{From: from, Incarnation: incarnation, Seq: seq, Held: held}
 }
 
 const second = 1_000_000
 
+// Tell adds up the work by host and the demand by data set, with the mean time of the reports.
 func TestSums(t *testing.T) {
 	l := New("me", Limits{})
 	l.Members(2)
@@ -47,46 +49,46 @@
 			t.Fatal(err)
 		}
 	}
-	got := tell(l, second, 1, 2, 3)
-	want := &told{work: map[logic.WorkerID]float64{1: 2.5, 2: 1, 3: 0}, at: second, sets: map[uint64]float64{7: 4, 8: 2}}
-	if diff := cmp.Diff(want, got, cmp.AllowUnexported(told{})); diff != "" {
+	got := sums(l, second, 1, 2, 3)
+	want := &received{work: map[logic.WorkerID]float64{1: 2.5, 2: 1, 3: 0}, at: second, sets: map[uint64]float64{7: 4, 8: 2}}
+	if diff := cmp.Diff(want, got, cmp.AllowUnexported(received{})); diff != "" {
 		t.Error(diff)
 	}
 	if n := l.Counts().Strange; n != 1 {
-		t.Errorf("%d figures of hosts not known, want 1", n)
+		t.Errorf("%d figures of unknown hosts, want 1", n)
 	}
-	// A later report takes the place of the earlier one.
-	if err := l.Hear(2*second, says("a", 1, 2, Held{2, 4})); err != nil {
+	// A later report replaces the earlier one.
+	if err := l.Hear(2*second, ownReport("a", 1, 2, Held{2, 4})); err != nil {
 		t.Fatal(err)
 	}
-	if got := tell(l, 2*second, 1, 2); got.work[1] != 0.5 || got.work[2] != 4 || got.at != second*3/2 {
-		t.Errorf("after a later report %v of %d", got.work, got.at)
+	if got := sums(l, 2*second, 1, 2); got.work[1] != 0.5 || got.work[2] != 4 || got.at != second*3/2 {
+		t.Errorf("after a later report the work is %v as of %d", got.work, got.at)
 	}
 }
 
-// What may not be believed is refused with its reason, counted, and changes nothing.
-func TestRefused(t *testing.T) {
+// A report that is refused returns its reason, is counted, and changes nothing else.
+func TestRefusedReports(t *testing.T) {
 	for name, c := range map[string]struct {
 		r    *Report
 		want error
 	}{
-		"an older incarnation that still talks":    {says("a", 4, 100, Held{1, 9}), ErrOld},
-		"an older sequence, come out of order":     {says("a", 5, 9, Held{1, 9}), ErrOld},
-		"the same once more":                       {says("a", 5, 10, Held{1, 9}), ErrOld},
-		"its own name":                             {says("me", 9, 9, Held{1, 9}), ErrSelf},
-		"nobody's name":                            {says("", 9, 9, Held{1, 9}), ErrSelf},
-		"work below nothing":                       {says("a", 5, 11, Held{1, -1}), ErrRange},
-		"work that is no number":                   {says("a", 5, 11, Held{1, math.NaN()}), ErrRange},
-		"work without end":                         {says("a", 5, 11, Held{1, math.Inf(1)}), ErrRange},
-		"more hosts than there is room for":        {says("a", 5, 11, make([]Held, HeldMost+1)...), ErrRange},
-		"demand that is no number":                 {&Report{From: "a", Incarnation: 5, Seq: 11, Asked: []Asked{{1, math.NaN()}}}, ErrRange},
-		"too soon after the last":                  {says("a", 5, 11, Held{1, 9}), ErrFlood},
-		"another process of the name, at any time": {says("a", 6, 1, Held{1, 9}), nil},
+		"an older incarnation":                       {ownReport("a", 4, 100, Held{1, 9}), ErrOld},
+		"an older sequence number, out of order":     {ownReport("a", 5, 9, Held{1, 9}), ErrOld},
+		"a duplicate":                                {ownReport("a", 5, 10, Held{1, 9}), ErrOld},
+		"the name of the receiver":                   {ownReport("me", 9, 9, Held{1, 9}), ErrSelf},
+		"an empty name":                              {ownReport("", 9, 9, Held{1, 9}), ErrSelf},
+		"negative work":                              {ownReport("a", 5, 11, Held{1, -1}), ErrRange},
+		"work that is NaN":                           {ownReport("a", 5, 11, Held{1, math.NaN()}), ErrRange},
+		"infinite work":                              {ownReport("a", 5, 11, Held{1, math.Inf(1)}), ErrRange},
+		"too many hosts":                             {ownReport("a", 5, 11, make([]Held, HeldMost+1)...), ErrRange},
+		"demand that is NaN":                         {&Report{From: "a", Incarnation: 5, Seq: 11, Asked: []Asked{{1, math.NaN()}}}, ErrRange},
+		"too soon after the last report":             {ownReport("a", 5, 11, Held{1, 9}), ErrFlood},
+		"a later incarnation, without a minimum gap": {ownReport("a", 6, 1, Held{1, 9}), nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := New("me", Limits{})
 			l.Members(1)
-			if err := l.Hear(second, says("a", 5, 10, Held{1, 3})); err != nil {
+			if err := l.Hear(second, ownReport("a", 5, 10, Held{1, 3})); err != nil {
 				t.Fatal(err)
 			}
 			if err := l.Hear(second+1000, c.r); !errors.Is(err, c.want) {
@@ -96,8 +98,8 @@
 			if c.want == nil {
 				want = 9
 			}
-			if got := tell(l, second+1000, 1).work[1]; got != want {
-				t.Errorf("the ledger has %v, want %v", got, want)
+			if got := sums(l, second+1000, 1).work[1]; got != want {
+				t.Errorf("work at the host is %v, want %v", got, want)
 			}
 			n := l.Counts()
 			if refused := n.Old + n.Range + n.Flood + n.Full + n.Self; (refused == 1) != (c.want != nil) {
@@ -107,97 +109,98 @@
 	}
 }
 
-// News past its age counts for nothing, that of a process that was given up neither, until it says something newer; too few
-// that are heard are told as nothing at all.
-func TestDoubt(t *testing.T) {
+// An expired report does not count. The reports of a process that was declared dead do not count either, until it sends
+// a later one. Below the quorum nothing is passed on.
+func TestReportsExpire(t *testing.T) {
 	l := New("me", Limits{Believe: 2 * second})
 	l.Members(4)
 	for i, at := range []int64{0, second, second, 2 * second} {
-		if err := l.Hear(at, says(fmt.Sprint("p", i), 1, 1, Held{1, 1})); err != nil {
+		if err := l.Hear(at, ownReport(fmt.Sprint("p", i), 1, 1, Held{1, 1})); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := tell(l, 2*second, 1).work[1]; got != 4 {
-		t.Errorf("four of four give %v", got)
+	if got := sums(l, 2*second, 1).work[1]; got != 4 {
+		t.Errorf("four of four members give %v, want 4", got)
 	}
-	if got := tell(l, 3*second, 1).work[1]; got != 4 { // p0 is silent: the three stand for four
-		t.Errorf("three of four give %v, want 4", got)
+	if got := sums(l, 3*second, 1).work[1]; got != 4 { // p0 is silent: the sum of three is scaled to four
+		t.Errorf("three of four members give %v, want 4", got)
 	}
-	if got := tell(l, 3*second+1, 1); len(got.work) != 0 { // only p3 is heard
-		t.Errorf("one of four tells %v", got.work)
+	if got := sums(l, 3*second+1, 1); len(got.work) != 0 { // only the report of p3 is valid
+		t.Errorf("one of four members passes on %v, want nothing", got.work)
 	}
-	l.Members(1) // membership gives the others up
+	l.Members(1) // membership declares the others dead
 	l.Gone("p0", 1)
-	if got := tell(l, 3*second+1, 1).work[1]; got != 1 {
-		t.Errorf("the one that is left gives %v", got)
+	if got := sums(l, 3*second+1, 1).work[1]; got != 1 {
+		t.Errorf("the remaining member gives %v, want 1", got)
 	}
-	if err := l.Hear(3*second, says("p0", 1, 1, Held{1, 7})); !errors.Is(err, ErrOld) {
-		t.Errorf("what a process said before it was given up: %v", err)
+	if err := l.Hear(3*second, ownReport("p0", 1, 1, Held{1, 7})); !errors.Is(err, ErrOld) {
+		t.Errorf("a report from before the process was declared dead: %v", err)
 	}
-	// Membership was wrong: the process stood still, or was cut off.
-	if err := l.Hear(3*second, says("p0", 1, 2, Held{1, 7})); err != nil {
-		t.Errorf("one that was given up and speaks is refused: %v", err)
+	// Membership was wrong: the process was paused or cut off.
+	if err := l.Hear(3*second, ownReport("p0", 1, 2, Held{1, 7})); err != nil {
+		t.Errorf("a later report of a process that was declared dead is refused: %v", err)
 	}
-	if got := tell(l, 3*second+1, 1).work[1]; got != 8 {
-		t.Errorf("with the one that is back %v, want 8", got)
+	if got := sums(l, 3*second+1, 1).work[1]; got != 8 {
+		t.Errorf("with the returned process %v, want 8", got)
 	}
 	l.Gone("p0", 1)
-	if err := l.Hear(4*second, says("p0", 2, 1, Held{1, 7})); err != nil {
-		t.Errorf("its successor is refused: %v", err)
+	if err := l.Hear(4*second, ownReport("p0", 2, 1, Held{1, 7})); err != nil {
+		t.Errorf("the next incarnation is refused: %v", err)
 	}
-	l.Gone("p0", 1) // told late
-	if got := tell(l, 4*second, 1).work[1]; got != 8 {
-		t.Errorf("with the successor %v, want 8", got)
+	l.Gone("p0", 1) // a late notification about the former incarnation
+	if got := sums(l, 4*second, 1).work[1]; got != 8 {
+		t.Errorf("with the next incarnation %v, want 8", got)
 	}
-	if err := l.Hear(4*second, says("p0", 1, 9, Held{1, 7})); !errors.Is(err, ErrOld) {
-		t.Errorf("a process that has a successor: %v", err)
+	if err := l.Hear(4*second, ownReport("p0", 1, 9, Held{1, 7})); !errors.Is(err, ErrOld) {
+		t.Errorf("an older incarnation after the next one: %v", err)
 	}
-	// Its clock was set back while it was long away.
-	if err := l.Hear((4+2*forgetAfter)*second, says("p0", 1, 1, Held{1, 7})); !errors.Is(err, ErrOld) {
-		t.Errorf("an older incarnation within the time for which one is remembered: %v", err)
+	// The process was away for long, and its clock was set back.
+	if err := l.Hear((4+2*forgetFactor)*second, ownReport("p0", 1, 1, Held{1, 7})); !errors.Is(err, ErrOld) {
+		t.Errorf("an older incarnation while the later one is remembered: %v", err)
 	}
-	if err := l.Hear((4+2*forgetAfter)*second+1, says("p0", 1, 1, Held{1, 7})); err != nil {
-		t.Errorf("an older incarnation long after: %v", err)
+	if err := l.Hear((4+2*forgetFactor)*second+1, ownReport("p0", 1, 1, Held{1, 7})); err != nil {
+		t.Errorf("an older incarnation after the later one is forgotten: %v", err)
 	}
 }
 
+// A new sender beyond Limits.Peers is refused until the longest silent one may be forgotten.
 func TestSendersAreBounded(t *testing.T) {
 	l := New("me", Limits{Peers: 3, Believe: second})
 	for i := range 3 {
-		if err := l.Hear(int64(i), says(fmt.Sprint("p", i), 1, 1)); err != nil {
+		if err := l.Hear(int64(i), ownReport(fmt.Sprint("p", i), 1, 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.Hear(second, says("p3", 1, 1)); !errors.Is(err, ErrFull) {
+	if err := l.Hear(second, ownReport("p3", 1, 1)); !errors.Is(err, ErrFull) {
 		t.Errorf("a fourth sender: %v", err)
 	}
-	late := int64(forgetAfter*second + 1)
-	if err := l.Hear(late, says("p3", 1, 1)); err != nil {
-		t.Errorf("a fourth sender once the first is long silent: %v", err)
+	late := int64(forgetFactor*second + 1)
+	if err := l.Hear(late, ownReport("p3", 1, 1)); err != nil {
+		t.Errorf("a fourth sender after the first may be forgotten: %v", err)
 	}
 	if len(l.peers) != 3 || len(l.order) != 3 || l.peers[source{"p0", Own}] != nil {
 		t.Errorf("kept %v", l.order)
 	}
 }
 
-// source is a dispatcher that holds much.
-type plenty struct{ hosts, sets int }
+// manyEntries is a Source with many hosts and data sets.
+type manyEntries struct{ hosts, sets int }
 
-func (s plenty) Outstanding(tell func(logic.WorkerID, float64)) {
+func (s manyEntries) Outstanding(tell func(logic.WorkerID, float64)) {
 	for i := range s.hosts {
 		tell(logic.WorkerID(i), float64(i)*1e6)
 	}
 }
 
-func (s plenty) Demand(_ int64, tell func(uint64, float64)) {
+func (s manyEntries) Demand(_ int64, tell func(uint64, float64)) {
 	for i := range s.sets {
 		tell(uint64(i), float64(i))
 	}
 }
 
-// What a dispatcher says of itself is always within what others take, and names what matters most.
-func TestOwnReport(t *testing.T) {
-	r := Of("a", 1, 1, 0, plenty{HeldMost + 5, AskedMost + 5})
+// A dispatcher's own report is always within the bounds that others accept, and keeps the largest entries.
+func TestOwnReportIsBounded(t *testing.T) {
+	r := Of("a", 1, 1, 0, manyEntries{HeldMost + 5, AskedMost + 5})
 	if err := New("me", Limits{}).Hear(0, r); err != nil {
 		t.Error(err)
 	}
@@ -206,7 +209,8 @@
 	}
 }
 
-func TestForm(t *testing.T) {
+// Parse returns what Append wrote, refuses every other length, and the largest own report fits a datagram.
+func TestEncoding(t *testing.T) {
 	r := &Report{From: "n17", Incarnation: 1 << 62, Seq: 9, Held: []Held{{7, 1.5}, {1 << 31, 0.25}}, Asked: []Asked{{1 << 60, 0.5}}}
 	b := Append(nil, r)
 	got, err := Parse(b)
@@ -215,22 +219,23 @@
 	}
 	for n := range b {
 		if _, err := Parse(b[:n]); !errors.Is(err, ErrForm) {
-			t.Errorf("cut to %d bytes: %v", n, err)
+			t.Errorf("truncated to %d bytes: %v", n, err)
 		}
 	}
 	if _, err := Parse(append(b, 0)); !errors.Is(err, ErrForm) {
-		t.Errorf("a byte more: %v", err)
+		t.Errorf("with an extra byte: %v", err)
 	}
-	sums := &Report{Kind: Rest, From: "h", Incarnation: 1, Seq: 2, Members: 299, Age: 123456, Held: []Held{{7, 1e6}}, Asked: []Asked{{1, 2}}}
-	if got, err := Parse(Append(nil, sums)); err != nil || cmp.Diff(sums, got) != "" {
-		t.Errorf("%v %s", err, cmp.Diff(sums, got))
+	rest := &Report{Kind: Rest, From: "h", Incarnation: 1, Seq: 2, Members: 299, Age: 123456, Held: []Held{{7, 1e6}}, Asked: []Asked{{1, 2}}}
+	if got, err := Parse(Append(nil, rest)); err != nil || cmp.Diff(rest, got) != "" {
+		t.Errorf("%v %s", err, cmp.Diff(rest, got))
 	}
-	if large := Append(nil, Of("n", 1, 1, 0, plenty{HeldMost, AskedMost})); len(large) > MessageMost {
-		t.Errorf("the largest report takes %d bytes", len(large))
+	if large := Append(nil, Of("n", 1, 1, 0, manyEntries{HeldMost, AskedMost})); len(large) > MessageMost {
+		t.Errorf("the largest own report takes %d bytes, more than MessageMost", len(large))
 	}
 }
 
-// Whatever comes, a report that is read is written as it was, and what it says stays within bounds once it is heard.
+// For any input, a report that Parse accepts encodes to the same bytes, and the sums stay within bounds after Hear
+// accepts it.
 func FuzzParse(f *testing.F) {
 	f.Add(Append(nil, &Report{From: "a", Incarnation: 1, Seq: 1, Held: []Held{{1, 2}}, Asked: []Asked{{3, 4}}}))
 	f.Add([]byte{version, 0, 1, 'a'})
@@ -241,15 +246,15 @@
 			return
 		}
 		if again := Append(nil, r); len(b) <= MessageMost && inRange(r) && string(again) != string(b) {
-			t.Errorf("%x is written as %x", b, again)
+			t.Errorf("%x is encoded again as %x", b, again)
 		}
 		l := New("me", Limits{})
 		if l.Hear(0, r) != nil {
 			return
 		}
-		for host, work := range tell(l, 0, 1, 2, 3).work {
-			if !(work >= 0 && work <= workMost*HeldMost) {
-				t.Errorf("host %d has %v", host, work)
+		for host, work := range sums(l, 0, 1, 2, 3).work {
+			if !(work >= 0 && work <= maxWork*HeldMost) {
+				t.Errorf("host %d has work %v", host, work)
 			}
 		}
 	})
--- a/internal/fleet/market/market.go
+++ b/internal/fleet/market/market.go
@@ -1,5 +1,8 @@
-// Package market has a dispatcher let jobs in by the price that its fleet finds (slack): it carries what is asked for between
-// the decisions, the ledger that brings the loads of the others, and the price. It does no I/O and reads no clock.
+// Package market connects the admission of jobs at one dispatcher to the price of the whole fleet. It measures the
+// demand that the dispatcher's core receives, adds the loads that the ledger brings from the other members, and offers
+// the core the price that package slack computes from both.
+//
+// The dispatcher makes one Market and calls Sit in every round of reports. The package does no I/O and reads no clock.
 package market
 
 import (
@@ -8,56 +11,56 @@
 	"granitewing/internal/memory"
 )
 
-// Market is one dispatcher's. It must not be used by two goroutines at once.
+// Market holds the demand and the price of one dispatcher. It must not be used by two goroutines at once.
 type Market struct {
-	gauge slack.Gauge
-	price slack.Price
-	state State
-	asked int // messages that came while there was a price
+	gauge   slack.Gauge
+	price   slack.Price
+	state   State
+	queries int // for a price, while it was above 0
 }
 
-// State is what a market tells of itself, of the whole fleet as far as it is heard.
+// State is a snapshot of a market, for metrics. It covers the members of the fleet with a valid report.
 type State struct {
-	Price    float64 // of a slot-second, in the worth that the settings give to classes
-	Asked    float64 // slot-work a second that is asked for
-	Waits    float64 // slot-work that waits at hosts
-	Capacity float64 // slot-work a second that the ready hosts can do
-	Heard    int     // dispatchers whose load is in it, this one among them
+	Price    float64 // of a slot-second, in the unit of the value that the settings give to classes
+	Asked    float64 // demand in slot-seconds a second
+	Waits    float64 // work waiting at hosts, in slot-seconds
+	Capacity float64 // of the ready hosts, in slot-seconds a second
+	Heard    int     // dispatchers whose load is included, this one among them
 }
 
-// State tells how things were when it sat last.
+// State returns the state after the last round.
 func (m *Market) State() State { return m.state }
 
-// New makes one, and has the core ask it for the price of each message.
+// New returns a market without a price, and makes the core ask it for the price of each message.
 func New(core *memory.Core) *Market {
 	m := &Market{}
 	core.Price(m)
 	return m
 }
 
-// freeEvery is how many messages come to a dispatcher while there is a price for one that is judged without: so nothing that
-// could be served in time is shut out for ever, whatever it is worth.
-const freeEvery = 100
+// freeInterval is the number of messages, while there is a price, of which one is admitted without regard to the price.
+// So no message that could be served in time is refused forever, however low its value.
+const freeInterval = 100
 
-// Price implements memory.Prices.
+// Price implements memory.Prices: it returns the price for the next message, which is 0 for one in freeInterval.
 func (m *Market) Price() float64 {
 	p := m.price.Now()
 	if p > 0 {
-		if m.asked++; m.asked%freeEvery == 0 {
+		if m.queries++; m.queries%freeInterval == 0 {
 			return 0
 		}
 	}
 	return p
 }
 
-// Asked implements memory.Prices.
-func (m *Market) Asked(now int64, worth, work, slack float64) { m.gauge.Asked(now, worth, work, slack) }
+// Asked implements memory.Prices: it records the value, slot-work and slack in seconds of a message that arrived.
+func (m *Market) Asked(now int64, value, work, slack float64) { m.gauge.Asked(now, value, work, slack) }
 
-// Sit sets the price by what is heard, and puts this dispatcher's own load into its report. members is how many dispatchers
-// there are, this one among them.
+// Sit runs one round: it puts this dispatcher's own load into its report and updates the price from that and the valid
+// loads of other members. members is the number of dispatchers in the fleet, this one included.
 func (m *Market) Sit(now int64, l *ledger.Ledger, core *memory.Core, members int, own *ledger.Report) {
-	waits, capacity := core.Waits()
-	own.Load = m.gauge.Load(now, waits)
+	waiting, capacity := core.Waits()
+	own.Load = m.gauge.Load(now, waiting)
 	sum, heard := l.Load(now)
 	sum.Add(own.Load, 1)
 	m.state = State{m.price.Set(now, &sum, heard+1, members, capacity), sum.Asked(), sum.Waits(), capacity, heard + 1}
--- a/internal/fleet/market/market_test.go
+++ b/internal/fleet/market/market_test.go
@@ -8,8 +8,9 @@
 	"granitewing/logic"
 )
 
-// While there is a price one message in a hundred is judged without; where there is none, none is counted.
-func TestFree(t *testing.T) {
+// While there is a price, one message in a hundred is admitted without regard to it. While there is none, messages are
+// not counted for this.
+func TestFreeMessages(t *testing.T) {
 	core, err := memory.New(logic.Config{Classes: []logic.Class{{Name: "a", Deadline: 1_000_000, WorkerKind: -1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -17,7 +18,7 @@
 	m := New(core)
 	for range 250 {
 		if m.Price() != 0 {
-			t.Fatal("a price though nobody was heard")
+			t.Fatal("a price without any report of another member")
 		}
 	}
 	for range 100 {
@@ -32,7 +33,7 @@
 			free++
 		}
 	}
-	if free != 1000/freeEvery {
-		t.Errorf("%d of 1,000 without a price", free)
+	if free != 1000/freeInterval {
+		t.Errorf("%d of 1,000 messages without a price", free)
 	}
 }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,5 +1,9 @@
-// Package member is who is in a fleet of dispatchers: membership by gossip and failure detection (hashicorp/memberlist),
-// whose own messages carry the dispatchers' reports. It decides nothing; what is heard waits here until it is taken.
+// Package member joins a process to a fleet of dispatchers. Membership uses gossip and failure detection
+// (hashicorp/memberlist), and the messages of that library carry the dispatchers' reports and their messages about
+// limits.
+//
+// Join returns a Fleet. Tell and Say send; Take and Said return what arrived since the last call; Leave ends the
+// membership. The package makes no decisions: received messages wait here until they are taken.
 package member
 
 import (
@@ -24,87 +28,88 @@
 	"granitewing/internal/latest"
 )
 
-// Bounds on what waits to be taken, and times.
+// Bounds on pending messages, and times.
 const (
-	waitingMost = 4096                   // senders whose latest report waits, and messages about limits that do
-	sayMost     = 16                     // rounds of messages about limits that wait to be sent
-	rejoinSoon  = 300 * time.Millisecond // from the start until the first look whether a member is missing; then twice as long each time
-	rejoin      = 3 * time.Second        // at most between two looks
-	silent      = 3 * time.Second        // a live member that has said nothing for so long may have given this one up
-	streamLimit = 2 * time.Second        // for a connection to a member; a start waits so long for one that is stalled
-	speaksFor   = time.Second            // who has spoken within it is there, whatever others say of it
-	compare     = 10 * time.Second       // between comparisons of all that is known with a member; more in a large fleet
-	reclaim     = 2 * time.Second        // after its failure a name may come back at another address
-	leaveLimit  = time.Second            // for telling the others of an orderly end
+	maxPending        = 4096                   // pending reports, and likewise pending messages about limits
+	maxLimitBatches   = 16                     // batches of messages about limits that wait to be sent
+	minRejoinInterval = 300 * time.Millisecond // from the start to the first search for missing members; then doubles
+	maxRejoinInterval = 3 * time.Second        // upper bound between two searches
+	silenceTimeout    = 3 * time.Second        // a live member that is silent for longer may have declared this one dead
+	streamTimeout     = 2 * time.Second        // for a connection to a member; a stalled one delays the start by this
+	contactTimeout    = time.Second            // a member heard within it counts as present, whatever others report
+	syncInterval      = 10 * time.Second       // between full state exchanges with a member; longer in a large fleet
+	reclaimTime       = 2 * time.Second        // after which the name of a failed member may come back at another address
+	leaveTimeout      = time.Second            // for notifying the others of a graceful shutdown
 )
 
-// Options say who joins what.
+// Options are the settings of one member.
 type Options struct {
-	Name        string // of this dispatcher; none of two live members may have the same
-	Bind        string // address and port of its own, for datagrams and connections; it calls others from that address as well
-	Advertise   string // where others reach it, if that is not Bind
-	Join        []string
-	Label       string // of the fleet: members with another are not heard
-	Incarnation uint64 // of this process: higher than that of any before of its name
-	Log         *slog.Logger
+	Name        string       // of this dispatcher; unique among the live members
+	Bind        string       // own IP address and port, for datagrams and for connections in both directions
+	Advertise   string       // IP address and port at which others reach it, if not Bind
+	Join        []string     // addresses of members to contact
+	Label       string       // of the fleet: messages with another label are ignored
+	Incarnation uint64       // of this process: higher than that of any earlier process of the same name
+	Log         *slog.Logger // must not be nil
 }
 
-// Fleet is this process's place in the fleet. Its methods may be called by any goroutine and wait for no peer.
+// Fleet is this process's membership in a fleet. Any goroutine may call its methods. Only Leave waits for peers.
 type Fleet struct {
-	o    Options
-	list *memberlist.Memberlist
-	out  latest.Place[[]ledger.Out]
-	say  chan []*limit.Message
-	done chan struct{}
-	wait sync.WaitGroup
+	options        Options
+	list           *memberlist.Memberlist
+	outgoing       latest.Place[[]ledger.Out]
+	outgoingLimits chan []*limit.Message
+	done           chan struct{}
+	wait           sync.WaitGroup
 
-	mu       sync.Mutex
-	speaking map[string]speaker  // members that were there once, until they leave
-	reports  map[key]ledger.News // the latest of each sender and kind
-	said     []*limit.Message    // about limits, in the order in which they came
-	asked    map[string]talk     // with members that should answer
-	gone     []ledger.Process
-	bad      int // messages that are no report
-	full     int // reports for which there was no room
-	old      int // reports of an earlier process than that whose report waits, or overtaken by it
-	conflict string
+	mu             sync.Mutex
+	contacts       map[string]contact     // members seen since the start, until they leave
+	reports        map[source]ledger.News // the latest of each sender and kind
+	receivedLimits []*limit.Message       // messages about limits, in the order of their arrival
+	awaited        map[string]exchange    // by name, the members that should answer
+	gone           []ledger.Process
+	bad            int // malformed messages
+	full           int // messages dropped because a queue was full
+	old            int // reports superseded by one of a later process or with a later sequence number
+	nameTakenBy    string
 }
 
-// key is who speaks, and for whom.
-type key struct {
+// source identifies a sender and the kind of its reports.
+type source struct {
 	name string
 	kind ledger.Kind
 }
 
-// speaker is a member as the library knew it last, and when it said something itself.
-type speaker struct {
-	node *memberlist.Node
-	last time.Time
+// contact is a member as the library last described it, and when a report of it last arrived here.
+type contact struct {
+	node      *memberlist.Node
+	lastHeard time.Time
 }
 
-// talk is since when a member should have answered, when it was told something last, and when it spoke.
-type talk struct{ since, told, spoke time.Time }
+// exchange holds since when a member should have answered, when it was last sent a report, and when one of it arrived.
+type exchange struct{ since, lastSent, lastHeard time.Time }
 
-// Join takes part in a fleet. Members that can't be reached now are asked again later; a name that a live member has
-// already is an error.
+// Join makes this process a member of a fleet. Members that can't be reached now are contacted again later. It returns
+// an error if an address is invalid, ledger.ErrInUse (wrapped) if Bind is in use, and an error if a live member has the
+// name.
 func Join(o Options) (*Fleet, error) {
-	host, number, err := place(o.Bind)
+	host, number, err := parseAddress(o.Bind)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.bind: %w", err)
 	}
-	f := &Fleet{o: o, out: latest.New[[]ledger.Out](), say: make(chan []*limit.Message, sayMost), done: make(chan struct{}), speaking: map[string]speaker{}, reports: map[key]ledger.News{}, asked: map[string]talk{}}
+	f := &Fleet{options: o, outgoing: latest.New[[]ledger.Out](), outgoingLimits: make(chan []*limit.Message, maxLimitBatches), done: make(chan struct{}), contacts: map[string]contact{}, reports: map[source]ledger.News{}, awaited: map[string]exchange{}}
 	cfg := memberlist.DefaultLANConfig()
 	cfg.Name, cfg.BindAddr, cfg.BindPort, cfg.AdvertiseAddr, cfg.AdvertisePort = o.Name, host, number, host, number
 	if o.Advertise != "" {
-		if cfg.AdvertiseAddr, cfg.AdvertisePort, err = place(o.Advertise); err != nil {
+		if cfg.AdvertiseAddr, cfg.AdvertisePort, err = parseAddress(o.Advertise); err != nil {
 			return nil, fmt.Errorf("fleet.advertise: %w", err)
 		}
 	}
-	cfg.Label, cfg.DeadNodeReclaimTime = o.Label, reclaim
-	cfg.TCPTimeout, cfg.PushPullInterval = streamLimit, compare
-	cfg.EnableCompression = false // it cost more processor time than all else, and reports hardly shrink
+	cfg.Label, cfg.DeadNodeReclaimTime = o.Label, reclaimTime
+	cfg.TCPTimeout, cfg.PushPullInterval = streamTimeout, syncInterval
+	cfg.EnableCompression = false // compression took more CPU time than everything else, and reports hardly shrink
 	cfg.Delegate, cfg.Events, cfg.Conflict = f, f, f
-	cfg.LogOutput = lines{o.Log}
+	cfg.LogOutput = logWriter{o.Log}
 	t, err := listen(net.ParseIP(host), number, o.Log)
 	if err != nil {
 		if errors.Is(err, syscall.EADDRINUSE) {
@@ -115,20 +120,20 @@
 	cfg.Transport = t
 	if f.list, err = memberlist.Create(cfg); err != nil {
 		t.Shutdown()
-		return nil, fmt.Errorf("fleet: %s", flat(err))
+		return nil, fmt.Errorf("fleet: %s", oneLine(err))
 	}
-	f.join(o.Join)
-	if with := f.taken(); with != "" {
+	f.syncWith(o.Join)
+	if with := f.conflictAddress(); with != "" {
 		f.list.Shutdown()
 		return nil, fmt.Errorf("fleet: the name %s is taken by the live member at %s", o.Name, with)
 	}
-	f.wait.Go(f.sending)
-	f.wait.Go(f.rejoining)
+	f.wait.Go(f.sendLoop)
+	f.wait.Go(f.rejoinLoop)
 	return f, nil
 }
 
-// place reads an address and its port.
-func place(text string) (host string, port int, err error) {
+// parseAddress splits an IP address from its port.
+func parseAddress(text string) (host string, port int, err error) {
 	host, number, err := net.SplitHostPort(text)
 	if err == nil {
 		port, err = strconv.Atoi(number)
@@ -139,31 +144,32 @@
 	return host, port, nil
 }
 
-// missing gives the members named that are not known to be there.
-func (f *Fleet) missing() []string {
-	there := map[string]bool{cmp.Or(f.o.Advertise, f.o.Bind): true}
+// missingMembers returns the configured addresses at which no member is known to be present.
+func (f *Fleet) missingMembers() []string {
+	present := map[string]bool{cmp.Or(f.options.Advertise, f.options.Bind): true}
 	for _, m := range f.list.Members() {
-		there[m.Address()] = true
+		present[m.Address()] = true
 	}
-	return slices.DeleteFunc(slices.Clone(f.o.Join), func(addr string) bool { return there[addr] })
+	return slices.DeleteFunc(slices.Clone(f.options.Join), func(addr string) bool { return present[addr] })
 }
 
-// quiet gives a live member that should answer and says nothing, if there is one. It may be cut off or stand still; or it has given this one
-// up while links were cut, which nobody tells the one that is given up: its own pings are answered. To compare with it
-// what both know makes it find out, and say that it is alive.
-func (f *Fleet) quiet() []string {
+// silentMember returns the address of one random live member that should answer and is silent, if there is one. It may
+// be cut off or paused. Or it declared this member dead while links were down; nothing tells the member that was
+// declared dead, because its own pings are still answered. A full state exchange shows this member what the other
+// believes, and it then announces that it is alive.
+func (f *Fleet) silentMember() []string {
 	var out []string
 	now := time.Now()
-	members := f.list.Members() // before the lock, which the library's calls take under its own
+	members := f.list.Members() // before taking f.mu: the library calls back into f with its own lock held
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range members {
-		t, asked := f.asked[m.Name]
+		e, awaited := f.awaited[m.Name]
 		switch {
-		case !asked:
-		case now.Sub(t.told) > 2*silent:
-			delete(f.asked, m.Name)
-		case now.Sub(t.since) > silent && now.Sub(t.spoke) > silent:
+		case !awaited:
+		case now.Sub(e.lastSent) > 2*silenceTimeout:
+			delete(f.awaited, m.Name)
+		case now.Sub(e.since) > silenceTimeout && now.Sub(e.lastHeard) > silenceTimeout:
 			out = append(out, m.Address())
 		}
 	}
@@ -173,55 +179,57 @@
 	return out
 }
 
-// join compares with some members all that is known. Each is asked by itself: one that is stalled keeps the others waiting
-// no longer than its own time-out.
-func (f *Fleet) join(addrs []string) {
+// syncWith exchanges the full membership state with the members at some addresses, with all of them at the same time: a
+// stalled member delays the call by its own timeout only.
+func (f *Fleet) syncWith(addrs []string) {
 	var wait sync.WaitGroup
 	for _, addr := range addrs {
 		wait.Go(func() {
 			if _, err := f.list.Join([]string{addr}); err != nil {
-				f.o.Log.Warn("fleet: a member does not answer; is it up, and of this fleet?", "member", addr, "fleet", f.o.Label, "cause", flat(err))
+				f.options.Log.Warn("fleet: member does not answer; check that it runs and has the same fleet label", "member", addr, "fleet", f.options.Label, "cause", oneLine(err))
 			}
 		})
 	}
 	wait.Wait()
 }
 
-// flat is an error in one line.
-func flat(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
+// oneLine returns an error's text as one line.
+func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
 
-// rejoining finds members again that were given up while links were cut: two halves that can meet again do.
-func (f *Fleet) rejoining() {
-	wait := rejoinSoon
-	t := time.NewTimer(wait)
+// rejoinLoop contacts members again that were declared dead while links were down, so that two halves of a partitioned
+// fleet merge once they can reach each other.
+func (f *Fleet) rejoinLoop() {
+	interval := minRejoinInterval
+	t := time.NewTimer(interval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			f.join(append(f.missing(), f.quiet()...))
-			wait = min(2*wait, rejoin)
-			t.Reset(wait)
+			f.syncWith(append(f.missingMembers(), f.silentMember()...))
+			interval = min(2*interval, maxRejoinInterval)
+			t.Reset(interval)
 		case <-f.done:
 			return
 		}
 	}
 }
 
-// Tell sends reports, which nobody may change from now on. Where those before are still being sent, they are dropped for
-// these.
-func (f *Fleet) Tell(out []ledger.Out) { f.out.Put(out) }
+// Tell sends reports without waiting; the caller must not change them afterwards. If earlier reports are still waiting
+// to be sent, these replace them.
+func (f *Fleet) Tell(out []ledger.Out) { f.outgoing.Put(out) }
 
-func (f *Fleet) sending() {
+// sendLoop sends reports and messages about limits until the fleet is left.
+func (f *Fleet) sendLoop() {
 	for {
 		select {
-		case out := <-f.out.C():
-			f.send(out)
-		case out := <-f.say:
-			f.utter(out)
+		case out := <-f.outgoing.C():
+			f.sendReports(out)
+		case out := <-f.outgoingLimits:
+			f.sendLimits(out)
 		case <-f.done:
 			select {
-			case out := <-f.say: // this process's last word, as on a post that it gives up
-				f.utter(out)
+			case out := <-f.outgoingLimits: // the last batch, which may give up the dealer's role
+				f.sendLimits(out)
 			default:
 			}
 			return
@@ -229,55 +237,57 @@
 	}
 }
 
-func (f *Fleet) send(out []ledger.Out) {
-	there := f.there()
+// sendReports sends each report to those of its receivers that are present, and notes from whom an answer is expected.
+func (f *Fleet) sendReports(out []ledger.Out) {
+	present := f.present()
 	var b []byte
 	now := time.Now()
 	for i := range out {
 		b = ledger.Append(b[:0], out[i].Report)
 		for _, to := range out[i].To {
-			m := there[to]
+			m := present[to]
 			if m == nil {
-				continue // it has gone meanwhile
+				continue // it left in the meantime
 			}
 			if out[i].Asks() {
 				f.mu.Lock()
-				t, asked := f.asked[to]
-				if !asked {
-					t.since = now
+				e, awaited := f.awaited[to]
+				if !awaited {
+					e.since = now
 				}
-				t.told = now
-				f.asked[to] = t
+				e.lastSent = now
+				f.awaited[to] = e
 				f.mu.Unlock()
 			}
-			f.list.SendBestEffort(m, b) // a datagram: what is lost is told anew with the next
+			f.list.SendBestEffort(m, b) // a datagram: the next report replaces one that is lost
 		}
 	}
 }
 
-// there gives the others that are there: those that the library holds for alive, and those that speak to this one though
-// others, who don't hear them, have it give them up.
-func (f *Fleet) there() map[string]*memberlist.Node {
+// present returns the other members that are present: those that the library considers alive, and those that were heard
+// within contactTimeout although other members, which can't reach them, declared them dead.
+func (f *Fleet) present() map[string]*memberlist.Node {
 	out := map[string]*memberlist.Node{}
-	members := f.list.Members() // before the lock, which the library's calls take under its own
+	members := f.list.Members() // before taking f.mu: the library calls back into f with its own lock held
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for name, s := range f.speaking {
-		if time.Since(s.last) < speaksFor {
-			out[name] = s.node
+	for name, c := range f.contacts {
+		if time.Since(c.lastHeard) < contactTimeout {
+			out[name] = c.node
 		}
 	}
 	for _, m := range members {
-		if m.Name != f.o.Name {
+		if m.Name != f.options.Name {
 			out[m.Name] = m
 		}
 	}
 	return out
 }
 
-// Take gives what was heard since the last call.
+// Take returns what was received since the last call: reports sorted by sender and kind, processes that are gone, and
+// the members present now.
 func (f *Fleet) Take() ledger.Heard {
-	members := slices.Sorted(maps.Keys(f.there()))
+	members := slices.Sorted(maps.Keys(f.present()))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := ledger.Heard{Members: members, Gone: f.gone, Bad: f.bad + f.full, Old: f.old}
@@ -292,18 +302,19 @@
 	return h
 }
 
-// Leave tells the others of an orderly end and closes all.
+// Leave notifies the other members of the departure and releases the address. It must be called once.
 func (f *Fleet) Leave() {
 	close(f.done)
 	f.wait.Wait()
-	if err := f.list.Leave(leaveLimit); err != nil {
-		f.o.Log.Warn("fleet: the others were not told of the end", "cause", flat(err))
+	if err := f.list.Leave(leaveTimeout); err != nil {
+		f.options.Log.Warn("fleet: could not notify the other members of the departure", "cause", oneLine(err))
 	}
 	f.list.Shutdown()
 }
 
-func (f *Fleet) taken() string {
+// conflictAddress returns the address of a live member with this member's name, or "" if none was found.
+func (f *Fleet) conflictAddress() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.conflict
+	return f.nameTakenBy
 }
--- a/internal/fleet/member/notify.go
+++ b/internal/fleet/member/notify.go
@@ -13,17 +13,20 @@
 	"granitewing/internal/fleet/limit"
 )
 
-// What the library calls, on goroutines of its own: nothing here waits.
+// These are the callbacks of the library. It calls them on its own goroutines, so none of them blocks.
 
-// NodeMeta implements memberlist.Delegate.
-func (f *Fleet) NodeMeta(int) []byte { return binary.BigEndian.AppendUint64(nil, f.o.Incarnation) }
+// NodeMeta implements memberlist.Delegate: it publishes this process's incarnation in 8 bytes, big endian.
+func (f *Fleet) NodeMeta(int) []byte {
+	return binary.BigEndian.AppendUint64(nil, f.options.Incarnation)
+}
 
-// NotifyMsg implements memberlist.Delegate: a report has come.
+// NotifyMsg implements memberlist.Delegate: it queues a report or a message about limits. Of each sender and kind only
+// the latest report waits.
 func (f *Fleet) NotifyMsg(b []byte) {
 	if len(b) > 0 && b[0] == limit.Version {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.hear(b)
+		f.receiveLimits(b)
 		return
 	}
 	r, err := ledger.Parse(b)
@@ -33,91 +36,93 @@
 		f.bad++
 		return
 	}
-	if s, known := f.speaking[r.From]; known {
-		s.last = time.Now()
-		f.speaking[r.From] = s
+	if c, known := f.contacts[r.From]; known {
+		c.lastHeard = time.Now()
+		f.contacts[r.From] = c
 	}
-	if t, asked := f.asked[r.From]; asked {
-		t.spoke = time.Now()
-		f.asked[r.From] = t
+	if e, awaited := f.awaited[r.From]; awaited {
+		e.lastHeard = time.Now()
+		f.awaited[r.From] = e
 	}
-	from := key{r.From, r.Kind}
-	old, waits := f.reports[from]
+	from := source{r.From, r.Kind}
+	old, pending := f.reports[from]
 	switch {
-	case waits && (old.Incarnation > r.Incarnation || old.Incarnation == r.Incarnation && old.Seq >= r.Seq):
+	case pending && (old.Incarnation > r.Incarnation || old.Incarnation == r.Incarnation && old.Seq >= r.Seq):
 		f.old++
 		return
-	case waits && old.Incarnation < r.Incarnation:
-		f.old++ // its successor takes its place
-	case !waits && len(f.reports) >= waitingMost:
+	case pending && old.Incarnation < r.Incarnation:
+		f.old++ // the report of the later process replaces it
+	case !pending && len(f.reports) >= maxPending:
 		f.full++
 		return
 	}
 	f.reports[from] = ledger.News{Report: r, At: time.Now()}
 }
 
-// GetBroadcasts implements memberlist.Delegate.
+// GetBroadcasts implements memberlist.Delegate; there are none.
 func (f *Fleet) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState implements memberlist.Delegate.
+// LocalState implements memberlist.Delegate; state exchanges carry the membership alone.
 func (f *Fleet) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState implements memberlist.Delegate.
+// MergeRemoteState implements memberlist.Delegate; it does nothing.
 func (f *Fleet) MergeRemoteState([]byte, bool) {}
 
-// NotifyJoin implements memberlist.EventDelegate.
+// NotifyJoin implements memberlist.EventDelegate: it records the member as a contact.
 func (f *Fleet) NotifyJoin(n *memberlist.Node) {
-	f.o.Log.Info("fleet: member", "member", n.Name, "addr", n.Address())
+	f.options.Log.Info("fleet: member joined", "member", n.Name, "addr", n.Address())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n.Name != f.o.Name && (len(f.speaking) < waitingMost || f.speaking[n.Name].node != nil) {
-		own := *n // the library changes its own in place
-		f.speaking[n.Name] = speaker{node: &own, last: f.speaking[n.Name].last}
+	if n.Name != f.options.Name && (len(f.contacts) < maxPending || f.contacts[n.Name].node != nil) {
+		node := *n // a copy, because the library changes its own in place
+		f.contacts[n.Name] = contact{node: &node, lastHeard: f.contacts[n.Name].lastHeard}
 	}
 }
 
-// NotifyUpdate implements memberlist.EventDelegate.
+// NotifyUpdate implements memberlist.EventDelegate; it does nothing.
 func (f *Fleet) NotifyUpdate(*memberlist.Node) {}
 
-// NotifyLeave implements memberlist.EventDelegate: it ended, or was given up.
+// NotifyLeave implements memberlist.EventDelegate: a member left, or was declared dead.
 func (f *Fleet) NotifyLeave(n *memberlist.Node) {
 	left := n.State == memberlist.StateLeft
-	f.o.Log.Info("fleet: member gone", "member", n.Name, "addr", n.Address(), "left", left)
+	f.options.Log.Info("fleet: member left or failed", "member", n.Name, "addr", n.Address(), "left", left)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.asked, n.Name)
-	if s := f.speaking[n.Name]; !left && time.Since(s.last) < speaksFor {
-		return // it speaks: only the way to those that gave it up is cut, and its news counts by its own age
+	delete(f.awaited, n.Name)
+	if c := f.contacts[n.Name]; !left && time.Since(c.lastHeard) < contactTimeout {
+		return // it still sends reports here, so only its links to others are down; its reports expire by their age
 	}
-	if left || len(f.speaking) >= waitingMost {
-		delete(f.speaking, n.Name)
+	if left || len(f.contacts) >= maxPending {
+		delete(f.contacts, n.Name)
 	}
-	if len(n.Meta) == 8 && len(f.gone) < waitingMost {
+	if len(n.Meta) == 8 && len(f.gone) < maxPending {
 		f.gone = append(f.gone, ledger.Process{Name: n.Name, Incarnation: binary.BigEndian.Uint64(n.Meta)})
 	}
 }
 
-// NotifyConflict implements memberlist.ConflictDelegate.
+// NotifyConflict implements memberlist.ConflictDelegate: two live members have the same name. Join fails if it is the
+// name of this member.
 func (f *Fleet) NotifyConflict(existing, other *memberlist.Node) {
-	f.o.Log.Error("fleet: two members of one name", "member", existing.Name, "addr", existing.Address(), "other", other.Address())
+	f.options.Log.Error("fleet: two members have the same name", "member", existing.Name, "addr", existing.Address(), "other", other.Address())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if existing.Name == f.o.Name {
-		f.conflict = other.Address()
+	if existing.Name == f.options.Name {
+		f.nameTakenBy = other.Address()
 	}
 }
 
-// lines brings the library's own log into the program's. What it says of peers that come and go is said here already.
-type lines struct{ log *slog.Logger }
+// logWriter passes the library's log lines to the program's log: errors as warnings, everything else at debug level,
+// because this package already logs members that join and leave.
+type logWriter struct{ log *slog.Logger }
 
-func (l lines) Write(b []byte) (int, error) {
+func (l logWriter) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	if _, after, ok := strings.Cut(text, "[ERR] "); ok {
-		l.log.Warn("fleet", "cause", after)
+		l.log.Warn("fleet: error of the membership library", "cause", after)
 	} else {
-		l.log.Debug("fleet", "cause", text)
+		l.log.Debug("fleet: message of the membership library", "cause", text)
 	}
 	return len(b), nil
 }
 
-var _ io.Writer = lines{}
+var _ io.Writer = logWriter{}
--- a/internal/fleet/member/say.go
+++ b/internal/fleet/member/say.go
@@ -2,15 +2,17 @@
 
 import "granitewing/internal/fleet/limit"
 
-// Messages about limits. Each is told anew while it matters, so those that find no room are dropped here as a link drops them.
+// Messages about limits. Their senders repeat them while they matter, so messages that exceed a queue are dropped here,
+// as a network may drop them.
 
-// Say sends messages, which nobody may change from now on.
+// Say sends messages about limits without waiting; the caller must not change them afterwards. If too many batches wait
+// already, it drops this one and counts it.
 func (f *Fleet) Say(out []*limit.Message) {
 	if len(out) == 0 {
 		return
 	}
 	select {
-	case f.say <- out:
+	case f.outgoingLimits <- out:
 	default:
 		f.mu.Lock()
 		f.full++
@@ -18,34 +20,35 @@
 	}
 }
 
-func (f *Fleet) utter(out []*limit.Message) {
-	there := f.there()
+// sendLimits sends each message to its receiver if that is present.
+func (f *Fleet) sendLimits(out []*limit.Message) {
+	present := f.present()
 	var b []byte
 	for _, m := range out {
-		if to := there[m.To.Name]; to != nil {
+		if to := present[m.To.Name]; to != nil {
 			b = limit.Append(b[:0], m)
 			f.list.SendBestEffort(to, b)
 		}
 	}
 }
 
-// Said gives the messages that have come since the last call.
+// Said returns the messages about limits that arrived since the last call.
 func (f *Fleet) Said() []*limit.Message {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := f.said
-	f.said = nil
+	out := f.receivedLimits
+	f.receivedLimits = nil
 	return out
 }
 
-// hear takes a message about limits; f.mu is held.
-func (f *Fleet) hear(b []byte) {
+// receiveLimits queues a message about limits. The caller must hold f.mu.
+func (f *Fleet) receiveLimits(b []byte) {
 	switch m, err := limit.Parse(b); {
 	case err != nil:
 		f.bad++
-	case len(f.said) >= waitingMost:
+	case len(f.receivedLimits) >= maxPending:
 		f.full++
 	default:
-		f.said = append(f.said, m)
+		f.receivedLimits = append(f.receivedLimits, m)
 	}
 }
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -11,9 +11,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport carries the library's messages. It differs from the library's own in two things: it calls from the address
-// that it listens at, so that others (and what stands between) know a member by one address and tell two members of one
-// machine apart; and a datagram takes the memory that it needs, where the library's own takes 64 KB for each.
+// transport carries the library's messages. It differs from the library's own transport in two ways. It opens
+// connections from the address that it listens on, so that other members, and network devices in between, know a member
+// by one address and can distinguish two members on one machine. And it allocates as much memory as a datagram needs,
+// where the library's own allocates 64 KB for each.
 type transport struct {
 	host    net.IP
 	dialer  net.Dialer
@@ -28,12 +29,12 @@
 }
 
 const (
-	packetMost  = 64 << 10
-	kernelMost  = 1 << 20                // of datagrams that wait to be read
-	acceptPause = 100 * time.Millisecond // when there are no descriptors left
+	maxPacketSize  = 64 << 10
+	readBufferSize = 1 << 20                // bytes of datagrams that the kernel queues
+	acceptPause    = 100 * time.Millisecond // after a failed accept, for example when no descriptors are left
 )
 
-// listen opens an address for datagrams and connections.
+// listen opens an address for datagrams and connections, both on the same port; port 0 selects a free one.
 func listen(host net.IP, port int, log *slog.Logger) (*transport, error) {
 	t := &transport{host: host, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), done: make(chan struct{}), log: log}
 	var err error
@@ -44,7 +45,7 @@
 		t.tcp.Close()
 		return nil, err
 	}
-	t.udp.SetReadBuffer(kernelMost) // as much of it as the system allows
+	t.udp.SetReadBuffer(readBufferSize) // the system may allow less
 	if !host.IsUnspecified() {
 		t.dialer.LocalAddr = &net.TCPAddr{IP: host}
 	}
@@ -55,15 +56,16 @@
 
 func (t *transport) port() int { return t.tcp.Addr().(*net.TCPAddr).Port }
 
+// receive passes datagrams to the library until the transport is closed.
 func (t *transport) receive() {
-	buf := make([]byte, packetMost)
+	buf := make([]byte, maxPacketSize)
 	for {
 		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil || n == 0 {
-			continue // what came back of a datagram to one that is not there
+			continue // for example the ICMP error for a datagram to a closed port
 		}
 		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: net.UDPAddrFromAddrPort(netip.AddrPortFrom(from.Addr().Unmap(), from.Port())), Timestamp: time.Now()}
 		select {
@@ -74,6 +76,7 @@
 	}
 }
 
+// accept passes connections to the library until the transport is closed.
 func (t *transport) accept() {
 	for {
 		c, err := t.tcp.Accept()
@@ -81,7 +84,7 @@
 			return
 		}
 		if err != nil {
-			t.log.Warn("fleet: a connection could not be taken", "cause", err)
+			t.log.Warn("fleet: could not accept a connection", "cause", err)
 			pause := time.NewTimer(acceptPause)
 			select {
 			case <-pause.C:
@@ -99,7 +102,7 @@
 	}
 }
 
-// FinalAdvertiseAddr implements memberlist.Transport.
+// FinalAdvertiseAddr implements memberlist.Transport: the configured address, or the bound one if none is configured.
 func (t *transport) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	addr := net.ParseIP(ip)
 	if addr == nil {
@@ -111,7 +114,7 @@
 	return addr, port, nil
 }
 
-// WriteTo implements memberlist.Transport.
+// WriteTo implements memberlist.Transport: it sends a datagram from the address that the transport listens on.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -121,30 +124,31 @@
 	return time.Now(), err
 }
 
-// WriteToAddress implements memberlist.NodeAwareTransport.
+// WriteToAddress implements memberlist.NodeAwareTransport; it ignores the name of the node.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, a.Addr)
 }
 
-// PacketCh implements memberlist.Transport.
+// PacketCh implements memberlist.Transport: it returns the channel of received datagrams.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh implements memberlist.Transport.
+// StreamCh implements memberlist.Transport: it returns the channel of accepted connections.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// DialTimeout implements memberlist.Transport.
+// DialTimeout implements memberlist.Transport: it connects from the address that the transport listens on.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	d := t.dialer
 	d.Timeout = timeout
 	return d.Dial("tcp", addr)
 }
 
-// DialAddressTimeout implements memberlist.NodeAwareTransport.
+// DialAddressTimeout implements memberlist.NodeAwareTransport; it ignores the name of the node.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-// Shutdown implements memberlist.Transport; it may be called twice.
+// Shutdown implements memberlist.Transport. It closes the sockets and waits for the goroutines; further calls do
+// nothing.
 func (t *transport) Shutdown() error {
 	var err error
 	t.once.Do(func() {
--- a/internal/fleet/slack/price.go
+++ b/internal/fleet/slack/price.go
@@ -2,79 +2,83 @@
 
 import "math"
 
-// Rules of the price.
+// Parameters of the price.
 const (
-	used      = 0.97 // share of the capacity that may be let in where as much waits as should
-	waitPart  = 0.25 // of the slack of those that can wait least: so long are jobs to wait
-	shortPart = 0.15 // of the worth that is asked for has less slack than that
-	waitLeast = 0.1  // seconds of work that wait in any case, so that no host is idle
-	settles   = 1.0  // seconds in which what waits too much, or too little, is made up for
-	letLeast  = 0.3  // of the capacity that is let in, whatever waits
-	letMost   = 1.6
-	smooth    = 0.25 // seconds over which the price is averaged
-	heardNone = 0.5  // share of the members heard at which the price counts for nothing,
-	heardAll  = 0.9  // and from which on it counts in full
+	targetUtilization = 0.97 // share of the capacity that is admitted while the waiting work is at its target
+	waitShare         = 0.25 // target waiting time, as a share of the slack of the urgent jobs
+	urgentShare       = 0.15 // the urgent jobs' slack is the quantile below which this share of the demanded value lies
+	minWait           = 0.1  // seconds of work that may always wait, so that no host is idle
+	correctionTime    = 1.0  // seconds in which a surplus or deficit of waiting work is corrected
+	minAdmitted       = 0.3  // share of the capacity that is admitted however much work waits
+	maxAdmitted       = 1.6  // share of the capacity that is admitted however little work waits
+	smoothingTime     = 0.25 // time constant in seconds of the average of the price
+	noTrustShare      = 0.5  // with valid reports of this share of the members or less, the price counts for nothing
+	fullTrustShare    = 0.9  // from this share of the members on, the price counts in full
 )
 
-// Price is the price of a slot-second as one dispatcher has it, in the worth that the settings give to classes.
+// Price is the price of a slot-second at one dispatcher, in the unit of the value that the settings give to classes.
+// Its zero value is a price of 0.
 type Price struct {
 	price float64
-	at    int64
+	at    int64 // of the last update
 }
 
-// Set brings the price up to a time, from the load of all that are heard, this dispatcher among them, the capacity of the
-// hosts in slot-work a second, and how many members there are. Where too few are heard it fades to nothing, and the
-// dispatcher goes by what it sees itself, as one without peers does.
+// Set updates the price to the time now and returns it. l is the load of the heard members with a valid report, this
+// dispatcher included; members is the number of all members; capacity is that of the hosts in slot-seconds a second. If
+// too few members are heard, the price falls to 0 and the dispatcher relies on its own observations, as one without
+// peers.
 func (p *Price) Set(now int64, l *Load, heard, members int, capacity float64) float64 {
 	target := 0.0
 	if heard > 1 && capacity > 0 {
 		all := float64(max(members, heard))
-		trust := math.Min(math.Max((float64(heard)/all-heardNone)/(heardAll-heardNone), 0), 1)
-		target = trust * l.clearing(all/float64(heard), capacity)
+		trust := math.Min(math.Max((float64(heard)/all-noTrustShare)/(fullTrustShare-noTrustShare), 0), 1)
+		target = trust * l.clearingPrice(all/float64(heard), capacity)
 	}
 	if dt := float64(now-p.at) / 1e6; dt > 0 {
-		p.price += (target - p.price) * (1 - math.Exp(-dt/smooth))
+		p.price += (target - p.price) * (1 - math.Exp(-dt/smoothingTime))
 		p.at = now
 	}
-	if p.price < lowest/10 && target == 0 {
+	if p.price < minValue/10 && target == 0 {
 		p.price = 0
 	}
 	return p.price
 }
 
-// Now is the price as it was set last.
+// Now returns the price as of the last Set.
 func (p *Price) Now() float64 { return p.price }
 
-// clearing is the worth down to which there is room for what is asked for, times a scale; 0 where there is room for all.
-func (l *Load) clearing(scale, capacity float64) float64 {
-	room := capacity * math.Min(math.Max(used+(l.wanted()-scale*l.Waits()/capacity)/settles, letLeast), letMost) / scale
-	for b := worths - 1; b >= 0; b-- {
-		if l[b] < room {
-			room -= l[b]
+// clearingPrice returns the value down to which the capacity suffices for the demand, which is multiplied by scale. It
+// returns 0 if the capacity suffices for the whole demand.
+func (l *Load) clearingPrice(scale, capacity float64) float64 {
+	remaining := capacity * math.Min(math.Max(targetUtilization+(l.targetWait()-scale*l.Waits()/capacity)/correctionTime, minAdmitted), maxAdmitted) / scale
+	for b := valueBands - 1; b >= 0; b-- {
+		if l[b] < remaining {
+			remaining -= l[b]
 			continue
 		}
 		if b == 0 {
-			return lowest
+			return minValue
 		}
-		return lowest * math.Pow(ratio, float64(b)+1-room/l[b])
+		return minValue * math.Pow(bandRatio, float64(b)+1-remaining/l[b])
 	}
 	return 0
 }
 
-// wanted is for how many seconds jobs are to wait.
-func (l *Load) wanted() float64 {
+// targetWait returns for how many seconds jobs should wait: a share of the slack that all but the most urgent jobs
+// have.
+func (l *Load) targetWait() float64 {
 	all, sum := 0.0, 0.0
-	for _, v := range l[worths : worths+slacks] {
+	for _, v := range l[valueBands : valueBands+slackBands] {
 		all += v
 	}
-	upper := shorter
-	for _, v := range l[worths : worths+slacks-1] {
-		if sum+v > shortPart*all {
+	upper := firstSlack
+	for _, v := range l[valueBands : valueBands+slackBands-1] {
+		if sum+v > urgentShare*all {
 			lower := upper / 2
-			return math.Max(waitPart*(lower+(upper-lower)*(shortPart*all-sum)/v), waitLeast)
+			return math.Max(waitShare*(lower+(upper-lower)*(urgentShare*all-sum)/v), minWait)
 		}
 		sum += v
 		upper *= 2
 	}
-	return waitPart * upper / 2
+	return waitShare * upper / 2
 }
--- a/internal/fleet/verdict/book.go
+++ b/internal/fleet/verdict/book.go
@@ -1,6 +1,10 @@
-// Package verdict brings together what the dispatchers of a fleet find of its hosts, so that not each of them has to fail
-// there by itself. A dispatcher has one vote on a host, from what it tried itself and not longer than that lasts; the votes
-// are counted by the zones of those who cast them. It does no I/O and reads no clock; times are microseconds on the caller's.
+// Package verdict combines what the dispatchers of a fleet observe of its hosts, so that not every dispatcher has to
+// fail at a bad host by itself. A Book records one dispatcher's own attempts and casts its votes; a Judge counts the
+// votes of all dispatchers and returns the verdicts against hosts.
+//
+// A dispatcher has one vote on a host. It rests on the dispatcher's own attempts and expires with them. Votes are
+// counted by the zone of the dispatchers that cast them. The package does no I/O and reads no clock; times are
+// microseconds on the caller's clock.
 package verdict
 
 import (
@@ -12,83 +16,90 @@
 	"granitewing/logic"
 )
 
-// Vote is what some dispatchers of a zone find of a host.
+// Vote is the number of dispatchers of a zone that find a host bad or good.
 type Vote struct {
 	Host logic.WorkerID
-	Zone uint8 // of those who cast it
+	Zone uint8 // of the dispatchers that cast the votes
 	Bad  uint16
 	Good uint16
 }
 
-// Rules of evidence.
+// Rules for casting votes.
 const (
-	lasts     = 4_000_000 // us for which an attempt says something of its host
-	failsMost = 1         // failures since the last success that make a vote against a host
-	hostsMost = 4096
-	// VotesMost is on how many hosts a dispatcher votes at most.
+	evidenceLifetime = 4_000_000 // microseconds for which the result of an attempt counts
+	minFails         = 1         // failures since the last success that make a vote against a host
+	maxHosts         = 4096      // hosts in a book
+	// VotesMost is the maximum number of hosts on which a dispatcher votes.
 	VotesMost = 16
-	upLeast   = 3   // hosts tried, of which
-	upShare   = 0.5 // more than this share failed: then the way out of this dispatcher is at fault, and it does not vote
+	// A dispatcher does not vote if it tried at least minTried hosts and more than maxFailedShare of them failed: then
+	// its own network link is the likely cause.
+	minTried       = 3
+	maxFailedShare = 0.5
 )
 
-// Book is what one dispatcher has found itself.
+// Book records the results of one dispatcher's own attempts at hosts. It must not be used by two goroutines at once.
 type Book struct {
 	zone  uint8
-	hosts map[logic.WorkerID]*found
+	hosts map[logic.WorkerID]*record
 }
 
-type found struct {
-	fails      int // in a row
-	failed, ok int64
+// record is what a dispatcher observed of one host.
+type record struct {
+	fails                 int // consecutive failures
+	failedAt, succeededAt int64
 }
 
-// NewBook makes the book of a dispatcher of a zone.
+// NewBook returns an empty book of a dispatcher in a zone, which is limited to 0 to 255.
 func NewBook(zone int) *Book {
-	return &Book{zone: uint8(min(max(zone, 0), 255)), hosts: map[logic.WorkerID]*found{}}
+	return &Book{zone: uint8(min(max(zone, 0), 255)), hosts: map[logic.WorkerID]*record{}}
 }
 
-// Note takes the end of an attempt that says something of its host, or a sign of life.
+// Note records the result of an attempt that is evidence about its host, or another sign that the host is alive. If the
+// book is full of recent records, a host that has none is ignored.
 func (b *Book) Note(now int64, host logic.WorkerID, ok bool) {
-	f := b.hosts[host]
-	if f == nil {
-		if len(b.hosts) >= hostsMost {
-			b.forget(now)
+	r := b.hosts[host]
+	if r == nil {
+		if len(b.hosts) >= maxHosts {
+			b.dropExpired(now)
 		}
-		if len(b.hosts) >= hostsMost {
+		if len(b.hosts) >= maxHosts {
 			return
 		}
-		f = &found{failed: math.MinInt64 / 2, ok: math.MinInt64 / 2}
-		b.hosts[host] = f
+		r = &record{failedAt: math.MinInt64 / 2, succeededAt: math.MinInt64 / 2}
+		b.hosts[host] = r
 	}
 	switch {
 	case ok:
-		f.fails, f.ok = 0, now
-	case now-f.failed > lasts:
-		f.fails, f.failed = 1, now
+		r.fails, r.succeededAt = 0, now
+	case now-r.failedAt > evidenceLifetime:
+		r.fails, r.failedAt = 1, now
 	default:
-		f.fails, f.failed = f.fails+1, now
+		r.fails, r.failedAt = r.fails+1, now
 	}
 }
 
-// forget lets go of what says nothing any more.
-func (b *Book) forget(now int64) {
-	maps.DeleteFunc(b.hosts, func(_ logic.WorkerID, f *found) bool { return now-max(f.failed, f.ok) > lasts })
+// dropExpired removes the records that no longer count.
+func (b *Book) dropExpired(now int64) {
+	maps.DeleteFunc(b.hosts, func(_ logic.WorkerID, r *record) bool { return now-max(r.failedAt, r.succeededAt) > evidenceLifetime })
 }
 
-func (f *found) bad(now int64) bool { return f.fails >= failsMost && now-f.failed <= lasts }
+func (r *record) bad(now int64) bool {
+	return r.fails >= minFails && now-r.failedAt <= evidenceLifetime
+}
 
-func (f *found) good(now int64) bool { return f.fails == 0 && now-f.ok <= lasts }
+func (r *record) good(now int64) bool { return r.fails == 0 && now-r.succeededAt <= evidenceLifetime }
 
-// Votes casts this dispatcher's votes: against hosts, and for those that others vote against.
+// Votes returns this dispatcher's votes, at most VotesMost: those against hosts first, then those for hosts that others
+// vote against. It returns none if so many of its attempts failed that its own network link is the likely cause.
 func (b *Book) Votes(now int64, others []Vote) []Vote {
-	b.forget(now)
+	b.dropExpired(now)
 	tried, bad := 0, 0
-	for _, f := range b.hosts {
-		if tried++; f.bad(now) {
+	for _, r := range b.hosts {
+		if tried++; r.bad(now) {
 			bad++
 		}
 	}
-	if tried >= upLeast && float64(bad) > upShare*float64(tried) {
+	if tried >= minTried && float64(bad) > maxFailedShare*float64(tried) {
 		return nil
 	}
 	contested := map[logic.WorkerID]bool{}
@@ -96,11 +107,11 @@
 		contested[v.Host] = contested[v.Host] || v.Bad > 0
 	}
 	var out []Vote
-	for id, f := range b.hosts {
+	for id, r := range b.hosts {
 		switch {
-		case f.bad(now):
+		case r.bad(now):
 			out = append(out, Vote{Host: id, Zone: b.zone, Bad: 1})
-		case contested[id] && f.good(now):
+		case contested[id] && r.good(now):
 			out = append(out, Vote{Host: id, Zone: b.zone, Good: 1})
 		}
 	}
@@ -108,8 +119,8 @@
 	return out[:min(len(out), VotesMost)]
 }
 
-// Good tells whether this dispatcher's own attempts lately went well there.
+// Good reports whether this dispatcher's own latest attempt at a host succeeded and still counts.
 func (b *Book) Good(now int64, host logic.WorkerID) bool {
-	f := b.hosts[host]
-	return f != nil && f.good(now)
+	r := b.hosts[host]
+	return r != nil && r.good(now)
 }
--- a/internal/fleet/verdict/judge.go
+++ b/internal/fleet/verdict/judge.go
@@ -9,61 +9,64 @@
 	"granitewing/logic"
 )
 
-// Rules of judgement.
+// Rules for a verdict.
 const (
-	badLeast  = 2         // dispatchers that must find a host bad: one that lies or has a fault of its own shuns nothing
-	badShare  = 0.6       // and the share of those that vote on it
-	panicPart = 1.0 / 3   // of the capacity of a kind that is shunned at most, the worst first
-	testers   = 2         // dispatchers that go on trying a host, in the mean
-	turnSpan  = 1_000_000 // us for which they are the same
+	minBadVotes     = 2         // dispatchers that must find a host bad; a single false or faulty one ejects nothing
+	minBadShare     = 0.6       // of the dispatchers that vote on the host
+	maxEjectedShare = 1.0 / 3   // of the capacity of a kind of host; the worst hosts are ejected first
+	probers         = 2         // mean number of dispatchers that keep trying a host in spite of a verdict
+	probePeriod     = 1_000_000 // microseconds after which other dispatchers take over
 )
 
-// Host is one as the judgement needs it.
+// Host is a host that a verdict may concern.
 type Host struct {
 	ID     logic.WorkerID
 	Kind   int
 	Zone   int
-	Weight float64 // of its capacity among those of its kind
+	Weight float64 // its capacity relative to the other hosts of its kind
 }
 
-// Verdict is one against a host.
+// Verdict says that a host is bad and should be avoided.
 type Verdict struct {
 	Host   logic.WorkerID
-	Weight float64 // share of the votes
+	Weight float64 // share of the counted votes that are against the host
 }
 
-// Judge is a dispatcher's judge.
+// Judge decides for one dispatcher which hosts to avoid.
 type Judge struct {
 	self string
 	book *Book
 }
 
-// NewJudge makes the judge of a dispatcher, which goes by its own book where that says something.
+// NewJudge returns the judge of the dispatcher named self. A recent success in the dispatcher's own book overrules the
+// votes of others.
 func NewJudge(self string, book *Book) *Judge { return &Judge{self, book} }
 
-// count is the votes on a host: of the judge's own zone, and of the others by zone.
-type count struct {
+// tally is the votes on a host: those of the judge's own zone, and those of the other zones.
+type tally struct {
 	bad, good int
-	zones     int // of the others, in which more find it bad than good; its own counts twice
+	zones     int // other zones in which a majority finds the host bad; the host's own zone counts twice
 	otherBad  int
 	otherGood int
 }
 
-// Judge gives the verdicts that hold now for this dispatcher, the worst first. members is how many dispatchers there are.
+// Judge returns the verdicts that hold now for this dispatcher, the worst host first. members is the number of
+// dispatchers.
 //
-// The votes of its own zone come first: they took the same way to the host. Without enough of them others count, where two
-// zones agree, or its own zone says so; a host that one other zone alone can't reach is well, and the way from there is not.
+// The votes of the judge's own zone come first, because they used the same network path to the host. If there are too
+// few of them, the votes of other zones count too, provided that two zones agree or that the host's own zone finds it
+// bad. If a single zone can't reach a host of another zone, the path from there is the likely cause, not the host.
 func (j *Judge) Judge(now int64, votes []Vote, hosts []Host, members int) []Verdict {
 	capacity, known := map[int]float64{}, map[logic.WorkerID]Host{}
 	for _, h := range hosts {
 		capacity[h.Kind] += h.Weight
 		known[h.ID] = h
 	}
-	counts := map[logic.WorkerID]*count{}
+	counts := map[logic.WorkerID]*tally{}
 	for _, v := range votes {
 		c := counts[v.Host]
 		if c == nil {
-			c = &count{}
+			c = &tally{}
 			counts[v.Host] = c
 		}
 		if v.Zone == j.book.zone {
@@ -73,54 +76,54 @@
 		c.otherBad, c.otherGood = c.otherBad+int(v.Bad), c.otherGood+int(v.Good)
 		if v.Bad > v.Good {
 			if c.zones++; known[v.Host].Zone == int(v.Zone) {
-				c.zones++ // no way between zones is to blame
+				c.zones++ // no link between zones can be the cause
 			}
 		}
 	}
 	var out []Verdict
 	for id, c := range counts {
-		if _, listed := known[id]; !listed || j.book.Good(now, id) || j.tests(now, id, members) {
+		if _, listed := known[id]; !listed || j.book.Good(now, id) || j.probes(now, id, members) {
 			continue
 		}
-		if w := c.weight(); w > 0 {
+		if w := c.badShare(); w > 0 {
 			out = append(out, Verdict{id, w})
 		}
 	}
 	slices.SortFunc(out, func(a, b Verdict) int {
-		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(drawn("", a.Host, 0), drawn("", b.Host, 0)))
+		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(hash("", a.Host, 0), hash("", b.Host, 0)))
 	})
-	shunned := map[int]float64{}
+	ejected := map[int]float64{}
 	return slices.DeleteFunc(out, func(v Verdict) bool {
 		h := known[v.Host]
-		if shunned[h.Kind]+h.Weight > panicPart*capacity[h.Kind] {
+		if ejected[h.Kind]+h.Weight > maxEjectedShare*capacity[h.Kind] {
 			return true
 		}
-		shunned[h.Kind] += h.Weight
+		ejected[h.Kind] += h.Weight
 		return false
 	})
 }
 
-// weight is the share of the votes against a host, or nothing where that makes no verdict.
-func (c *count) weight() float64 {
+// badShare returns the share of the votes that are against a host, or 0 if they do not suffice for a verdict.
+func (c *tally) badShare() float64 {
 	bad, good := c.bad, c.good
-	if bad+good < badLeast {
+	if bad+good < minBadVotes {
 		if c.zones < 2 {
 			return 0
 		}
 		bad, good = bad+c.otherBad, good+c.otherGood
 	}
-	if w := float64(bad) / float64(bad+good); bad >= badLeast && w >= badShare {
+	if w := float64(bad) / float64(bad+good); bad >= minBadVotes && w >= minBadShare {
 		return w
 	}
 	return 0
 }
 
-// tests tells whether it is this dispatcher's turn to go on trying a host, whatever the verdict: the way back is found by a
-// few, drawn anew each turn.
-func (j *Judge) tests(now int64, host logic.WorkerID, members int) bool {
-	return members > 0 && drawn(j.self, host, now/turnSpan)%uint64(members) < testers
+// probes reports whether this dispatcher keeps trying a host now whatever the votes say. A few dispatchers, others in
+// each period, thereby find out when the host has recovered.
+func (j *Judge) probes(now int64, host logic.WorkerID, members int) bool {
+	return members > 0 && hash(j.self, host, now/probePeriod)%uint64(members) < probers
 }
 
-func drawn(name string, host logic.WorkerID, turn int64) uint64 {
-	return draw.Of(name, fmt.Sprint(host, turn))
+func hash(name string, host logic.WorkerID, period int64) uint64 {
+	return draw.Of(name, fmt.Sprint(host, period))
 }
