--- a/internal/system/agreement/types.go
+++ b/internal/system/agreement/types.go
@@ -232,4 +232,4 @@
 // ChangePendingError is returned for a membership change while an earlier one is not committed or still joint.
 type ChangePendingError struct{}
 
-func (e *ChangePendingError) Error() string { return "another membership change is in progress" }
+func (e *ChangePendingError) Error() string { return "another change of the group is under way" }
--- a/internal/system/command/people.go
+++ b/internal/system/command/people.go
@@ -160,7 +160,7 @@
 		return err
 	}
 	stored := member.Stored()
-	fmt.Fprintf(command.OutOrStdout(), "member %s: term %d, vote %q, snapshot at %d, %d entries after it, voters %v\n", member.ID(),
+	fmt.Fprintf(command.OutOrStdout(), "member %s: term %d, vote %q, snapshot at %d, %d entries behind it, voters %v\n", member.ID(),
 		stored.HardState.Term, stored.HardState.Vote, stored.Snapshot.Index, len(stored.Entries), stored.Snapshot.Members.Voters)
 	return nil
 }
--- a/internal/system/command/roster.go
+++ b/internal/system/command/roster.go
@@ -52,10 +52,10 @@
 	fmt.Fprintf(output, "roster %d\n", state.Epoch())
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	for id, entry := range ordered.Map(state.Disks()) {
-		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s\n", id, entry.Member.Node, choose(entry.Counted, "counts toward quorum", "backfilling"), textIf(entry.Leaving, ", draining"))
+		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s\n", id, entry.Member.Node, choose(entry.Counted, "counts", "being filled"), textIf(entry.Leaving, ", being emptied"))
 	}
 	for _, drain := range state.Emptyings(keeper.Groups) {
-		fmt.Fprintf(table, "drain\t%s\t%s\twaits for %s\n", drain.Node, choose(drain.Begun, "accepts no messages", "not started"), drain.Waits)
+		fmt.Fprintf(table, "emptying\t%s\t%s\twaits for %s\n", drain.Node, choose(drain.Begun, "takes no messages", "not begun"), drain.Waits)
 	}
 	return table.Flush()
 }
--- a/internal/system/command/status.go
+++ b/internal/system/command/status.go
@@ -101,10 +101,10 @@
 	}
 	for _, disk := range status.Disks {
 		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s%s\n", disk.Disk, disk.Node, choose(disk.Live, "live", "gone"),
-			choose(disk.Counted, ", counts toward quorum", ", backfilling"), textIf(disk.Leaving, ", draining"))
+			choose(disk.Counted, ", counts", ", being filled"), textIf(disk.Leaving, ", being emptied"))
 	}
 	for _, drain := range status.Emptyings {
-		fmt.Fprintf(table, "drain\t%s\tfor %s or more\t%s\twaits for %s\n", drain.Node, drain.Age, choose(drain.Begun, "accepts no messages", "not started"), drain.Waits)
+		fmt.Fprintf(table, "emptying\t%s\tfor %s or more\t%s\twaits for %s\n", drain.Node, drain.Age, choose(drain.Begun, "takes no messages", "not begun"), drain.Waits)
 	}
 	if status.CatalogAge == "" {
 		status.Services = nil // only the leader of the sessions group reads the list of workers
@@ -124,7 +124,7 @@
 	if whole == nil {
 		return ""
 	}
-	return choose(*whole, ", healthy", ", DEGRADED: may not survive the next loss")
+	return choose(*whole, ", whole", ", NOT whole: it may not bear the next loss")
 }
 
 // nameOrNobody returns name, or "nobody" if it is empty.
--- a/internal/system/configuration/document.go
+++ b/internal/system/configuration/document.go
@@ -130,10 +130,10 @@
 	var parsed documentJSON
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if err := decoder.Decode(&parsed); err != nil {
-		return nil, &InvalidError{Reason: "not a JSON document of the expected form: " + err.Error()}
+		return nil, &InvalidError{Reason: "can't be read: " + err.Error()}
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, &InvalidError{Reason: "unexpected data after the JSON document"}
+		return nil, &InvalidError{Reason: "something follows the document"}
 	}
 	if parsed.Version == nil {
 		return nil, &InvalidError{Key: "resource-version", Reason: "is missing"}
@@ -183,7 +183,7 @@
 			return &InvalidError{Key: key + ".name", Reason: "is missing"}
 		}
 		if d.Services[form.Name] != nil {
-			return &InvalidError{Key: key + ".name", Reason: "duplicates the name " + form.Name}
+			return &InvalidError{Key: key + ".name", Reason: "is there twice: " + form.Name}
 		}
 		if form.Rate < 0 {
 			return &InvalidError{Key: key + ".rate-per-s", Reason: "is negative"}
@@ -211,7 +211,7 @@
 		host := strings.ToLower(form.Host)
 		match := routeMatch{host, form.PathPrefix}
 		if other, duplicate := routeNames[match]; duplicate {
-			return &InvalidError{Key: key, Reason: "has the same host and path prefix as route " + other}
+			return &InvalidError{Key: key, Reason: "has the host and prefix of route " + other}
 		}
 		routeNames[match] = form.Name
 		d.Routes = append(d.Routes, routeFromJSON(&form, host))
@@ -227,13 +227,13 @@
 	case form.Host == "":
 		return &InvalidError{Key: key + ".host", Reason: "is missing"}
 	case !strings.HasPrefix(form.PathPrefix, "/"):
-		return &InvalidError{Key: key + ".path-prefix", Reason: "does not start with /"}
+		return &InvalidError{Key: key + ".path-prefix", Reason: "does not begin with /"}
 	case form.Timeout == nil || *form.Timeout <= 0:
-		return &InvalidError{Key: key + ".timeout-ms", Reason: "must be greater than 0"}
+		return &InvalidError{Key: key + ".timeout-ms", Reason: "is not over 0"}
 	case d.Services[form.Backend] == nil:
-		return &InvalidError{Key: key + ".backend", Reason: "refers to an unknown service: " + form.Backend}
+		return &InvalidError{Key: key + ".backend", Reason: "names no service: " + form.Backend}
 	case form.Weight != nil && *form.Weight <= 0:
-		return &InvalidError{Key: key + ".weight", Reason: "must be greater than 0"}
+		return &InvalidError{Key: key + ".weight", Reason: "is not over 0"}
 	case form.Retries < 0:
 		return &InvalidError{Key: key + ".retries", Reason: "is negative"}
 	}
--- a/internal/system/configuration/state.go
+++ b/internal/system/configuration/state.go
@@ -20,7 +20,7 @@
 type ConflictError struct{ Current, Base uint64 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("the current configuration version is %d, but the update is based on version %d", e.Current, e.Base)
+	return fmt.Sprintf("version %d is in place, the order builds on %d", e.Current, e.Base)
 }
 
 // acceptedOrder identifies an order that was committed and accepted.
@@ -116,7 +116,7 @@
 func (s *State) Restore(data []byte) error {
 	var decoded snapshot
 	if err := msgpack.Unmarshal(data, &decoded); err != nil {
-		return &InvalidError{Reason: "cannot decode the snapshot: " + err.Error()}
+		return &InvalidError{Reason: "snapshot can't be read: " + err.Error()}
 	}
 	restored := NewState()
 	for _, order := range decoded.History {
--- a/internal/system/node/operators.go
+++ b/internal/system/node/operators.go
@@ -58,7 +58,7 @@
 func (n *keeperNode) replaceConfiguration(c echo.Context) error {
 	base, err := strconv.ParseUint(c.Request().Header.Get(versionHeader), 10, 64)
 	if err != nil && c.Request().Header.Get(versionHeader) != "" {
-		return c.JSON(http.StatusBadRequest, &errorResponse{Error: versionHeader + " is not a number"})
+		return c.JSON(http.StatusBadRequest, &errorResponse{Error: versionHeader + " is no number"})
 	}
 	raw, err := readBody(c.Request(), maxConfigurationBytes)
 	if err != nil {
--- a/internal/system/node/store.go
+++ b/internal/system/node/store.go
@@ -76,7 +76,7 @@
 		select {
 		case n.calls <- storeCall{peer: peer, frame: frame}:
 		default:
-			peer.Refuse(frame.Call, wire.RefusalBody{Code: wire.Failed, Reason: "too many calls are queued"})
+			peer.Refuse(frame.Call, wire.RefusalBody{Code: wire.Failed, Reason: "too many calls wait"})
 		}
 	}, nil)
 	if err != nil {
--- a/internal/system/ownership/state.go
+++ b/internal/system/ownership/state.go
@@ -64,7 +64,7 @@
 type StaleOfferError struct{ Unit string }
 
 func (e *StaleOfferError) Error() string {
-	return "the offer of unit " + e.Unit + " is no longer valid"
+	return "the offer of " + e.Unit + " does not stand"
 }
 
 // State is the replicated table of one shard.
@@ -89,7 +89,7 @@
 type MalformedError struct{ Err error }
 
 func (e *MalformedError) Error() string {
-	return fmt.Sprintf("malformed ownership data: %v", e.Err)
+	return fmt.Sprintf("ownership table: %v", e.Err)
 }
 
 func (e *MalformedError) Unwrap() error { return e.Err }
--- a/internal/system/role/keeper/core.go
+++ b/internal/system/role/keeper/core.go
@@ -120,7 +120,7 @@
 type LostError struct{}
 
 func (e *LostError) Error() string {
-	return "outcome unknown: no majority confirmed the request, it may or may not take effect"
+	return "the order's outcome is not known"
 }
 
 // New creates a keeper from the state that its disk holds for each group. It returns an error if a snapshot can't be
--- a/internal/system/role/keeper/join.go
+++ b/internal/system/role/keeper/join.go
@@ -9,12 +9,12 @@
 // RemovedError reports that a group has removed a keeper. The group state on that keeper's disk is invalid.
 type RemovedError struct{ ID string }
 
-func (e *RemovedError) Error() string { return "the group has removed " + e.ID }
+func (e *RemovedError) Error() string { return "the group does without " + e.ID }
 
 // LeavingError refuses a keeper that asks to join because its machine is being drained.
 type LeavingError struct{ ID string }
 
-func (e *LeavingError) Error() string { return "the machine of " + e.ID + " is being drained" }
+func (e *LeavingError) Error() string { return "the machine of " + e.ID + " is being emptied" }
 
 // JoinGroup admits a keeper to a group as a learner. Every keeper follows every group, so that the leader of the
 // session group can give members the state of all groups, and any keeper that is needed as a voter has caught up.
--- a/internal/system/role/keeper/retire.go
+++ b/internal/system/role/keeper/retire.go
@@ -135,7 +135,7 @@
 type MissingDiskError struct{ Disk string }
 
 func (e *MissingDiskError) Error() string {
-	return "disk " + e.Disk + " stays in the roster while another counted disk has no live store"
+	return "disk " + e.Disk + " stays while another that counts has no live store"
 }
 
 // DiskEmptied records that a leaving disk is drained: all its messages have enough replicas on the other disks of
--- a/internal/system/role/keeper/sessions.go
+++ b/internal/system/role/keeper/sessions.go
@@ -15,7 +15,7 @@
 type UnknownSessionError struct{ Incarnation string }
 
 func (e *UnknownSessionError) Error() string {
-	return "no open session of incarnation " + e.Incarnation
+	return "no session of " + e.Incarnation
 }
 
 // resetSessionTimers grants every member a full session when this keeper starts to lead, as it does not know when
--- a/internal/system/session/emptying.go
+++ b/internal/system/session/emptying.go
@@ -21,7 +21,7 @@
 	}
 	for _, node := range s.retiredMachines {
 		if left := len(s.retirements[node].Left); left < groups {
-			found = append(found, Emptying{Node: node, Begun: true, Waits: fmt.Sprintf("%d control groups to remove its keeper", groups-left)})
+			found = append(found, Emptying{Node: node, Begun: true, Waits: fmt.Sprintf("%d control groups to do without it", groups-left)})
 		}
 	}
 	return found
@@ -31,15 +31,15 @@
 func (s *State) waitReason(node string) string {
 	if s.waitsForCapacity(node) {
 		if s.tolerance == nil {
-			return "the loss tolerance to be recorded by the keepers"
+			return "what may be lost to be known"
 		}
-		return fmt.Sprintf("%d live disks on other machines, in enough zones; there are %d", s.tolerance.Voters(), len(s.writableDisksWithout(node)))
+		return fmt.Sprintf("%d live disks to stay without it, in enough zones; there are %d", s.tolerance.Voters(), len(s.writableDisksWithout(node)))
 	}
 	if !slices.ContainsFunc(s.disksOf(node), s.hasLiveStore) {
-		return "its store, which has no session"
+		return "its store, which is gone"
 	}
 	if missing := s.nodeMissingStore(node); missing != "" {
-		return "the store of " + missing + ", which has no session: this machine may hold the last replicas"
+		return "the store of " + missing + ", which is gone: what lies here may be the last copy"
 	}
-	return "other disks to copy the messages that have too few replicas"
+	return "its disk to hand over what lies on too few others"
 }
--- a/internal/system/session/spare.go
+++ b/internal/system/session/spare.go
@@ -17,7 +17,7 @@
 // UnknownMachineError refuses an order about a machine that has no disk in the roster.
 type UnknownMachineError struct{ Node string }
 
-func (e *UnknownMachineError) Error() string { return "no store in the roster at machine " + e.Node }
+func (e *UnknownMachineError) Error() string { return "no store is known at machine " + e.Node }
 
 // TooFewError refuses an order to drain a machine without which too few disks would remain for messages.
 type TooFewError struct {
@@ -26,17 +26,17 @@
 }
 
 func (e *TooFewError) Error() string {
-	text := fmt.Sprintf("%d disks would remain, %d are required", e.Left, e.Needed)
+	text := fmt.Sprintf("%d disks would be left, %d are needed", e.Left, e.Needed)
 	if len(e.Leaving) > 0 {
-		text += fmt.Sprintf(" (being drained: %s)", strings.Join(e.Leaving, ", "))
+		text += fmt.Sprintf(" (being emptied: %s)", strings.Join(e.Leaving, ", "))
 	}
-	return text + "; add a machine with a disk first, or cancel another drain"
+	return text + "; add a machine with a disk first, or cancel another emptying"
 }
 
 // AlreadyEmptiedError refuses an order to keep a machine whose disks are drained.
 type AlreadyEmptiedError struct{ Node string }
 
-func (e *AlreadyEmptiedError) Error() string { return "machine " + e.Node + " is already drained" }
+func (e *AlreadyEmptiedError) Error() string { return "machine " + e.Node + " is empty already" }
 
 // Tolerance returns the recorded tolerance: what may be lost at one time. It is nil until the keepers have recorded
 // it.
--- a/internal/system/wire/frame.go
+++ b/internal/system/wire/frame.go
@@ -42,7 +42,7 @@
 }
 
 func (e *PayloadError) Error() string {
-	return fmt.Sprintf("cannot decode payload of kind %d: %v", e.Kind, e.Err)
+	return fmt.Sprintf("payload of kind %d: %v", e.Kind, e.Err)
 }
 
 func (e *PayloadError) Unwrap() error { return e.Err }
