--- a/cmd/granitewing-fleet/limits_test.go
+++ b/cmd/granitewing-fleet/limits_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// Three processes agree on a dealer; when it ends another deals. The amount of a limit follows the dealer's file at SIGHUP,
-// and a file that is wrong changes nothing.
-func TestLimitsOfProcesses(t *testing.T) {
+// Three processes agree on a dealer, and another one takes over when it dies. At SIGHUP the dealer's limit follows its
+// settings file; an invalid file changes nothing.
+func TestDealerFailoverAndLimitReload(t *testing.T) {
 	t.Parallel()
 	limits := func(open string) string {
 		return fmt.Sprintf(`(every 50ms) (limits (keepers n0 n1 n2) (lease 500ms) (limit alerts (class alert-send) (rate %s)))`, open)
 	}
-	bind := free(t)
+	bind := freeAddress(t)
 	var all []*process
 	for i := range 3 {
-		all = append(all, run(t, fmt.Sprint("n", i), fmt.Sprintf(`(label "t") (bind %q) (join %q) %s`, []string{bind, free(t), free(t)}[i], bind, limits("20"))))
+		all = append(all, run(t, fmt.Sprint("n", i), fmt.Sprintf(`(label "t") (bind %q) (join %q) %s`, []string{bind, freeAddress(t), freeAddress(t)}[i], bind, limits("20"))))
 	}
 	dealt := func(by string, amount float64) func(*status) bool {
 		return func(s *status) bool {
@@ -26,7 +26,7 @@
 		}
 	}
 	for _, p := range all {
-		until(t, p.door, "rights of n0", dealt("n0", 20))
+		waitForStatus(t, p.admin, "rights of n0", dealt("n0", 20))
 	}
 	rewrite := func(amount string) {
 		for _, arg := range all[0].cmd.Args {
@@ -45,12 +45,12 @@
 		all[0].signal(t, syscall.SIGHUP)
 	}
 	rewrite("30")
-	until(t, all[0].door, "the new amount", dealt("n0", 30))
+	waitForStatus(t, all[0].admin, "the new amount", dealt("n0", 30))
 	rewrite("-1")
 	rewrite("40")
-	until(t, all[0].door, "the amount after one that is wrong", dealt("n0", 40))
+	waitForStatus(t, all[0].admin, "the amount after an invalid one", dealt("n0", 40))
 	all[0].signal(t, syscall.SIGKILL)
 	for _, p := range all[1:] {
-		until(t, p.door, "rights of another dealer", func(s *status) bool { return dealt("n1", 20)(s) || dealt("n2", 20)(s) })
+		waitForStatus(t, p.admin, "rights of another dealer", func(s *status) bool { return dealt("n1", 20)(s) || dealt("n2", 20)(s) })
 	}
 }
--- a/cmd/granitewing-fleet/main.go
+++ b/cmd/granitewing-fleet/main.go
@@ -1,5 +1,5 @@
-// Command granitewing-fleet is the dispatcher for fleets whose members tell each other what they hold. It is a build of
-// its own, so that the platform's, which shares nothing, carries no membership.
+// Command granitewing-fleet is the dispatcher with membership in a fleet, whose members exchange load reports. It is a
+// separate build, so that the platform's build, which shares nothing, links no membership library.
 package main
 
 import (
--- a/cmd/granitewing-fleet/main_test.go
+++ b/cmd/granitewing-fleet/main_test.go
@@ -21,7 +21,7 @@
 	"granitewing/internal/fleet/member"
 )
 
-const bound = 20 * time.Second // a test that waits so long has failed
+const testTimeout = 20 * time.Second // only ends tests that have failed
 
 var program string
 
@@ -39,8 +39,8 @@
 	os.Exit(code)
 }
 
-// free is an address that nobody uses.
-func free(t *testing.T) string {
+// freeAddress returns an address that nothing listens on.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 	return ln.Addr().String()
 }
 
-// command is a dispatcher of a name with its part in a fleet, not started yet.
+// command returns the command of a dispatcher in a fleet, not started yet.
 func command(t *testing.T, name, fleet string) *exec.Cmd {
 	t.Helper()
 	dir := t.TempDir()
@@ -64,10 +64,10 @@
 	return cmd
 }
 
-// process is a dispatcher that runs.
+// process is a running dispatcher.
 type process struct {
-	cmd  *exec.Cmd
-	door string // none of one that ended at its start
+	cmd   *exec.Cmd
+	admin string // address of the admin endpoint; empty if the process ended at its start
 }
 
 func (p *process) signal(t *testing.T, sig syscall.Signal) {
@@ -109,23 +109,23 @@
 	select {
 	case door := <-serves:
 		return &process{cmd, door}
-	case <-time.After(bound):
-		t.Fatal("it neither serves nor ends")
+	case <-time.After(testTimeout):
+		t.Fatal("the process neither serves nor exits")
 		return nil
 	}
 }
 
-// start starts a dispatcher and gives its door.
+// start starts a dispatcher and returns the address of its admin endpoint.
 func start(t *testing.T, name, fleet string) string {
 	t.Helper()
 	p := run(t, name, fleet)
-	if p.door == "" {
-		t.Fatalf("%s ended at its start", name)
+	if p.admin == "" {
+		t.Fatalf("%s exited at its start", name)
 	}
-	return p.door
+	return p.admin
 }
 
-// status is what the verb says in JSON.
+// status is the JSON output of `fleet status`.
 type status struct {
 	Members, Heard int
 	Refused        map[string]int
@@ -138,8 +138,8 @@
 	}
 }
 
-// ask gives the status, nil where the dispatcher does not tell it yet.
-func ask(t *testing.T, door string) (*status, []byte) {
+// fetchStatus returns the status, or nil while the dispatcher does not report it yet.
+func fetchStatus(t *testing.T, door string) (*status, []byte) {
 	t.Helper()
 	out, err := exec.Command(program, "fleet", "status", "--door", door, "--json").Output()
 	if err != nil {
@@ -152,24 +152,24 @@
 	return s, out
 }
 
-// until asks for the status again and again until it is as wanted.
-func until(t *testing.T, door, what string, want func(*status) bool) {
+// waitForStatus polls the status until it is as wanted.
+func waitForStatus(t *testing.T, door, what string, want func(*status) bool) {
 	t.Helper()
 	var last []byte
-	for end := time.Now().Add(bound); time.Now().Before(end); {
-		s, out := ask(t, door)
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
+		s, out := fetchStatus(t, door)
 		if s != nil && want(s) {
 			return
 		}
 		last = out
 	}
-	t.Fatalf("%s: not seen; last\n%s", what, last)
+	t.Fatalf("%s: not seen; last status\n%s", what, last)
 }
 
-// peer is a stand-in for another dispatcher.
+// peer joins a fleet as a stand-in for another dispatcher.
 func peer(t *testing.T, name, label string, incarnation uint64, join ...string) (*member.Fleet, string) {
 	t.Helper()
-	bind := free(t)
+	bind := freeAddress(t)
 	f, err := member.Join(member.Options{Name: name, Bind: bind, Join: join, Label: label, Incarnation: incarnation, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
@@ -181,53 +181,53 @@
 	return &ledger.Report{From: name, Incarnation: incarnation, Seq: seq, Held: []ledger.Held{{Host: 1, Work: work}}}
 }
 
-// A peer that tells nonsense, one of an earlier incarnation that still talks, and one that goes: each is refused or given
-// up with its cause, and the dispatcher says so.
-func TestPeersThatAreNotBelieved(t *testing.T) {
-	bind := free(t)
+// Invalid reports, reports of an earlier incarnation and reports in the dispatcher's own name are refused and counted
+// by cause; a member that falls silent or leaves is shown as such.
+func TestInvalidReportsAreRefused(t *testing.T) {
+	bind := freeAddress(t)
 	door := start(t, "n0", fmt.Sprintf(`(label "t") (bind %q) (every 100ms)`, bind))
 	f, _ := peer(t, "p", "t", 7, bind)
 	seq := uint64(0)
-	tell := func(r func() *ledger.Report) func(*status) bool {
+	sendReport := func(r func() *ledger.Report) func(*status) bool {
 		return func(*status) bool { seq++; f.Tell([]ledger.Out{{Report: r(), To: []string{"n0"}}}); return false }
 	}
-	either := func(do, want func(*status) bool) func(*status) bool {
+	unless := func(do, want func(*status) bool) func(*status) bool {
 		return func(s *status) bool { return want(s) || do(s) }
 	}
-	until(t, door, "a member that is heard", either(tell(func() *ledger.Report { return report("p", 7, seq, 2) }),
+	waitForStatus(t, door, "a member whose reports count", unless(sendReport(func() *ledger.Report { return report("p", 7, seq, 2) }),
 		func(s *status) bool { return s.Members == 1 && s.Heard == 1 }))
-	until(t, door, "nonsense refused", either(tell(func() *ledger.Report { return report("p", 7, seq, math.Inf(1)) }),
+	waitForStatus(t, door, "an invalid report refused", unless(sendReport(func() *ledger.Report { return report("p", 7, seq, math.Inf(1)) }),
 		func(s *status) bool { return s.Refused["range"] > 0 }))
-	until(t, door, "an older incarnation refused", either(tell(func() *ledger.Report { return report("p", 6, seq, 2) }),
+	waitForStatus(t, door, "an older incarnation refused", unless(sendReport(func() *ledger.Report { return report("p", 6, seq, 2) }),
 		func(s *status) bool { return s.Refused["old"] > 0 }))
-	until(t, door, "its own name refused", either(tell(func() *ledger.Report { return report("n0", 1<<63, seq, 2) }),
+	waitForStatus(t, door, "its own name refused", unless(sendReport(func() *ledger.Report { return report("n0", 1<<63, seq, 2) }),
 		func(s *status) bool { return s.Refused["self"] > 0 }))
-	until(t, door, "silence noticed", func(s *status) bool { return s.Heard == 0 && len(s.Peers) == 1 && s.Peers[0].State == "silent" })
+	waitForStatus(t, door, "silence noticed", func(s *status) bool { return s.Heard == 0 && len(s.Peers) == 1 && s.Peers[0].State == "silent" })
 	f.Leave()
-	until(t, door, "a member that left", func(s *status) bool { return s.Members == 0 && len(s.Peers) == 1 && s.Peers[0].State == "gone" })
+	waitForStatus(t, door, "a member that left", func(s *status) bool { return s.Members == 0 && len(s.Peers) == 1 && s.Peers[0].State == "gone" })
 }
 
-// A process of a name stands still, is given up, and another of the name starts; then the first goes on. What it says is
-// refused, and the news of its successor counts as before.
-func TestAnOlderProcessWakesUp(t *testing.T) {
+// A process is suspended and removed from the membership, and another one with its name starts; then the first
+// resumes. Its reports are refused, and those of its successor count as before.
+func TestSuspendedProcessResumesAfterReplacement(t *testing.T) {
 	t.Parallel()
-	bind := free(t)
+	bind := freeAddress(t)
 	door := start(t, "n0", fmt.Sprintf(`(label "t") (bind %q)`, bind))
-	// It tells more often than its successor, so that its word would often be the last.
-	first := run(t, "n1", fmt.Sprintf(`(label "t") (bind %q) (join %q) (every 30ms)`, free(t), bind))
+	// It reports more often than its successor, so that its report would often be the latest.
+	first := run(t, "n1", fmt.Sprintf(`(label "t") (bind %q) (join %q) (every 30ms)`, freeAddress(t), bind))
 	var old string
-	until(t, door, "the first process", func(s *status) bool {
+	waitForStatus(t, door, "the first process", func(s *status) bool {
 		for _, p := range s.Peers {
 			old = p.Incarnation
 		}
 		return s.Heard == 1
 	})
 	first.signal(t, syscall.SIGSTOP)
-	until(t, door, "that it is given up", func(s *status) bool { return s.Members == 0 })
-	// The name may be taken for some seconds still; a start that finds it so ends, and its platform starts it again.
+	waitForStatus(t, door, "its removal from the membership", func(s *status) bool { return s.Members == 0 })
+	// The name may stay taken for some seconds; a process that finds it taken exits, and its platform starts it again.
 	var next *process
-	for end := time.Now().Add(bound); next == nil; {
-		if p := run(t, "n1", fmt.Sprintf(`(label "t") (bind %q) (join %q)`, free(t), bind)); p.door != "" {
+	for end := time.Now().Add(testTimeout); next == nil; {
+		if p := run(t, "n1", fmt.Sprintf(`(label "t") (bind %q) (join %q)`, freeAddress(t), bind)); p.admin != "" {
 			next = p
 		} else if time.Now().After(end) {
 			t.Fatal("the name stays taken")
@@ -241,40 +241,40 @@
 		}
 		return s.Members == 1 && s.Heard == 1
 	}
-	until(t, door, "the successor", successor)
+	waitForStatus(t, door, "the successor", successor)
 	first.signal(t, syscall.SIGCONT)
-	until(t, door, "that the first is refused", func(s *status) bool { return s.Refused["old"] > 0 })
+	waitForStatus(t, door, "the first process refused", func(s *status) bool { return s.Refused["old"] > 0 })
 	for range 30 {
-		if s, out := ask(t, door); s == nil || !successor(s) {
-			t.Fatalf("the first is believed in its successor's place\n%s", out)
+		if s, out := fetchStatus(t, door); s == nil || !successor(s) {
+			t.Fatalf("the first process counts instead of its successor\n%s", out)
 		}
 	}
 }
 
-// Two fleets at one address do not mix.
-func TestAnotherFleetsLabel(t *testing.T) {
-	bind := free(t)
+// Fleets with different labels do not mix, even at the same address.
+func TestFleetLabelsSeparateFleets(t *testing.T) {
+	bind := freeAddress(t)
 	door := start(t, "n0", fmt.Sprintf(`(label "ours") (bind %q) (every 100ms)`, bind))
 	theirs, _ := peer(t, "p", "theirs", 1, bind)
 	defer theirs.Leave()
 	ours, _ := peer(t, "q", "ours", 1, bind)
 	defer ours.Leave()
-	until(t, door, "the one of this fleet", func(s *status) bool { return s.Members == 1 })
+	waitForStatus(t, door, "the one of this fleet", func(s *status) bool { return s.Members == 1 })
 	if h := theirs.Take(); len(h.Members) != 0 {
 		t.Errorf("a member of another fleet sees %d of this one", len(h.Members))
 	}
 }
 
-// What can't be had ends the start with code 2 and one line that names it.
-func TestRefusedStarts(t *testing.T) {
+// A start with settings that cannot be met ends with exit code 2 and a line that names the setting.
+func TestStartErrors(t *testing.T) {
 	standIn, taken := peer(t, "n0", "t", 1)
 	defer standIn.Leave()
 	for name, c := range map[string]struct{ fleet, want string }{
-		"a name that a live member has":     {fmt.Sprintf(`(label "t") (bind %q) (join %q)`, free(t), taken), "the name n0 is taken by the live member at " + taken},
-		"an address that can't be bound":    {fmt.Sprintf(`(label "t") (bind %q)`, taken), "fleet.bind: " + taken},
-		"an address that is none":           {`(label "t") (bind "here")`, `fleet.bind: "here": want an IP address and a port`},
-		"a key that nobody knows":           {`(label "t") (bind "127.0.0.1:1") (gossip 3)`, "gossip"},
-		"news that is believed for no time": {`(label "t") (bind "127.0.0.1:1") (every 1s) (believe 1s)`, "fleet.believe: 1s is under two reports"},
+		"name of a live member":     {fmt.Sprintf(`(label "t") (bind %q) (join %q)`, freeAddress(t), taken), "the name n0 is taken by the live member at " + taken},
+		"address in use":            {fmt.Sprintf(`(label "t") (bind %q)`, taken), "fleet.bind: " + taken},
+		"invalid address":           {`(label "t") (bind "here")`, `fleet.bind: "here": want an IP address and a port`},
+		"unknown key":               {`(label "t") (bind "127.0.0.1:1") (gossip 3)`, "gossip"},
+		"believe below two reports": {`(label "t") (bind "127.0.0.1:1") (every 1s) (believe 1s)`, "fleet.believe: 1s is under two reports"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cmd := command(t, "n0", c.fleet)
@@ -283,7 +283,7 @@
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
-			stop := time.AfterFunc(bound, func() { cmd.Process.Kill() })
+			stop := time.AfterFunc(testTimeout, func() { cmd.Process.Kill() })
 			defer stop.Stop()
 			cmd.Wait()
 			if code := cmd.ProcessState.ExitCode(); code != 2 || !strings.Contains(log.String(), c.want) {
--- a/cmd/granitewing-store/main.go
+++ b/cmd/granitewing-store/main.go
@@ -1,5 +1,5 @@
-// Command granitewing-store is the dispatcher with its store of record. It is a build of its own, so that the platform's
-// carries no database.
+// Command granitewing-store is the dispatcher with a store of record (SQLite or PostgreSQL). It is a separate build,
+// so that the platform's build links no database.
 package main
 
 import (
--- a/cmd/granitewing/main.go
+++ b/cmd/granitewing/main.go
@@ -1,5 +1,5 @@
-// Command granitewing is one dispatcher on real sockets. Without arguments the environment tells it where its
-// configuration is; its verbs are for other installations.
+// Command granitewing is a single dispatcher. Without arguments it reads its configuration from the file that the
+// environment names, as the platform starts it; its verbs are for other installations.
 package main
 
 import "granitewing/internal/cli"
--- a/cmd/granitewing/main_test.go
+++ b/cmd/granitewing/main_test.go
@@ -22,8 +22,8 @@
 	"granitewing/internal/testing/exchange"
 )
 
-// patience is how long a test waits for what must come; it only ends tests that have failed.
-const patience = 30 * time.Second
+// testTimeout is how long a test waits for an expected event; it only ends tests that have failed.
+const testTimeout = 30 * time.Second
 
 var binary string
 
@@ -41,8 +41,8 @@
 	os.Exit(code)
 }
 
-// Hosts here are not taken to tell of starts: where they do, a job that has not started within milliseconds may be
-// given up, and what a test sees would depend on how busy the machine is.
+// Hosts are configured as not reporting starts (TellsStart). If they did, a job that has not started within
+// milliseconds could be given up, and the result would depend on the load of the machine.
 const config = `{"name":"n1","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"1f",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"revision":41,"complete":true,"members":[MEMBERS]},
  "settings":{"Zones":["dakar"],"Skus":["m1"],"Resolution":2000,"FamilyInfo":{"TellsStart":false},
@@ -51,20 +51,20 @@
    {"Name":"alert","Aim":750000,"Deadline":6000000,"Semantics":"non_idempotent"}],
   "Limits":{"MaxAttempts":3,"MaxRetryAfter":2000000,"Cancelling":true,"ConnectTimeout":5000000,"ConnIdle":30000000}}}`
 
-// world is one running program and those who speak with it.
-type world struct {
-	t         *testing.T
-	cmd       *exec.Cmd
-	lines     chan string // of its log
-	listeners map[string]net.Listener
-	peers     map[string]*peer
-	addrs     *strings.Replacer // names for addresses
-	addrsOf   *strings.Replacer // addresses for names
-	listen    string
-	door      string // the operators' door, where the configuration names one
-	tmp       string // $TMPDIR of the program
-	path      string // of the configuration
-	text      string // what it held at the start, with names for addresses
+// harness is a running program and the peers that talk to it.
+type harness struct {
+	t             *testing.T
+	cmd           *exec.Cmd
+	logLines      chan string // lines of its log
+	listeners     map[string]net.Listener
+	peers         map[string]*peer
+	namesForAddrs *strings.Replacer // replaces addresses by names
+	addrsForNames *strings.Replacer // replaces names by addresses
+	listen        string
+	admin         string // address of the admin endpoint, if the configuration has one
+	tmp           string // $TMPDIR of the program
+	configPath    string // of the configuration file
+	configText    string // configuration at the start, with names instead of addresses
 }
 
 type peer struct {
@@ -72,10 +72,10 @@
 	r *bufio.Reader
 }
 
-// start starts the program with hosts in its cached list; changes are pairs of what stands in the configuration
-// and what shall.
-func start(t *testing.T, hosts, changes []string) *world {
-	w := &world{t: t, lines: make(chan string, 100), listeners: map[string]net.Listener{}, peers: map[string]*peer{}}
+// start starts the program with hosts in its cached list; changes holds pairs of old and new texts in the
+// configuration.
+func start(t *testing.T, hosts, changes []string) *harness {
+	w := &harness{t: t, logLines: make(chan string, 100), listeners: map[string]net.Listener{}, peers: map[string]*peer{}}
 	var members, names, back []string
 	for _, name := range append([]string{"discovery"}, hosts...) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -91,20 +91,21 @@
 				name, ln.Addr()))
 		}
 	}
-	w.addrs, w.addrsOf = strings.NewReplacer(names...), strings.NewReplacer(back...)
-	w.text = strings.NewReplacer(append(changes, "MEMBERS", strings.Join(members, ","))...).Replace(config)
-	w.path = filepath.Join(t.TempDir(), "config.json")
+	w.namesForAddrs, w.addrsForNames = strings.NewReplacer(names...), strings.NewReplacer(back...)
+	w.configText = strings.NewReplacer(append(changes, "MEMBERS", strings.Join(members, ","))...).Replace(config)
+	w.configPath = filepath.Join(t.TempDir(), "config.json")
 	w.configure("DISCOVERY", "discovery")
 	w.tmp = t.TempDir()
-	w.cmd = w.launch(w.lines)
-	w.listen, w.door = w.addresses(w.lines)
+	w.cmd = w.launch(w.logLines)
+	w.listen, w.admin = w.addresses(w.logLines)
 	return w
 }
 
-// launch starts the program once more with the world's configuration, $TMPDIR and what env adds; lines gets its log.
-func (w *world) launch(lines chan string, env ...string) *exec.Cmd {
+// launch starts another process of the program with the harness's configuration, $TMPDIR and the variables in env;
+// lines receives its log.
+func (w *harness) launch(lines chan string, env ...string) *exec.Cmd {
 	cmd := exec.Command(binary)
-	cmd.Env = append(os.Environ(), append([]string{"ROUTER_CONFIG=" + w.path, "TMPDIR=" + w.tmp,
+	cmd.Env = append(os.Environ(), append([]string{"ROUTER_CONFIG=" + w.configPath, "TMPDIR=" + w.tmp,
 		"ROUTER_DISCOVERY=" + w.listeners["discovery"].Addr().String()}, env...)...)
 	log, err := cmd.StderrPipe()
 	if err != nil {
@@ -123,35 +124,35 @@
 	return cmd
 }
 
-// addresses waits for the addresses that a program logs, its door's where it has one.
-func (w *world) addresses(lines chan string) (listen, door string) {
-	if strings.Contains(w.text, `"management"`) {
+// addresses waits for the addresses that a program logs: of its listener and, if configured, its admin endpoint.
+func (w *harness) addresses(lines chan string) (listen, door string) {
+	if strings.Contains(w.configText, `"management"`) {
 		_, door, _ = strings.Cut(w.awaitOn(lines, "msg=door"), "addr=")
 	}
 	_, listen, _ = strings.Cut(w.awaitOn(lines, "msg=listening"), "addr=")
 	return listen, door
 }
 
-// configure writes the configuration with something changed in it, to the address of a listener where it is one's.
-func (w *world) configure(old, now string) {
+// configure writes the configuration with old replaced by now, or by the address of the listener named now.
+func (w *harness) configure(old, now string) {
 	w.t.Helper()
 	if ln := w.listeners[now]; ln != nil {
 		now = ln.Addr().String()
 	}
-	if err := os.WriteFile(w.path, []byte(strings.ReplaceAll(w.text, old, now)), 0o600); err != nil {
+	if err := os.WriteFile(w.configPath, []byte(strings.ReplaceAll(w.configText, old, now)), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// await waits for a line of the log.
-func (w *world) await(part string) string {
+// await waits for a log line that contains part and returns it.
+func (w *harness) await(part string) string {
 	w.t.Helper()
-	return w.awaitOn(w.lines, part)
+	return w.awaitOn(w.logLines, part)
 }
 
-func (w *world) awaitOn(lines chan string, part string) string {
+func (w *harness) awaitOn(lines chan string, part string) string {
 	w.t.Helper()
-	limit := time.After(patience)
+	limit := time.After(testTimeout)
 	for {
 		select {
 		case line, ok := <-lines:
@@ -167,8 +168,8 @@
 	}
 }
 
-// peer gives the connection of that name, made or accepted when it is first named.
-func (w *world) peer(name string) *peer {
+// peer returns the connection with a name. It is made or accepted when the name is first used.
+func (w *harness) peer(name string) *peer {
 	w.t.Helper()
 	if p := w.peers[name]; p != nil {
 		return p
@@ -177,28 +178,28 @@
 	var c net.Conn
 	var err error
 	if ln := w.listeners[who]; ln != nil {
-		ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+		ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 		c, err = ln.Accept()
 	} else if strings.HasPrefix(who, "door") {
-		c, err = net.Dial("tcp", w.door)
+		c, err = net.Dial("tcp", w.admin)
 	} else {
 		c, err = net.Dial("tcp", w.listen)
 	}
 	if err != nil {
-		for len(w.lines) > 0 {
-			w.t.Log(<-w.lines)
+		for len(w.logLines) > 0 {
+			w.t.Log(<-w.logLines)
 		}
 		w.t.Fatalf("%s: %v", name, err)
 	}
 	w.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	w.peers[name] = &peer{c, bufio.NewReader(c)}
 	return w.peers[name]
 }
 
 var varies = regexp.MustCompile(`(X-Remaining|Retry-After): [0-9.]+`)
 
-// message reads one whole message as it came, but for addresses and times.
+// message reads one whole message; addresses and times in it are replaced later.
 func (p *peer) message() (string, error) {
 	var raw bytes.Buffer
 	tee := textproto.NewReader(bufio.NewReaderSize(io.TeeReader(oneByte{p.r}, &raw), 16))
@@ -214,21 +215,21 @@
 	return raw.String(), err
 }
 
-// oneByte keeps a buffered reader on top from reading past the head.
+// oneByte keeps a buffered reader on top of it from reading past the message's head.
 type oneByte struct{ io.Reader }
 
 func (o oneByte) Read(b []byte) (int, error) { return o.Reader.Read(b[:min(len(b), 1)]) }
 
-// step plays one section.
-func (w *world) step(title string, data []byte) {
+// step executes one section of a scenario.
+func (w *harness) step(title string, data []byte) {
 	w.t.Helper()
 	who, what, _ := strings.Cut(title, " ")
 	switch what {
-	case "asks": // a line to the door, as it stands
+	case "asks": // writes a line to the admin endpoint, unchanged
 		if _, err := w.peer(who).Write(data); err != nil {
 			w.t.Fatalf("%s: %v", title, err)
 		}
-	case "is answered": // all that the door writes before it closes, as it stands
+	case "is answered": // compares all output of the admin endpoint until it closes
 		got, err := io.ReadAll(w.peer(who).r)
 		if err != nil {
 			w.t.Fatalf("%s: %v after %q", title, err, got)
@@ -236,8 +237,8 @@
 		if diff := cmp.Diff(string(data), string(got)); diff != "" {
 			w.t.Fatalf("%s (-want +got):\n%s", title, diff)
 		}
-	case "sends": // with addresses put in for {names}
-		if _, err := w.peer(who).Write(exchange.Bytes([]byte(w.addrsOf.Replace(string(data))))); err != nil {
+	case "sends": // with addresses in place of {names}
+		if _, err := w.peer(who).Write(exchange.Bytes([]byte(w.addrsForNames.Replace(string(data))))); err != nil {
 			w.t.Fatalf("%s: %v", title, err)
 		}
 	case "gets":
@@ -245,20 +246,20 @@
 		if err != nil {
 			w.t.Fatalf("%s: %v after %q", title, err, got)
 		}
-		got = varies.ReplaceAllString(w.addrs.Replace(got), "$1: *")
+		got = varies.ReplaceAllString(w.namesForAddrs.Replace(got), "$1: *")
 		if diff := cmp.Diff(string(exchange.Bytes(data)), got); diff != "" {
 			w.t.Fatalf("%s (-want +got):\n%s", title, diff)
 		}
-	case "tells": // a watch's answer in which a list stands, with addresses put in for {names}
-		list := w.addrsOf.Replace(string(data))
+	case "tells": // answers a watch with a list, with addresses in place of {names}
+		list := w.addrsForNames.Replace(string(data))
 		if _, err := fmt.Fprintf(w.peer(who), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list); err != nil {
 			w.t.Fatalf("%s: %v", title, err)
 		}
-	case "logs": // a line with that text
+	case "logs": // waits for a log line with that text
 		w.await(strings.TrimSpace(string(data)))
 	case "connects":
 		w.peer(who)
-	case "floods": // with so many bytes, and waits until all are taken
+	case "floods": // sends that number of zero bytes and waits until all are written
 		n, _ := strconv.Atoi(strings.TrimSpace(string(data)))
 		if _, err := w.peer(who).Write(make([]byte, n)); err != nil {
 			w.t.Fatalf("%s: %v", title, err)
@@ -283,20 +284,20 @@
 		if err := w.cmd.Wait(); err != nil {
 			w.t.Fatalf("%s: %v", title, err)
 		}
-	case "gets SIGHUP": // with a configuration in which one thing is changed, and the line that it shall log
+	case "gets SIGHUP": // changes one item of the configuration and waits for a log line
 		f := strings.Fields(string(data))
 		w.configure(f[0], f[1])
 		w.cmd.Process.Signal(syscall.SIGHUP)
-		w.await(strings.Replace(strings.Join(f[2:], " "), "CONFIG", w.path, 1))
-	case "listens no more":
+		w.await(strings.Replace(strings.Join(f[2:], " "), "CONFIG", w.configPath, 1))
+	case "stops listening":
 		w.listeners[who].Close()
 	default:
 		w.t.Fatalf("unknown step %q", title)
 	}
 }
 
-// TestExchanges plays recorded exchanges against the running program. The comment of each file starts with a
-// line that names its hosts; behind "with" stand changes to the configuration.
+// TestExchanges runs the scenarios in testdata against the program. The first line of each file's comment names its
+// hosts; changes to the configuration follow "with".
 func TestExchanges(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
@@ -316,10 +317,10 @@
 	}
 }
 
-// A configuration that can't be used ends the program at once and names what is wrong.
+// A configuration that cannot be used ends the program at once with an error that names the fault.
 func TestBadConfiguration(t *testing.T) {
 	good := strings.NewReplacer("DISCOVERY", "127.0.0.1:1", "MEMBERS", "").Replace(config)
-	for _, c := range []struct{ old, now, say string }{
+	for _, c := range []struct{ old, now, want string }{
 		{`"settings":{`, `"settings":{}, "old":{`, "Classes.count"},
 		{`127.0.0.1:0`, `nowhere`, "listen"},
 		{`"sockets":1024`, `"sockets":0`, "limits.sockets"},
@@ -337,8 +338,8 @@
 		cmd := exec.Command(binary)
 		cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+path)
 		out, err := cmd.CombinedOutput()
-		if err == nil || !strings.Contains(string(out), c.say) {
-			t.Errorf("error %v, output %q; want one that names %s", err, out, c.say)
+		if err == nil || !strings.Contains(string(out), c.want) {
+			t.Errorf("error %v, output %q; want one that names %s", err, out, c.want)
 		}
 	}
 	cmd := exec.Command(binary)
@@ -348,8 +349,8 @@
 	}
 }
 
-// A new process of the same dispatcher takes over under load: it shares the clients' address and $TMPDIR, holds the
-// cordons of the old one, and after SIGTERM the old one takes no new connection but ends what it holds and exits.
+// A new process of the same dispatcher takes over under load: it shares the clients' address and $TMPDIR and keeps the
+// old one's cordons. After SIGTERM the old one accepts no new connections, finishes what it holds and exits.
 func TestUpgrade(t *testing.T) {
 	w := start(t, []string{"a", "b"}, []string{`"listen":"127.0.0.1:0",`, `"listen":"127.0.0.1:0","management":"127.0.0.1:0",`})
 	held := "POST /readings HTTP/1.1\nHost: api\nX-Txn: tNAME\nX-Remaining: 60\n\n"
@@ -361,7 +362,7 @@
 	} {
 		w.step(step.title, []byte(step.data))
 	}
-	// The new process: another door, all else the same.
+	// The new process has another admin address; all else is the same.
 	next := make(chan string, 100)
 	cmd := w.launch(next, "ROUTER_LISTEN="+w.listen, "ROUTER_MANAGEMENT=127.0.0.1:0")
 	if listen, _ := w.addresses(next); listen != w.listen {
@@ -371,9 +372,9 @@
 	if line := w.await("stopping"); !strings.Contains(line, "successor=true") {
 		t.Fatalf("the old process did not see the new one: %s", line)
 	}
-	// What stood in the old one's queue is its own; every connection from then on is the new process's. That holds the
-	// cordon, so b runs this one too.
-	w.await("listens no more")
+	// Connections in the old process's queue stay with it; all later ones go to the new process. It keeps the cordon, so
+	// b runs this request too.
+	w.await("listener stopped")
 	for _, step := range []struct{ title, data string }{
 		{"client/2 sends", strings.Replace(held, "NAME", "2", 1)},
 		{"b/2 gets", "POST /readings HTTP/1.1\nHost: {b}\nX-Txn: t2\nX-Lane: readings\nX-Remaining: *\nContent-Length: 0\n\n"},
--- a/cmd/granitewing/size_test.go
+++ b/cmd/granitewing/size_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// BenchmarkProcessBySize is what a process needs by the number of servers listed: resident memory with the list and after
-// some requests, processor time of an idle second and of a request. Run it with -benchtime 1x.
+// BenchmarkProcessBySize measures a process for several numbers of listed servers: resident memory with the list and
+// after some requests, CPU time of an idle second and of a request. Run it with -benchtime 1x.
 func BenchmarkProcessBySize(b *testing.B) {
 	program := filepath.Join(b.TempDir(), "granitewing")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
@@ -38,8 +38,8 @@
 )
 
 func measureProcess(b *testing.B, program string, servers int) {
-	server := answering(b)
-	discovery, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and says nothing more than its list
+	server := startServer(b)
+	discovery, err := net.Listen("tcp", "127.0.0.1:0") // accepts watches; its list never changes
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	for i := range servers {
 		members = append(members, fmt.Sprintf(`{"id":"s-%06x","host_port":"%s","locality":"dakar","flavor":"m1","phase":"ready"}`, i+1, server))
 	}
-	go watched(discovery)
+	go serveWatches(discovery)
 	text := strings.NewReplacer("DISCOVERY", discovery.Addr().String(), "MEMBERS", strings.Join(members, ",")).Replace(config)
 	path := filepath.Join(b.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -74,7 +74,7 @@
 	go io.Copy(io.Discard, log)
 	pid := cmd.Process.Pid
 	before := processorTime(b, pid)
-	time.Sleep(idleSpan) // the span that is measured
+	time.Sleep(idleSpan) // the measured interval
 	b.ReportMetric(float64((processorTime(b, pid)-before).Milliseconds())/idleSpan.Seconds(), "idle-ms/s")
 	b.ReportMetric(resident(b, pid), "listed-MB")
 	before = processorTime(b, pid)
@@ -95,8 +95,8 @@
 	b.ReportMetric(resident(b, pid), "served-MB")
 }
 
-// answering is the address of a server that serves each request at once.
-func answering(b *testing.B) string {
+// startServer starts a server that serves each request at once and returns its address.
+func startServer(b *testing.B) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -110,8 +110,8 @@
 	return ln.Addr().String()
 }
 
-// watched keeps watches alive that have nothing to tell.
-func watched(ln net.Listener) {
+// serveWatches keeps watches open that have no changes to report.
+func serveWatches(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -124,13 +124,13 @@
 				if _, err := io.WriteString(c, "1\r\n\n\r\n"); err != nil {
 					return
 				}
-				time.Sleep(2 * time.Second) // the protocol's line while nothing changes
+				time.Sleep(2 * time.Second) // the protocol's keep-alive line
 			}
 		}()
 	}
 }
 
-// processorTime is what a process has used, in ticks of 10 ms.
+// processorTime returns the CPU time that a process has used, in ticks of 10 ms.
 func processorTime(b *testing.B, pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -142,7 +142,7 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// resident is the resident memory of a process in MB.
+// resident returns the resident memory of a process in MB.
 func resident(b *testing.B, pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,6 @@
-// Package cli is the command line that all builds of the dispatcher share.
+// Package cli is the command line that all builds of the dispatcher share. Main parses the arguments and runs a verb:
+// serve, check, records, fleet or version. Without arguments it serves with the configuration that the environment
+// names. The exit code is 0, 1 after an error, or 2 after wrong usage or invalid settings.
 package cli
 
 import (
@@ -14,7 +16,7 @@
 	"granitewing/internal/settings"
 )
 
-// commands are the verbs.
+// commands lists the verbs.
 type commands struct {
 	Serve   serve   `cmd:"" help:"Serve until SIGTERM. Example: granitewing serve --config deploy/example.json --settings site.sexp"`
 	Check   check   `cmd:"" help:"Read configuration and settings and say what is wrong or what they mean. Example: granitewing check --config deploy/example.json"`
@@ -23,13 +25,13 @@
 	Version version `cmd:"" help:"Print the version and exit."`
 }
 
-// files are the flags that name what is read.
+// files holds the flags that name the files to read.
 type files struct {
 	Config   string `help:"The platform's configuration, JSON; goes before ROUTER_CONFIG." placeholder:"FILE"`
 	Settings string `help:"The product's own settings, S-expressions." placeholder:"FILE"`
 }
 
-// env is the environment with the flags before it.
+// env returns an environment variable; the flag --config takes precedence over ROUTER_CONFIG.
 func (f files) env(name string) string {
 	if name == "ROUTER_CONFIG" {
 		return cmp.Or(f.Config, os.Getenv(name))
@@ -43,7 +45,7 @@
 }
 
 func (s *serve) Run() error {
-	own, err := lifecycle.ReadSettings(s.Settings)
+	product, err := lifecycle.ReadSettings(s.Settings)
 	var bad *settings.Error
 	switch {
 	case errors.As(err, &bad):
@@ -51,16 +53,16 @@
 	case err != nil:
 		return err
 	}
-	own.Log.Format = cmp.Or(s.Log, own.Log.Format)
-	return lifecycle.Run(s.env, own, own.Log.Logger(os.Stderr))
+	product.Log.Format = cmp.Or(s.Log, product.Log.Format)
+	return lifecycle.Run(s.env, product, product.Log.Logger(os.Stderr))
 }
 
 type check struct{ files }
 
 func (c *check) Run() error {
-	// Both are read whatever the other says, so that one call names the faults of both.
-	own, err := lifecycle.ReadSettings(c.Settings)
-	return errors.Join(err, lifecycle.Describe(os.Stdout, c.env, own))
+	// Both files are read even if the first has errors, so that one call reports the errors of both.
+	product, err := lifecycle.ReadSettings(c.Settings)
+	return errors.Join(err, lifecycle.Describe(os.Stdout, c.env, product))
 }
 
 type version struct{}
@@ -68,7 +70,7 @@
 func (version) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("the build holds no version")
+		return errors.New("the build has no version information")
 	}
 	revision := "unknown"
 	for _, s := range info.Settings {
@@ -80,7 +82,7 @@
 	return nil
 }
 
-// Main runs the program named by name with the verbs that all its builds have.
+// Main runs the program under the given name and exits with its code if that is not 0.
 func Main(name string) {
 	var err error
 	if len(os.Args) == 1 {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -48,8 +48,8 @@
 
 const example = "../../deploy/example.json"
 
-// What check says of tenants, copies and retries, which not every deployment has.
-func TestCheckTellsWhatDiffersBetweenDeployments(t *testing.T) {
+// The check verb describes tenants, copies and retries only for configurations that have them.
+func TestCheckDescribesOptionalSettings(t *testing.T) {
 	text, err := os.ReadFile(example)
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 	}
 }
 
-// What check says of good and bad settings; each fault has its place.
+// The check verb describes valid settings and reports the position of each fault in invalid ones.
 func TestCheck(t *testing.T) {
 	good := write(t, `(granitewing (log (format json)) (record (store sqlite "x.db") (class alert-send before) (class ingest-batch told (repeat 40s))))`)
 	out, log, code := call(t, binary, "check", "--config", example, "--settings", good)
@@ -94,7 +94,7 @@
 		`(granitewing (record (store sqlite "x") (class alert-send before) (class alert-send off)))`:                         `class "alert-send" is given twice`,
 		`(granitewing (record (store sqlite "x") (class latest-readings behind (repeat 1s))))`:                               "only what is durable before its client is told",
 		`(granitewing (record (store mysql "x")))`:                                                                           "want one of sqlite, postgres",
-		`(granitewing (fleet (label "x") (bind "127.0.0.1:1") (limits (keepers n0) (limit a (class alert-send) (open 0)))))`: "own.sexp:1:75: fleet.limits.limit.open: 0: a limit of nothing",
+		`(granitewing (fleet (label "x") (bind "127.0.0.1:1") (limits (keepers n0) (limit a (class alert-send) (open 0)))))`: "own.sexp:1:75: fleet.limits.limit.open: 0: a limit must be above 0",
 		`(granitewing (fleet (label "x") (bind "127.0.0.1:1") (limits (keepers n0) (limit a (class nothing) (rate 3)))))`:    `no class "nothing"`,
 		`(granitewing (log (format loud)))`:                                                                                  "want one of auto, text, json",
 	} {
@@ -105,15 +105,15 @@
 	}
 }
 
-// Wrong usage, builds without a store, stores that are not there: one line each and the right exit code.
-func TestRefused(t *testing.T) {
+// Wrong usage, builds without a store and missing stores give one line each and the right exit code.
+func TestUsageAndStoreErrors(t *testing.T) {
 	own := write(t, `(granitewing (record (store sqlite "/nowhere/x.db")))`)
 	plain := filepath.Join(filepath.Dir(binary), "granitewing")
 	for name, c := range map[string]struct {
 		program string
 		args    []string
 		code    int
-		say     string
+		want    string
 	}{
 		"unknown verb":       {binary, []string{"dance"}, 2, "unexpected argument dance"},
 		"unknown flag":       {plain, []string{"serve", "--fast"}, 2, "unknown flag --fast"},
@@ -123,11 +123,11 @@
 		"build without one":  {plain, []string{"serve", "--config", example, "--settings", own}, 1, "this build has no store of record; bin/granitewing-store has"},
 		"serve can't open":   {binary, []string{"serve", "--config", example, "--settings", own}, 1, "check that the folder is there and may be written"},
 		"settings not there": {binary, []string{"serve", "--config", example, "--settings", "/nowhere"}, 1, "no such file"},
-		"prune without time": {binary, []string{"records", "prune", "--settings", own, "--older", "0s"}, 1, "--older wants a time above 0"},
+		"prune without time": {binary, []string{"records", "prune", "--settings", own, "--older", "0s"}, 1, "--older must be above 0"},
 	} {
 		_, log, code := call(t, c.program, c.args...)
-		if code != c.code || !strings.Contains(log, c.say) || strings.Count(strings.TrimSpace(log), "\n") > 0 {
-			t.Errorf("%s: exit %d, want %d; %q lacks %q or has more", name, code, c.code, log, c.say)
+		if code != c.code || !strings.Contains(log, c.want) || strings.Count(strings.TrimSpace(log), "\n") > 0 {
+			t.Errorf("%s: exit %d, want %d; %q lacks %q or has more", name, code, c.code, log, c.want)
 		}
 	}
 	if out, _, code := call(t, plain, "version"); code != 0 || !strings.HasPrefix(out, "granitewing ") {
@@ -135,14 +135,14 @@
 	}
 }
 
-// The verbs over a store that a dispatcher has begun and that holds nothing.
+// The records verbs work on a store that a dispatcher has created and that holds no records.
 func TestRecordsVerbs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.db")
 	own := write(t, fmt.Sprintf(`(granitewing (record (store sqlite %q)))`, path))
 	for _, c := range []struct {
 		args []string
 		code int
-		say  string
+		want string
 	}{
 		{[]string{"settle", "--instance", "n9"}, 0, "0 settled as failed (may have run), 0 as refused (never ran)"},
 		{[]string{"verify"}, 0, "0 records, all good"},
@@ -152,7 +152,7 @@
 		{[]string{"show", "nothing"}, 1, "no record of nothing"},
 	} {
 		out, log, code := call(t, binary, append([]string{"records", c.args[0], "--settings", own}, c.args[1:]...)...)
-		if code != c.code || !strings.Contains(out+log, c.say) {
+		if code != c.code || !strings.Contains(out+log, c.want) {
 			t.Errorf("%v: exit %d, want %d; %q %q", c.args, code, c.code, out, log)
 		}
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// fleet are the verbs of a fleet whose members share what they hold.
+// fleet lists the verbs for a fleet, whose members exchange load reports.
 type fleet struct {
 	Status fleetStatus `cmd:"" help:"Ask a running dispatcher's door who is in its fleet, how old their news is and what was refused. Example: granitewing-fleet fleet status --door 127.0.0.1:9100"`
 }
@@ -24,42 +24,42 @@
 	JSON bool   `help:"Results as JSON."`
 }
 
-// status is what a door tells of the fleet.
+// status is a dispatcher's view of its fleet, read from its admin endpoint.
 type status struct {
-	Members int            `json:"members"` // others that are there
-	Heard   int            `json:"heard"`   // of them, those whose news counts
+	Members int            `json:"members"` // other live members
+	Heard   int            `json:"heard"`   // of these, members whose reports count
 	Reports int            `json:"reports"`
 	Refused map[string]int `json:"refused"`
-	Peers   []peer         `json:"peers"`
-	Dealer  string         `json:"dealer,omitempty"` // of the limits, as far as this dispatcher knows
+	Peers   []peerStatus   `json:"peers"`
+	Dealer  string         `json:"dealer,omitempty"` // dealer of the limits, as far as this dispatcher knows
 	Limits  []*limitStatus `json:"limits,omitempty"`
 	Price   *priceStatus   `json:"price,omitempty"`
 }
 
-type peer struct {
+type peerStatus struct {
 	Name        string  `json:"name"`
 	Incarnation string  `json:"incarnation"`
 	State       string  `json:"state"`
-	Speaks      int     `json:"speaks_for"` // dispatchers, itself included where it is one of them
+	Speaks      int     `json:"speaks_for"` // number of dispatchers that the reports cover, the reporter included if it is one of them
 	Age         float64 `json:"news_age_s"`
 }
 
-// doorLimit bounds the call; a door answers within a second.
-const doorLimit = 2 * time.Second
+// adminTimeout bounds the whole call; an admin endpoint answers within a second.
+const adminTimeout = 2 * time.Second
 
 func (f *fleetStatus) Run() error {
-	c, err := net.DialTimeout("tcp", f.Door, doorLimit)
+	c, err := net.DialTimeout("tcp", f.Door, adminTimeout)
 	if err != nil {
-		return fmt.Errorf("door: %w", err)
+		return fmt.Errorf("admin endpoint: %w", err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(doorLimit))
+	c.SetDeadline(time.Now().Add(adminTimeout))
 	if _, err := io.WriteString(c, "counters\n"); err != nil {
-		return fmt.Errorf("door: %w", err)
+		return fmt.Errorf("admin endpoint: %w", err)
 	}
 	text, err := io.ReadAll(io.LimitReader(c, 8<<20))
 	if err != nil {
-		return fmt.Errorf("door: %w", err)
+		return fmt.Errorf("admin endpoint: %w", err)
 	}
 	s, err := readStatus(string(text))
 	if err != nil {
@@ -81,7 +81,7 @@
 	peerLine    = regexp.MustCompile(`^router_fleet_news_age_seconds\{member="((?:[^"\\]|\\.)*)",incarnation="(\d+)",state="(\w+)",speaks_for="(\d+)"\} ([0-9.]+)$`)
 )
 
-// readStatus finds the fleet's figures among a door's.
+// readStatus extracts the fleet's metrics from the text of an admin endpoint.
 func readStatus(text string) (*status, error) {
 	s := &status{Refused: map[string]int{}, Members: -1}
 	for line := range strings.Lines(text) {
@@ -96,24 +96,24 @@
 		case "router_fleet_reports_total":
 			s.Reports = n
 		}
-		if p := (priceStatus{}); p.take(name, 0) {
+		if p := (priceStatus{}); p.set(name, 0) {
 			if s.Price == nil {
 				s.Price = &priceStatus{}
 			}
 			v, _ := strconv.ParseFloat(value, 64)
-			s.Price.take(name, v)
+			s.Price.set(name, v)
 		}
 		if m := refusedLine.FindStringSubmatch(line); m != nil {
 			s.Refused[m[1]], _ = strconv.Atoi(m[2])
 		} else if m := peerLine.FindStringSubmatch(line); m != nil {
 			speaks, _ := strconv.Atoi(m[4])
 			age, _ := strconv.ParseFloat(m[5], 64)
-			s.Peers = append(s.Peers, peer{m[1], m[2], m[3], speaks, age})
+			s.Peers = append(s.Peers, peerStatus{m[1], m[2], m[3], speaks, age})
 		} else if m := dealerLine.FindStringSubmatch(line); m != nil {
 			s.Dealer = m[1]
 		} else if m := limitLine.FindStringSubmatch(line); m != nil {
 			v, _ := strconv.ParseFloat(m[3], 64)
-			s.limit(m[2]).take(m[1], v)
+			s.limitNamed(m[2]).set(m[1], v)
 		}
 	}
 	if s.Members < 0 {
--- a/internal/cli/limits.go
+++ b/internal/cli/limits.go
@@ -6,25 +6,25 @@
 	"text/tabwriter"
 )
 
-// limitStatus is a limit of the fleet as one dispatcher has it.
+// limitStatus is one dispatcher's state of a fleet-wide limit.
 type limitStatus struct {
 	Name      string  `json:"name"`
 	Amount    float64 `json:"amount"`
-	Connected bool    `json:"connected"` // its rights count now; if not, it is cut off or the dealer waits
+	Connected bool    `json:"connected"` // its rights are valid; if not, it is cut off from the dealer or the dealer is not ready
 	Rights    float64 `json:"rights"`
 	Free      float64 `json:"free"`
 	Open      float64 `json:"open"`
 	Inside    float64 `json:"inside"`
 	Over      float64 `json:"over"`
 	ByFloor   float64 `json:"by_floor"`
-	Deals     bool    `json:"deals"` // it is the dealer; the rest is of its books
+	Deals     bool    `json:"deals"` // this dispatcher is the dealer; the fields below are from its books
 	Out       float64 `json:"dealt_out"`
 	Left      float64 `json:"left"`
 	Holders   float64 `json:"holders"`
 }
 
-// limit finds a limit by its name, or makes it.
-func (s *status) limit(name string) *limitStatus {
+// limitNamed returns the limit with a name, adding it if necessary.
+func (s *status) limitNamed(name string) *limitStatus {
 	for _, l := range s.Limits {
 		if l.Name == name {
 			return l
@@ -35,16 +35,16 @@
 	return l
 }
 
-// take takes one figure of the door.
-func (l *limitStatus) take(what string, v float64) {
+// set stores the value of a metric router_fleet_limit_NAME, given by NAME; unknown names are ignored.
+func (l *limitStatus) set(what string, v float64) {
 	l.Connected = l.Connected || what == "connected" && v == 1
-	l.Deals = l.Deals || what == "dealt_out" // only a dealer has books
-	into := map[string]*float64{
+	l.Deals = l.Deals || what == "dealt_out" // only a dealer reports this metric
+	fields := map[string]*float64{
 		"amount": &l.Amount, "rights": &l.Rights, "free": &l.Free, "open": &l.Open, "inside_total": &l.Inside, "over_total": &l.Over,
 		"by_floor_total": &l.ByFloor, "dealt_out": &l.Out, "dealer_left": &l.Left, "holders": &l.Holders,
 	}
-	if at := into[what]; at != nil {
-		*at = v
+	if field := fields[what]; field != nil {
+		*field = v
 	}
 }
 
--- a/internal/cli/prices.go
+++ b/internal/cli/prices.go
@@ -5,17 +5,17 @@
 	"io"
 )
 
-// priceStatus is what a door tells of the price at which its fleet lets jobs in.
+// priceStatus is the price at which a fleet admits jobs, as one dispatcher reports it.
 type priceStatus struct {
-	Price    float64 `json:"price"`             // worth of a slot-second
-	Asked    float64 `json:"asked_per_second"`  // slot-seconds
+	Price    float64 `json:"price"`             // value of a slot-second
+	Asked    float64 `json:"asked_per_second"`  // slot-seconds requested per second
 	Waits    float64 `json:"waits"`             // slot-seconds
-	Capacity float64 `json:"capacity"`          // slot-seconds a second
-	Heard    int     `json:"dispatchers_heard"` // this one among them
+	Capacity float64 `json:"capacity"`          // slot-seconds per second
+	Heard    int     `json:"dispatchers_heard"` // dispatchers whose load is known, this one included
 }
 
-// take takes a figure of the door's, if it is one of these.
-func (p *priceStatus) take(name string, v float64) bool {
+// set stores the value of a metric and reports whether it is one of these.
+func (p *priceStatus) set(name string, v float64) bool {
 	switch name {
 	case "router_fleet_price":
 		p.Price = v
--- a/internal/cli/records.go
+++ b/internal/cli/records.go
@@ -16,7 +16,7 @@
 	"granitewing/internal/record"
 )
 
-// records are the verbs for the store of record.
+// records lists the verbs for the store of record.
 type records struct {
 	List   recordsList   `cmd:"" help:"List records. Example: granitewing-store records list --settings site.sexp --class alert-send --verdict failed"`
 	Show   recordsShow   `cmd:"" help:"Show the records of one message, by its X-Txn. Example: granitewing-store records show --settings site.sexp 9b1f03aa5c7e2d41"`
@@ -26,21 +26,21 @@
 	Settle recordsSettle `cmd:"" help:"Close what a dispatcher that will not start again left open. Example: granitewing-store records settle --settings site.sexp --instance n3"`
 }
 
-// store is the flag that all of them have.
+// store holds the flag that all these verbs share.
 type store struct {
 	Settings string `help:"The product's own settings, which name the store." required:"" placeholder:"FILE"`
 }
 
 func (s store) open(use lifecycle.StoreUse, instance string) (record.Store, context.Context, func(), error) {
-	own, err := lifecycle.ReadSettings(s.Settings)
+	product, err := lifecycle.ReadSettings(s.Settings)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if own.Records == nil {
+	if product.Records == nil {
 		return nil, nil, nil, fmt.Errorf("%s: no (record …): it names no store", s.Settings)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	st, err := lifecycle.OpenStore(ctx, own.Records.Store, instance, use)
+	st, err := lifecycle.OpenStore(ctx, product.Records.Store, instance, use)
 	if err != nil {
 		stop()
 		return nil, nil, nil, err
@@ -48,7 +48,7 @@
 	return st, ctx, func() { st.Close(); stop() }, nil
 }
 
-// filter chooses records.
+// filter holds the flags that select records.
 type filter struct {
 	Instance string        `help:"Of one dispatcher." placeholder:"NAME"`
 	Class    string        `help:"Of one class." placeholder:"NAME"`
@@ -65,26 +65,26 @@
 	return q
 }
 
-// line is a record for programs.
-type line struct {
+// exportedRecord is the JSON form of a record.
+type exportedRecord struct {
 	Instance string `json:"instance"`
 	record.Record
 	VerdictName string `json:"verdict"`
 	MayHaveRun  bool   `json:"may_have_run"`
 }
 
-func toLine(instance string, r record.Record) line {
-	return line{instance, r, r.Verdict.String(), r.MayHaveRun()}
+func newExportedRecord(instance string, r record.Record) exportedRecord {
+	return exportedRecord{instance, r, r.Verdict.String(), r.MayHaveRun()}
 }
 
-func at(us int64) string {
+func formatTime(us int64) string {
 	if us == 0 {
 		return "-"
 	}
 	return time.UnixMicro(us).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-func hosts(r *record.Record) string {
+func formatAttempts(r *record.Record) string {
 	var out []string
 	for _, a := range r.Attempts {
 		result := string(a.Result)
@@ -110,7 +110,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "instance\tid\tname\tclass\ttaken\tanswered\tverdict\tattempts\tnote")
 	err = st.Query(ctx, l.query(), func(instance string, r record.Record) error {
-		_, err := fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", instance, r.ID, r.Name, r.Class, at(r.Taken), at(r.Answered), r.Verdict, hosts(&r), r.Note)
+		_, err := fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", instance, r.ID, r.Name, r.Class, formatTime(r.Taken), formatTime(r.Answered), r.Verdict, formatAttempts(&r), r.Note)
 		return err
 	})
 	return errors.Join(err, t.Flush())
@@ -130,11 +130,11 @@
 	found := false
 	err = st.Query(ctx, record.Query{Name: s.Name}, func(instance string, r record.Record) error {
 		found = true
-		fmt.Printf("%s, class %s, id %d of %s (step %d)\n  taken     %s\n  deadline  %s\n", r.Name, r.Class, r.ID, instance, r.Step, at(r.Taken), at(r.Deadline))
+		fmt.Printf("%s, class %s, id %d of %s (step %d)\n  taken     %s\n  deadline  %s\n", r.Name, r.Class, r.ID, instance, r.Step, formatTime(r.Taken), formatTime(r.Deadline))
 		for i, a := range r.Attempts {
-			fmt.Printf("  attempt %d to %s, sent %s, ended %s, started %t: %s\n", i+1, a.Host, at(a.Sent), at(a.Ended), a.Started, a.Result)
+			fmt.Printf("  attempt %d to %s, sent %s, ended %s, started %t: %s\n", i+1, a.Host, formatTime(a.Sent), formatTime(a.Ended), a.Started, a.Result)
 		}
-		fmt.Printf("  answered  %s: %s; may have run: %t\n", at(r.Answered), r.Verdict, r.MayHaveRun())
+		fmt.Printf("  answered  %s: %s; may have run: %t\n", formatTime(r.Answered), r.Verdict, r.MayHaveRun())
 		if r.Note != "" {
 			fmt.Printf("  note      %s\n", r.Note)
 		}
@@ -158,7 +158,7 @@
 	}
 	defer done()
 	out := json.NewEncoder(os.Stdout)
-	return st.Query(ctx, e.query(), func(instance string, r record.Record) error { return out.Encode(toLine(instance, r)) })
+	return st.Query(ctx, e.query(), func(instance string, r record.Record) error { return out.Encode(newExportedRecord(instance, r)) })
 }
 
 type recordsVerify struct{ store }
@@ -194,25 +194,25 @@
 
 func (p *recordsPrune) Run() error {
 	if p.Older <= 0 {
-		return errors.New("--older wants a time above 0")
+		return errors.New("--older must be above 0")
 	}
 	st, ctx, done, err := p.open(lifecycle.Repairing, "")
 	if err != nil {
 		return err
 	}
 	defer done()
-	before, sum := time.Now().Add(-p.Older).UnixMicro(), 0
+	before, deleted := time.Now().Add(-p.Older).UnixMicro(), 0
 	for {
 		n, err := st.Prune(ctx, before, 5000)
-		sum += n
+		deleted += n
 		if err != nil {
-			return fmt.Errorf("after %d deleted: %w", sum, err)
+			return fmt.Errorf("after %d deleted: %w", deleted, err)
 		}
 		if n == 0 {
 			break
 		}
 	}
-	fmt.Printf("%d records deleted\n", sum)
+	fmt.Printf("%d records deleted\n", deleted)
 	return nil
 }
 
@@ -222,7 +222,8 @@
 }
 
 func (s *recordsSettle) Run() error {
-	// Serving takes the instance's epoch, so that a dispatcher of that name which runs after all is fenced off.
+	// Opening the store for Serving takes over the instance's epoch, so that a dispatcher of that name that still runs is
+	// fenced off.
 	st, ctx, done, err := s.open(lifecycle.Serving, s.Instance)
 	if err != nil {
 		return err
--- a/internal/driver/accept.go
+++ b/internal/driver/accept.go
@@ -6,53 +6,55 @@
 	"time"
 )
 
-// How a listener that is shut is emptied.
+// Timing of the drain of the accept queue once the listener stops.
 const (
-	acceptGap  = 10 * time.Millisecond  // in which no connection comes: its queue is empty
-	acceptMost = 300 * time.Millisecond // where they keep coming, as they do while a successor shares the address
-	// With arrivals stopped only handshakes under way can still end. It is short, since opening packets that are dropped
-	// meanwhile are sent again a second later.
-	stoppedGap = 2 * time.Millisecond
+	acceptQuietPeriod = 10 * time.Millisecond  // no connection for this long means that the accept queue is empty
+	maxQueueDrain     = 300 * time.Millisecond // bound on the drain while connections keep arriving, as they do while a successor shares the address
+	// Once new connections are dropped, only handshakes already under way can still complete. The wait is short, since
+	// clients resend a dropped SYN a second later.
+	filteredQuietPeriod = 2 * time.Millisecond
 )
 
-// accept takes connections until the listener is shut, then those that are in its queue: the machine has accepted them, and
-// closing the listener resets them. Only while as many as may be open are all owed something do they wait there.
+// accept takes connections until the listener stops, then those left in its queue: the kernel has already accepted
+// them, and closing the listener would reset them. Connections wait in the queue only while the limit of open
+// connections is reached and none of them can be evicted.
 func (d *Driver) accept() {
 	defer d.post(func() {
-		d.refused = true
-		d.log.Info("listens no more")
+		d.acceptStopped = true
+		d.log.Info("listener stopped")
 	})
 	defer d.ln.Close()
 	for {
 		c, err := d.ln.Accept()
 		switch {
 		case err == nil:
-			if !d.hand(c) {
+			if !d.submitConn(c) {
 				return
 			}
-		case d.refusing():
-			d.emptyQueue()
+		case d.acceptStopping():
+			d.drainAcceptQueue()
 			return
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			// Out of descriptors or memory, most likely, or a fault of the network for a moment: those already taken must
-			// be served on, and the next tried again.
-			d.log.Error("accept", "cause", err)
-			if !d.pause(acceptRetry) {
+			// Most likely the process is out of descriptors or memory, or the network has a transient fault. Connections
+			// already accepted must still be served, so accepting is retried after a delay.
+			d.log.Error("accept failed", "cause", err)
+			if !d.sleep(acceptRetryDelay) {
 				return
 			}
 		}
 	}
 }
 
-// hand gives a connection to the owner and waits until there is room for the next; false at the end of the driver.
-func (d *Driver) hand(c net.Conn) bool {
+// submitConn passes a connection to the owner and waits until another one may be accepted. It returns false once the
+// driver has ended.
+func (d *Driver) submitConn(c net.Conn) bool {
 	next := make(chan struct{})
 	d.post(func() {
-		d.take(c)
-		d.full = next
-		d.room()
+		d.addDownstream(c)
+		d.nextAccept = next
+		d.admitNextConn()
 	})
 	select {
 	case <-next:
@@ -62,8 +64,8 @@
 	}
 }
 
-// pause waits; false if the driver ended meanwhile.
-func (d *Driver) pause(wait time.Duration) bool {
+// sleep waits for the given time; it returns false if the driver ended meanwhile.
+func (d *Driver) sleep(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -74,68 +76,70 @@
 	}
 }
 
-func (d *Driver) refusing() bool {
+func (d *Driver) acceptStopping() bool {
 	select {
-	case <-d.refuse:
+	case <-d.stopAccepting:
 		return true
 	default:
 		return false
 	}
 }
 
-// deadliner is a listener whose Accept can be ended without closing it.
-type deadliner interface{ SetDeadline(time.Time) error }
+// deadlineListener is a listener whose Accept can be interrupted without closing it.
+type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// shutListener has the listener take only what is in its queue; refused tells when that is done.
-func (d *Driver) shutListener() {
-	if d.shut {
+// stopListener makes the listener accept only what is already in its queue; acceptStopped is set once that is done.
+func (d *Driver) stopListener() {
+	if d.listenerStopped {
 		return
 	}
-	d.shut = true
-	close(d.refuse)
-	if ln, can := d.ln.(deadliner); can {
+	d.listenerStopped = true
+	close(d.stopAccepting)
+	if ln, can := d.ln.(deadlineListener); can {
 		ln.SetDeadline(time.Unix(1, 0))
 	} else {
 		d.ln.Close()
 	}
 }
 
-// emptyQueue takes what is left in the queue of a listener that is shut: until none comes for a while, and then, with
-// arrivals stopped, what came between the last look and that moment.
-func (d *Driver) emptyQueue() {
-	ln, can := d.ln.(deadliner)
+// drainAcceptQueue accepts what is left in the queue of a stopped listener. It first accepts until no connection
+// arrives for acceptQuietPeriod. It then drops new connections in the kernel and accepts those that arrived between
+// the last check and that moment.
+func (d *Driver) drainAcceptQueue() {
+	ln, can := d.ln.(deadlineListener)
 	if !can {
 		return
 	}
-	if !d.takeQueued(ln, acceptGap) {
+	if !d.acceptQueued(ln, acceptQuietPeriod) {
 		return
 	}
-	if err := stopArrivals(d.ln); err != nil {
-		d.log.Debug("arrivals are not stopped before the listener is closed", "cause", err)
+	if err := dropNewConnections(d.ln); err != nil {
+		d.log.Debug("cannot drop new connections before closing the listener", "cause", err)
 		return
 	}
-	d.takeQueued(ln, stoppedGap)
+	d.acceptQueued(ln, filteredQuietPeriod)
 }
 
-// takeQueued takes connections until none comes for gap, for acceptMost at the longest; false at the end of the driver.
-func (d *Driver) takeQueued(ln deadliner, gap time.Duration) bool {
-	for end := time.Now().Add(acceptMost); time.Now().Before(end); {
+// acceptQueued accepts connections until none arrives for gap, for at most maxQueueDrain. It returns false once the
+// driver has ended.
+func (d *Driver) acceptQueued(ln deadlineListener, gap time.Duration) bool {
+	for end := time.Now().Add(maxQueueDrain); time.Now().Before(end); {
 		ln.SetDeadline(time.Now().Add(gap))
 		c, err := d.ln.Accept()
 		if err != nil {
 			return true
 		}
-		if !d.hand(c) {
+		if !d.submitConn(c) {
 			return false
 		}
 	}
 	return true
 }
 
-// room lets the next connection in if there is room for it.
-func (d *Driver) room() {
-	if d.full != nil && len(d.downstreams) < d.limits.downstreams {
-		close(d.full)
-		d.full = nil
+// admitNextConn lets accept proceed if the limit of client connections allows another one.
+func (d *Driver) admitNextConn() {
+	if d.nextAccept != nil && len(d.downstreams) < d.limits.downstreams {
+		close(d.nextAccept)
+		d.nextAccept = nil
 	}
 }
--- a/internal/driver/arrivals.go
+++ b/internal/driver/arrivals.go
@@ -1,32 +1,32 @@
 package driver
 
-// arrivals are the times at which the bytes that a client has sent ahead came, the oldest first.
+// arrivals records when the bytes that a client sent ahead were received, oldest first.
 type arrivals []arrival
 
-// arrival is some bytes that came together.
+// arrival is a number of bytes received together, with their time in Unix microseconds.
 type arrival struct {
 	bytes int
 	at    int64
 }
 
-// Bounds on what is kept of arrivals: beyond them pieces count as come with the one before, so that a deadline is never
-// taken to be later than it is.
+// Bounds on the size of arrivals. Beyond them bytes are merged into the preceding entry and take its time, so that a
+// computed deadline is never later than the true one.
 const (
-	arrivalsMost = 64
-	arrivalsGap  = 1000 // microseconds
+	maxArrivals   = 64
+	minArrivalGap = 1000 // microseconds
 )
 
-// add books bytes that came at a time.
+// add records that bytes were received at a time.
 func (a *arrivals) add(bytes int, at int64) {
-	if last := len(*a) - 1; last >= 0 && (last+1 >= arrivalsMost || at-(*a)[last].at < arrivalsGap) {
+	if last := len(*a) - 1; last >= 0 && (last+1 >= maxArrivals || at-(*a)[last].at < minArrivalGap) {
 		(*a)[last].bytes += bytes
 		return
 	}
 	*a = append(*a, arrival{bytes, at})
 }
 
-// take takes the first bytes and gives the time at which the last of them came.
-func (a *arrivals) take(bytes int) (at int64) {
+// consume removes the first bytes and returns the time at which the last of them was received.
+func (a *arrivals) consume(bytes int) (at int64) {
 	for i := range *a {
 		p := &(*a)[i]
 		at = p.at
--- a/internal/driver/client_leaves_test.go
+++ b/internal/driver/client_leaves_test.go
@@ -8,40 +8,40 @@
 	"time"
 )
 
-// A client that has sent more than one request and leaves is seen to leave, though the others still wait.
-func TestClientLeavesBehindRequestsSentAhead(t *testing.T) {
-	for _, ahead := range []int{aheadMost, 100} { // read to the end, or left unread
-		x := newCrossing(t)
-		x.d.limits.ahead = ahead
-		x.serve("s-a", "s-b")
-		c, n := x.client()
-		if _, err := io.WriteString(c, request("t1")+request("t2")+request("t3")+strings.Repeat(request("t4"), 60)); err != nil {
+// The departure of a client that has pipelined several requests is noticed while its later requests still wait.
+func TestClientLeavesWithPipelinedRequests(t *testing.T) {
+	for _, ahead := range []int{maxReadAhead, 100} { // read to the end, or left unread
+		x := newHarness(t)
+		x.d.limits.readAhead = ahead
+		x.listServers("s-a", "s-b")
+		c, n := x.connectClient()
+		if _, err := io.WriteString(c, requestText("t1")+requestText("t2")+requestText("t3")+strings.Repeat(requestText("t4"), 60)); err != nil {
 			t.Fatal(err)
 		}
-		first, head := x.eitherServer()
+		first, head := x.acceptAnyAttempt()
 		if !strings.Contains(head, "X-Txn: t1") {
 			t.Fatalf("first: %q", head)
 		}
 		c.Close()
-		if ahead == aheadMost {
-			x.until(func() bool { return n.gone })
+		if ahead == maxReadAhead {
+			x.runUntil(func() bool { return n.isClosed })
 		}
-		// It is turned away, so the decisions would send it on.
+		// The server refuses the attempt, so the core would send it to another one.
 		io.WriteString(first, "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
-		x.until(func() bool { return n.gone && len(x.d.attempts) == 0 })
-		x.untouched("s-a")
-		x.untouched("s-b")
+		x.runUntil(func() bool { return n.isClosed && len(x.d.attempts) == 0 })
+		x.assertNotReached("s-a")
+		x.assertNotReached("s-b")
 	}
 }
 
-// eitherServer accepts the attempt at whichever server it goes to.
-func (x *crossing) eitherServer() (net.Conn, string) {
+// acceptAnyAttempt accepts the attempt at whichever server it goes to.
+func (x *harness) acceptAnyAttempt() (net.Conn, string) {
 	x.t.Helper()
-	x.until(func() bool { return len(x.d.attempts) > 0 })
+	x.runUntil(func() bool { return len(x.d.attempts) > 0 })
 	for _, r := range x.d.attempts {
 		for name, ln := range x.servers {
 			if ln.Addr().String() == r.addr {
-				return x.server(name)
+				return x.acceptAttempt(name)
 			}
 		}
 	}
@@ -49,47 +49,48 @@
 	return nil, ""
 }
 
-// A client that leaves while its request waits for a server, or while the connection to one is being made, is not served.
-func TestClientLeavesBeforeItsAttemptBegins(t *testing.T) {
-	t.Run("it waits", func(t *testing.T) {
-		x := newCrossing(t)
-		c, n := x.client()
-		io.WriteString(c, request("t1"))
-		x.until(func() bool { return len(x.d.open) == 1 })
+// If a client leaves while its request waits for a server, or while the connection to one is being made, the request
+// is not sent.
+func TestClientLeavesBeforeAttemptStarts(t *testing.T) {
+	t.Run("waiting for a server", func(t *testing.T) {
+		x := newHarness(t)
+		c, n := x.connectClient()
+		io.WriteString(c, requestText("t1"))
+		x.runUntil(func() bool { return len(x.d.openRequests) == 1 })
 		c.Close()
-		x.until(func() bool { return n.gone && len(x.d.later) == 0 })
-		x.serve("s-a")
-		x.d.do(x.d.core.Wake(x.d.now() + 1_000_000))
+		x.runUntil(func() bool { return n.isClosed && len(x.d.deferred) == 0 })
+		x.listServers("s-a")
+		x.d.execute(x.d.core.Wake(x.d.now() + 1_000_000))
 		if len(x.d.attempts) != 0 {
-			t.Error("it was sent")
+			t.Error("the request was sent")
 		}
-		x.untouched("s-a")
+		x.assertNotReached("s-a")
 	})
-	t.Run("it dials", func(t *testing.T) {
-		x := newCrossing(t)
-		x.serve("s-a")
+	t.Run("dialing", func(t *testing.T) {
+		x := newHarness(t)
+		x.listServers("s-a")
 		up := make(chan struct{})
 		x.d.dial = func(addr string, limit time.Duration) (net.Conn, error) {
 			<-up
 			return dialTCP(addr, limit)
 		}
-		c, n := x.client()
-		io.WriteString(c, request("t1"))
-		x.until(func() bool { return len(x.d.attempts) == 1 })
+		c, n := x.connectClient()
+		io.WriteString(c, requestText("t1"))
+		x.runUntil(func() bool { return len(x.d.attempts) == 1 })
 		c.Close()
-		x.until(func() bool { return n.gone && len(x.d.later) == 0 })
+		x.runUntil(func() bool { return n.isClosed && len(x.d.deferred) == 0 })
 		close(up)
-		// The dial's event may come behind others of the connection that was closed.
+		// The dial's event may come after others of the closed connection.
 		addr := x.servers["s-a"].Addr().String()
-		x.until(func() bool { return len(x.d.pool.servers[addr].idle) == 1 })
+		x.runUntil(func() bool { return len(x.d.pool.servers[addr].idle) == 1 })
 		if len(x.d.attempts) != 0 {
-			t.Error("its attempt is still out")
+			t.Error("its attempt is still open")
 		}
 		accepted, err := x.servers["s-a"].Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.d.pool.leave(addr)
+		x.d.pool.closeIdle(addr)
 		if b, _ := io.ReadAll(accepted); len(b) != 0 {
 			t.Errorf("its server got %q", b)
 		}
--- a/internal/driver/clock.go
+++ b/internal/driver/clock.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// clock tells Unix time in microseconds that never goes back: the system's time at its start and the
-// monotonic time since. A step of the system's time does not reach it.
+// clock gives Unix time in microseconds that never goes back: the wall-clock time when it was started plus the
+// monotonic time since. Later steps of the wall clock do not affect it.
 type clock struct {
 	start   time.Time
-	wall    func() time.Time     // the system's time
-	elapsed func() time.Duration // monotonic, since start
+	wall    func() time.Time     // wall clock
+	elapsed func() time.Duration // monotonic time since start
 }
 
-// newClock starts a clock.
+// newClock returns a clock that starts at the current wall-clock time.
 func newClock() clock {
 	start := time.Now()
 	return clock{start: start, wall: time.Now, elapsed: func() time.Duration { return time.Since(start) }}
 }
 
-// now is the present time.
+// now returns the current time in Unix microseconds.
 func (c clock) now() int64 { return c.start.UnixMicro() + c.elapsed().Microseconds() }
--- a/internal/driver/conn.go
+++ b/internal/driver/conn.go
@@ -8,59 +8,59 @@
 	"time"
 )
 
-// conn is one connection with its reader and its writer.
+// conn is a connection with a reader goroutine and a writer goroutine.
 type conn struct {
-	d        *Driver
-	c        net.Conn
-	out      chan func() []byte
-	more     chan bool // whether what comes still matters
-	closed   chan struct{}
-	halted   func() bool // follows retire once the reader stands still; true if it closed the connection
-	gone     bool        // closed here; like what follows, for the owner alone
-	paused   bool        // the reader waits for resume
-	drains   bool        // what comes matters no more, only its end does
-	retiring bool        // the reader was asked to stand still
+	d                  *Driver
+	socket             net.Conn
+	writeQueue         chan func() []byte
+	continueReading    chan bool // whether further input is still of use
+	closed             chan struct{}
+	tryIdleClose       func() bool // called after requestIdleClose once the reader has stopped; true if it closed the connection
+	isClosed           bool        // closed by this side; this field and those below belong to the owner
+	paused             bool        // the reader waits for resume
+	discarding         bool        // input is read and discarded until it ends
+	idleCloseRequested bool        // the reader was asked to stop, see requestIdleClose
 }
 
-// newConn starts the reader and the writer. read runs on the owner for each piece that comes, or for the
-// error that ends it; what it is given is valid until it returns, and false keeps the reader waiting for
-// resume. wrote runs on the owner after each write.
+// newConn starts the reader and the writer. read runs on the owner for each piece of input and for the error that ends
+// it. Its buffer is valid until it returns; if it returns false, the reader waits for resume. wrote runs on the owner
+// after each write.
 func (d *Driver) newConn(c net.Conn, queue int, read func(b []byte, at int64, err error) bool, wrote func(error)) *conn {
-	k := &conn{d: d, c: c, out: make(chan func() []byte, queue), more: make(chan bool, 1), closed: make(chan struct{})}
-	go k.reading(read)
-	go k.writing(wrote)
+	k := &conn{d: d, socket: c, writeQueue: make(chan func() []byte, queue), continueReading: make(chan bool, 1), closed: make(chan struct{})}
+	go k.readLoop(read)
+	go k.writeLoop(wrote)
 	return k
 }
 
-func (k *conn) reading(read func([]byte, int64, error) bool) {
+func (k *conn) readLoop(read func([]byte, int64, error) bool) {
 	buf := make([]byte, 4096)
-	tell := func(n int, err error) {
+	deliver := func(n int, err error) {
 		at := k.d.now()
 		k.d.post(func() {
-			// What comes late from a connection that was closed here concerns nobody.
-			if k.gone {
+			// Input that arrives after this side closed the connection is ignored.
+			if k.isClosed {
 				return
 			}
 			k.paused = true
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				k.halt()
+				k.readerStopped()
 			} else if read(buf[:n], at, err) {
 				k.resume()
 			}
 		})
 	}
 	for {
-		n, err := k.c.Read(buf)
-		tell(n, err)
+		n, err := k.socket.Read(buf)
+		deliver(n, err)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 		select {
-		case matters := <-k.more:
-			if !matters {
-				// However much it is, the owner has no work with it.
-				io.Copy(io.Discard, k.c)
-				tell(0, io.EOF)
+		case wanted := <-k.continueReading:
+			if !wanted {
+				// The rest is read here, so that it costs the owner nothing, however much it is.
+				io.Copy(io.Discard, k.socket)
+				deliver(0, io.EOF)
 				return
 			}
 		case <-k.closed:
@@ -71,13 +71,13 @@
 	}
 }
 
-// writing renders what was queued when its turn comes and writes it.
-func (k *conn) writing(wrote func(error)) {
+// writeLoop renders each queued item when it is about to be written, and writes it.
+func (k *conn) writeLoop(wrote func(error)) {
 	for {
 		select {
-		case render := <-k.out:
-			k.c.SetWriteDeadline(time.Now().Add(writeLimit))
-			_, err := k.c.Write(render()) // an error means that less than all was written
+		case render := <-k.writeQueue:
+			k.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
+			_, err := k.socket.Write(render()) // an error means that the write was incomplete
 			k.d.post(func() { wrote(err) })
 			if err != nil {
 				return
@@ -90,57 +90,56 @@
 	}
 }
 
-// retire closes an idle connection without losing what has just come on it: the reader is made to stand still first,
-// and all that it had read is taken before halted is asked. What comes after that is unread, and the close resets the
-// connection: its sender knows that nobody had it.
-func (k *conn) retire() {
-	if k.retiring || k.gone {
+// requestIdleClose closes an idle connection without losing input that has just arrived. It first stops the reader;
+// all that was read is handled before tryIdleClose is called. Input that arrives later stays unread and the close
+// resets the connection, so the sender knows that it was not received.
+func (k *conn) requestIdleClose() {
+	if k.idleCloseRequested || k.isClosed {
 		return
 	}
-	k.retiring = true
-	k.c.SetReadDeadline(time.Unix(1, 0))
+	k.idleCloseRequested = true
+	k.socket.SetReadDeadline(time.Unix(1, 0))
 }
 
-// halt runs once the reader stands still.
-func (k *conn) halt() {
-	if k.halted == nil || !k.halted() {
-		k.readOn()
+// readerStopped runs once the reader has stopped after requestIdleClose.
+func (k *conn) readerStopped() {
+	if k.tryIdleClose == nil || !k.tryIdleClose() {
+		k.cancelIdleClose()
 		k.resume()
 	}
 }
 
-// readOn takes back what retire asked of the reader.
-func (k *conn) readOn() {
-	if k.retiring {
-		k.retiring = false
-		k.c.SetReadDeadline(time.Time{})
+// cancelIdleClose withdraws requestIdleClose and lets the reader continue.
+func (k *conn) cancelIdleClose() {
+	if k.idleCloseRequested {
+		k.idleCloseRequested = false
+		k.socket.SetReadDeadline(time.Time{})
 	}
 }
 
-// resume lets the reader read on. It does so only for one that waits: the reader's buffer is the owner's
-// until then.
+// resume lets a waiting reader read on. Until then the reader's buffer belongs to the owner.
 func (k *conn) resume() {
 	if k.paused {
 		k.paused = false
-		k.more <- !k.drains
+		k.continueReading <- !k.discarding
 	}
 }
 
-// drain lets go of what still comes: a connection that is closed with bytes unread is reset, and the peer may
-// lose what was written to it.
-func (k *conn) drain() {
-	k.drains = true
-	k.readOn()
+// discardInput reads and discards further input until it ends. Closing a connection with unread bytes resets it, and
+// the peer may lose what was written to it.
+func (k *conn) discardInput() {
+	k.discarding = true
+	k.cancelIdleClose()
 	k.resume()
 }
 
-// send queues bytes; false if the peer takes them so slowly that the queue is full.
+// send queues bytes; false if the queue is full because the peer reads too slowly.
 func (k *conn) send(b []byte) bool { return k.write(func() []byte { return b }) }
 
-// write queues what render gives at the moment of the writing; false if the queue is full.
+// write queues render, which is called just before the write; false if the queue is full.
 func (k *conn) write(render func() []byte) bool {
 	select {
-	case k.out <- render:
+	case k.writeQueue <- render:
 		return true
 	default:
 		return false
@@ -148,9 +147,9 @@
 }
 
 func (k *conn) close() {
-	if !k.gone {
-		k.gone = true
+	if !k.isClosed {
+		k.isClosed = true
 		close(k.closed)
-		k.c.Close()
+		k.socket.Close()
 	}
 }
--- a/internal/driver/cordons.go
+++ b/internal/driver/cordons.go
@@ -10,122 +10,126 @@
 	"time"
 )
 
-// cordonLook is how often the file of cordons is looked at: another process of this dispatcher, the next version
-// while it takes over, may have changed it. What could not be written or read is tried again as often.
-const cordonLook = 250 * time.Millisecond
+// cordonPollInterval is how often the cordon file is checked for changes by another process of this dispatcher: the
+// next version during an upgrade. Failed writes and reads are retried at the same interval.
+const cordonPollInterval = 250 * time.Millisecond
 
-// cordonFile names the file in $TMPDIR that keeps the servers barred by hand, so that the bans hold over an upgrade.
-func (d *Driver) cordonFile() string { return d.fileOf("cordons") }
+// cordonFile returns the path of the file in $TMPDIR that lists the cordoned servers, so that cordons survive an
+// upgrade.
+func (d *Driver) cordonFile() string { return d.stateFile("cordons") }
 
-// keepCordons hands the cordons to the keeper, which writes them; the owner does no I/O for it. Only the latest
-// matters, so one that waits is replaced.
-func (d *Driver) keepCordons() {
+// saveCordons passes the current cordons to the cordonSyncer, which writes them, so that the owner does no file I/O.
+// Only the latest set matters, so it replaces one that is still queued.
+func (d *Driver) saveCordons() {
 	names := d.core.Cordons()
 	slices.Sort(names)
-	d.cordonsOut.Put(names)
+	d.cordonUpdates.Put(names)
 }
 
-// cordonKeeper keeps the file of cordons beside the owner. It is for one goroutine.
-type cordonKeeper struct {
-	d       *Driver
-	path    string
-	seen    os.FileInfo // when it was last read or written; nil if it never was
-	unsaved []byte      // what is still to be written; nil if all is
-	failing bool        // the last write or read did, and was logged
+// cordonSyncer keeps the cordon file and the core's cordons in step, outside the owner goroutine. One goroutine uses
+// it.
+type cordonSyncer struct {
+	d        *Driver
+	path     string
+	lastInfo os.FileInfo // state of the file when it was last read or written; nil if never
+	unsaved  []byte      // content still to be written; nil if none
+	failing  bool        // the last write or read failed and was logged
 }
 
-// startCordons takes the cordons that an earlier process left before anything is sent, then starts the keeper.
+// startCordons applies the cordons that an earlier process left, before any request is sent, then starts the
+// cordonSyncer.
 func (d *Driver) startCordons() {
-	k := &cordonKeeper{d: d, path: d.cordonFile()}
+	k := &cordonSyncer{d: d, path: d.cordonFile()}
 	if want, changed := k.read(); changed {
-		d.takeCordons(want)
+		d.applyCordons(want)
 	}
 	go k.run()
 }
 
-// run writes what keepCordons hands over, whole or not at all, and looks at the file every cordonLook; what another process
-// wrote there is posted to the owner.
-func (k *cordonKeeper) run() {
-	look := time.NewTicker(cordonLook)
-	defer look.Stop()
+// run writes the cordons from saveCordons atomically and polls the file every cordonPollInterval. Changes by another
+// process are posted to the owner.
+func (k *cordonSyncer) run() {
+	ticker := time.NewTicker(cordonPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case names := <-k.d.cordonsOut.C():
+		case names := <-k.d.cordonUpdates.C():
 			k.unsaved = []byte(strings.Join(names, "\n") + "\n")
 			k.save()
-		case <-look.C:
-			k.look()
+		case <-ticker.C:
+			k.poll()
 		case <-k.d.done:
 			return
 		}
 	}
 }
 
-// look does what is due: a start that is not announced yet, a write that failed, or a change by another process.
-func (k *cordonKeeper) look() {
-	k.d.announceAgain()
+// poll retries the start announcement or a failed write, or else checks the file for changes by another process.
+func (k *cordonSyncer) poll() {
+	k.d.retryAnnounce()
 	if k.unsaved != nil {
 		k.save()
 		return
 	}
 	if want, changed := k.read(); changed {
-		k.d.post(func() { k.d.takeCordons(want) })
+		k.d.post(func() { k.d.applyCordons(want) })
 	}
 }
 
-// save writes what is unsaved; what fails stays unsaved, since the operator was told that it holds.
-func (k *cordonKeeper) save() {
+// save writes the unsaved content. Content that could not be written stays unsaved and is retried, since the operator
+// was told that the cordon is in effect.
+func (k *cordonSyncer) save() {
 	err := k.d.replaceFile(k.path, k.unsaved)
-	if k.report(err, "cordons not kept for the next version yet"); err != nil {
+	if k.logFirstFailure(err, "writing the cordon file failed, will retry"); err != nil {
 		return
 	}
 	k.unsaved = nil
 	if info, err := k.d.files.Stat(k.path); err == nil {
-		k.seen = info
+		k.lastInfo = info
 	}
 }
 
-// read gives the cordons of the file if it has changed since it was last seen.
-func (k *cordonKeeper) read() (want map[string]bool, changed bool) {
+// read returns the cordons in the file if it has changed since it was last read or written.
+func (k *cordonSyncer) read() (want map[string]bool, changed bool) {
 	info, err := k.d.files.Stat(k.path)
-	if errors.Is(err, fs.ErrNotExist) || err == nil && sameFile(info, k.seen) {
+	if errors.Is(err, fs.ErrNotExist) || err == nil && sameFileState(info, k.lastInfo) {
 		return nil, false
 	}
 	var text []byte
 	if err == nil {
 		text, err = k.d.files.ReadFile(k.path)
 	}
-	if k.report(err, "cordons not read yet"); err != nil {
+	if k.logFirstFailure(err, "reading the cordon file failed, will retry"); err != nil {
 		return nil, false
 	}
-	k.seen = info
+	k.lastInfo = info
 	return readCordons(text), true
 }
 
-// report logs the first failure of several.
-func (k *cordonKeeper) report(err error, what string) {
+// logFirstFailure logs the first of several consecutive failures.
+func (k *cordonSyncer) logFirstFailure(err error, what string) {
 	if err != nil && !k.failing {
 		k.d.log.Error(what, "cause", err, "file", k.path)
 	}
 	k.failing = err != nil
 }
 
-// takeCordons makes the cordons those of the file.
-func (d *Driver) takeCordons(want map[string]bool) {
+// applyCordons replaces the core's cordons by the given set.
+func (d *Driver) applyCordons(want map[string]bool) {
 	now := d.now()
 	for _, name := range d.core.Cordons() {
 		if !want[name] {
 			_, cmds := d.core.Cordon(now, name, false)
-			d.do(cmds)
+			d.execute(cmds)
 		}
 	}
 	for name := range want {
-		d.do(d.core.Restore(now, name))
+		d.execute(d.core.Restore(now, name))
 	}
-	d.census()
+	d.updateServing()
 }
 
-// readCordons reads a file of cordons: an id a line.
+// readCordons parses a cordon file: one server id per line.
 func readCordons(text []byte) map[string]bool {
 	want := map[string]bool{}
 	for _, line := range bytes.Split(text, []byte{'\n'}) {
--- a/internal/driver/crossing_test.go
+++ b/internal/driver/crossing_test.go
@@ -19,17 +19,17 @@
 	"granitewing/logic"
 )
 
-// Two things that happen at once, each forced into the order that is worst: by an event that the test holds back, a server
-// that does not answer, a dial that does not return. Nothing here waits for a length of time.
+// Tests of two concurrent events, each forced into the worst order by an event that the test holds back, a server that
+// does not answer or a dial that does not return. No test here depends on a length of time.
 
-// crossing is a driver on a real listener, whose owner is the test's goroutine, and two servers.
-type crossing struct {
+// harness is a driver on a real listener, with the test's goroutine as its owner, and servers.
+type harness struct {
 	t       *testing.T
 	d       *Driver
 	servers map[string]net.Listener
 }
 
-func newCrossing(t *testing.T, classes ...logic.Class) *crossing {
+func newHarness(t *testing.T, classes ...logic.Class) *harness {
 	t.Setenv("TMPDIR", t.TempDir())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,13 +44,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &crossing{t: t, d: d, servers: map[string]net.Listener{}}
+	x := &harness{t: t, d: d, servers: map[string]net.Listener{}}
 	t.Cleanup(func() { close(d.done); ln.Close() })
 	return x
 }
 
-// serve lists servers, which listen and accept nothing before the test does.
-func (x *crossing) serve(names ...string) {
+// listServers lists servers that listen but accept nothing until the test does.
+func (x *harness) listServers(names ...string) {
 	var hosts []memory.Host
 	for _, name := range names {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,11 +61,11 @@
 		x.servers[name] = ln
 		hosts = append(hosts, memory.Host{Name: name, Addr: ln.Addr().String(), Phase: logic.Ready})
 	}
-	x.d.takeHosts(logic.ListFull, hosts)
+	x.d.applyHosts(logic.ListFull, hosts)
 }
 
-// client connects and waits until the owner has taken the connection.
-func (x *crossing) client() (net.Conn, *downstream) {
+// connectClient connects a client and waits until the owner has the connection.
+func (x *harness) connectClient() (net.Conn, *downstream) {
 	x.t.Helper()
 	c, err := net.Dial("tcp", x.d.ln.Addr().String())
 	if err != nil {
@@ -78,32 +78,32 @@
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	x.d.take(accepted)
+	x.d.addDownstream(accepted)
 	for n := range x.d.downstreams {
-		if n.c == accepted {
+		if n.socket == accepted {
 			return c, n
 		}
 	}
-	x.t.Fatalf("%d connections, %d before", len(x.d.downstreams), before)
+	x.t.Fatalf("the connection is not registered: %d connections, %d before", len(x.d.downstreams), before)
 	return nil, nil
 }
 
-// event gives the next event without carrying it out.
-func (x *crossing) event() func() {
+// nextEvent returns the next event without running it.
+func (x *harness) nextEvent() func() {
 	x.t.Helper()
 	select {
 	case f := <-x.d.events:
 		return f
 	case <-time.After(20 * time.Second):
-		x.t.Fatal("nothing happened")
+		x.t.Fatal("no event came")
 		return nil
 	}
 }
 
-func (x *crossing) until(done func() bool) { x.t.Helper(); pump(x.t, x.d, done) }
+func (x *harness) runUntil(done func() bool) { x.t.Helper(); runOwner(x.t, x.d, done) }
 
-// server accepts the next attempt at a server and gives its connection and its request's head.
-func (x *crossing) server(name string) (net.Conn, string) {
+// acceptAttempt accepts the next attempt at a server and returns its connection and its request's head.
+func (x *harness) acceptAttempt(name string) (net.Conn, string) {
 	x.t.Helper()
 	ln := x.servers[name].(*net.TCPListener)
 	ln.SetDeadline(time.Now().Add(20 * time.Second))
@@ -129,13 +129,13 @@
 	}()
 	var a attempt
 	got := false
-	x.until(func() bool {
+	x.runUntil(func() bool {
 		select {
 		case a = <-came:
 			got = true
 		default:
 			if len(x.d.events) == 0 {
-				time.AfterFunc(time.Millisecond, func() { x.d.post(func() {}) }) // look again
+				time.AfterFunc(time.Millisecond, func() { x.d.post(func() {}) }) // check again
 			}
 		}
 		return got
@@ -147,28 +147,28 @@
 	return a.c, a.head
 }
 
-// untouched fails if a server was reached.
-func (x *crossing) untouched(name string) {
+// assertNotReached fails the test if a connection to a server was made.
+func (x *harness) assertNotReached(name string) {
 	x.t.Helper()
 	ln := x.servers[name].(*net.TCPListener)
-	ln.SetDeadline(time.Now().Add(time.Millisecond)) // a connection that was made stands in the queue already
+	ln.SetDeadline(time.Now().Add(time.Millisecond)) // a connection that was made is already in the queue
 	if c, err := ln.Accept(); err == nil {
 		c.Close()
 		x.t.Errorf("%s was reached", name)
 	}
 }
 
-func request(name string) string {
+func requestText(name string) string {
 	return "POST /readings HTTP/1.1\r\nHost: api\r\nX-Txn: " + name + "\r\nX-Remaining: 50\r\n\r\n"
 }
 
-func served(name string) string {
+func servedResponse(name string) string {
 	line := fmt.Sprintf(`{"id":"%s","state":"done","result":"%s"}`+"\n", name, name)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(line), line)
 }
 
-// answer reads a whole answer, on a goroutine of its own, while the owner's work goes on.
-func (x *crossing) answer(c net.Conn) string {
+// readAnswer reads a whole answer on a goroutine of its own while the owner runs, and returns its status line.
+func (x *harness) readAnswer(c net.Conn) string {
 	x.t.Helper()
 	got := make(chan string, 1)
 	go func() {
@@ -182,7 +182,7 @@
 		got <- answer.Proto + " " + answer.Status
 	}()
 	result := ""
-	x.until(func() bool {
+	x.runUntil(func() bool {
 		select {
 		case result = <-got:
 			return true
@@ -196,103 +196,104 @@
 	return result
 }
 
-// A request that was read while its connection is closed as an idle one is answered: whatever closes it.
-func TestRequestCrossesTheCloseOfItsConnection(t *testing.T) {
+// A request that was read while its connection is being closed as idle is answered, whatever the cause of the close.
+func TestRequestReadDuringIdleClose(t *testing.T) {
 	for name, closing := range map[string]func(d *Driver, n *downstream){
-		"sent away at the end": func(d *Driver, n *downstream) {
-			d.stopped = time.Now().Add(-time.Hour)
-			d.check()
+		"dismissed at shutdown": func(d *Driver, n *downstream) {
+			d.stoppedAt = time.Now().Add(-time.Hour)
+			d.checkShutdown()
 		},
-		"drained by hand": func(d *Driver, n *downstream) {
-			d.quiesced = time.Now().Add(-time.Hour)
-			d.check()
+		"drained by operators": func(d *Driver, n *downstream) {
+			d.quiescedAt = time.Now().Add(-time.Hour)
+			d.checkShutdown()
 		},
-		"makes room":        func(d *Driver, _ *downstream) { d.evictDownstream() },
-		"silent for long":   func(_ *Driver, n *downstream) { n.begun = time.Now().Add(-messageLimit); n.late() },
-		"idle for too long": func(_ *Driver, n *downstream) { n.retire() },
+		"evicted":         func(d *Driver, _ *downstream) { d.evictDownstream() },
+		"request timeout": func(_ *Driver, n *downstream) { n.requestBegan = time.Now().Add(-requestTimeout); n.requestTimedOut() },
+		"idle timeout":    func(_ *Driver, n *downstream) { n.requestIdleClose() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newCrossing(t)
-			x.serve("s-a")
-			c, n := x.client()
-			n.since = n.since.Add(-time.Hour)
-			if _, err := io.WriteString(c, request("t1")); err != nil {
+			x := newHarness(t)
+			x.listServers("s-a")
+			c, n := x.connectClient()
+			n.idleSince = n.idleSince.Add(-time.Hour)
+			if _, err := io.WriteString(c, requestText("t1")); err != nil {
 				t.Fatal(err)
 			}
-			read := x.event() // the reader has the request, the owner not yet
+			read := x.nextEvent() // the reader has the request, the owner does not yet
 			closing(x.d, n)
 			read()
-			server, _ := x.server("s-a")
-			io.WriteString(server, served("t1"))
-			if got := x.answer(c); got != "HTTP/1.1 200 OK" {
+			server, _ := x.acceptAttempt("s-a")
+			io.WriteString(server, servedResponse("t1"))
+			if got := x.readAnswer(c); got != "HTTP/1.1 200 OK" {
 				t.Errorf("a request that was read is answered %q", got)
 			}
-			if x.d.parting() {
+			if x.d.dismissingClients() {
 				return
 			}
-			// The connection goes on, and is read as before.
-			io.WriteString(c, request("t2"))
-			x.until(func() bool { return len(x.d.open) == 1 })
+			// The connection stays open and is read as before.
+			io.WriteString(c, requestText("t2"))
+			x.runUntil(func() bool { return len(x.d.openRequests) == 1 })
 		})
 	}
 }
 
-// What comes once the reader stands still is not read: its sender sees the connection end and nobody has the request.
-func TestRequestAfterTheReaderStandsStill(t *testing.T) {
-	x := newCrossing(t)
-	x.serve("s-a")
-	c, n := x.client()
-	n.retire()
-	halted := x.event()
-	if _, err := io.WriteString(c, request("t1")); err != nil {
+// Input that arrives after the reader has stopped is not read: its sender sees the connection end, and nobody has the
+// request.
+func TestRequestAfterReaderStopped(t *testing.T) {
+	x := newHarness(t)
+	x.listServers("s-a")
+	c, n := x.connectClient()
+	n.requestIdleClose()
+	readerStopped := x.nextEvent()
+	if _, err := io.WriteString(c, requestText("t1")); err != nil {
 		t.Fatal(err)
 	}
-	halted()
+	readerStopped()
 	if b, err := io.ReadAll(c); err == nil && len(b) > 0 {
 		t.Errorf("answered %q", b)
 	}
-	if !n.gone || len(x.d.open) != 0 {
-		t.Errorf("closed %t, %d requests open", n.gone, len(x.d.open))
+	if !n.isClosed || len(x.d.openRequests) != 0 {
+		t.Errorf("closed %t, %d requests open", n.isClosed, len(x.d.openRequests))
 	}
-	x.untouched("s-a")
+	x.assertNotReached("s-a")
 }
 
-// Clients that are sent away get an answer to all that was read from them.
-func TestRequestsReadAheadOfTheEnd(t *testing.T) {
-	x := newCrossing(t)
-	x.serve("s-a")
-	c, n := x.client()
-	io.WriteString(c, request("t1")+request("t2")+request("t3"))
-	x.until(func() bool { return len(x.d.open) == 1 && len(n.rest) > 0 })
+// Clients that are asked to leave get answers to all requests that were read from them.
+func TestPipelinedRequestsAreAnsweredInDrain(t *testing.T) {
+	x := newHarness(t)
+	x.listServers("s-a")
+	c, n := x.connectClient()
+	io.WriteString(c, requestText("t1")+requestText("t2")+requestText("t3"))
+	x.runUntil(func() bool { return len(x.d.openRequests) == 1 && len(n.unparsed) > 0 })
 	x.d.quiesce()
-	server, _ := x.server("s-a")
+	server, _ := x.acceptAttempt("s-a")
 	for i, name := range []string{"t1", "t2", "t3"} {
-		io.WriteString(server, served(name))
-		if got := x.answer(c); got != "HTTP/1.1 200 OK" {
+		io.WriteString(server, servedResponse(name))
+		if got := x.readAnswer(c); got != "HTTP/1.1 200 OK" {
 			t.Fatalf("%s is answered %q", name, got)
 		}
 		if i < 2 {
-			x.until(func() bool { return len(x.d.attempts) == 1 })
-			server = x.nextRequest(server, "s-a")
+			x.runUntil(func() bool { return len(x.d.attempts) == 1 })
+			server = x.nextAttempt(server, "s-a")
 		}
 	}
-	x.until(func() bool { return n.closing })
+	x.runUntil(func() bool { return n.closing })
 }
 
-// nextRequest reads the next attempt's request: on the connection of the one before, or, where the attempt began before
-// that connection was free and it was closed since the driver ends, on another.
-func (x *crossing) nextRequest(server net.Conn, name string) net.Conn {
+// nextAttempt reads the next attempt's request. It comes on the connection of the previous one, or on a new one if the
+// attempt began before that connection was free and the draining driver closed it.
+func (x *harness) nextAttempt(server net.Conn, name string) net.Conn {
 	x.t.Helper()
 	if err := readRequest(server); err == nil {
 		return server
 	} else if !errors.Is(err, io.EOF) {
 		x.t.Fatal(err)
 	}
-	another, _ := x.server(name)
+	another, _ := x.acceptAttempt(name)
 	return another
 }
 
-// readRequest reads a whole request that has no body.
+// readRequest reads a whole request without a body.
 func readRequest(c net.Conn) error {
 	text, one := "", make([]byte, 1)
 	for !strings.HasSuffix(text, "\r\n\r\n") {
@@ -304,19 +305,19 @@
 	return nil
 }
 
-// What a server is told of the time that is left is worked out when the bytes are written.
-func TestRemainingTimeOfAWriterHeldUp(t *testing.T) {
+// The remaining time in a request to a server is computed when its bytes are written.
+func TestRemainingTimeIsComputedAtWrite(t *testing.T) {
 	d := testDriver(t)
 	elapsed := time.Duration(0)
 	d.clock.elapsed = func() time.Duration { return elapsed }
 	server, near := net.Pipe()
 	t.Cleanup(func() { server.Close(); near.Close() })
 	s := &upstream{addr: "a", parser: platform.NewRelay(func(platform.Note) {})}
-	s.conn = &conn{d: d, c: near, out: make(chan func() []byte, 1), more: make(chan bool, 1), closed: make(chan struct{})}
+	s.conn = &conn{d: d, socket: near, writeQueue: make(chan func() []byte, 1), continueReading: make(chan bool, 1), closed: make(chan struct{})}
 	msg := &platform.Message{Method: "POST", Target: "/readings", Txn: "t1", Lane: "readings"}
-	s.begin(&attempt{id: memory.RelayID{Message: 1}, msg: msg, addr: "a", until: d.now() + 1_000_000})
+	s.start(&attempt{id: memory.RelayID{Message: 1}, msg: msg, addr: "a", deadline: d.now() + 1_000_000})
 	elapsed = 900 * time.Millisecond
-	go s.writing(func(error) {})
+	go s.writeLoop(func(error) {})
 	r := bufio.NewReader(server)
 	for {
 		line, err := r.ReadString('\n')
@@ -325,39 +326,40 @@
 		}
 		if left, found := strings.CutPrefix(line, "X-Remaining: "); found {
 			if strings.TrimSpace(left) != "0.100000" {
-				t.Errorf("%s s are told 0.9 s after the decision, want 0.1", strings.TrimSpace(left))
+				t.Errorf("X-Remaining is %s s 0.9 s after the decision, want 0.1", strings.TrimSpace(left))
 			}
 			return
 		}
 	}
 }
 
-// A request that was sent ahead has its time counted from when it came, not from when its turn comes.
-func TestDeadlineOfARequestSentAhead(t *testing.T) {
-	x := newCrossing(t)
-	x.serve("s-a", "s-b")
+// The deadline of a pipelined request counts from its arrival, not from when it is handled.
+func TestDeadlineOfPipelinedRequest(t *testing.T) {
+	x := newHarness(t)
+	x.listServers("s-a", "s-b")
 	var elapsed atomic.Int64
 	x.d.clock.elapsed = func() time.Duration { return time.Duration(elapsed.Load()) }
-	c, n := x.client()
-	io.WriteString(c, request("t1"))
-	x.until(func() bool { return len(x.d.open) == 1 })
-	io.WriteString(c, request("t2"))
-	x.until(func() bool { return len(n.rest) > 0 })
+	c, n := x.connectClient()
+	io.WriteString(c, requestText("t1"))
+	x.runUntil(func() bool { return len(x.d.openRequests) == 1 })
+	io.WriteString(c, requestText("t2"))
+	x.runUntil(func() bool { return len(n.unparsed) > 0 })
 	elapsed.Store(int64(10 * time.Second))
-	first, _ := x.eitherServer()
-	io.WriteString(first, served("t1"))
-	x.until(func() bool { return n.msg != nil && n.msg.Txn == "t2" && len(x.d.attempts) == 1 })
+	first, _ := x.acceptAnyAttempt()
+	io.WriteString(first, servedResponse("t1"))
+	x.runUntil(func() bool { return n.msg != nil && n.msg.Txn == "t2" && len(x.d.attempts) == 1 })
 	for _, r := range x.d.attempts {
-		if left := r.until - x.d.now(); left > 40_000_000 {
-			t.Errorf("%d us are left to it 10 s after it came with 50 s", left)
+		if left := r.deadline - x.d.now(); left > 40_000_000 {
+			t.Errorf("%d us remain 10 s after a request with 50 s arrived", left)
 		}
 	}
 }
 
-// A process whose place another has taken sends nothing to a server in slow start, whose budget is the other's now.
-func TestSucceededProcessSparesServersInSlowStart(t *testing.T) {
-	for _, succeeded := range []bool{false, true} {
-		x := newCrossing(t, logic.Class{Name: "readings", Aim: 100_000, Deadline: 60_000_000, WorkerKind: -1})
+// A process that another one has replaced sends nothing to a server in slow start, since that server's budget now
+// belongs to the other.
+func TestReplacedProcessSparesServersInSlowStart(t *testing.T) {
+	for _, replaced := range []bool{false, true} {
+		x := newHarness(t, logic.Class{Name: "readings", Aim: 100_000, Deadline: 60_000_000, WorkerKind: -1})
 		settings := x.d.cfg.Settings
 		settings.Cold, settings.StartCapacity, settings.FallWindow, settings.FallMultiple = 24_000_000, 0.3, 2_000_000, 30
 		core, err := memory.New(settings, 7)
@@ -367,27 +369,27 @@
 		x.d.core = core
 		var elapsed atomic.Int64
 		x.d.clock.elapsed = func() time.Duration { return time.Duration(elapsed.Load()) }
-		x.d.takeHosts(logic.ListFull, nil) // its own start
+		x.d.applyHosts(logic.ListFull, nil) // the core's own start
 		elapsed.Store(int64(10 * time.Second))
-		x.d.takeHosts(logic.ListFull, []memory.Host{{Name: "s-a", Addr: "127.0.0.1:1", Phase: logic.Ready, UpSince: x.d.now() - 1_000_000}})
-		dialled := 0
+		x.d.applyHosts(logic.ListFull, []memory.Host{{Name: "s-a", Addr: "127.0.0.1:1", Phase: logic.Ready, UpSince: x.d.now() - 1_000_000}})
+		attempts := 0
 		x.d.dial = func(string, time.Duration) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
-		c, _ := x.client()
-		x.d.successor.Store(succeeded)
-		if succeeded {
+		c, _ := x.connectClient()
+		x.d.successor.Store(replaced)
+		if replaced {
 			x.d.stop()
 		}
-		io.WriteString(c, request("t1"))
-		x.until(func() bool { dialled = len(x.d.attempts); return len(x.d.open) == 1 || dialled > 0 })
-		if (dialled > 0) == succeeded {
-			t.Errorf("succeeded %t: %d attempts", succeeded, dialled)
+		io.WriteString(c, requestText("t1"))
+		x.runUntil(func() bool { attempts = len(x.d.attempts); return len(x.d.openRequests) == 1 || attempts > 0 })
+		if (attempts > 0) == replaced {
+			t.Errorf("replaced %t: %d attempts", replaced, attempts)
 		}
 	}
 }
 
-// A listener that fails for a moment is asked again, not at once and not never.
-func TestAcceptGoesOnAfterErrors(t *testing.T) {
-	x := newCrossing(t)
+// After an error accepting is retried, with a delay.
+func TestAcceptRetriesAfterErrors(t *testing.T) {
+	x := newHarness(t)
 	faults := []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EPERM}
 	ln := &faultyListener{Listener: x.d.ln, faults: faults}
 	x.d.ln = ln
@@ -398,9 +400,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	x.until(func() bool { return len(x.d.downstreams) == 1 })
-	if least := time.Duration(len(faults)) * acceptRetry; time.Since(begun) < least {
-		t.Errorf("%d errors were over in %v: it spins", len(faults), time.Since(begun))
+	x.runUntil(func() bool { return len(x.d.downstreams) == 1 })
+	if least := time.Duration(len(faults)) * acceptRetryDelay; time.Since(begun) < least {
+		t.Errorf("%d errors were retried within %v, without the delay", len(faults), time.Since(begun))
 	}
 }
 
@@ -418,71 +420,71 @@
 	return l.Listener.Accept()
 }
 
-// Errors of this machine are not held against the server; its own are.
-func TestErrorsOfADial(t *testing.T) {
+// Errors of this machine do not count against a server; the server's own do.
+func TestDialErrors(t *testing.T) {
 	for errno, want := range map[syscall.Errno]logic.Result{
 		syscall.EMFILE: logic.Moot, syscall.ENFILE: logic.Moot, syscall.ENOBUFS: logic.Moot, syscall.ENOMEM: logic.Moot,
 		syscall.EADDRNOTAVAIL: logic.Moot, syscall.ENETUNREACH: logic.Moot, syscall.EAGAIN: logic.Moot,
 		syscall.ECONNREFUSED: logic.ConnectFailed, syscall.ETIMEDOUT: logic.ConnectFailed,
 		syscall.EHOSTUNREACH: logic.ConnectFailed, syscall.ECONNRESET: logic.ConnectFailed,
 	} {
-		x := newCrossing(t)
-		var blamed blame
-		x.d.core.Tell(&blamed)
-		x.serve("s-a")
+		x := newHarness(t)
+		var failures failureCounter
+		x.d.core.Tell(&failures)
+		x.listServers("s-a")
 		failure := error(&net.OpError{Op: "dial", Net: "tcp", Err: fmt.Errorf("connect: %w", errno)})
 		x.d.dial = func(string, time.Duration) (net.Conn, error) { return nil, failure }
-		c, _ := x.client()
-		io.WriteString(c, request("t1"))
-		if got := x.answer(c); got != "HTTP/1.1 503 Service Unavailable" && got != "HTTP/1.1 502 Bad Gateway" {
+		c, _ := x.connectClient()
+		io.WriteString(c, requestText("t1"))
+		if got := x.readAnswer(c); got != "HTTP/1.1 503 Service Unavailable" && got != "HTTP/1.1 502 Bad Gateway" {
 			t.Errorf("%v: answered %q", errno, got)
 		}
 		if got := dialResult(failure); got != want {
 			t.Errorf("%v: result %v, want %v", errno, got, want)
 		}
-		if held := blamed > 0; held != (want == logic.ConnectFailed) {
-			t.Errorf("%v: held against the server %t", errno, held)
+		if held := failures > 0; held != (want == logic.ConnectFailed) {
+			t.Errorf("%v: counted against the server: %t", errno, held)
 		}
 	}
-	if shortage(errors.New("other")) {
-		t.Error("any error is a shortage")
+	if isLocalError(errors.New("other")) {
+		t.Error("an unrelated error counts as local")
 	}
 }
 
-// blame counts what is held against servers.
-type blame int
+// failureCounter counts the failures that the core attributes to servers.
+type failureCounter int
 
-func (b *blame) Note(_ int64, _ logic.WorkerID, ok bool) {
+func (b *failureCounter) Note(_ int64, _ logic.WorkerID, ok bool) {
 	if !ok {
 		*b++
 	}
 }
 
-// Connections that break while they carry a request, by each errno that a read or a write may give.
-func TestErrorsOfAConnectionToAServer(t *testing.T) {
+// A connection breaks while it carries a request, with each errno that a read or a write may return.
+func TestServerConnectionErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENETUNREACH} {
 		for _, at := range []string{"read", "write"} {
-			x := newCrossing(t, logic.Class{Name: "readings", Deadline: 60_000_000, WorkerKind: -1, Repeat: logic.RepeatUnsafe})
-			x.serve("s-a")
+			x := newHarness(t, logic.Class{Name: "readings", Deadline: 60_000_000, WorkerKind: -1, Repeat: logic.RepeatUnsafe})
+			x.listServers("s-a")
 			x.d.dial = func(addr string, limit time.Duration) (net.Conn, error) {
 				c, err := dialTCP(addr, limit)
 				return &brokenConn{Conn: c, at: at, err: errno, written: make(chan struct{})}, err
 			}
-			c, _ := x.client()
-			io.WriteString(c, request("t1"))
-			// A class that must not run twice: it may have run once its last byte was written.
+			c, _ := x.connectClient()
+			io.WriteString(c, requestText("t1"))
+			// The class must not run twice: a request may have run once its last byte was written.
 			want := map[string]string{"read": "HTTP/1.1 502 Bad Gateway", "write": "HTTP/1.1 503 Service Unavailable"}[at]
-			if got := x.answer(c); got != want {
+			if got := x.readAnswer(c); got != want {
 				t.Errorf("%v at %s: answered %q, want %q", errno, at, got, want)
 			}
 			if x.d.pool.count != 0 {
-				t.Errorf("%v at %s: %d connections on the books", errno, at, x.d.pool.count)
+				t.Errorf("%v at %s: %d connections in the pool", errno, at, x.d.pool.count)
 			}
 		}
 	}
 }
 
-// brokenConn fails its reads once a request was written to it, or its writes after a few bytes.
+// brokenConn fails its reads after a request was written to it, or its writes after a few bytes.
 type brokenConn struct {
 	net.Conn
 	at      string
--- a/internal/driver/door.go
+++ b/internal/driver/door.go
@@ -8,26 +8,27 @@
 	"granitewing/internal/wire/door"
 )
 
-// Figures of the operators' door.
+// Bounds of the admin endpoint.
 const (
-	doorCallers = 32                     // connections at once; beyond them a caller is told no at once
-	doorLine    = 2 * time.Second        // a caller's line must be whole by then
-	doorOwner   = 700 * time.Millisecond // so long a call waits for the owner; callers wait 1 s for their answer
-	doorWrite   = time.Second
+	maxAdminCallers   = 32                     // concurrent connections; further ones are refused at once
+	adminReadTimeout  = 2 * time.Second        // for a caller's whole line
+	adminOwnerTimeout = 700 * time.Millisecond // how long a call waits for the owner; callers wait 1 s for their answer
+	adminWriteTimeout = time.Second
 )
 
-// Door serves the operators' calls on a listener of its own until the listener is closed. Health and the figures
-// are answered without the owner, so a busy core delays no caller; what changes the dispatcher is posted to it.
+// Door serves admin calls on a listener of its own until the listener is closed. Health checks and metrics are
+// answered without the owner, so a busy core does not delay them. Calls that change the dispatcher are posted to the
+// owner.
 func (d *Driver) Door(ln net.Listener) {
-	slots := make(chan struct{}, doorCallers)
+	slots := make(chan struct{}, maxAdminCallers)
 	for {
 		c, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			d.log.Error("door accept", "cause", err)
-			retry := time.NewTimer(acceptRetry)
+			d.log.Error("admin endpoint: accept failed", "cause", err)
+			retry := time.NewTimer(acceptRetryDelay)
 			<-retry.C
 			continue
 		}
@@ -35,21 +36,21 @@
 		case slots <- struct{}{}:
 			go func() {
 				defer func() { <-slots }()
-				d.call(c)
+				d.serveAdminConn(c)
 			}()
 		default:
-			// A few callers that never finish a line must not keep out the others for long.
-			c.SetWriteDeadline(time.Now().Add(doorWrite))
+			// A few callers that never finish a line must not keep others out for long.
+			c.SetWriteDeadline(time.Now().Add(adminWriteTimeout))
 			c.Write(door.AppendNo(nil, "too many callers at once"))
 			c.Close()
 		}
 	}
 }
 
-// call reads one caller's line and answers it.
-func (d *Driver) call(c net.Conn) {
+// serveAdminConn reads one caller's line and answers it.
+func (d *Driver) serveAdminConn(c net.Conn) {
 	defer c.Close()
-	c.SetReadDeadline(time.Now().Add(doorLine))
+	c.SetReadDeadline(time.Now().Add(adminReadTimeout))
 	var r door.Reader
 	buf := make([]byte, 256)
 	for {
@@ -60,9 +61,9 @@
 				if perr != nil {
 					answer = door.AppendNo(nil, perr.Error())
 				} else {
-					answer = d.answerCall(call)
+					answer = d.executeCall(call)
 				}
-				c.SetWriteDeadline(time.Now().Add(doorWrite))
+				c.SetWriteDeadline(time.Now().Add(adminWriteTimeout))
 				c.Write(answer)
 				if t, ok := c.(*net.TCPConn); ok {
 					t.CloseWrite()
@@ -76,8 +77,8 @@
 	}
 }
 
-// answerCall carries out one call.
-func (d *Driver) answerCall(c door.Call) []byte {
+// executeCall executes one admin call and returns its answer.
+func (d *Driver) executeCall(c door.Call) []byte {
 	switch c.Verb {
 	case door.Health:
 		if d.serving.Load() {
@@ -85,13 +86,13 @@
 		}
 		return door.AppendNo(nil, "not serving")
 	case door.Counters:
-		return door.AppendFigures(nil, d.figures.text())
+		return door.AppendFigures(nil, d.metrics.text())
 	}
 	answer := make(chan []byte, 1)
-	wait := time.NewTimer(doorOwner)
+	wait := time.NewTimer(adminOwnerTimeout)
 	defer wait.Stop()
 	select {
-	case d.events <- func() { answer <- d.change(c) }:
+	case d.events <- func() { answer <- d.applyCall(c) }:
 	case <-wait.C:
 		return door.AppendNo(nil, "busy, try again")
 	case <-d.done:
@@ -101,29 +102,29 @@
 	case b := <-answer:
 		return b
 	case <-wait.C:
-		// It may still be carried out; the caller may repeat it, as every call here may be repeated.
+		// The call may still be executed later; the caller may repeat it, since all these calls are idempotent.
 		return door.AppendNo(nil, "busy, try again")
 	}
 }
 
-// change carries out a call that changes the dispatcher; it runs on the owner.
-func (d *Driver) change(c door.Call) []byte {
+// applyCall executes a call that changes the dispatcher. It runs on the owner.
+func (d *Driver) applyCall(c door.Call) []byte {
 	switch c.Verb {
 	case door.Cordon, door.Uncordon:
 		known, cmds := d.core.Cordon(d.now(), c.ID, c.Verb == door.Cordon)
-		d.do(cmds)
+		d.execute(cmds)
 		if !known {
 			return door.AppendNo(nil, "no worker "+c.ID+" was listed")
 		}
-		d.log.Info("cordon by hand", "host", c.ID, "on", c.Verb == door.Cordon)
-		d.census()
-		d.keepCordons()
+		d.log.Info("cordon changed by an operator", "host", c.ID, "on", c.Verb == door.Cordon)
+		d.updateServing()
+		d.saveCordons()
 		return door.AppendYes(nil, "")
 	case door.Quiesce:
 		d.quiesce()
 		return door.AppendYes(nil, "")
 	case door.Resume:
-		if !d.stopped.IsZero() {
+		if !d.stoppedAt.IsZero() {
 			return door.AppendNo(nil, "stopping")
 		}
 		d.resume()
--- a/internal/driver/downstream.go
+++ b/internal/driver/downstream.go
@@ -9,212 +9,214 @@
 	"granitewing/internal/wire/platform"
 )
 
-// aheadMost is how many bytes a client may send ahead of an answer before it is read no further: some whole requests
-// more. It is read on until then, since the end of its connection can't be seen behind bytes that are left unread.
-const aheadMost = 256 << 10
+// maxReadAhead is how many bytes a client may send ahead of an answer before reading pauses: room for some more whole
+// requests. Reading continues up to this bound, since the end of a connection cannot be seen behind unread bytes.
+const maxReadAhead = 256 << 10
 
-// downstream is a connection from a client. It carries one request at a time; what the client sends ahead of an
-// answer waits, up to limits.ahead.
+// downstream is a connection from a client. It handles one request at a time; what the client sends ahead of an answer
+// is buffered, up to limits.readAhead bytes.
 type downstream struct {
 	*conn
-	parser  *platform.North
-	rest    []byte            // read behind the request
-	pieces  arrivals          // when what is in rest came
-	at      int64             // when the last byte of the request came
-	msg     *platform.Message // not yet answered
-	id      memory.ID         // of the request, while the core has it
-	held    bool              // the core has the request
-	used    bool              // it has carried a request, though perhaps one that can't be taken
-	proven  bool              // the core has taken a request from it
-	closing bool              // nothing more is taken; closed once the answer is written
-	faulty  bool              // the end of what the client sends is not known, so it may still be sending
-	writes  int               // writes on their way
-	bytes   int               // that it holds of the driver's
-	since   time.Time         // of the latest answer, or of the connection
-	begun   time.Time         // of the request awaited, the first one's is the connection's; zero for none
-	evicted bool              // it makes room for another connection
-	timer   *time.Timer       // for what is awaited from the client
-	expiry  *time.Timer       // backs up the decisions' own deadline
+	parser             *platform.North
+	unparsed           []byte            // bytes read after the current request
+	arrivals           arrivals          // when the bytes in unparsed were received
+	receivedAt         int64             // when the last byte of the request was received, Unix microseconds
+	msg                *platform.Message // current request, not yet answered
+	messageID          memory.ID         // of the request while the core has it
+	inCore             bool              // the core has the request
+	hadRequest         bool              // it has carried a request, possibly one that was refused
+	hadAcceptedRequest bool              // the core has accepted a request from this connection
+	closing            bool              // no further requests are read; closed once the answer is written
+	framingLost        bool              // the end of the request is unknown, so the client may still be sending
+	pendingWrites      int               // queued writes that are not complete
+	bufferedBytes      int               // this connection's part of Driver.bufferedBytes
+	idleSince          time.Time         // time of the latest answer, or of the connection
+	requestBegan       time.Time         // start of the request being read, for the first one that of the connection; zero if none is awaited
+	evicting           bool              // it is being closed to make room for another connection
+	timer              *time.Timer       // for the next input from the client
+	expiryTimer        *time.Timer       // backup of the core's own deadline timer
 }
 
-// take keeps a new connection from a client.
-func (d *Driver) take(c net.Conn) {
-	d.arrived = time.Now()
-	n := &downstream{parser: platform.NewNorth(d.lanes, d.tenants), since: d.arrived, begun: d.arrived}
-	n.conn = d.newConn(c, 3, n.read, n.wrote) // at most a go-ahead and an answer wait for the writer
-	n.conn.halted = n.halted
+// addDownstream registers a new client connection.
+func (d *Driver) addDownstream(c net.Conn) {
+	d.lastAccept = time.Now()
+	n := &downstream{parser: platform.NewNorth(d.lanes, d.tenants), idleSince: d.lastAccept, requestBegan: d.lastAccept}
+	n.conn = d.newConn(c, 3, n.read, n.wrote) // at most a 100-continue and an answer are queued
+	n.conn.tryIdleClose = n.closeIfIdle
 	d.downstreams[n] = struct{}{}
-	n.await()
+	n.armReadTimeout()
 	if len(d.downstreams) >= d.limits.downstreams {
 		d.evictDownstream()
 	}
 }
 
-// evictDownstream closes the client connection that is missed least, the oldest of its kind: one from which no
-// request was ever taken, as those have that flood; one that only waits for its end; one that stands idle. One
-// that was opened for a request on its way is the youngest of the first kind.
+// evictDownstream closes the client connection with the lowest keepPriority, the oldest among equals. First come
+// connections from which no request was ever accepted, such as those of a flood, then those that are about to close,
+// then idle ones. A connection just opened for a request that is still under way is the youngest of the first group.
 func (d *Driver) evictDownstream() {
-	var least *downstream
+	var victim *downstream
 	for n := range d.downstreams {
-		if !n.evicted && n.missed() < owed && (least == nil || n.missed() < least.missed() ||
-			n.missed() == least.missed() && n.since.Before(least.since)) {
-			least = n
+		if !n.evicting && n.keepPriority() < mustKeep && (victim == nil || n.keepPriority() < victim.keepPriority() ||
+			n.keepPriority() == victim.keepPriority() && n.idleSince.Before(victim.idleSince)) {
+			victim = n
 		}
 	}
 	switch {
-	case least == nil:
-	case least.closing:
-		least.end()
+	case victim == nil:
+	case victim.closing:
+		victim.teardown()
 	default:
-		least.evicted = true
-		least.retire()
+		victim.evicting = true
+		victim.requestIdleClose()
 	}
 }
 
-// halted follows retire: the reader has stopped and all that it read was taken. It tells whether the connection was closed;
-// one on which a request has begun meanwhile goes on.
-func (n *downstream) halted() bool {
-	if n.closing || !n.idle() && !(n.evicted && n.msg == nil && n.writes == 0) {
-		n.evicted = false
-		n.await()
+// closeIfIdle runs after requestIdleClose, once the reader has stopped and all that it read was handled. It reports
+// whether it closed the connection; one on which a request has begun meanwhile stays open.
+func (n *downstream) closeIfIdle() bool {
+	if n.closing || !n.idle() && !(n.evicting && n.msg == nil && n.pendingWrites == 0) {
+		n.evicting = false
+		n.armReadTimeout()
 		return false
 	}
-	n.end()
+	n.teardown()
 	return true
 }
 
-// owed is how much those are missed that must stay.
-const owed = 3
+// mustKeep is the keepPriority of connections that must not be evicted.
+const mustKeep = 3
 
-// missed tells how much a connection would be missed.
-func (n *downstream) missed() int {
+// keepPriority ranks the connection for eviction; the lowest is evicted first.
+func (n *downstream) keepPriority() int {
 	switch {
-	case n.msg != nil || n.writes > 0:
-		return owed
-	case !n.proven:
+	case n.msg != nil || n.pendingWrites > 0:
+		return mustKeep
+	case !n.hadAcceptedRequest:
 		return 0
 	case n.closing:
 		return 1
 	case n.idle():
 		return 2
 	}
-	return owed
+	return mustKeep
 }
 
-// idle tells whether nothing has begun and nothing is owed.
-func (n *downstream) idle() bool { return n.msg == nil && n.writes == 0 && !n.parser.Partial() }
+// idle reports whether no request has begun and no answer is outstanding.
+func (n *downstream) idle() bool { return n.msg == nil && n.pendingWrites == 0 && !n.parser.Partial() }
 
-// await sets the time-out for what comes next from the client.
-func (n *downstream) await() {
+// armReadTimeout sets the timer for the next input from the client.
+func (n *downstream) armReadTimeout() {
 	if n.timer != nil {
 		n.timer.Stop()
 	}
 	switch {
-	case n.gone || n.closing || n.msg != nil:
-	case !n.begun.IsZero():
-		n.timer = n.d.after(messageLimit-time.Since(n.begun), n.late)
+	case n.isClosed || n.closing || n.msg != nil:
+	case !n.requestBegan.IsZero():
+		n.timer = n.d.postAfter(requestTimeout-time.Since(n.requestBegan), n.requestTimedOut)
 	default:
-		n.timer = n.d.after(downstreamIdle, func() {
+		n.timer = n.d.postAfter(downstreamIdleTimeout, func() {
 			if n.idle() {
-				n.retire()
+				n.requestIdleClose()
 			}
 		})
 	}
 }
 
-// late ends the wait for a request: with an answer where some of it has come. It runs from the request's
-// beginning, and no byte that comes prolongs it.
-func (n *downstream) late() {
+// requestTimedOut ends the wait for a request, with a 408 answer if part of it was received. The time limit counts
+// from the beginning of the request; further bytes do not extend it.
+func (n *downstream) requestTimedOut() {
 	switch {
-	case n.gone || n.closing || n.msg != nil || n.begun.IsZero() || time.Since(n.begun) < messageLimit:
+	case n.isClosed || n.closing || n.msg != nil || n.requestBegan.IsZero() || time.Since(n.requestBegan) < requestTimeout:
 	case n.parser.Partial():
-		n.fault(&platform.Fault{Status: 408, Why: "message not whole in time"})
+		n.replyFault(&platform.Fault{Status: 408, Why: "message not whole in time"})
 	default:
-		n.retire()
+		n.requestIdleClose()
 	}
 }
 
-// read takes bytes from a client, or the end of them.
+// read handles bytes from a client, or the end of its input.
 func (n *downstream) read(b []byte, at int64, err error) bool {
 	if err != nil {
-		n.end()
+		n.teardown()
 		return false
 	}
-	n.pieces.add(len(b), at)
-	n.rest = append(n.rest, b...)
+	n.arrivals.add(len(b), at)
+	n.unparsed = append(n.unparsed, b...)
 	return n.parse()
 }
 
-// parse takes the next request out of what was read; false while too much is left that has to wait.
+// parse handles the requests in unparsed. It returns false while too many bytes must wait behind the current request.
 func (n *downstream) parse() bool {
-	for n.msg == nil && len(n.rest) > 0 && !n.closing && !n.gone {
-		used, m, fault := n.parser.Feed(n.rest)
-		n.rest = n.rest[:copy(n.rest, n.rest[used:])]
-		n.at = n.pieces.take(used)
+	for n.msg == nil && len(n.unparsed) > 0 && !n.closing && !n.isClosed {
+		used, m, fault := n.parser.Feed(n.unparsed)
+		n.unparsed = n.unparsed[:copy(n.unparsed, n.unparsed[used:])]
+		n.receivedAt = n.arrivals.consume(used)
 		switch {
 		case fault != nil:
-			n.fault(fault)
+			n.replyFault(fault)
 		case m != nil:
 			n.msg = m
 			n.handle()
 		case n.parser.Awaited():
-			n.put(platform.AppendContinue(nil))
+			n.queueWrite(platform.AppendContinue(nil))
 		}
 	}
 	if n.closing {
-		n.rest, n.pieces = nil, nil
+		n.unparsed, n.arrivals = nil, nil
 	}
-	n.weigh()
-	if n.begun.IsZero() && n.parser.Partial() {
-		n.begun = time.Now()
-		n.await()
+	n.updateBufferedBytes()
+	if n.requestBegan.IsZero() && n.parser.Partial() {
+		n.requestBegan = time.Now()
+		n.armReadTimeout()
 	}
-	return len(n.rest) == 0 || len(n.rest) < n.d.limits.ahead && n.d.bytes <= n.d.limits.bytes
+	return len(n.unparsed) == 0 || len(n.unparsed) < n.d.limits.readAhead && n.d.bufferedBytes <= n.d.limits.bufferedBytes
 }
 
-// weigh books the bytes that the client has sent of a request and turns it away if all hold too many.
-func (n *downstream) weigh() {
+// updateBufferedBytes updates the count of request bytes that are buffered for clients, and refuses this client's
+// request if it takes the total above its limit.
+func (n *downstream) updateBufferedBytes() {
 	bytes := 0
 	switch {
-	case n.gone || n.closing:
+	case n.isClosed || n.closing:
 	case n.msg != nil:
-		bytes = len(n.msg.Body) + len(n.rest)
+		bytes = len(n.msg.Body) + len(n.unparsed)
 	default:
 		bytes = n.parser.Size()
 	}
-	more := bytes > n.bytes
-	n.d.bytes += bytes - n.bytes
-	n.bytes = bytes
-	if more && n.d.bytes > n.d.limits.bytes && n.msg == nil {
-		n.fault(&platform.Fault{Status: 503, Why: "too much is being sent"})
-		n.weigh()
+	grew := bytes > n.bufferedBytes
+	n.d.bufferedBytes += bytes - n.bufferedBytes
+	n.bufferedBytes = bytes
+	if grew && n.d.bufferedBytes > n.d.limits.bufferedBytes && n.msg == nil {
+		n.replyFault(&platform.Fault{Status: 503, Why: "too much is being sent"})
+		n.updateBufferedBytes()
 	}
 }
 
-// handle answers a request here or hands it to the core.
+// handle answers a request here or passes it to the core.
 func (n *downstream) handle() {
 	d, m := n.d, n.msg
 	switch {
 	case m.Fault != nil:
 		n.reply(m.Fault.Status, []byte(m.Fault.Why), 0)
 	case m.Health && d.serving.Load():
-		// The list that the configuration holds will do: a dispatcher that came back with many others would wait for
-		// discovery as long as all of them together keep it busy, and its clients with it.
+		// The cached list in the configuration suffices to be healthy. Many dispatchers that restart together keep discovery
+		// busy, and if each waited for its answer, so would its clients.
 		n.reply(200, nil, 0)
 	case m.Health:
 		n.reply(503, nil, 0)
-	case len(d.open) >= d.limits.requests:
-		// Room runs out: new work is refused while what was taken is served.
-		n.reply(503, nil, fullAfter)
+	case len(d.openRequests) >= d.limits.requests:
+		// Too many requests are open: new ones are refused, while accepted ones are still served.
+		n.reply(503, nil, overloadRetryAfter)
 	default:
 		if d.journal != nil && !n.recordable() {
 			return
 		}
-		n.arrive()
+		n.submit()
 	}
 }
 
-// recordable tells whether the request may be taken as far as the store of record goes; else it is answered here.
+// recordable reports whether the store of record admits the request. If not, or if its key was already answered, the
+// request is answered here.
 func (n *downstream) recordable() bool {
 	d, m := n.d, n.msg
 	if content, known := d.journal.Repeat(d.now(), m.Class, m.Key); known {
@@ -222,39 +224,39 @@
 		return false
 	}
 	if !d.journal.Admit(m.Class) {
-		n.reply(503, nil, refusedFor)
+		n.reply(503, nil, journalRetryAfter)
 		return false
 	}
 	return true
 }
 
-// arrive hands the request to the core.
-func (n *downstream) arrive() {
+// submit passes the request to the core.
+func (n *downstream) submit() {
 	d, m := n.d, n.msg
 	wait := m.Remaining
 	if wait < 0 {
 		wait = time.Duration(d.cfg.Settings.Classes[m.Class].Deadline) * time.Microsecond
 	}
-	deadline := n.at + wait.Microseconds()
+	deadline := n.receivedAt + wait.Microseconds()
 	now := d.now()
 	id, cmds := d.core.Arrive(now, m.Message, deadline)
 	if d.journal != nil && !(len(cmds) > 0 && cmds[0].Kind == memory.Answer && cmds[0].Verdict == memory.Duplicate) {
 		d.journal.Take(now, id, record.Message{Name: m.Txn, Key: m.Key, Class: m.Class, Deadline: deadline})
 	}
-	n.id, n.held, n.proven = id, true, true
-	d.open[id] = n
-	n.expiry = d.after(time.Duration(deadline-d.now())*time.Microsecond+expireAfter, func() {
-		if d.open[id] == n {
-			d.do(d.core.Expire(d.now(), id))
+	n.messageID, n.inCore, n.hadAcceptedRequest = id, true, true
+	d.openRequests[id] = n
+	n.expiryTimer = d.postAfter(time.Duration(deadline-d.now())*time.Microsecond+expiryGrace, func() {
+		if d.openRequests[id] == n {
+			d.execute(d.core.Expire(d.now(), id))
 		}
 	})
-	d.do(cmds)
+	d.execute(cmds)
 }
 
-// answer gives the final answer to the open request.
+// answer sends the final answer to the open request.
 func (n *downstream) answer(c memory.Command) {
-	n.held = false
-	n.expiry.Stop()
+	n.inCore = false
+	n.expiryTimer.Stop()
 	switch c.Verdict {
 	case memory.Served:
 		n.reply(200, c.Content, 0)
@@ -265,90 +267,91 @@
 	default:
 		n.reply(502, nil, 0)
 	}
-	// What waits behind it may call the core, so it comes after the commands that are being carried out.
-	n.d.later = append(n.d.later, func() {
-		if !n.gone && n.parse() {
+	// Handling the next request may call the core, so it is deferred until the current commands are executed.
+	n.d.deferred = append(n.d.deferred, func() {
+		if !n.isClosed && n.parse() {
 			n.resume()
 		}
 	})
 }
 
-// reply answers the request.
+// reply sends the answer to the current request.
 func (n *downstream) reply(status int, content []byte, after time.Duration) {
-	if m := n.msg; m.Fault == nil && !m.Health && !n.faulty {
-		n.d.figures.answered(m.Class, status)
+	if m := n.msg; m.Fault == nil && !m.Health && !n.framingLost {
+		n.d.metrics.countAnswer(m.Class, status)
 	}
-	// A client that is sent away has its answer to all that was read from it.
-	away := n.msg.Health && !n.d.taking() || n.d.parting()
-	n.closing = n.closing || n.msg.Close || away && len(n.rest) == 0
-	n.msg, n.used, n.since, n.begun = nil, true, time.Now(), time.Time{}
-	n.put(platform.AppendAnswer(nil, status, content, after, n.closing))
-	n.await()
+	// A client that is asked to leave first gets an answer to everything that was read from it.
+	dismiss := n.msg.Health && !n.d.acceptingClients() || n.d.dismissingClients()
+	n.closing = n.closing || n.msg.Close || dismiss && len(n.unparsed) == 0
+	n.msg, n.hadRequest, n.idleSince, n.requestBegan = nil, true, time.Now(), time.Time{}
+	n.queueWrite(platform.AppendAnswer(nil, status, content, after, n.closing))
+	n.armReadTimeout()
 }
 
-// fault answers what leaves no way to find the next request.
-func (n *downstream) fault(f *platform.Fault) {
-	n.msg, n.faulty = &platform.Message{Close: true}, true
+// replyFault answers a fault after which the next request's beginning cannot be found, and closes the connection.
+func (n *downstream) replyFault(f *platform.Fault) {
+	n.msg, n.framingLost = &platform.Message{Close: true}, true
 	n.reply(f.Status, []byte(f.Why), 0)
 }
 
-// put queues bytes for the client.
-func (n *downstream) put(b []byte) {
-	if n.gone {
+// queueWrite queues bytes for the client.
+func (n *downstream) queueWrite(b []byte) {
+	if n.isClosed {
 		return
 	}
-	n.writes++
+	n.pendingWrites++
 	if !n.write(func() []byte { return b }) {
-		n.end()
+		n.teardown()
 	}
 }
 
-// wrote follows each write.
+// wrote runs after each write.
 func (n *downstream) wrote(err error) {
-	n.writes--
+	n.pendingWrites--
 	switch {
-	case n.gone:
+	case n.isClosed:
 	case err != nil:
-		n.end()
-	case n.closing && n.writes == 0 && n.msg == nil:
-		n.farewell()
+		n.teardown()
+	case n.closing && n.pendingWrites == 0 && n.msg == nil:
+		n.closeAfterAnswer()
 	}
 }
 
-// farewell closes after the last answer: the sending side first, so that a client that is still writing
-// reads the answer before its connection is reset.
-func (n *downstream) farewell() {
-	if t, ok := n.c.(*net.TCPConn); ok {
+// closeAfterAnswer closes the connection after the last answer, the sending side first, so that a client that is still
+// writing reads the answer before its connection is reset.
+func (n *downstream) closeAfterAnswer() {
+	if t, ok := n.socket.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	n.drain()
-	limit := goodbyeLimit
-	if n.faulty {
-		limit = drainLimit
+	n.discardInput()
+	limit := closeTimeout
+	if n.framingLost {
+		limit = discardTimeout
 	}
-	n.timer = n.d.after(limit, n.end)
+	n.timer = n.d.postAfter(limit, n.teardown)
 }
 
-// end closes the connection; a client with an open request has left.
-func (n *downstream) end() {
-	if n.gone {
+// teardown closes the connection and releases its resources; an open request is reported to the core as abandoned by
+// the client.
+func (n *downstream) teardown() {
+	if n.isClosed {
 		return
 	}
 	d := n.d
 	n.close()
-	n.weigh()
+	n.updateBufferedBytes()
 	delete(d.downstreams, n)
-	d.room()
+	d.admitNextConn()
 	if n.timer != nil {
 		n.timer.Stop()
 	}
-	if n.held {
-		n.held = false
-		n.expiry.Stop()
-		id := n.id
-		delete(d.open, id)
-		d.later = append(d.later, func() {
-			d.do(d.core.HangUp(d.now(), id))
+	if n.inCore {
+		n.inCore = false
+		n.expiryTimer.Stop()
+		id := n.messageID
+		delete(d.openRequests, id)
+		d.deferred = append(d.deferred, func() {
+			d.execute(d.core.HangUp(d.now(), id))
 			if d.journal != nil {
 				d.journal.Left(d.now(), id)
 				d.journal.flush()
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,5 +1,12 @@
-// Package driver reads and writes the sockets of a dispatcher and keeps its timers. One goroutine, in Run,
-// owns the core and all state here; readers, writers, dials and timers post events to it.
+// Package driver runs a dispatcher on real sockets and timers. It accepts client connections, reads their requests,
+// passes them to the decision core (memory.Core), executes the core's commands on connections to servers and watches
+// discovery for the list of servers. It also serves the admin endpoint, keeps the store of record and the fleet
+// exchange running, and shuts down gracefully.
+//
+// Driver is the main type: New makes it on a listener; Keep, Share and Announce configure it; Run serves until the
+// stop channel is closed and all requests are answered. One goroutine, the owner, in Run, has the core and all state
+// of the package to itself. Readers, writers, dials and timers run on goroutines of their own and post events to the
+// owner. Times are Unix microseconds of the driver's clock unless they are of a time type.
 package driver
 
 import (
@@ -18,25 +25,25 @@
 	"granitewing/logic"
 )
 
-// Figures that no setting gives.
+// Bounds and timeouts that are not configurable.
 const (
-	eventsMost     = 256                    // events on their way; those who post wait beyond it
-	writeLimit     = 30 * time.Second       // a peer that takes no bytes for so long is given up
-	messageLimit   = 2 * time.Second        // a request that has begun must be whole by then; a new connection's first at once
-	downstreamIdle = 5 * time.Minute        // idle connections that have carried a request are kept so long
-	goodbyeLimit   = time.Second            // a peer must end what both sides know to be over by then
-	drainLimit     = 4 * time.Second        // so long a client that is turned away may go on sending before it is cut off
-	expireAfter    = 20 * time.Millisecond  // past a deadline; within the slack that the rules allow
-	dialDefault    = time.Second            // for servers, where the settings give no time-out
-	idleDefault    = 10 * time.Second       // for connections to servers, where the settings give no limit
-	lingerIdle     = 450 * time.Millisecond // once clients are sent away, they may use the connections they have for up to 0.4 s
-	arriveLimit    = time.Second            // after SIGTERM new connections come for up to 0.4 s; late ones on a busy machine included
-	fullAfter      = time.Second            // a client refused for want of descriptors may come back then
-	quietCheck     = 50 * time.Millisecond  // between looks whether all is quiet by then
-	acceptRetry    = 100 * time.Millisecond // between tries to accept while that fails
+	maxQueuedEvents       = 256                    // pending events; posting blocks beyond it
+	writeTimeout          = 30 * time.Second       // a connection is closed if its peer accepts no bytes for this long
+	requestTimeout        = 2 * time.Second        // for a whole request from its beginning; for the first one from the connection's start
+	downstreamIdleTimeout = 5 * time.Minute        // for idle connections that have carried a request
+	closeTimeout          = time.Second            // for the peer to close a connection that is finished for both sides
+	discardTimeout        = 4 * time.Second        // how long a refused client may go on sending before its connection is closed
+	expiryGrace           = 20 * time.Millisecond  // past a request's deadline, within the slack that the platform's rules allow
+	defaultDialTimeout    = time.Second            // for servers, if the settings give no timeout
+	defaultUpstreamIdle   = 10 * time.Second       // for connections to servers, if the settings give no limit
+	idleLinger            = 450 * time.Millisecond // clients that are asked to leave may use their open connections for up to 0.4 s
+	lateArrivalWindow     = time.Second            // after SIGTERM new connections arrive for up to 0.4 s; this includes delays on a busy machine
+	overloadRetryAfter    = time.Second            // Retry-After for a request that is refused because descriptors run short
+	shutdownCheckInterval = 50 * time.Millisecond  // between checks whether shutdown is complete
+	acceptRetryDelay      = 100 * time.Millisecond // between attempts to accept while that fails
 )
 
-// Driver serves one dispatcher.
+// Driver serves one dispatcher. Unless stated otherwise its methods belong to the owner, the goroutine in Run.
 type Driver struct {
 	cfg   *platform.Config
 	core  *memory.Core
@@ -44,101 +51,102 @@
 	log   *slog.Logger
 	ln    net.Listener
 
-	events chan func()
-	later  []func() // what commands bring about at once, after all commands of a call
-	done   chan struct{}
-
-	lanes       map[string]platform.Lane
-	tenants     map[string]int
-	downstreams map[*downstream]struct{}
-	open        map[memory.ID]*downstream
-	attempts    map[memory.RelayID]*attempt
-	pool        pool
-	watches     watches
-	starts      inventory.Starts // of the servers
-	wake        *time.Timer
-	limits      limits
-	bytes       int           // of requests that clients have sent
-	full        chan struct{} // closed once another connection may be accepted
-	journal     *journal      // nil where nothing is recorded
-	stopped     time.Time     // SIGTERM; zero while serving
-	refuse      chan struct{} // closed once the listener is to take no more
-	refused     bool          // and it takes no more
-	arrived     time.Time     // the last connection
-
-	quiesced   time.Time   // the operators' drain; zero while clients are taken
-	checking   bool        // check runs, as it does while stopping or drained
-	shut       bool        // the listener takes only what is in its queue, or nothing more
-	ending     ending      // what SIGTERM begins, when no later process takes over
-	serving    atomic.Bool // the door's health: servers are known and clients are taken
-	figures    *figures
-	cordonsOut latest.Place[[]string] // to the keeper of the file of cordons
-	started    time.Time              // of this process
-	files      files
-	mark       string       // of this process, in names of files that are not in place yet
-	former     start        // the start told before this one's
-	number     atomic.Int64 // of this start, as told to the other process of an upgrade
-	announced  atomic.Bool  // it was told
-	sharing    *sharing     // nil where nothing is shared
-	dial       func(addr string, limit time.Duration) (net.Conn, error)
-	successor  atomic.Bool // a later process of this dispatcher has started, as found at SIGTERM
+	events   chan func()
+	deferred []func() // run by the owner after all commands of a call are executed
+	done     chan struct{}
+
+	lanes         map[string]platform.Lane
+	tenants       map[string]int
+	downstreams   map[*downstream]struct{}
+	openRequests  map[memory.ID]*downstream
+	attempts      map[memory.RelayID]*attempt
+	pool          pool
+	watches       inventoryWatches
+	starts        inventory.Starts // start times of the servers
+	wakeTimer     *time.Timer
+	limits        limits
+	bufferedBytes int           // of requests that are read and not yet answered
+	nextAccept    chan struct{} // closed once another connection may be accepted
+	journal       *journal      // nil if nothing is recorded
+	stoppedAt     time.Time     // when SIGTERM came; zero while serving
+	stopAccepting chan struct{} // closed to make accept finish the queue and stop
+	acceptStopped bool          // accept has stopped
+	lastAccept    time.Time     // when the last connection was accepted
+
+	quiescedAt       time.Time    // when the operators began a drain; zero while clients are accepted
+	shutdownChecking bool         // checkShutdown is scheduled: the driver is stopping or drained
+	listenerStopped  bool         // the listener accepts only what is in its queue, or nothing more
+	shutdownPlan     shutdownPlan // of a SIGTERM without a successor process
+	serving          atomic.Bool  // health as the admin endpoint reports it: servers are known and clients are accepted
+	metrics          *metrics
+	cordonUpdates    latest.Place[[]string] // to the cordonSyncer
+	startedAt        time.Time              // when this process started
+	files            fileSystem
+	tempSuffix       string        // unique to this process; in the names of temporary files
+	previousStart    startRecord   // start announced by the process before this one
+	startNumber      atomic.Int64  // of this process, as announced to the other process of an upgrade
+	announced        atomic.Bool   // the start was announced
+	sharing          *fleetSharing // nil if the dispatcher is in no fleet
+	dial             func(addr string, limit time.Duration) (net.Conn, error)
+	successor        atomic.Bool // a later process of this dispatcher had started when SIGTERM came
 }
 
-// limits shares out descriptors and memory.
+// limits divides descriptors and memory among their uses.
 type limits struct {
-	requests    int // requests open at once; beyond them new ones are refused
-	downstreams int // connections of clients; beyond them one that is missed least makes room
-	bytes       int // of requests that clients have sent; beyond them a client is turned away
-	ahead       int // bytes that one client may send ahead of an answer
-	upstreams   int // connections to servers
-	perServer   int
+	requests      int // open requests; further ones are refused
+	downstreams   int // client connections; beyond them one is evicted, see evictDownstream
+	bufferedBytes int // of requests that are read and not yet answered; beyond them a client is refused
+	readAhead     int // bytes that one client may send ahead of an answer
+	upstreams     int // connections to servers
+	perServer     int
 }
 
-// limitsFor leaves room for discovery, the listener, a log and what the runtime holds. Of the memory a quarter is
-// for what clients have sent: each body may have a copy on its way to a server, and the collector needs as much again.
+// limitsFor computes limits that leave descriptors for discovery, the listener, a log and the runtime. A quarter of
+// the memory is for requests from clients: each body may be copied on its way to a server, and the garbage collector
+// needs as much again.
 func limitsFor(sockets, memoryMB int) limits {
 	usable := max(sockets-32, 16)
-	south := usable * 4 / 10
-	return limits{requests: usable / 2, downstreams: usable * 6 / 10, bytes: memoryMB << 20 / 4, ahead: aheadMost, upstreams: south, perServer: max(south/4, 4)}
+	upstreams := usable * 4 / 10
+	return limits{requests: usable / 2, downstreams: usable * 6 / 10, bufferedBytes: memoryMB << 20 / 4, readAhead: maxReadAhead, upstreams: upstreams, perServer: max(upstreams/4, 4)}
 }
 
-// New makes a driver that serves on a listener.
+// New returns a driver that serves on a listener. Settings that the core refuses are an error.
 func New(cfg *platform.Config, ln net.Listener, log *slog.Logger) (*Driver, error) {
 	core, err := memory.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return &Driver{
-		cfg: cfg, core: core, clock: newClock(), log: log, ln: ln, lanes: cfg.Lanes(), tenants: cfg.Tenants(), ending: endingFor(cfg.Settings.Classes),
-		events: make(chan func(), eventsMost), done: make(chan struct{}),
-		refuse: make(chan struct{}), dial: dialTCP,
-		downstreams: map[*downstream]struct{}{}, open: map[memory.ID]*downstream{}, attempts: map[memory.RelayID]*attempt{},
+		cfg: cfg, core: core, clock: newClock(), log: log, ln: ln, lanes: cfg.Lanes(), tenants: cfg.Tenants(), shutdownPlan: shutdownPlanFor(cfg.Settings.Classes),
+		events: make(chan func(), maxQueuedEvents), done: make(chan struct{}),
+		stopAccepting: make(chan struct{}), dial: dialTCP,
+		downstreams: map[*downstream]struct{}{}, openRequests: map[memory.ID]*downstream{}, attempts: map[memory.RelayID]*attempt{},
 		pool: pool{servers: map[string]*serverConns{}}, limits: limitsFor(cfg.Sockets, cfg.MemoryMB),
-		figures: newFigures(cfg.Settings.Classes), cordonsOut: latest.New[[]string](), started: time.Now(),
-		files: systemFiles{}, mark: fmt.Sprintf("%d-%x", os.Getpid(), time.Now().UnixNano()),
+		metrics: newMetrics(cfg.Settings.Classes), cordonUpdates: latest.New[[]string](), startedAt: time.Now(),
+		files: osFileSystem{}, tempSuffix: fmt.Sprintf("%d-%x", os.Getpid(), time.Now().UnixNano()),
 	}, nil
 }
 
-// Run serves until stop is closed and nothing is held any more.
+// Run serves until stop is closed and everything outstanding is finished.
 func (d *Driver) Run(stop <-chan struct{}) {
 	defer close(d.done)
 	go d.accept()
 	d.watches = newWatches(d.cfg, d.now())
-	d.takeHosts(logic.ListCached, d.cfg.Known.Hosts)
+	d.applyHosts(logic.ListCached, d.cfg.Known.Hosts)
 	d.startCordons()
-	d.census()
+	d.updateServing()
 	if d.sharing != nil {
-		d.share()
+		d.shareRound()
 	}
 	for {
-		for len(d.later) > 0 {
-			f := d.later[0]
-			d.later = d.later[1:]
+		for len(d.deferred) > 0 {
+			f := d.deferred[0]
+			d.deferred = d.deferred[1:]
 			f()
 		}
-		d.figures.concurrent.Store(int64(len(d.open)))
-		if !d.stopped.IsZero() && d.quiet() {
-			d.leave()
+		d.metrics.concurrent.Store(int64(len(d.openRequests)))
+		if !d.stoppedAt.IsZero() && d.drained() {
+			d.closeBackends()
 			return
 		}
 		select {
@@ -146,82 +154,83 @@
 			f()
 		case <-stop:
 			stop = nil
-			d.resign()
+			d.resignFleetRoles()
 			d.stop()
 		}
 	}
 }
 
-// post hands an event to the owner; it waits while too many are on their way.
+// post passes an event to the owner; it blocks while maxQueuedEvents are pending.
 func (d *Driver) post(f func()) { seam.Send(d.events, f, d.done) }
 
-// after posts an event when a wait is over.
-func (d *Driver) after(wait time.Duration, f func()) *time.Timer {
+// postAfter posts an event after a delay.
+func (d *Driver) postAfter(wait time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(max(wait, 0), func() { d.post(f) })
 }
 
 func (d *Driver) now() int64 { return d.clock.now() }
 
-// Now is the driver's own time: Unix microseconds as of its start, and real time since. Any goroutine may ask.
+// Now returns the driver's time in Unix microseconds: wall-clock time at its start plus real time since. It is safe
+// for use by any goroutine.
 func (d *Driver) Now() int64 { return d.clock.now() }
 
-// taking tells whether new clients are asked for: neither SIGTERM nor the operators' drain came.
-func (d *Driver) taking() bool { return d.stopped.IsZero() && d.quiesced.IsZero() }
+// acceptingClients reports whether new clients are welcome: neither SIGTERM nor an operators' drain is in effect.
+func (d *Driver) acceptingClients() bool { return d.stoppedAt.IsZero() && d.quiescedAt.IsZero() }
 
-// census tells the door how many servers are listed and avoided, and whether this process serves; it follows the
-// inventory, the cordons, the drain and the stop, which are all that change these.
-func (d *Driver) census() {
+// updateServing updates the numbers of listed and avoided servers in the metrics, and the health of this process. It
+// is called after every change of the inventory, the cordons, the drain and the stop, on which alone these depend.
+func (d *Driver) updateServing() {
 	listed, avoided := d.core.Census()
-	d.figures.targets.Store(int64(listed))
-	d.figures.disabled.Store(int64(avoided))
-	d.serving.Store(d.taking() && avoided < listed)
+	d.metrics.targets.Store(int64(listed))
+	d.metrics.disabled.Store(int64(avoided))
+	d.serving.Store(d.acceptingClients() && avoided < listed)
 }
 
-// do carries out the commands of one call of the core, but those that wait for the store of record. None of them calls
-// the core before all are done.
-func (d *Driver) do(cmds []memory.Command) {
+// execute carries out the commands of one call of the core, except those that must wait for the store of record. No
+// command calls the core before all of them are executed.
+func (d *Driver) execute(cmds []memory.Command) {
 	if d.journal == nil {
-		d.carry(cmds)
+		d.executeNow(cmds)
 		return
 	}
-	d.carry(d.journal.Filter(d.now(), cmds))
+	d.executeNow(d.journal.Filter(d.now(), cmds))
 	d.journal.flush()
 }
 
-func (d *Driver) carry(cmds []memory.Command) {
+func (d *Driver) executeNow(cmds []memory.Command) {
 	for _, c := range cmds {
 		switch c.Kind {
 		case memory.Send:
-			d.send(c)
+			d.sendAttempt(c)
 		case memory.Drop:
-			d.drop(c.Relay)
+			d.cancelAttempt(c.Relay)
 		case memory.Answer:
-			if n := d.open[c.Relay.Message]; n != nil {
-				delete(d.open, c.Relay.Message)
+			if n := d.openRequests[c.Relay.Message]; n != nil {
+				delete(d.openRequests, c.Relay.Message)
 				n.answer(c)
 			}
 		case memory.Wake:
 			d.wakeAt(c.At)
 		case memory.Watch:
-			d.openWatch()
+			d.requestInventory()
 		case memory.Leave:
-			d.pool.leave(c.Addr)
+			d.pool.closeIdle(c.Addr)
 		}
 	}
 }
 
-// wakeAt keeps the one wake-up that the decisions wait for: they ask anew only for an earlier one or when it
-// is over.
+// wakeAt sets the single wake-up timer of the core, which requests another one only for an earlier time or once this
+// one has fired.
 func (d *Driver) wakeAt(at int64) {
-	if d.wake != nil {
-		d.wake.Stop()
+	if d.wakeTimer != nil {
+		d.wakeTimer.Stop()
 	}
-	d.wake = d.after(time.Duration(at-d.now())*time.Microsecond, func() {
+	d.wakeTimer = d.postAfter(time.Duration(at-d.now())*time.Microsecond, func() {
 		now := d.now()
 		if now < at {
-			d.wakeAt(at) // woken early, the decisions would neither act nor ask again
+			d.wakeAt(at) // if woken too early, the core would neither act nor request another wake-up
 			return
 		}
-		d.do(d.core.Wake(now))
+		d.execute(d.core.Wake(now))
 	})
 }
--- a/internal/driver/errors.go
+++ b/internal/driver/errors.go
@@ -11,16 +11,16 @@
 	"granitewing/logic"
 )
 
-// shortages are errors of this machine that say nothing of the one at the other end: no descriptor, memory, port or route
-// is to be had here just now.
-var shortages = []syscall.Errno{
+// localErrors are errors of this machine that say nothing about the remote one: no descriptor, memory, port or route
+// is available here at the moment.
+var localErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
 	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR,
 }
 
-// shortage tells whether an error is this machine's own.
-func shortage(err error) bool {
-	for _, e := range shortages {
+// isLocalError reports whether an error has its cause on this machine.
+func isLocalError(err error) bool {
+	for _, e := range localErrors {
 		if errors.Is(err, e) {
 			return true
 		}
@@ -28,24 +28,24 @@
 	return false
 }
 
-// dialResult is how an attempt ended whose connection did not come up.
+// dialResult returns the result of an attempt whose connection could not be made.
 func dialResult(err error) logic.Result {
-	if shortage(err) {
+	if isLocalError(err) {
 		return logic.Moot
 	}
 	return logic.ConnectFailed
 }
 
-// States of a TCP connection as the system numbers them.
+// Kernel numbers of TCP connection states.
 const (
-	tcpClose     = 7 // reset
-	tcpCloseWait = 8 // the other end has closed
+	tcpStateClose     = 7 // the connection was reset
+	tcpStateCloseWait = 8 // the peer has closed its side
 )
 
-// left tells whether a client has closed its connection behind bytes that are left unread; where all is read, the reader
-// sees it.
-func (n *downstream) left() bool {
-	t, tcp := n.c.(*net.TCPConn)
+// clientClosed reports whether a client has closed its connection while bytes from it are still unread. If all is
+// read, the reader notices the close itself.
+func (n *downstream) clientClosed() bool {
+	t, tcp := n.socket.(*net.TCPConn)
 	if !n.paused || !tcp {
 		return false
 	}
@@ -56,12 +56,12 @@
 	left := false
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		left = err == nil && (info.State == tcpClose || info.State == tcpCloseWait)
+		left = err == nil && (info.State == tcpStateClose || info.State == tcpStateCloseWait)
 	})
 	return left
 }
 
-// dialTCP connects to a server.
+// dialTCP connects to a server within a time limit.
 func dialTCP(addr string, limit time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", addr, limit)
 }
--- a/internal/driver/figures.go
+++ b/internal/driver/figures.go
@@ -10,27 +10,27 @@
 	"granitewing/logic"
 )
 
-// figures are what the door's `counters` tells. The owner counts where things happen; the door reads at any time,
-// so all of it is atomic and nothing of it waits for the owner. They are written here and not by a metrics library:
-// those bring an HTTP client and TLS into this program, 3.6 MB of its resident memory, for what takes a few lines.
-type figures struct {
-	named                         []figure        // sorted by name
+// metrics are the values behind the admin endpoint's `counters` call. The owner updates them and the admin endpoint
+// reads them at any time, so all values are atomic and reading never waits for the owner. No metrics library is used:
+// the usual ones link an HTTP client and TLS into this program, 3.6 MB of resident memory, for a few lines of code.
+type metrics struct {
+	sorted                        []metric        // sorted by name
 	success, overload, failed     []*atomic.Int64 // by class
-	dispatches                    *atomic.Int64   // attempts whose request was written whole
+	dispatches                    *atomic.Int64   // attempts whose request was written completely
 	concurrent, targets, disabled *atomic.Int64
-	more                          atomic.Pointer[[]byte] // of the fleet, as last written; nil where nothing is shared
+	fleetText                     atomic.Pointer[[]byte] // metrics of the fleet as last rendered; nil if the dispatcher is in no fleet
 }
 
-// figure is one value with its name and labels.
-type figure struct {
+// metric is one value with its name and labels.
+type metric struct {
 	name  string
 	value *atomic.Int64
 }
 
 var labelValue = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-func newFigures(classes []logic.Class) *figures {
-	f := &figures{}
+func newMetrics(classes []logic.Class) *metrics {
+	f := &metrics{}
 	for _, k := range classes {
 		label := `{type="` + labelValue.Replace(k.Name) + `"}`
 		f.success = append(f.success, f.add("router_success_total"+label))
@@ -41,19 +41,19 @@
 	f.concurrent = f.add("router_concurrent")
 	f.targets = f.add("router_targets")
 	f.disabled = f.add("router_targets_disabled")
-	slices.SortStableFunc(f.named, func(a, b figure) int { return strings.Compare(a.name, b.name) })
+	slices.SortStableFunc(f.sorted, func(a, b metric) int { return strings.Compare(a.name, b.name) })
 	return f
 }
 
-// add gives a new figure its name.
-func (f *figures) add(name string) *atomic.Int64 {
+// add registers a new value under a name.
+func (f *metrics) add(name string) *atomic.Int64 {
 	value := new(atomic.Int64)
-	f.named = append(f.named, figure{name, value})
+	f.sorted = append(f.sorted, metric{name, value})
 	return value
 }
 
-// answered counts the final answer of a request of a class by the status that its client is given.
-func (f *figures) answered(class, status int) {
+// countAnswer counts the final answer to a request by its class and HTTP status.
+func (f *metrics) countAnswer(class, status int) {
 	if class < 0 || class >= len(f.success) {
 		return
 	}
@@ -67,13 +67,13 @@
 	}
 }
 
-// text gives all figures in the Prometheus text format.
-func (f *figures) text() []byte {
+// text renders all metrics in the Prometheus text format.
+func (f *metrics) text() []byte {
 	var b bytes.Buffer
-	for _, v := range f.named {
+	for _, v := range f.sorted {
 		fmt.Fprintf(&b, "%s %d\n", v.name, v.value.Load())
 	}
-	if more := f.more.Load(); more != nil {
+	if more := f.fleetText.Load(); more != nil {
 		b.Write(*more)
 	}
 	return b.Bytes()
--- a/internal/driver/inventory.go
+++ b/internal/driver/inventory.go
@@ -14,109 +14,110 @@
 	"granitewing/logic"
 )
 
-// watches carries out what the inventory's keeper decides: connections to discovery, and one timer.
-type watches struct {
-	keeper *inventory.Keeper
-	calls  map[inventory.Call]*watch
-	timer  *time.Timer
+// inventoryWatches carries out the actions of inventory.Keeper: connections to discovery and one timer.
+type inventoryWatches struct {
+	tracker *inventory.Keeper
+	open    map[inventory.Call]*watch
+	timer   *time.Timer
 }
 
-// watch is a connection to discovery, or the making of one.
+// watch is a connection to discovery that is open or being made.
 type watch struct {
 	*conn
-	cancel context.CancelFunc // of the making
+	cancel context.CancelFunc // cancels the dial
 }
 
-func newWatches(cfg *platform.Config, now int64) watches {
+func newWatches(cfg *platform.Config, now int64) inventoryWatches {
 	rng := rand.New(rand.NewPCG(cfg.Seed, 7))
 	limits := inventory.Limits{Pushed: cfg.Settings.Pushed, AskWithin: cfg.Settings.AskWithin, Grace: cfg.Settings.DrainGrace}
-	return watches{keeper: inventory.New(now, limits, cfg.Known.Revision, rng.Float64), calls: map[inventory.Call]*watch{}}
+	return inventoryWatches{tracker: inventory.New(now, limits, cfg.Known.Revision, rng.Float64), open: map[inventory.Call]*watch{}}
 }
 
-// Reload takes the address that discovery has from now on. It may be called from any goroutine.
+// Reload changes the address of discovery. It is safe for use by any goroutine.
 func (d *Driver) Reload(discovery string) {
 	d.post(func() {
 		if discovery != d.cfg.Discovery {
 			d.cfg.Discovery = discovery
-			d.watches.keeper.Moved(d.now())
-			d.keep()
+			d.watches.tracker.Moved(d.now())
+			d.runInventoryActions()
 		}
 	})
 }
 
-// openWatch has discovery asked; the decisions say so at the start and when a wait after a failure is over.
-func (d *Driver) openWatch() {
-	// What follows may call the core, which commands must not do before all of them are carried out.
-	d.later = append(d.later, func() {
-		d.watches.keeper.Ask(d.now())
-		d.keep()
+// requestInventory asks discovery for the list of servers. The core orders it at the start and after the wait that
+// follows a failure.
+func (d *Driver) requestInventory() {
+	// The follow-up may call the core, which must not happen before all current commands are executed.
+	d.deferred = append(d.deferred, func() {
+		d.watches.tracker.Ask(d.now())
+		d.runInventoryActions()
 	})
 }
 
-// keep carries out what the keeper has decided and waits for what it waits for.
-func (d *Driver) keep() {
+// runInventoryActions carries out the tracker's pending actions and sets the timer for its next one.
+func (d *Driver) runInventoryActions() {
 	w := &d.watches
-	for _, c := range w.keeper.Ready() {
+	for _, c := range w.tracker.Ready() {
 		switch c.Kind {
 		case inventory.Dial:
-			d.ask(c.Call, c.Index)
+			d.dialDiscovery(c.Call, c.Index)
 		case inventory.Close:
-			w.end(c.Call)
+			w.close(c.Call)
 		case inventory.Fail:
-			d.do(d.core.Inventory(d.now(), logic.ListFailed, nil))
+			d.execute(d.core.Inventory(d.now(), logic.ListFailed, nil))
 		case inventory.Doubt:
-			d.log.Warn("inventory in doubt, nothing new is sent", "cause", c.Cause)
-			d.do(d.core.Doubt(d.now(), true))
+			d.log.Warn("inventory stale, sending no new requests", "cause", c.Cause)
+			d.execute(d.core.Doubt(d.now(), true))
 		case inventory.Trust:
-			d.log.Info("inventory believed again")
-			d.do(d.core.Doubt(d.now(), false))
+			d.log.Info("inventory up to date again")
+			d.execute(d.core.Doubt(d.now(), false))
 		}
 	}
 	if w.timer != nil {
 		w.timer.Stop()
 		w.timer = nil
 	}
-	if at := w.keeper.Next(); at != 0 {
-		w.timer = d.after(time.Duration(at-d.now())*time.Microsecond, func() {
-			w.keeper.Wake(d.now())
-			d.keep()
+	if at := w.tracker.Next(); at != 0 {
+		w.timer = d.postAfter(time.Duration(at-d.now())*time.Microsecond, func() {
+			w.tracker.Wake(d.now())
+			d.runInventoryActions()
 		})
 	}
 }
 
-// ask makes a connection to discovery and asks for what changed after a revision, or for all it has.
-func (d *Driver) ask(id inventory.Call, index int64) {
+// dialDiscovery connects to discovery and requests the changes after a revision, or the whole list.
+func (d *Driver) dialDiscovery(id inventory.Call, index int64) {
 	ctx, cancel := context.WithCancel(context.Background())
-	d.watches.calls[id] = &watch{cancel: cancel}
+	d.watches.open[id] = &watch{cancel: cancel}
 	address := d.cfg.Discovery
 	go func() {
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		cancel()
 		d.post(func() {
-			w := d.watches.calls[id]
+			w := d.watches.open[id]
 			switch {
 			case w == nil:
 				if err == nil {
 					c.Close()
 				}
 			case err != nil:
-				d.lost(id, err, inventory.Refused)
+				d.watchFailed(id, err, inventory.Refused)
 			default:
-				d.watching(w, id, index, address, c)
+				d.startWatch(w, id, index, address, c)
 			}
 		})
 	}()
 }
 
-func (d *Driver) watching(w *watch, id inventory.Call, index int64, address string, c net.Conn) {
-	var stale error
+func (d *Driver) startWatch(w *watch, id inventory.Call, index int64, address string, c net.Conn) {
+	var staleErr error
 	listed := index
 	parser := platform.NewWatch(d.cfg.Names(), index == inventory.All, func(l platform.List) {
-		if stale == nil && d.watches.keeper.Listed(d.now(), id, l.Revision, l.Complete) {
+		if staleErr == nil && d.watches.tracker.Listed(d.now(), id, l.Revision, l.Complete) {
 			listed = l.Revision
-			d.list(l)
-		} else if stale == nil {
-			stale = fmt.Errorf("revision went back from %d to %d", listed, l.Revision)
+			d.applyList(l)
+		} else if staleErr == nil {
+			staleErr = fmt.Errorf("revision went back from %d to %d", listed, l.Revision)
 		}
 	})
 	w.conn = d.newConn(c, 1, func(b []byte, _ int64, err error) bool {
@@ -125,27 +126,27 @@
 			whole, err = parser.Feed(b)
 			how = inventory.Spoilt
 			if parser.Fresh() {
-				d.watches.keeper.Heard(d.now(), id)
+				d.watches.tracker.Heard(d.now(), id)
 			}
 		}
 		if err == nil {
-			err = stale
+			err = staleErr
 		}
 		if errors.Is(err, platform.ErrTurnedAway) {
 			how = inventory.Refused
 		}
 		if err != nil {
-			d.lost(id, err, how)
+			d.watchFailed(id, err, how)
 			return false
 		}
 		if whole {
 			w.send(platform.AppendWatch(nil, address, listed))
 		}
-		d.keep()
-		return !w.gone
+		d.runInventoryActions()
+		return !w.isClosed
 	}, func(err error) {
 		if err != nil {
-			d.lost(id, err, inventory.Refused)
+			d.watchFailed(id, err, inventory.Refused)
 		}
 	})
 	if index == inventory.All {
@@ -155,24 +156,24 @@
 	w.send(platform.AppendWatch(nil, address, index))
 }
 
-// list hands a list to the core.
-func (d *Driver) list(l platform.List) {
+// applyList passes a list to the core.
+func (d *Driver) applyList(l platform.List) {
 	how := logic.ListDelta
 	if l.Complete {
 		how = logic.ListFull
 		before, _ := d.core.Census()
 		defer func() {
 			if now, _ := d.core.Census(); now < before/2 {
-				d.log.Warn("inventory names less than half of the hosts of before", "before", before, "now", now)
+				d.log.Warn("inventory lists less than half as many hosts as before", "before", before, "now", now)
 			}
 		}()
 	}
-	d.takeHosts(how, l.Hosts)
-	d.census()
+	d.applyHosts(how, l.Hosts)
+	d.updateServing()
 }
 
-// takeHosts hands servers to the core, with their starts in the dispatcher's own time.
-func (d *Driver) takeHosts(how logic.ListKind, hosts []memory.Host) {
+// applyHosts passes servers to the core, with their start times converted to the dispatcher's own clock.
+func (d *Driver) applyHosts(how logic.ListKind, hosts []memory.Host) {
 	now, wall := d.now(), d.clock.wall().UnixMicro()
 	for i := range hosts {
 		hosts[i].UpSince = d.starts.Own(hosts[i].Name, hosts[i].UpSince, wall, now)
@@ -180,7 +181,7 @@
 			d.starts.Forget(hosts[i].Name)
 		}
 	}
-	d.do(d.core.Inventory(now, how, hosts))
+	d.execute(d.core.Inventory(now, how, hosts))
 	if how != logic.ListDelta {
 		listed := map[string]bool{}
 		for _, h := range hosts {
@@ -190,35 +191,35 @@
 	}
 }
 
-// lost tells the keeper that a connection to discovery is over.
-func (d *Driver) lost(id inventory.Call, err error, how inventory.How) {
-	if d.watches.calls[id] == nil {
+// watchFailed reports the end of a connection to discovery to the tracker.
+func (d *Driver) watchFailed(id inventory.Call, err error, how inventory.How) {
+	if d.watches.open[id] == nil {
 		return
 	}
-	d.log.Warn("inventory", "cause", err)
-	d.watches.end(id)
-	d.watches.keeper.Ended(d.now(), id, how)
-	d.keep()
+	d.log.Warn("connection to discovery failed", "cause", err)
+	d.watches.close(id)
+	d.watches.tracker.Ended(d.now(), id, how)
+	d.runInventoryActions()
 }
 
-func (w *watches) end(id inventory.Call) {
-	c := w.calls[id]
+func (w *inventoryWatches) close(id inventory.Call) {
+	c := w.open[id]
 	if c == nil {
 		return
 	}
-	delete(w.calls, id)
+	delete(w.open, id)
 	c.cancel()
 	if c.conn != nil {
 		c.close()
 	}
 }
 
-// leave lets go of all of them.
-func (w *watches) leave() {
+// closeAll closes all connections to discovery and stops the timer.
+func (w *inventoryWatches) closeAll() {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	for id := range w.calls {
-		w.end(id)
+	for id := range w.open {
+		w.close(id)
 	}
 }
--- a/internal/driver/journal.go
+++ b/internal/driver/journal.go
@@ -9,40 +9,40 @@
 	"granitewing/internal/seam"
 )
 
-// refusedFor is when a client may come back whose request can't be recorded now.
-const refusedFor = time.Second
+// journalRetryAfter is the Retry-After of a request that cannot be recorded now.
+const journalRetryAfter = time.Second
 
-// settleLimit is how long the end of the dispatcher waits for what is not written yet.
-const settleLimit = 5 * time.Second
+// settleTimeout is how long shutdown waits for records that are not written yet.
+const settleTimeout = 5 * time.Second
 
-// Records has the driver keep a store of record.
+// Records configures the recording of requests in a store of record.
 type Records struct {
 	Journal *record.Journal
 	Store   record.Store
 	Limit   time.Duration // of one write, after which it counts as failed
 }
 
-// journal is the driver's side of the store: one write at a time, made by a goroutine of its own, so that the owner
-// never waits for it.
+// journal connects the driver to the store of record. A goroutine of its own makes one write at a time, so that the
+// owner never waits for the store.
 type journal struct {
 	*record.Journal
-	d      *Driver
-	store  record.Store
-	limit  time.Duration
-	writes chan []record.Record
-	timer  *time.Timer
-	due    int64 // for which the timer is set
-	failed bool  // the last write did
+	d               *Driver
+	store           record.Store
+	limit           time.Duration
+	writes          chan []record.Record
+	timer           *time.Timer
+	timerAt         int64 // time for which the timer is set; 0 if it is not
+	lastWriteFailed bool  // avoids a log line per failed write
 }
 
-// Keep has the driver record requests; to be called before Run.
+// Keep makes the driver record requests. It must be called before Run.
 func (d *Driver) Keep(r Records) {
 	d.journal = &journal{Journal: r.Journal, d: d, store: r.Store, limit: r.Limit, writes: make(chan []record.Record, 1)}
-	go d.journal.writing()
+	go d.journal.writeLoop()
 }
 
-// writing makes the writes.
-func (j *journal) writing() {
+// writeLoop writes batches to the store and posts each result to the owner.
+func (j *journal) writeLoop() {
 	for {
 		batch, more := seam.Recv(j.writes, j.d.done)
 		if !more {
@@ -55,52 +55,53 @@
 	}
 }
 
-// flush begins the next write if there is something to write and none is under way.
+// flush starts the next write if there is something to write and no write is under way.
 func (j *journal) flush() {
 	if batch := j.Batch(j.d.now()); batch != nil {
-		seam.Send(j.writes, batch, nil) // never waits: Batch gives one only when the last is done
+		seam.Send(j.writes, batch, nil) // never blocks: Batch returns one only after the previous write has finished
 	}
-	j.arm()
+	j.armTimer()
 }
 
-// arm sets the timer for what the journal next waits for.
-func (j *journal) arm() {
+// armTimer sets the timer for the journal's next deadline.
+func (j *journal) armTimer() {
 	next := j.Next()
-	if next == j.due {
+	if next == j.timerAt {
 		return
 	}
-	j.due = next
+	j.timerAt = next
 	if j.timer != nil {
 		j.timer.Stop()
 	}
 	if next == 0 {
 		return
 	}
-	j.timer = j.d.after(time.Duration(next-j.d.now())*time.Microsecond, func() {
-		j.due = 0
+	j.timer = j.d.postAfter(time.Duration(next-j.d.now())*time.Microsecond, func() {
+		j.timerAt = 0
 		out, refuse, changed := j.Due(j.d.now())
-		j.settle(out, refuse, changed)
+		j.applyReleased(out, refuse, changed)
 		j.flush()
 	})
 }
 
-// wrote takes the end of a write.
+// wrote handles the result of a write.
 func (j *journal) wrote(err error) {
-	if err != nil && !j.failed {
-		j.d.log.Warn("store of record", "cause", err)
+	if err != nil && !j.lastWriteFailed {
+		j.d.log.Warn("write to the store of record failed", "cause", err)
 	}
-	j.failed = err != nil
+	j.lastWriteFailed = err != nil
 	out, changed := j.Wrote(j.d.now(), err)
-	j.settle(out, nil, changed)
+	j.applyReleased(out, nil, changed)
 	if changed {
-		more, refuse := j.Trouble(j.d.now())
-		j.settle(more, refuse, false)
+		released, refuse := j.Trouble(j.d.now())
+		j.applyReleased(released, refuse, false)
 	}
 	j.flush()
 }
 
-// settle carries out what the journal lets go, and has the core refuse what can't be recorded.
-func (j *journal) settle(out []memory.Command, refuse []memory.ID, changed bool) {
+// applyReleased executes the commands that the journal releases and has the core refuse requests that cannot be
+// recorded.
+func (j *journal) applyReleased(out []memory.Command, refuse []memory.ID, changed bool) {
 	d := j.d
 	if changed {
 		state := "closed"
@@ -108,16 +109,16 @@
 			state = "open"
 		}
 		s := j.Stats()
-		d.log.Warn("store of record", "breaker", state, "opened", j.Breaker.Opened(), "waiting", j.Waiting(), "lost", s.Lost,
+		d.log.Warn("circuit breaker of the store of record changed", "breaker", state, "opened", j.Breaker.Opened(), "waiting", j.Waiting(), "lost", s.Lost,
 			"unrecorded", s.Unrecorded, "overtaken", s.Overtaken, "refused", s.Refused)
 	}
-	d.carry(out)
+	d.executeNow(out)
 	for _, id := range refuse {
-		d.do(d.core.Refuse(d.now(), id, refusedFor.Microseconds()))
+		d.execute(d.core.Refuse(d.now(), id, journalRetryAfter.Microseconds()))
 	}
 }
 
-// settled tells whether all that was answered is written, or has been waited for long enough.
-func (j *journal) settled() bool {
-	return j.Waiting() == 0 || time.Since(j.d.stopped) > settleLimit
+// flushed reports whether all answered requests are recorded, or shutdown has waited for settleTimeout.
+func (j *journal) flushed() bool {
+	return j.Waiting() == 0 || time.Since(j.d.stoppedAt) > settleTimeout
 }
--- a/internal/driver/journal_test.go
+++ b/internal/driver/journal_test.go
@@ -20,41 +20,41 @@
 	"granitewing/logic"
 )
 
-// gate is a store whose writes wait for the test's word.
-type gate struct {
+// blockingStore is a store whose writes wait for a result from the test.
+type blockingStore struct {
 	record.Store
-	asked chan []record.Record
-	say   chan error
+	batches chan []record.Record
+	results chan error
 }
 
-func (g *gate) Write(ctx context.Context, batch []record.Record) error {
-	g.asked <- batch
+func (g *blockingStore) Write(ctx context.Context, batch []record.Record) error {
+	g.batches <- batch
 	select {
-	case err := <-g.say:
+	case err := <-g.results:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// stage is a driver on real sockets with one server that serves all at once, and a store under the test's hand.
-type stage struct {
+// journalHarness is a driver on real sockets with one server that answers at once, and a store that the test controls.
+type journalHarness struct {
 	t     *testing.T
 	d     *Driver
-	store *gate
+	store *blockingStore
 	addr  string
 	mu    sync.Mutex
-	got   []string // names that reached the server
+	got   []string // names of requests that reached the server
 	block chan struct{}
 }
 
-func newStage(t *testing.T, patience time.Duration) *stage {
-	s := &stage{t: t, store: &gate{asked: make(chan []record.Record, 100), say: make(chan error)}, block: make(chan struct{})}
+func newJournalHarness(t *testing.T, patience time.Duration) *journalHarness {
+	s := &journalHarness{t: t, store: &blockingStore{batches: make(chan []record.Record, 100), results: make(chan error)}, block: make(chan struct{})}
 	host, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go s.host(host)
+	go s.serveHost(host)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -77,10 +77,10 @@
 	go func() { s.d.Run(stop); close(over) }()
 	t.Cleanup(func() {
 		close(s.block)
-		go func() { // whatever is still written may be
+		go func() { // lets remaining writes finish
 			for {
 				select {
-				case s.store.say <- nil:
+				case s.store.results <- nil:
 				case <-over:
 					return
 				}
@@ -93,7 +93,7 @@
 	return s
 }
 
-func (s *stage) host(ln net.Listener) {
+func (s *journalHarness) serveHost(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -119,8 +119,8 @@
 	}
 }
 
-// ask sends a request on a connection of its own and gives what becomes of it.
-func (s *stage) ask(class, name string) <-chan string {
+// send sends a request on a new connection; the channel receives its answer.
+func (s *journalHarness) send(class, name string) <-chan string {
 	out := make(chan string, 1)
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -141,14 +141,14 @@
 	return out
 }
 
-func (s *stage) expect(what string, got <-chan string, want string) {
+func (s *journalHarness) expectAnswer(what string, got <-chan string, want string) {
 	s.t.Helper()
 	if g := strings.TrimSpace(<-got); g != want {
 		s.t.Fatalf("%s: %q, want %q", what, g, want)
 	}
 }
 
-func (s *stage) reached(want string) {
+func (s *journalHarness) expectReached(want string) {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,81 +157,82 @@
 	}
 }
 
-// A job that must not run twice reaches no server before its record is durable, and its client hears nothing before its
-// answer's is; readings go by meanwhile.
-func TestStoreComesFirst(t *testing.T) {
-	s := newStage(t, time.Minute)
-	alert := s.ask("alert", "a1")
-	if b := <-s.store.asked; len(b) != 1 || b[0].Name != "a1" || len(b[0].Attempts) != 1 {
+// A job that must not run twice is sent to a server only after its record is durable, and its client is answered only
+// after the answer's record is. Readings are not held up meanwhile.
+func TestRecordIsDurableBeforeSendAndAnswer(t *testing.T) {
+	s := newJournalHarness(t, time.Minute)
+	alert := s.send("alert", "a1")
+	if b := <-s.store.batches; len(b) != 1 || b[0].Name != "a1" || len(b[0].Attempts) != 1 {
 		t.Fatalf("written: %+v", b)
 	}
-	s.expect("a reading while the write lasts", s.ask("readings", "r1"), "200 r-r1")
-	s.reached("r1")
-	s.store.say <- nil
+	s.expectAnswer("a reading during the write", s.send("readings", "r1"), "200 r-r1")
+	s.expectReached("r1")
+	s.store.results <- nil
 	for done := false; !done; {
-		b := <-s.store.asked
+		b := <-s.store.batches
 		for _, r := range b {
 			done = done || r.Name == "a1" && r.Verdict == record.Served
 		}
 		if !done {
-			s.store.say <- nil
+			s.store.results <- nil
 		}
 	}
-	s.reached("r1 a1")
-	s.expect("a reading before the answer's write", s.ask("readings", "r2"), "200 r-r2")
+	s.expectReached("r1 a1")
+	s.expectAnswer("a reading before the answer's write", s.send("readings", "r2"), "200 r-r2")
 	select {
 	case got := <-alert:
 		t.Fatalf("the alert was answered %q before its answer was durable", got)
 	default:
 	}
-	s.store.say <- nil
-	s.expect("the alert", alert, "200 r-a1")
+	s.store.results <- nil
+	s.expectAnswer("the alert", alert, "200 r-a1")
 }
 
-// A store that is gone: alerts that wait are refused, new ones at once; readings go on; once it is back so are alerts.
-func TestStoreIsGone(t *testing.T) {
-	s := newStage(t, 20*time.Millisecond)
-	waits := s.ask("alert", "a1")
-	<-s.store.asked
-	s.expect("an alert that waits", waits, "503  1.000")
-	s.expect("a new alert", s.ask("alert", "a2"), "503  1.000")
-	s.expect("a reading", s.ask("readings", "r1"), "200 r-r1")
-	s.reached("r1")
-	s.store.say <- errors.New("reset")
-	for range 3 { // probes that fail
-		<-s.store.asked
-		s.store.say <- errors.New("gone")
+// While the store is unavailable, waiting and new alerts are refused and readings are served. Once it is back, alerts
+// are accepted again.
+func TestStoreUnavailable(t *testing.T) {
+	s := newJournalHarness(t, 20*time.Millisecond)
+	waits := s.send("alert", "a1")
+	<-s.store.batches
+	s.expectAnswer("an alert that waits", waits, "503  1.000")
+	s.expectAnswer("a new alert", s.send("alert", "a2"), "503  1.000")
+	s.expectAnswer("a reading", s.send("readings", "r1"), "200 r-r1")
+	s.expectReached("r1")
+	s.store.results <- errors.New("reset")
+	for range 3 { // probes fail
+		<-s.store.batches
+		s.store.results <- errors.New("gone")
 	}
 	names := map[string]bool{}
 	for len(names) < 2 {
-		for _, r := range <-s.store.asked {
+		for _, r := range <-s.store.batches {
 			names[r.Name] = true
 			if err := r.Verify(); err != nil {
 				t.Error(err)
 			}
 		}
-		s.store.say <- nil
+		s.store.results <- nil
 	}
 	if !names["a1"] || !names["r1"] {
-		t.Errorf("written when it is back: %v", names)
+		t.Errorf("written once the store is back: %v", names)
 	}
 	go func() {
-		for range s.store.asked {
-			s.store.say <- nil
+		for range s.store.batches {
+			s.store.results <- nil
 		}
 	}()
-	s.expect("an alert afterwards", s.ask("alert", "a3"), "200 r-a3")
+	s.expectAnswer("an alert afterwards", s.send("alert", "a3"), "200 r-a3")
 }
 
-// A keyed repeat within its window is given the recorded result and does not run again.
-func TestRepeatIsAnsweredFromTheRecord(t *testing.T) {
-	s := newStage(t, time.Minute)
+// A repeat of a key within its window gets the recorded result and does not run again.
+func TestRepeatIsAnsweredFromRecord(t *testing.T) {
+	s := newJournalHarness(t, time.Minute)
 	go func() {
-		for range s.store.asked {
-			s.store.say <- nil
+		for range s.store.batches {
+			s.store.results <- nil
 		}
 	}()
-	s.expect("the first", s.ask("batch", "b1"), "200 r-b1")
-	s.expect("its repeat", s.ask("batch", "b2"), "200 r-b1")
-	s.reached("b1")
+	s.expectAnswer("the first", s.send("batch", "b1"), "200 r-b1")
+	s.expectAnswer("its repeat", s.send("batch", "b2"), "200 r-b1")
+	s.expectReached("b1")
 }
--- a/internal/driver/listener_filter.go
+++ b/internal/driver/listener_filter.go
@@ -7,24 +7,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// The place of a TCP header's flags, in bytes from its start, and the flag of a packet that opens a connection.
+// Offset of the flags in a TCP header, in bytes, and the flag of a packet that opens a connection.
 const (
-	tcpFlagsAt = 13
-	tcpFlagSyn = 0x02
+	tcpFlagsOffset = 13
+	tcpFlagSyn     = 0x02
 )
 
-// noOpeningPackets is a socket filter that drops what opens a connection and lets all else pass.
-var noOpeningPackets = []unix.SockFilter{
-	{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsAt},
+// dropSYN is a classic BPF program that drops packets that open a connection and accepts all others.
+var dropSYN = []unix.SockFilter{
+	{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsOffset},
 	{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, K: tcpFlagSyn, Jt: 0, Jf: 1},
 	{Code: unix.BPF_RET | unix.BPF_K, K: 0},
 	{Code: unix.BPF_RET | unix.BPF_K, K: 0xffffffff},
 }
 
-// stopArrivals has a listener take no new connections while it keeps those in its queue: their opening packets are
-// dropped, and the client's machine sends them again to whoever listens by then. Where the listener can have no socket
-// filter (multipath TCP, some systems) it returns an error and nothing changes.
-func stopArrivals(ln net.Listener) error {
+// dropNewConnections makes a listener accept no new connections while it keeps those in its queue: SYN packets are
+// dropped, and the client resends them to whichever process listens by then. If the listener does not support a socket
+// filter (multipath TCP, some systems), it returns an error and changes nothing.
+func dropNewConnections(ln net.Listener) error {
 	socket, can := ln.(syscall.Conn)
 	if !can {
 		return syscall.ENOTSUP
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	program := unix.SockFprog{Len: uint16(len(noOpeningPackets)), Filter: &noOpeningPackets[0]}
+	program := unix.SockFprog{Len: uint16(len(dropSYN)), Filter: &dropSYN[0]}
 	var filterErr error
 	if err := raw.Control(func(fd uintptr) {
 		filterErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &program)
--- a/internal/driver/post_check_test.go
+++ b/internal/driver/post_check_test.go
@@ -15,8 +15,9 @@
 	"granitewing/internal/seam"
 )
 
-// posts has two goroutines post two events each, and an owner that carries out some of them and ends; post is how.
-func posts(runs int, post func(d *Driver, f func())) check.Make {
+// postModel has two goroutines post two events each, and an owner that runs some of them and ends; post is the
+// function under test.
+func postModel(runs int, post func(d *Driver, f func())) check.Make {
 	return func() ([]func(), func() error) {
 		d := &Driver{events: make(chan func(), 1), done: make(chan struct{})}
 		var ran []string
@@ -48,10 +49,10 @@
 	}
 }
 
-// Events are neither lost nor turned round, and nobody waits for ever for an owner that has ended.
+// Events are neither lost nor reordered, and no goroutine waits forever for an owner that has ended.
 func TestPostsInterleaved(t *testing.T) {
 	for runs := range 5 {
-		r := check.Run(check.Default, posts(runs, (*Driver).post))
+		r := check.Run(check.Default, postModel(runs, (*Driver).post))
 		t.Logf("%d carried out: %v", runs, r)
 		if r.Err != nil || !r.Whole {
 			t.Error(r)
@@ -59,22 +60,22 @@
 	}
 }
 
-// Without the wait for room an event is lost, and without the look at the end somebody waits for ever.
+// Without waiting for space an event is lost, and without the check for the end a goroutine waits forever.
 func TestPostsInterleavedWithoutARule(t *testing.T) {
 	for rule, post := range map[string]func(d *Driver, f func()){
-		"waits for room": func(d *Driver, f func()) { seam.TrySend(d.events, f) },
-		"sees the end":   func(d *Driver, f func()) { seam.Send(d.events, f, nil) },
+		"blocks while full": func(d *Driver, f func()) { seam.TrySend(d.events, f) },
+		"observes done":     func(d *Driver, f func()) { seam.Send(d.events, f, nil) },
 	} {
-		make := posts(map[string]int{"waits for room": 4, "sees the end": 2}[rule], post)
-		r := check.Run(check.Default, make)
+		model := postModel(map[string]int{"blocks while full": 4, "observes done": 2}[rule], post)
+		r := check.Run(check.Default, model)
 		t.Logf("%s: %v", rule, r)
-		if r.Err == nil || check.Replay(r.Schedule, make) == nil {
+		if r.Err == nil || check.Replay(r.Schedule, model) == nil {
 			t.Errorf("%s: %v", rule, r)
 		}
 	}
 }
 
-// store takes what is written to it.
+// store records what is written to it.
 type store struct {
 	record.Store
 	wrote []record.Record
@@ -86,8 +87,9 @@
 	return nil
 }
 
-// writes has the store's writer beside an owner that hands it a batch once it has heard of the one before.
-func writes(hears bool) check.Make {
+// writeModel runs the journal's writer beside an owner. If waitsForResult is set, the owner waits for the result of a write
+// before it sends the next batch.
+func writeModel(waitsForResult bool) check.Make {
 	return func() ([]func(), func() error) {
 		s := &store{}
 		d := &Driver{events: make(chan func(), 1), done: make(chan struct{})}
@@ -97,13 +99,13 @@
 				if !seam.TrySend(j.writes, []record.Record{{Name: fmt.Sprint(i)}}) {
 					panic("the owner would wait for the writer")
 				}
-				if hears {
+				if waitsForResult {
 					seam.Recv(d.events, nil)
 				}
 			}
 			seam.Close(d.done)
 		}
-		return []func(){j.writing, owner}, func() error {
+		return []func(){j.writeLoop, owner}, func() error {
 			if len(s.wrote) != 3 {
 				return errors.New("a batch is not written")
 			}
@@ -117,15 +119,15 @@
 	}
 }
 
-// Every batch is written once and in order before the owner ends, which never waits to hand one over; an owner that did not
-// wait to hear of the write before would.
+// Every batch is written once and in order before the owner ends, and sending one never blocks. An owner that did not
+// wait for the previous write's result would block.
 func TestWriterInterleaved(t *testing.T) {
-	r := check.Run(check.Default, writes(true))
+	r := check.Run(check.Default, writeModel(true))
 	t.Log(r)
 	if r.Err != nil || !r.Whole {
 		t.Error(r)
 	}
-	if r := check.Run(check.Default, writes(false)); r.Err == nil || check.Replay(r.Schedule, writes(false)) == nil {
+	if r := check.Run(check.Default, writeModel(false)); r.Err == nil || check.Replay(r.Schedule, writeModel(false)) == nil {
 		t.Error(r)
 	}
 }
--- a/internal/driver/stop.go
+++ b/internal/driver/stop.go
@@ -6,122 +6,125 @@
 	"granitewing/logic"
 )
 
-// The platform's planned restart: SIGKILL comes no sooner after SIGTERM than the longest deadline, at most killMost, and
-// killRest. What comes within killRest of SIGTERM may be unanswered by then; what comes later is lost if it is.
+// Timing of the platform's planned restart. SIGKILL follows SIGTERM no sooner than the longest deadline, capped at
+// maxKillDelay, plus killMargin. A request that arrives within killMargin of SIGTERM may be unanswered when SIGKILL
+// comes; a later one that is unanswered then counts as lost.
 const (
-	killMost = 3 * time.Second
-	killRest = 700 * time.Millisecond
-	partTime = 800 * time.Millisecond // before SIGKILL: clients are sent away, so that what they sent last may end
-	lastTime = 300 * time.Millisecond // before SIGKILL: what would be lost by it is answered
-	lostFrom = 500 * time.Millisecond // after SIGTERM: what came later is taken to be lost by SIGKILL
+	maxKillDelay      = 3 * time.Second
+	killMargin        = 700 * time.Millisecond
+	dismissBeforeKill = 800 * time.Millisecond // before SIGKILL: clients are asked to leave, so that their last requests can complete
+	giveUpBeforeKill  = 300 * time.Millisecond // before SIGKILL: requests that would be lost are answered
+	lostAfterTerm     = 500 * time.Millisecond // after SIGTERM: requests that arrive later are assumed to be lost at SIGKILL
 )
 
-// ending is the course of the end after SIGTERM where no later process takes over. Until part all goes on as before: a
-// client whose connection is closed may find no other dispatcher before this one is back, since the front sends it no
-// new connections. From part on clients are sent away, and at last what SIGKILL would lose is given up.
-type ending struct{ part, last time.Duration }
+// shutdownPlan gives the times after SIGTERM of a shutdown without a successor process. Until dismissAt service goes
+// on as before: a client whose connection is closed might find no other dispatcher until this one is back, since the
+// front end sends it no new connections. From dismissAt clients are asked to leave, and at giveUpAt requests that
+// SIGKILL would lose are failed.
+type shutdownPlan struct{ dismissAt, giveUpAt time.Duration }
 
-func endingFor(classes []logic.Class) ending {
+func shutdownPlanFor(classes []logic.Class) shutdownPlan {
 	longest := int64(0)
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
 	}
-	kill := min(micros(longest, killMost), killMost) + killRest
-	return ending{part: max(kill-partTime, lingerIdle), last: kill - lastTime}
+	kill := min(microsOr(longest, maxKillDelay), maxKillDelay) + killMargin
+	return shutdownPlan{dismissAt: max(kill-dismissBeforeKill, idleLinger), giveUpAt: kill - giveUpBeforeKill}
 }
 
-// parting tells whether answers close their connections and idle ones are closed.
-func (d *Driver) parting() bool {
-	return !d.quiesced.IsZero() || !d.stopped.IsZero() && (d.shut || time.Since(d.stopped) >= d.ending.part)
+// dismissingClients reports whether answers close their connections and idle connections are closed.
+func (d *Driver) dismissingClients() bool {
+	return !d.quiescedAt.IsZero() || !d.stoppedAt.IsZero() && (d.listenerStopped || time.Since(d.stoppedAt) >= d.shutdownPlan.dismissAt)
 }
 
-// stop begins the orderly end. Where a later process takes new connections, clients are sent to it.
+// stop begins a graceful shutdown. If a successor process accepts new connections, clients are sent to it at once.
 func (d *Driver) stop() {
-	d.stopped = time.Now()
+	d.stoppedAt = time.Now()
 	if d.successor.Load() {
 		d.core.Yield()
-		d.shutListener()
+		d.stopListener()
 	}
-	d.log.Info("stopping", "open", d.core.Open(), "successor", d.shut)
-	d.census()
-	d.startCheck()
+	d.log.Info("stopping", "open", d.core.Open(), "successor", d.listenerStopped)
+	d.updateServing()
+	d.startShutdownCheck()
 }
 
-// quiesce begins the operators' drain: /healthz says no, every answer closes its connection and idle ones are closed,
-// as after SIGTERM, but the dispatcher stays.
+// quiesce begins a drain by the operators: /healthz fails, every answer closes its connection and idle ones are
+// closed, as after SIGTERM, but the process stays.
 func (d *Driver) quiesce() {
-	if d.quiesced.IsZero() {
-		d.quiesced = time.Now()
-		d.log.Info("drained by hand", "open", d.core.Open())
+	if d.quiescedAt.IsZero() {
+		d.quiescedAt = time.Now()
+		d.log.Info("drain started by an operator", "open", d.core.Open())
 	}
-	d.census()
-	d.startCheck()
+	d.updateServing()
+	d.startShutdownCheck()
 }
 
-// resume ends the operators' drain.
+// resume ends a drain by the operators.
 func (d *Driver) resume() {
-	if !d.quiesced.IsZero() {
-		d.log.Info("resumed by hand")
+	if !d.quiescedAt.IsZero() {
+		d.log.Info("drain ended by an operator")
 	}
-	d.quiesced = time.Time{}
-	d.census()
+	d.quiescedAt = time.Time{}
+	d.updateServing()
 }
 
-func (d *Driver) startCheck() {
-	if !d.checking {
-		d.checking = true
-		d.check()
+func (d *Driver) startShutdownCheck() {
+	if !d.shutdownChecking {
+		d.shutdownChecking = true
+		d.checkShutdown()
 	}
 }
 
-// check closes the connections that have stood idle long enough, gives up what can't be kept, and makes Run look again
-// whether all is quiet. It runs as long as clients are not asked for.
-func (d *Driver) check() {
-	if d.taking() {
-		d.checking = false
+// checkShutdown closes connections that have been idle long enough, fails requests that cannot be kept, and makes Run
+// check again whether shutdown is complete. It repeats until clients are accepted again.
+func (d *Driver) checkShutdown() {
+	if d.acceptingClients() {
+		d.shutdownChecking = false
 		return
 	}
-	since := d.quiesced
+	since := d.quiescedAt
 	if since.IsZero() {
-		since = d.stopped
+		since = d.stoppedAt
 	}
-	if d.parting() && time.Since(since) > lingerIdle {
+	if d.dismissingClients() && time.Since(since) > idleLinger {
 		for n := range d.downstreams {
-			if n.idle() && time.Since(n.since) > lingerIdle {
-				n.retire()
+			if n.idle() && time.Since(n.idleSince) > idleLinger {
+				n.requestIdleClose()
 			}
 		}
 	}
-	if !d.stopped.IsZero() {
-		if time.Since(d.stopped) >= d.ending.last {
-			d.giveUp()
+	if !d.stoppedAt.IsZero() {
+		if time.Since(d.stoppedAt) >= d.shutdownPlan.giveUpAt {
+			d.expireLateArrivals()
 		}
-		if !d.shut && (len(d.downstreams) == 0 || d.parting()) && time.Since(d.stopped) > arriveLimit && time.Since(d.arrived) > arriveLimit/2 {
-			d.shutListener()
+		if !d.listenerStopped && (len(d.downstreams) == 0 || d.dismissingClients()) && time.Since(d.stoppedAt) > lateArrivalWindow && time.Since(d.lastAccept) > lateArrivalWindow/2 {
+			d.stopListener()
 		}
 	}
-	d.after(quietCheck, d.check)
+	d.postAfter(shutdownCheckInterval, d.checkShutdown)
 }
 
-// giveUp answers what SIGKILL would lose. What came before it may stay: its client loses nothing by the wait.
-func (d *Driver) giveUp() {
-	for id, n := range d.open {
-		if sinceStop := time.Since(d.stopped) - time.Duration(d.now()-n.at)*time.Microsecond; sinceStop > lostFrom {
-			d.do(d.core.Expire(d.now(), id))
+// expireLateArrivals fails the requests that SIGKILL would lose. Requests that arrived earlier may stay: their clients
+// lose nothing by waiting.
+func (d *Driver) expireLateArrivals() {
+	for id, n := range d.openRequests {
+		if sinceStop := time.Since(d.stoppedAt) - time.Duration(d.now()-n.receivedAt)*time.Microsecond; sinceStop > lostAfterTerm {
+			d.execute(d.core.Expire(d.now(), id))
 		}
 	}
 }
 
-// quiet tells whether the listener is closed and nothing is held any more. check shuts the listener: at once where a
-// successor shares the address, else once no connection came for a while.
-func (d *Driver) quiet() bool {
-	return d.refused && len(d.events) == 0 && len(d.downstreams) == 0 && d.core.Open() == 0 && (d.journal == nil || d.journal.settled())
+// drained reports whether the listener is closed and nothing is outstanding. checkShutdown stops the listener: at once
+// if a successor shares the address, otherwise after a time without new connections.
+func (d *Driver) drained() bool {
+	return d.acceptStopped && len(d.events) == 0 && len(d.downstreams) == 0 && d.core.Open() == 0 && (d.journal == nil || d.journal.flushed())
 }
 
-// leave lets go of what is left.
-func (d *Driver) leave() {
-	d.watches.leave()
+// closeBackends closes the remaining connections to discovery and to servers.
+func (d *Driver) closeBackends() {
+	d.watches.closeAll()
 	for addr := range d.pool.servers {
-		d.pool.leave(addr)
+		d.pool.closeIdle(addr)
 	}
 }
