--- a/internal/driver/upgrade.go
+++ b/internal/driver/upgrade.go
@@ -6,80 +6,83 @@
 	"syscall"
 )
 
-// The next version of the program starts beside this one with the same configuration and shares the clients' address
-// by SO_REUSEPORT; the platform sends SIGTERM to the old process once the new one says yes. Each process tells of its
-// start in a file in $TMPDIR, so that the old one knows at SIGTERM that another takes its clients: it then closes its
-// listener at once, and every connection that arrives after goes to the new process, where otherwise it would wait in
-// the old one's queue and be reset when that is closed.
+// During an upgrade the next version of the program starts beside this one with the same configuration and shares the
+// clients' address by SO_REUSEPORT. The platform sends SIGTERM to the old process once the new one is healthy. Each
+// process announces its start in a file in $TMPDIR, so that the old one knows at SIGTERM that it has a successor. It
+// then closes its listener at once, and later connections go to the new process; otherwise they would wait in the old
+// process's queue and be reset when that is closed.
 
-// start is what a process tells of its start: its number, which is greater than that of the one before. It is the wall
-// clock's time in nanoseconds where that is greater, as it is unless the clock was stepped back.
-type start struct {
+// startRecord is what a process announces about its start. Its number is greater than that of the previous start: it
+// is the wall-clock time in nanoseconds if that is greater, which it is unless the clock was stepped back.
+type startRecord struct {
 	pid    int
 	number int64
 }
 
-// Announce tells of this process's start, once it listens and before it says so. A failure is logged and tried again
-// (announceAgain); until then an upgrade ends as a plain SIGTERM does. To be called before Run.
+// Announce announces the start of this process, once it listens and before it reports healthy. A failure is logged and
+// retried by retryAnnounce; until then an upgrade ends like a SIGTERM without a successor. It must be called before
+// Run.
 func (d *Driver) Announce() {
 	d.StartNumber()
 	if err := d.writeStart(); err != nil {
-		d.log.Error("start not told to an older process yet", "cause", err)
+		d.log.Error("announcing the start to an older process failed, will retry", "cause", err)
 	}
 }
 
-// StartNumber is the number of this start: greater than that of every earlier one of this dispatcher that $TMPDIR tells of,
-// however the wall clock was stepped between them. To be called before Run.
+// StartNumber returns the number of this start. It is greater than that of every earlier start of this dispatcher that
+// is recorded in $TMPDIR, even if the wall clock was stepped between them. It must first be called before Run.
 func (d *Driver) StartNumber() int64 {
-	if d.number.Load() == 0 {
-		d.former, _ = d.toldStart()
-		d.number.Store(max(d.started.UnixNano(), d.former.number+1))
+	if d.startNumber.Load() == 0 {
+		d.previousStart, _ = d.readStart()
+		d.startNumber.Store(max(d.startedAt.UnixNano(), d.previousStart.number+1))
 	}
-	return d.number.Load()
+	return d.startNumber.Load()
 }
 
-// announceAgain tells of the start if that has failed so far, unless another process has told of its own since. It is
-// called beside the owner.
-func (d *Driver) announceAgain() {
+// retryAnnounce announces the start if that has failed so far, unless another process has announced its own start
+// since. It runs outside the owner goroutine.
+func (d *Driver) retryAnnounce() {
 	if d.announced.Load() {
 		return
 	}
-	if last, _ := d.toldStart(); last == d.former {
+	if last, _ := d.readStart(); last == d.previousStart {
 		d.writeStart()
 	}
 }
 
 func (d *Driver) writeStart() error {
-	err := d.replaceFile(d.fileOf("start"), fmt.Appendf(nil, "%d %d\n", os.Getpid(), d.number.Load()))
+	err := d.replaceFile(d.stateFile("start"), fmt.Appendf(nil, "%d %d\n", os.Getpid(), d.startNumber.Load()))
 	if err == nil {
 		d.announced.Store(true)
 	}
 	return err
 }
 
-// Succeeded tells whether another process of this dispatcher started after this one, from its file in $TMPDIR. It reads
-// the file, so it is called beside the owner, when SIGTERM comes; what it found is kept for the owner's stop.
+// Succeeded reports whether another process of this dispatcher started after this one, according to the file in
+// $TMPDIR. It reads the file, so it is called outside the owner goroutine when SIGTERM comes; the result is kept for
+// the owner's stop.
 func (d *Driver) Succeeded() bool {
-	last, told := d.toldStart()
-	later := told && last.number > d.number.Load()
+	last, found := d.readStart()
+	later := found && last.number > d.startNumber.Load()
 	d.successor.Store(later)
 	return later
 }
 
-// Former tells whether the process of this dispatcher that told of its start last still runs; to be called before Run.
+// Former reports whether the process of this dispatcher that announced its start last is another one that still runs.
+// It must be called before Run.
 func (d *Driver) Former() bool {
-	last, told := d.toldStart()
-	return told && last.pid > 0 && last.pid != os.Getpid() && syscall.Kill(last.pid, 0) == nil
+	last, found := d.readStart()
+	return found && last.pid > 0 && last.pid != os.Getpid() && syscall.Kill(last.pid, 0) == nil
 }
 
-// toldStart reads the start that was told last.
-func (d *Driver) toldStart() (s start, told bool) {
-	text, err := d.files.ReadFile(d.fileOf("start"))
+// readStart reads the last announced start.
+func (d *Driver) readStart() (s startRecord, found bool) {
+	text, err := d.files.ReadFile(d.stateFile("start"))
 	if err != nil {
-		return start{}, false
+		return startRecord{}, false
 	}
 	if _, err := fmt.Sscan(string(text), &s.pid, &s.number); err != nil {
-		return start{}, false
+		return startRecord{}, false
 	}
 	return s, true
 }
--- a/internal/driver/upstream.go
+++ b/internal/driver/upstream.go
@@ -10,33 +10,33 @@
 	"granitewing/logic"
 )
 
-// attempt is one attempt on its way.
+// attempt is one attempt to run a request on a server.
 type attempt struct {
-	id    memory.RelayID
-	msg   *platform.Message
-	addr  string
-	until int64
-	part  *platform.Part // of a gang; else nil
-	on    *upstream      // nil while its connection is being made
-	timer *time.Timer
+	id       memory.RelayID
+	msg      *platform.Message
+	addr     string
+	deadline int64
+	part     *platform.Part // if it is a part of a gang; else nil
+	upstream *upstream      // nil while the connection is being made
+	timer    *time.Timer
 }
 
-// upstream is a connection to a upstream side server; it carries one attempt at a time.
+// upstream is a connection to a server; it carries one attempt at a time.
 type upstream struct {
 	*conn
-	addr    string
-	parser  *platform.Relay
-	attempt *attempt
-	pending bool // the request is not wholly written, as far as the writer has told
-	counted bool // the request is, and was counted
-	broken  bool // the connection failed before the writer told how far it came
-	waiting bool // the outcome is known, the end of the answer or the writer's word is not
-	free    bool // the answer has ended and the connection may be kept, once the writer has told
-	uses    int  // attempts begun
-	timer   *time.Timer
+	addr         string
+	parser       *platform.Relay
+	attempt      *attempt
+	writePending bool // the writer has not yet reported that the whole request was written
+	counted      bool // the request was written whole and counted in the metrics
+	failed       bool // the connection failed before the writer reported how much was written
+	awaitingEnd  bool // the outcome is known, but not the end of the answer or the writer's report
+	reusable     bool // the answer has ended and the connection may be kept once the writer has reported
+	uses         int  // number of attempts started on it
+	timer        *time.Timer
 }
 
-// pool counts the connections to servers and keeps the idle ones, the latest used last.
+// pool counts the connections to servers and keeps the idle ones, in the order of their last use.
 type pool struct {
 	servers map[string]*serverConns
 	count   int
@@ -47,8 +47,8 @@
 	idle  []*upstream
 }
 
-// add books a connection that is up or being made, or one that is no more.
-func (p *pool) add(addr string, by int) {
+// adjust changes the count of connections to a server that are open or being made.
+func (p *pool) adjust(addr string, by int) {
 	h := p.servers[addr]
 	if h == nil {
 		h = &serverConns{}
@@ -61,16 +61,16 @@
 	}
 }
 
-// open counts the connections to a server.
-func (p *pool) open(addr string) int {
+// connsTo returns the number of connections to a server.
+func (p *pool) connsTo(addr string) int {
 	if h := p.servers[addr]; h != nil {
 		return h.count
 	}
 	return 0
 }
 
-// latest takes out the idle connection to a server that was used last, nil if there is none.
-func (p *pool) latest(addr string) *upstream {
+// takeIdle removes and returns the most recently used idle connection to a server, or nil.
+func (p *pool) takeIdle(addr string) *upstream {
 	h := p.servers[addr]
 	if h == nil || len(h.idle) == 0 {
 		return nil
@@ -81,120 +81,120 @@
 	return s
 }
 
-// leave closes the idle connections to a server.
-func (p *pool) leave(addr string) {
+// closeIdle closes the idle connections to a server.
+func (p *pool) closeIdle(addr string) {
 	if h := p.servers[addr]; h != nil {
 		for len(h.idle) > 0 {
-			h.idle[0].end()
+			h.idle[0].teardown()
 		}
 	}
 }
 
-// evict closes an idle connection to make room, and tells whether it could.
-func (p *pool) evict() bool {
+// evictIdle closes one idle connection to free a descriptor; it reports whether there was one.
+func (p *pool) evictIdle() bool {
 	for _, h := range p.servers {
 		if len(h.idle) > 0 {
-			h.idle[0].end()
+			h.idle[0].teardown()
 			return true
 		}
 	}
 	return false
 }
 
-// send starts an attempt on the connection to its server that was used last, or on a new one.
-func (d *Driver) send(c memory.Command) {
-	n := d.open[c.Relay.Message]
+// sendAttempt starts an attempt on the most recently used idle connection to its server, or on a new one.
+func (d *Driver) sendAttempt(c memory.Command) {
+	n := d.openRequests[c.Relay.Message]
 	if n == nil {
-		return // the client has just left; the core is told next and drops the attempt
+		return // the client has just left; the core is notified next and cancels the attempt
 	}
-	if n.left() {
-		n.end()
+	if n.clientClosed() {
+		n.teardown()
 		return
 	}
-	r := &attempt{id: c.Relay, msg: n.msg, addr: c.Addr, until: c.Until}
+	r := &attempt{id: c.Relay, msg: n.msg, addr: c.Addr, deadline: c.Until}
 	if g := c.Gang; g != nil {
 		r.part = &platform.Part{Rank: g.Rank, Peers: g.Peers, Within: time.Duration(g.Within) * time.Microsecond}
 	}
 	d.attempts[r.id] = r
-	r.timer = d.after(time.Duration(r.until-d.now())*time.Microsecond, func() { d.timedOut(r) })
-	if s := d.pool.latest(r.addr); s != nil {
-		s.begin(r)
+	r.timer = d.postAfter(time.Duration(r.deadline-d.now())*time.Microsecond, func() { d.attemptTimedOut(r) })
+	if s := d.pool.takeIdle(r.addr); s != nil {
+		s.start(r)
 		return
 	}
-	if d.pool.open(r.addr) >= d.limits.perServer || d.pool.count >= d.limits.upstreams && !d.pool.evict() {
-		// Nothing is wrong with the server, so it must not look like one that can't be reached.
-		d.later = append(d.later, func() { d.ended(r, logic.Moot, nil) })
+	if d.pool.connsTo(r.addr) >= d.limits.perServer || d.pool.count >= d.limits.upstreams && !d.pool.evictIdle() {
+		// The connection limit is no fault of the server, which must not be marked as unreachable.
+		d.deferred = append(d.deferred, func() { d.finishAttempt(r, logic.Moot, nil) })
 		return
 	}
-	d.pool.add(r.addr, 1)
-	limit := micros(d.cfg.Settings.ConnectTimeout, dialDefault)
+	d.pool.adjust(r.addr, 1)
+	limit := microsOr(d.cfg.Settings.ConnectTimeout, defaultDialTimeout)
 	go func() {
 		c, err := d.dial(r.addr, limit)
-		d.post(func() { d.dialled(r, c, err) })
+		d.post(func() { d.dialed(r, c, err) })
 	}()
 }
 
-// dialled goes on with an attempt whose connection is up or has failed. One that was dropped meanwhile leaves
-// its connection to the next.
-func (d *Driver) dialled(r *attempt, c net.Conn, err error) {
+// dialed continues an attempt whose connection was made or has failed. If the attempt was cancelled meanwhile, its
+// connection is kept for a later one.
+func (d *Driver) dialed(r *attempt, c net.Conn, err error) {
 	if err != nil {
-		d.pool.add(r.addr, -1)
-		d.ended(r, dialResult(err), nil)
+		d.pool.adjust(r.addr, -1)
+		d.finishAttempt(r, dialResult(err), nil)
 		return
 	}
 	s := &upstream{addr: r.addr}
-	s.parser = platform.NewRelay(s.note)
+	s.parser = platform.NewRelay(s.handleNote)
 	s.conn = d.newConn(c, 1, s.read, s.wrote)
-	n := d.open[r.id.Message]
-	left := n != nil && n.left()
+	n := d.openRequests[r.id.Message]
+	left := n != nil && n.clientClosed()
 	if left {
-		n.end()
+		n.teardown()
 	}
 	switch {
 	case left || d.attempts[r.id] != r:
-		s.rest()
+		s.putIdle()
 	case !d.core.May(d.now(), r.id):
-		s.end()
-		d.ended(r, logic.Moot, nil)
+		s.teardown()
+		d.finishAttempt(r, logic.Moot, nil)
 	default:
-		s.begin(r)
+		s.start(r)
 	}
 }
 
-// begin writes an attempt's request.
-func (s *upstream) begin(r *attempt) {
+// start writes an attempt's request.
+func (s *upstream) start(r *attempt) {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
 	s.uses++
-	r.on, s.attempt, s.pending, s.counted, s.free = s, r, true, false, false
+	r.upstream, s.attempt, s.writePending, s.counted, s.reusable = s, r, true, false, false
 	s.parser.Begin(r.msg.Txn)
 	s.write(func() []byte {
-		// What is left to the client counts from the moment of the writing, however long the writer has waited.
-		left := time.Duration(r.until-s.d.now()) * time.Microsecond
+		// The remaining time in the request is computed at the moment of writing, however long the writer was held up.
+		left := time.Duration(r.deadline-s.d.now()) * time.Microsecond
 		return platform.AppendRelay(nil, r.addr, r.msg, max(left, 0), r.part)
 	})
 }
 
-// rest keeps the connection for the next attempt, and closes it before the server would.
-func (s *upstream) rest() {
+// putIdle keeps the connection for a later attempt, and closes it before the server would.
+func (s *upstream) putIdle() {
 	h := s.d.pool.servers[s.addr]
 	h.idle = append(h.idle, s)
 	if s.timer != nil {
 		s.timer.Stop()
 	}
 	uses := s.uses
-	s.timer = s.d.after(micros(s.d.cfg.Settings.ConnIdle, idleDefault)*4/5, func() {
-		// One that was taken up while the timer's event was on its way is left alone.
+	s.timer = s.d.postAfter(microsOr(s.d.cfg.Settings.ConnIdle, defaultUpstreamIdle)*4/5, func() {
+		// A connection that was reused while the timer's event was pending stays open.
 		if s.uses == uses {
-			s.end()
+			s.teardown()
 		}
 	})
 }
 
-// end closes the connection and takes it off the books.
-func (s *upstream) end() {
-	if s.gone {
+// teardown closes the connection and removes it from the pool.
+func (s *upstream) teardown() {
+	if s.isClosed {
 		return
 	}
 	s.close()
@@ -205,10 +205,10 @@
 	if i := slices.Index(h.idle, s); i >= 0 {
 		h.idle = slices.Delete(h.idle, i, i+1)
 	}
-	s.d.pool.add(s.addr, -1)
+	s.d.pool.adjust(s.addr, -1)
 }
 
-// read takes bytes from a server, or the end of them.
+// read handles bytes from a server, or the end of its output.
 func (s *upstream) read(b []byte, _ int64, err error) bool {
 	if err == nil {
 		err = s.parser.Feed(b)
@@ -217,63 +217,64 @@
 		s.fail()
 		return false
 	}
-	return !s.gone
+	return !s.isClosed
 }
 
-// fail ends a connection that broke or spoke garbage. Whether its attempt may have run depends on whether the
+// fail ends a connection that broke or sent invalid data. Whether its attempt may have run depends on whether the
 // whole request was written, which only the writer knows.
 func (s *upstream) fail() {
 	r := s.attempt
-	if r != nil && s.pending {
-		s.broken = true
-		s.c.Close()
+	if r != nil && s.writePending {
+		s.failed = true
+		s.socket.Close()
 		return
 	}
-	s.end()
+	s.teardown()
 	if r != nil {
-		s.d.ended(r, logic.Broken, nil)
+		s.d.finishAttempt(r, logic.Broken, nil)
 	}
 }
 
-// wrote follows the write of a request.
+// wrote handles the completion of a request's write.
 func (s *upstream) wrote(err error) {
-	s.pending = false
+	s.writePending = false
 	if err == nil && s.attempt != nil {
 		s.count()
 	}
-	if s.gone {
+	if s.isClosed {
 		return
 	}
-	if err == nil && !s.broken {
-		if s.free {
-			s.waiting = false
-			s.rest()
+	if err == nil && !s.failed {
+		if s.reusable {
+			s.awaitingEnd = false
+			s.putIdle()
 		}
 		return
 	}
 	r := s.attempt
-	s.end()
+	s.teardown()
 	if r == nil {
 		return
 	}
 	if err != nil {
-		// Its last byte was never written, so it can't have started.
-		s.d.ended(r, logic.ConnectFailed, nil)
+		// The last byte was never written, so the request cannot have started.
+		s.d.finishAttempt(r, logic.ConnectFailed, nil)
 		return
 	}
-	s.d.ended(r, logic.Broken, nil)
+	s.d.finishAttempt(r, logic.Broken, nil)
 }
 
-// count counts a request that was written whole.
+// count counts a request that was written completely.
 func (s *upstream) count() {
 	if !s.counted {
 		s.counted = true
-		s.d.figures.dispatches.Add(1)
+		s.d.metrics.dispatches.Add(1)
 	}
 }
 
-// note takes what the server says of the attempt. It has the request then, though the writer's word may come later.
-func (s *upstream) note(n platform.Note) {
+// handleNote handles what the server reports about the attempt. The server must have the whole request by then, even
+// if the writer reports the write later.
+func (s *upstream) handleNote(n platform.Note) {
 	r, d := s.attempt, s.d
 	if r != nil {
 		s.count()
@@ -281,83 +282,83 @@
 	switch n.Kind {
 	case platform.NoteTaken:
 		if r != nil {
-			d.do(d.core.Taken(d.now(), r.id))
+			d.execute(d.core.Taken(d.now(), r.id))
 		}
 	case platform.NoteStarted:
 		if r != nil {
 			if d.journal != nil {
 				d.journal.Started(r.id)
 			}
-			d.do(d.core.Started(d.now(), r.id))
+			d.execute(d.core.Started(d.now(), r.id))
 		}
 	case platform.NoteProgress:
 		if r != nil {
-			d.do(d.core.Progress(d.now(), r.id, n.Share))
+			d.execute(d.core.Progress(d.now(), r.id, n.Share))
 		}
 	case platform.NoteEnded:
-		s.attempt, s.waiting = nil, true
-		s.timer = d.after(goodbyeLimit, func() {
-			if s.waiting {
-				s.end()
+		s.attempt, s.awaitingEnd = nil, true
+		s.timer = d.postAfter(closeTimeout, func() {
+			if s.awaitingEnd {
+				s.teardown()
 			}
 		})
 		if r != nil {
-			r.on = nil
-			d.ended(r, n.Result, n.Content)
+			r.upstream = nil
+			d.finishAttempt(r, n.Result, n.Content)
 		}
 	case platform.NoteFree:
 		switch {
-		case !n.Keep || s.gone:
-			s.end()
-		case s.pending: // the answer was faster than the writer's word, which is waited for as long as for an answer's end
-			s.free = true
+		case !n.Keep || s.isClosed:
+			s.teardown()
+		case s.writePending: // the answer came before the writer's report, which is awaited as long as the end of an answer
+			s.reusable = true
 		default:
-			s.waiting = false
-			s.rest()
+			s.awaitingEnd = false
+			s.putIdle()
 		}
 	}
 }
 
-// ended books the end of an attempt and tells the core; a connection that it still holds is closed first, so
-// that no other attempt starts while this one is out.
-func (d *Driver) ended(r *attempt, result logic.Result, content []byte) {
+// finishAttempt removes an attempt that has ended and reports its result to the core. A connection that it still
+// occupies is closed first, so that no other attempt starts on it while this one is unfinished.
+func (d *Driver) finishAttempt(r *attempt, result logic.Result, content []byte) {
 	if d.attempts[r.id] != r {
 		return
 	}
-	d.release(r)
+	d.releaseAttempt(r)
 	if d.journal != nil {
 		d.journal.Ended(d.now(), r.id, result)
 	}
-	d.do(d.core.Ended(d.now(), r.id, result, content))
+	d.execute(d.core.Ended(d.now(), r.id, result, content))
 }
 
-// timedOut ends an attempt whose time is over. One whose connection is not up was never sent.
-func (d *Driver) timedOut(r *attempt) {
-	if r.on == nil {
-		d.ended(r, logic.Moot, nil)
+// attemptTimedOut ends an attempt whose time is up. If its connection is not made yet, the request was never sent.
+func (d *Driver) attemptTimedOut(r *attempt) {
+	if r.upstream == nil {
+		d.finishAttempt(r, logic.Moot, nil)
 		return
 	}
-	d.ended(r, logic.TimedOut, nil)
+	d.finishAttempt(r, logic.TimedOut, nil)
 }
 
-// drop stops an attempt that the decisions called off.
-func (d *Driver) drop(id memory.RelayID) {
+// cancelAttempt stops an attempt that the core cancelled.
+func (d *Driver) cancelAttempt(id memory.RelayID) {
 	if r := d.attempts[id]; r != nil {
-		d.release(r)
+		d.releaseAttempt(r)
 	}
 }
 
-func (d *Driver) release(r *attempt) {
+func (d *Driver) releaseAttempt(r *attempt) {
 	delete(d.attempts, r.id)
 	r.timer.Stop()
-	if r.on != nil {
-		r.on.attempt = nil
-		r.on.end()
+	if r.upstream != nil {
+		r.upstream.attempt = nil
+		r.upstream.teardown()
 	}
 }
 
-// micros is a setting in microseconds as a duration, or what stands in for one that is not set.
-func micros(v int64, otherwise time.Duration) time.Duration {
+// microsOr converts a setting in microseconds to a duration, or returns a default if it is not set.
+func microsOr(v int64, otherwise time.Duration) time.Duration {
 	if v <= 0 {
 		return otherwise
 	}
--- a/internal/latest/latest.go
+++ b/internal/latest/latest.go
@@ -1,24 +1,24 @@
-// Package latest is a place for one thing, of which only the latest matters: who puts one there never waits, and takes away
-// what nobody has taken yet.
+// Package latest passes values between goroutines when only the latest value matters. A Place holds at most one value:
+// Put never blocks and replaces a value that nobody has taken yet.
 package latest
 
 import "granitewing/internal/seam"
 
-// Place is the place. One goroutine puts, any may take.
+// Place holds at most one value. One goroutine puts values; any goroutine may take them.
 type Place[T any] struct{ c chan T }
 
-// New makes an empty place.
+// New returns an empty place.
 func New[T any]() Place[T] { return Place[T]{make(chan T, 1)} }
 
-// Put leaves a thing there, instead of one that is there still.
+// Put stores a value, replacing one that is still there. It never blocks.
 func (p Place[T]) Put(v T) {
 	for !seam.TrySend(p.c, v) {
 		seam.TryRecv(p.c)
 	}
 }
 
-// C is where to take it.
+// C returns the channel from which to receive the value, for use in a select.
 func (p Place[T]) C() <-chan T { return p.c }
 
-// Take takes it if it is there.
+// Take removes and returns the value; false if there is none.
 func (p Place[T]) Take() (T, bool) { return seam.TryRecv(p.c) }
--- a/internal/latest/latest_check_test.go
+++ b/internal/latest/latest_check_test.go
@@ -10,8 +10,8 @@
 	"granitewing/internal/seam"
 )
 
-// places has one goroutine put three things and another take three times; put is how.
-func places(put func(p Place[int], v int)) check.Make {
+// placeModel has one goroutine put three values and another take three times; put is the function under test.
+func placeModel(put func(p Place[int], v int)) check.Make {
 	return func() ([]func(), func() error) {
 		p := New[int]()
 		var took []int
@@ -33,11 +33,11 @@
 			}
 			for i, v := range took {
 				if i > 0 && v <= took[i-1] {
-					return fmt.Errorf("took %v: what was overtaken came after", took)
+					return fmt.Errorf("took %v: an older value after a newer one", took)
 				}
 			}
 			if len(took) == 0 || took[len(took)-1] != 3 {
-				return fmt.Errorf("took %v: the latest is lost", took)
+				return fmt.Errorf("took %v: the latest value is missing", took)
 			}
 			return nil
 		}
@@ -45,16 +45,16 @@
 }
 
 func TestInterleavings(t *testing.T) {
-	r := check.Run(check.Default, places(Place[int].Put))
+	r := check.Run(check.Default, placeModel(Place[int].Put))
 	t.Log(r)
 	if r.Err != nil || !r.Whole || r.Schedules < 10 {
 		t.Error(r)
 	}
 }
 
-// Without making room the latest is lost in some order.
+// Without taking out the old value, the latest one is lost in some order.
 func TestInterleavingsWithoutRoom(t *testing.T) {
-	broken := places(func(p Place[int], v int) { seam.TrySend(p.c, v) })
+	broken := placeModel(func(p Place[int], v int) { seam.TrySend(p.c, v) })
 	r := check.Run(check.Default, broken)
 	t.Log(r)
 	if r.Err == nil || check.Replay(r.Schedule, broken) == nil {
--- a/internal/lifecycle/gangs.go
+++ b/internal/lifecycle/gangs.go
@@ -13,14 +13,14 @@
 	"granitewing/internal/wire/platform"
 )
 
-// Gangs are classes whose messages run as parts at many hosts at once.
+// Gangs configures classes whose messages run as parts on many hosts at once.
 type Gangs struct {
-	Room   int           `sexp:"slots" min:"1" max:"64"` // of a host that gangs may have at once
-	Host   settings.Size `sexp:"host-link"`              // bytes a second of a host's link
-	Rack   settings.Size `sexp:"rack-link"`              // of a rack's uplink, for all of its hosts
-	Zone   settings.Size `sexp:"zone-link"`              // of a zone's uplink, for all of its racks
-	Near   time.Duration `sexp:"near-delay" min:"0"`     // within a rack
-	Apart  time.Duration `sexp:"rack-delay" min:"0"`     // between racks of a zone
+	Room   int           `sexp:"slots" min:"1" max:"64"` // slots of a host that gangs may use at once
+	Host   settings.Size `sexp:"host-link"`              // bandwidth of a host's link, bytes per second
+	Rack   settings.Size `sexp:"rack-link"`              // of a rack's uplink, shared by its hosts
+	Zone   settings.Size `sexp:"zone-link"`              // of a zone's uplink, shared by its racks
+	Near   time.Duration `sexp:"near-delay" min:"0"`     // latency within a rack
+	Apart  time.Duration `sexp:"rack-delay" min:"0"`     // latency between racks of a zone
 	Far    time.Duration `sexp:"zone-delay" min:"0"`
 	Fails  time.Duration `sexp:"rack-fails" min:"1"` // mean time between a rack's failures
 	Pieces float64       `sexp:"pieces" min:"0" max:"1"`
@@ -28,16 +28,16 @@
 	Where  settings.Pos  `sexp:",pos"`
 }
 
-// Gang is one such class.
+// Gang configures one class.
 type Gang struct {
 	Class    string        `sexp:",arg,required"`
 	Parts    int           `sexp:"parts,required" min:"2" max:"256"`
-	Least    int           `sexp:"least" min:"0" max:"256"` // 0: all
+	Least    int           `sexp:"least" min:"0" max:"256"` // smallest number of parts; 0: all
 	Exchange string        `sexp:"exchange,required"`
-	Bytes    settings.Size `sexp:"bytes"` // that a part sends in a step
+	Bytes    settings.Size `sexp:"bytes"` // sent by a part in a step
 	Steps    float64       `sexp:"steps" min:"0" max:"1e9"`
-	Within   time.Duration `sexp:"within" min:"0.05" max:"60"` // all parts have to begin so soon after they are sent
-	Wait     time.Duration `sexp:"wait" min:"0.05" max:"600"`  // for slots
+	Within   time.Duration `sexp:"within" min:"0.05" max:"60"` // all parts must start within this time after they are sent
+	Wait     time.Duration `sexp:"wait" min:"0.05" max:"600"`  // longest wait for slots
 	Where    settings.Pos  `sexp:",pos"`
 }
 
@@ -50,36 +50,36 @@
 // SetDefaults implements settings.Defaulter.
 func (g *Gang) SetDefaults() { g.Within, g.Wait = time.Second, 10*time.Second }
 
-func (g *Gang) at(key, why string, args ...any) error {
+func (g *Gang) invalid(key, why string, args ...any) error {
 	return &settings.Error{Pos: g.Where, Path: "fleet.gangs.gang." + key, Why: fmt.Sprintf(why, args...)}
 }
 
-// Check implements settings.Checker.
+// Check implements settings.Checker. An invalid value is a *settings.Error with its position and path.
 func (g *Gangs) Check() error {
 	for key, v := range map[string]settings.Size{"host-link": g.Host, "rack-link": g.Rack, "zone-link": g.Zone} {
 		if v <= 0 {
-			return &settings.Error{Pos: g.Where, Path: "fleet.gangs." + key, Why: "a link that carries nothing"}
+			return &settings.Error{Pos: g.Where, Path: "fleet.gangs." + key, Why: "want a bandwidth above 0"}
 		}
 	}
 	seen := map[string]bool{}
 	for i := range g.Gangs {
 		c := &g.Gangs[i]
 		if seen[c.Class] {
-			return c.at("", "the class %q is declared twice", c.Class)
+			return c.invalid("", "the class %q is declared twice", c.Class)
 		}
 		seen[c.Class] = true
 		if _, err := pattern.Parse(c.Exchange); err != nil {
-			return c.at("exchange", "%v", err)
+			return c.invalid("exchange", "%v", err)
 		}
 		if c.Least > c.Parts {
-			return c.at("least", "%d of %d parts", c.Least, c.Parts)
+			return c.invalid("least", "%d of %d parts", c.Least, c.Parts)
 		}
 	}
 	return nil
 }
 
-// gangs brings the settings to the platform's classes; nil where there are none.
-func (f *FleetSettings) gangs(cfg *platform.Config) (*gang.Options, error) {
+// gangOptions resolves the settings against the platform's classes; nil if there are none.
+func (f *FleetSettings) gangOptions(cfg *platform.Config) (*gang.Options, error) {
 	g := f.Gangs
 	if g == nil {
 		return nil, nil
@@ -93,10 +93,10 @@
 		c := &g.Gangs[i]
 		lane, known := cfg.Lanes()[c.Class]
 		if !known {
-			return nil, c.at("", "the configuration has no class %q", c.Class)
+			return nil, c.invalid("", "the configuration has no class %q", c.Class)
 		}
 		if n := len(cfg.Known.Hosts); n > 0 && max(c.Least, 1) > n || c.Least == 0 && n > 0 && c.Parts > n {
-			return nil, c.at("parts", "%d parts on %d hosts", max(c.Least, c.Parts), n)
+			return nil, c.invalid("parts", "%d parts on %d hosts", max(c.Least, c.Parts), n)
 		}
 		p, _ := pattern.Parse(c.Exchange)
 		k := gang.Kind{Class: lane.Class, Parts: c.Parts, Least: c.Least, Pattern: p, Bytes: float64(c.Bytes), Steps: c.Steps,
@@ -109,9 +109,9 @@
 	return o, nil
 }
 
-// describeGangs says what the settings mean.
+// describeGangs writes a line per gang class.
 func (f *FleetSettings) describeGangs(w io.Writer, cfg *platform.Config) error {
-	o, err := f.gangs(cfg)
+	o, err := f.gangOptions(cfg)
 	if o == nil || err != nil {
 		return err
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,4 +1,7 @@
-// Package lifecycle starts and stops a dispatcher.
+// Package lifecycle starts, reloads and stops a dispatcher. Load reads the platform's configuration and ReadSettings
+// the product's own settings (Settings); Describe explains both to an operator. Run starts a driver.Driver with them,
+// handles the signals and returns after a graceful shutdown. JoinFleet and OpenStore are hooks that builds with a
+// fleet or a store of record replace.
 package lifecycle
 
 import (
@@ -19,9 +22,10 @@
 	"granitewing/internal/wire/platform"
 )
 
-// Run serves until SIGTERM or an interrupt, then until nothing is held. SIGHUP has the configuration read anew.
-func Run(env func(string) string, own *Settings, log *slog.Logger) error {
-	// Caught before anything else: one that comes early must not end the program.
+// Run serves until SIGTERM or an interrupt, then until everything accepted is finished. SIGHUP reloads the
+// configuration. It returns an error if the dispatcher cannot start; see ErrUsage.
+func Run(env func(string) string, product *Settings, log *slog.Logger) error {
+	// Caught before anything else, so that an early SIGHUP does not end the program.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, err := Load(env)
@@ -30,21 +34,21 @@
 	}
 	log = log.With("dispatcher", cfg.Name)
 	runtime.GOMAXPROCS(max(int(cfg.Cores), 1))
-	// Past three quarters of the limit the collector works harder; the rest is for stacks, sockets and $TMPDIR.
+	// Above three quarters of the limit the garbage collector works harder; the rest is for stacks, sockets and $TMPDIR.
 	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 	stop := make(chan struct{})
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	var records *driver.Records
-	if own.Records != nil {
-		// Before it listens: what earlier starts left is settled before anything new is taken.
-		if records, err = openRecords(cfg, own.Records, log); err != nil {
+	if product.Records != nil {
+		// Before listening: records left open by earlier starts are settled before new requests are accepted.
+		if records, err = openRecords(cfg, product.Records, log); err != nil {
 			return err
 		}
 		defer records.Store.Close()
 	}
-	// The clients' address is shared with the next version of the program while it takes over.
-	ln, err := shared().Listen(context.Background(), "tcp", cfg.Listen)
+	// The clients' address is shared with the next version of the program during an upgrade.
+	ln, err := reusePortConfig().Listen(context.Background(), "tcp", cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -60,35 +64,35 @@
 		go d.Door(door)
 		log.Info("door", "addr", door.Addr().String())
 	}
-	if own.Fleet != nil {
-		place, err := joinFleet(cfg, own.Fleet, d, log)
+	if product.Fleet != nil {
+		member, err := joinFleet(cfg, product.Fleet, d, log)
 		if err != nil {
 			return err
 		}
-		// At the signal already: a next process of the name may be there and wait for the place. A short run of what is left
-		// to answer does not cut off the goodbye.
+		// The fleet is left at the signal, since a next process with the same name may be waiting to join. Run waits for it
+		// even if the remaining requests finish sooner, so that the others are notified.
 		left := make(chan struct{})
 		go func() {
 			defer close(left)
 			<-stop
-			within(resignLimit, d.Resigned())
-			place.Leave()
+			waitAtMost(resignTimeout, d.Resigned())
+			member.Leave()
 		}()
-		defer within(leaveLimit, left)
+		defer waitAtMost(leaveTimeout, left)
 	}
 	if records != nil {
 		d.Keep(*records)
-		go prune(own.Records, records.Store, d.Now, log, stop)
+		go prune(product.Records, records.Store, d.Now, log, stop)
 	}
 	go func() {
 		<-signals
-		// Read here, since the owner waits for no file: a next version that shares the address takes over.
+		// Read here, since the owner must not wait for a file: whether a next version that shares the address takes over.
 		d.Succeeded()
 		close(stop)
 		for s := range signals {
-			// A second SIGTERM must not cut off what the first one has begun to end in order; one at the keyboard may.
+			// A second SIGTERM must not interrupt the graceful shutdown; an interrupt from the keyboard may.
 			if s == syscall.SIGINT {
-				os.Exit(interrupted)
+				os.Exit(exitInterrupted)
 			}
 		}
 	}()
@@ -96,13 +100,13 @@
 		for range hangups {
 			address, err := reload(env)
 			if err != nil {
-				log.Error("reload refused; the old settings hold", "cause", err)
+				log.Error("reload failed, keeping the old settings", "cause", err)
 				continue
 			}
 			log.Info("reload", "discovery", address)
 			d.Reload(address)
-			if own.Fleet != nil && own.Fleet.Limits != nil {
-				relimit(cfg, own, d, log)
+			if product.Fleet != nil && product.Fleet.Limits != nil {
+				reloadLimits(cfg, product, d, log)
 			}
 		}
 	}()
@@ -112,18 +116,18 @@
 	return nil
 }
 
-// interrupted is the exit status after a second interrupt.
-const interrupted = 130
+// exitInterrupted is the exit status after a second interrupt.
+const exitInterrupted = 130
 
-// How long an end waits for the fleet to be told of it: for the owner's word on what it gives up, and for all of it.
+// How long shutdown waits for the fleet to be notified: for the driver to give up its roles, and in all.
 const (
-	resignLimit = 300 * time.Millisecond
-	leaveLimit  = 1500 * time.Millisecond
+	resignTimeout = 300 * time.Millisecond
+	leaveTimeout  = 1500 * time.Millisecond
 )
 
-// within waits for an event, for a time at most.
-func within(most time.Duration, event <-chan struct{}) {
-	t := time.NewTimer(most)
+// waitAtMost waits for an event, but not longer than limit.
+func waitAtMost(limit time.Duration, event <-chan struct{}) {
+	t := time.NewTimer(limit)
 	defer t.Stop()
 	select {
 	case <-event:
@@ -131,8 +135,8 @@
 	}
 }
 
-// reload reads the configuration again and gives discovery's address, the one setting that can change while the
-// program runs. It is the file that was replaced, so it goes before the environment here.
+// reload reads the configuration again and returns discovery's address, the one setting that can change while the
+// program runs. The file was replaced, so its address takes precedence over the environment's here.
 func reload(env func(string) string) (string, error) {
 	cfg, err := Load(func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
@@ -146,7 +150,8 @@
 	return cfg.Discovery, nil
 }
 
-// Load reads the configuration that the environment names; what the environment states goes before it.
+// Load reads the configuration file that the environment variable ROUTER_CONFIG names. Values in the environment take
+// precedence over the file's.
 func Load(env func(string) string) (*platform.Config, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
@@ -180,9 +185,10 @@
 	return cfg, nil
 }
 
-// shared listens with SO_REUSEPORT, so that a new process of the same program can listen on the clients' address while
-// this one still serves. It speaks plain TCP, since a listener of multipath TCP can have no filter that stops arrivals.
-func shared() *net.ListenConfig {
+// reusePortConfig listens with SO_REUSEPORT, so that a new process of the program can listen on the clients' address
+// while this one still serves. It uses plain TCP, since a multipath TCP listener supports no socket filter, which is
+// needed to drop new connections.
+func reusePortConfig() *net.ListenConfig {
 	config := &net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
 		if cerr := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); cerr != nil {
--- a/internal/lifecycle/limits.go
+++ b/internal/lifecycle/limits.go
@@ -17,23 +17,23 @@
 	"granitewing/internal/wire/platform"
 )
 
-// Limits are those of the whole fleet.
+// Limits configures the limits that apply to the whole fleet.
 type Limits struct {
-	Keepers []string      `sexp:"keepers,required"`         // dispatchers of whom one deals the rights; the same list everywhere
-	Lease   time.Duration `sexp:"lease" min:"0.2" max:"60"` // a right is given for so long, and so is the dealer's post
+	Keepers []string      `sexp:"keepers,required"`         // dispatchers of which one deals the rights; the list must be the same everywhere
+	Lease   time.Duration `sexp:"lease" min:"0.2" max:"60"` // duration of a right and of the dealer's role
 	Limits  []FleetLimit  `sexp:"limit"`
 	Where   settings.Pos  `sexp:",pos"`
 }
 
-// FleetLimit is one.
+// FleetLimit configures one limit.
 type FleetLimit struct {
 	Name   string        `sexp:",arg,required"`
-	Tenant string        `sexp:"tenant"`                    // whose jobs it counts
-	Class  string        `sexp:"class"`                     // or of which class
-	Rate   float64       `sexp:"rate"`                      // jobs a second; NaN: not said
-	Open   float64       `sexp:"open"`                      // or jobs open at once
-	Burst  time.Duration `sexp:"burst" min:"0.1" max:"600"` // of a rate: for so long it may be saved up
-	Floor  float64       `sexp:"floor" min:"0"`             // what a dispatcher that is cut off may do all the same; 0: nothing
+	Tenant string        `sexp:"tenant"`                    // tenant whose jobs are counted
+	Class  string        `sexp:"class"`                     // or the class that is counted
+	Rate   float64       `sexp:"rate"`                      // jobs per second; NaN: not set
+	Open   float64       `sexp:"open"`                      // or jobs open at once; NaN: not set
+	Burst  time.Duration `sexp:"burst" min:"0.1" max:"600"` // how long an unused rate may be saved up
+	Floor  float64       `sexp:"floor" min:"0"`             // what a dispatcher that is cut off may still do, in the unit of the limit; 0: nothing
 	Over   string        `sexp:"over" one-of:"refuse|discount"`
 	Where  settings.Pos  `sexp:",pos"`
 }
@@ -41,13 +41,14 @@
 // SetDefaults implements settings.Defaulter.
 func (l *Limits) SetDefaults() { l.Lease = 2 * time.Second }
 
-// SetDefaults implements settings.Defaulter. A limit is strict unless it has a floor: it is mostly there for another's sake.
+// SetDefaults implements settings.Defaulter. A limit is strict unless it has a floor, since most limits protect somebody
+// else: excess is refused, and a dispatcher that is cut off admits nothing.
 func (l *FleetLimit) SetDefaults() {
 	l.Rate, l.Open, l.Burst, l.Over = math.NaN(), math.NaN(), 4*time.Second, "refuse"
 }
 
-// counts tells what the limit counts.
-func (l *FleetLimit) counts() rights.Kind {
+// kind returns what the limit counts: a rate or open jobs.
+func (l *FleetLimit) kind() rights.Kind {
 	if math.IsNaN(l.Open) {
 		return rights.Rate
 	}
@@ -55,83 +56,83 @@
 }
 
 const (
-	keepersMost = 7
-	limitsMost  = 64
-	amountMost  = 1e6
+	maxKeepers = 7
+	maxLimits  = 64
+	maxAmount  = 1e6
 )
 
-// Check implements settings.Checker.
+// Check implements settings.Checker. An invalid value is a *settings.Error with its position and path.
 func (l *Limits) Check() error {
-	at := func(key, why string, args ...any) error {
+	invalid := func(key, why string, args ...any) error {
 		return &settings.Error{Pos: l.Where, Path: "fleet.limits." + key, Why: fmt.Sprintf(why, args...)}
 	}
 	seen := map[string]bool{}
 	for _, k := range l.Keepers {
 		if seen[k] {
-			return at("keepers", "%q is there twice", k)
+			return invalid("keepers", "%q is listed twice", k)
 		}
 		seen[k] = true
 	}
 	switch {
-	case len(l.Keepers) > keepersMost:
-		return at("keepers", "%d of them; %d at most, and an odd number is best", len(l.Keepers), keepersMost)
-	case len(l.Limits) > limitsMost:
-		return at("limit", "%d of them; %d at most", len(l.Limits), limitsMost)
+	case len(l.Keepers) > maxKeepers:
+		return invalid("keepers", "%d keepers; at most %d are allowed, and an odd number is best", len(l.Keepers), maxKeepers)
+	case len(l.Limits) > maxLimits:
+		return invalid("limit", "%d limits; at most %d are allowed", len(l.Limits), maxLimits)
 	}
 	names, covered := map[string]bool{}, map[string]bool{}
 	for _, f := range l.Limits {
-		what := fmt.Sprint(f.Tenant, "\x00", f.Class, f.counts())
+		what := fmt.Sprint(f.Tenant, "\x00", f.Class, f.kind())
 		switch {
 		case names[f.Name]:
-			return f.at("", "the name %q is given to two limits", f.Name)
+			return f.invalid("", "the name %q is given to two limits", f.Name)
 		case covered[what]:
-			return f.at("", "a second limit of one kind on %s", strings.TrimSpace(f.Tenant+" "+f.Class))
+			return f.invalid("", "a second limit of the same kind on %s", strings.TrimSpace(f.Tenant+" "+f.Class))
 		}
 		names[f.Name], covered[what] = true, true
 	}
 	return nil
 }
 
-func (l *FleetLimit) at(key, why string, args ...any) error {
+func (l *FleetLimit) invalid(key, why string, args ...any) error {
 	return &settings.Error{Pos: l.Where, Path: strings.TrimSuffix("fleet.limits.limit."+key, "."), Why: fmt.Sprintf(why, args...)}
 }
 
-// amount is what the limit is, and under which key.
+// amount returns the key and the value of the limit.
 func (l *FleetLimit) amount() (string, float64) {
-	if l.counts() == rights.Rate {
+	if l.kind() == rights.Rate {
 		return "rate", l.Rate
 	}
 	return "open", l.Open
 }
 
-// Check implements settings.Checker.
+// Check implements settings.Checker. An invalid value is a *settings.Error with its position and path.
 func (l *FleetLimit) Check() error {
 	switch {
 	case (l.Tenant == "") == (l.Class == ""):
-		return l.at("tenant", "want either a tenant or a class")
+		return l.invalid("tenant", "want either a tenant or a class")
 	case math.IsNaN(l.Rate) == math.IsNaN(l.Open):
-		return l.at("rate", "want either a rate or a number that may be open at once")
+		return l.invalid("rate", "want either a rate or a number of jobs open at once")
 	}
 	key, amount := l.amount()
 	switch {
 	case !(amount > 0):
-		return l.at(key, "%g: a limit of nothing serves nobody; cordon or refuse by other means", amount)
-	case amount > amountMost:
-		return l.at(key, "%g is over %g", amount, amountMost)
+		return l.invalid(key, "%g: a limit must be above 0; to stop all jobs, cordon or refuse by other means", amount)
+	case amount > maxAmount:
+		return l.invalid(key, "%g is over %g", amount, maxAmount)
 	case key == "open" && amount < 1:
-		return l.at(key, "%g is less than one place", amount)
+		return l.invalid(key, "%g is less than one open job", amount)
 	case key == "rate" && amount*l.Burst.Seconds() < 1:
-		return l.at("burst", "%v at %g a second is less than one job, so none could ever start", l.Burst, amount)
+		return l.invalid("burst", "%v at %g a second is less than one job, so none could ever start", l.Burst, amount)
 	case l.Floor > amount:
-		return l.at("floor", "%g is over the whole limit, %g", l.Floor, amount)
+		return l.invalid("floor", "%g is over the whole limit, %g", l.Floor, amount)
 	}
 	return nil
 }
 
-// decode brings the settings to the platform's tenants and classes.
-func (f *FleetSettings) decode(cfg *platform.Config) ([]limit.Limit, error) {
+// resolveLimits resolves the settings against the platform's tenants and classes.
+func (f *FleetSettings) resolveLimits(cfg *platform.Config) ([]limit.Limit, error) {
 	if f.Limits.Lease < 2*f.Every {
-		return nil, &settings.Error{Pos: f.Limits.Where, Path: "fleet.limits.lease", Why: fmt.Sprintf("%v is under two reports, which are %v apart: rights would end before they are renewed", f.Limits.Lease, f.Every)}
+		return nil, &settings.Error{Pos: f.Limits.Where, Path: "fleet.limits.lease", Why: fmt.Sprintf("%v is under two reports, which are %v apart: rights would expire before they are renewed", f.Limits.Lease, f.Every)}
 	}
 	longest := int64(0)
 	for _, c := range cfg.Settings.Classes {
@@ -144,45 +145,45 @@
 		if l.Tenant != "" {
 			i, known := cfg.Tenants()[l.Tenant]
 			if !known {
-				return nil, l.at("tenant", "the configuration has no tenant %q", l.Tenant)
+				return nil, l.invalid("tenant", "the configuration has no tenant %q", l.Tenant)
 			}
 			o.Tenant = i
 		} else {
 			lane, known := cfg.Lanes()[l.Class]
 			if !known {
-				return nil, l.at("class", "the configuration has no class %q", l.Class)
+				return nil, l.invalid("class", "the configuration has no class %q", l.Class)
 			}
 			o.Class, o.Linger = lane.Class, cfg.Settings.Classes[lane.Class].Deadline+answerSlack.Microseconds()
 		}
 		_, amount := l.amount()
 		o.Amount, o.Burst = amount, amount*l.Burst.Seconds()
-		o.Kind = l.counts()
+		o.Kind = l.kind()
 		if n := float64(max(cfg.Settings.Schedulers, 1)); l.Floor*n > amount {
-			return nil, l.at("floor", "%g is over the even share of %g among %g dispatchers, %g", l.Floor, amount, n, amount/n)
+			return nil, l.invalid("floor", "%g is over the even share of %g among %g dispatchers, %g", l.Floor, amount, n, amount/n)
 		}
 		out = append(out, o)
 	}
 	return out, nil
 }
 
-// answerSlack is within what time after its deadline an open message has its answer at the latest.
+// answerSlack is the latest time after its deadline at which an open message is answered.
 const answerSlack = time.Second
 
-// rights says what part a process has in the limits, or nothing where there are none.
-func (f *FleetSettings) rights(cfg *platform.Config, incarnation uint64) (*limit.Options, error) {
+// limitOptions returns this process's configuration for the limits, or nil if there are none.
+func (f *FleetSettings) limitOptions(cfg *platform.Config, incarnation uint64) (*limit.Options, error) {
 	if f.Limits == nil {
 		return nil, nil
 	}
-	limits, err := f.decode(cfg)
+	limits, err := f.resolveLimits(cfg)
 	if err != nil {
 		return nil, err
 	}
 	return &limit.Options{Self: lease.Owner{Name: cfg.Name, Incarnation: incarnation}, Keepers: f.Limits.Keepers, Lease: f.Limits.Lease.Microseconds(), Limits: limits}, nil
 }
 
-// describe says what the limits mean.
-func (f *FleetSettings) describe(w io.Writer, cfg *platform.Config) error {
-	limits, err := f.decode(cfg)
+// describeLimits writes a line per limit.
+func (f *FleetSettings) describeLimits(w io.Writer, cfg *platform.Config) error {
+	limits, err := f.resolveLimits(cfg)
 	if err != nil {
 		return err
 	}
@@ -216,20 +217,20 @@
 	return nil
 }
 
-// relimit reads the own settings again and has a driver take the amounts, bursts and floors of its limits from them; the
-// rest of them takes a new start.
-func relimit(cfg *platform.Config, own *Settings, d *driver.Driver, log *slog.Logger) {
-	now, err := ReadSettings(own.path)
+// reloadLimits reads the product settings again and makes a driver take the amounts, bursts and floors of its limits
+// from them; other changes need a restart.
+func reloadLimits(cfg *platform.Config, product *Settings, d *driver.Driver, log *slog.Logger) {
+	now, err := ReadSettings(product.path)
 	var limits []limit.Limit
 	if err == nil && now.Fleet != nil && now.Fleet.Limits != nil {
-		limits, err = now.Fleet.decode(cfg)
+		limits, err = now.Fleet.resolveLimits(cfg)
 	}
 	if err != nil {
-		log.Error("reload of limits refused; the old ones hold", "cause", err)
+		log.Error("reload of limits failed, keeping the old ones", "cause", err)
 		return
 	}
 	for _, l := range limits {
-		log.Info("limit of the fleet", "limit", l.Name, "amount", l.Amount, "floor", l.Floor)
+		log.Info("fleet limit set", "limit", l.Name, "amount", l.Amount, "floor", l.Floor)
 	}
 	d.Relimit(limits)
 }
--- a/internal/lifecycle/log.go
+++ b/internal/lifecycle/log.go
@@ -13,22 +13,23 @@
 	"granitewing/internal/settings"
 )
 
-// LogSettings say how the log is written. Its records have stable keys: dispatcher, host, message, class, outcome,
-// cause, addr, discovery, open.
+// LogSettings configures the format of the log. Its records have stable keys: dispatcher, host, message, class,
+// outcome, cause, addr, discovery, open.
 type LogSettings struct {
 	Format string `sexp:"format" one-of:"auto|text|json"` // auto: coloured on a terminal, text elsewhere
 	Level  string `sexp:"level" one-of:"debug|info|warn|error"`
 }
 
-// Settings are the product's own, beside the platform's configuration.
+// Settings are the product's own settings, besides the platform's configuration.
 type Settings struct {
 	Log     LogSettings     `sexp:"log"`
 	Records *RecordSettings `sexp:"record"`
 	Fleet   *FleetSettings  `sexp:"fleet"`
-	path    string          // of their file
+	path    string          // of the settings file; empty if none was read
 }
 
-// ReadSettings reads a file that holds one list (granitewing …); no path gives the defaults.
+// ReadSettings reads a file that holds one list (granitewing …). An empty path gives the defaults. A fault in the file
+// is a *settings.Error.
 func ReadSettings(path string) (*Settings, error) {
 	s := &Settings{}
 	if path == "" {
@@ -38,11 +39,11 @@
 	return s, settings.DecodeFile(path, "granitewing", s)
 }
 
-// Logger makes the log.
+// Logger returns a logger that writes to w.
 func (s LogSettings) Logger(w io.Writer) *slog.Logger {
 	level := slog.LevelInfo
 	if s.Level != "" {
-		level.UnmarshalText([]byte(s.Level)) // one-of has seen to it that this is a level
+		level.UnmarshalText([]byte(s.Level)) // the one-of tag ensures that this is a valid level
 	}
 	switch {
 	case s.Format == "json":
@@ -62,8 +63,8 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// Describe says what a configuration means, a line a matter.
-func Describe(w io.Writer, env func(string) string, own *Settings) error {
+// Describe explains a configuration and settings to an operator, one line per subject.
+func Describe(w io.Writer, env func(string) string, product *Settings) error {
 	cfg, err := Load(env)
 	if err != nil {
 		return err
@@ -88,12 +89,12 @@
 		fmt.Fprintf(w, "class %s: wanted within %v plus %g times its work, given up after %v, worth %g, %s\n",
 			c.Name, us(c.Aim), c.Stretch, us(c.Deadline), c.Worth, repeats[c.Repeat])
 	}
-	if own != nil && own.Fleet != nil {
-		f := own.Fleet
+	if product != nil && product.Fleet != nil {
+		f := product.Fleet
 		fmt.Fprintf(w, "fleet %s: member %s at %s, joins %s; tells the others every %v, news counts for %v\n",
 			f.Label, cfg.Name, f.Bind, strings.Join(f.Join, " "), f.Every, f.Believe)
 		if f.Limits != nil {
-			if err := f.describe(w, cfg); err != nil {
+			if err := f.describeLimits(w, cfg); err != nil {
 				return err
 			}
 		}
@@ -101,14 +102,14 @@
 			return err
 		}
 	}
-	if own == nil || own.Records == nil {
+	if product == nil || product.Records == nil {
 		return nil
 	}
-	classes, err := own.Records.classes(cfg)
+	classes, err := product.Records.classes(cfg)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "store of record: %s %s; a write over %v is not waited for\n", own.Records.Store.Kind, own.Records.Store.place(), own.Records.Patience)
+	fmt.Fprintf(w, "store of record: %s %s; a write over %v is not waited for\n", product.Records.Store.Kind, product.Records.Store.location(), product.Records.Patience)
 	meaning := []string{"not recorded", "written behind", "durable before its client is told", "durable before it is sent and before its client is told"}
 	for _, c := range classes {
 		fmt.Fprintf(w, "class %s: %s", c.Name, meaning[c.Policy])
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -15,29 +15,29 @@
 	"granitewing/internal/wire/platform"
 )
 
-// RecordSettings describe a store of record.
+// RecordSettings configures a store of record.
 type RecordSettings struct {
 	Store    StoreSettings   `sexp:"store,required"`
 	Classes  []ClassSettings `sexp:"class"`
-	Patience time.Duration   `sexp:"patience" min:"0.001" max:"60"`   // a write that lasts longer is not waited for
-	Limit    time.Duration   `sexp:"write-limit" min:"0.01" max:"60"` // and one that lasts so long has failed
-	Probe    settings.Span   `sexp:"probe" min:"0.001" max:"600"`     // between probes of a store that is gone
+	Patience time.Duration   `sexp:"patience" min:"0.001" max:"60"`   // the breaker opens after a write that takes longer
+	Limit    time.Duration   `sexp:"write-limit" min:"0.01" max:"60"` // a write that takes longer has failed
+	Probe    settings.Span   `sexp:"probe" min:"0.001" max:"600"`     // interval between probes of an unavailable store
 	Messages int             `sexp:"spool" min:"100" max:"10000000"`  // messages that may wait to be written
 	Bytes    settings.Size   `sexp:"spool-bytes"`
-	Batch    int             `sexp:"batch" min:"1" max:"100000"` // records of one write
-	Retain   time.Duration   `sexp:"retain" min:"60"`            // answered records are deleted after so long; 0 = never
-	Most     int64           `sexp:"retain-most" min:"1000"`     // and the oldest beyond so many
+	Batch    int             `sexp:"batch" min:"1" max:"100000"` // records per write
+	Retain   time.Duration   `sexp:"retain" min:"60"`            // answered records are deleted after this time; 0: never
+	Most     int64           `sexp:"retain-most" min:"1000"`     // and the oldest beyond this number; 0: no bound
 }
 
-// StoreSettings name a store.
+// StoreSettings identifies a store.
 type StoreSettings struct {
 	Kind      string        `sexp:",arg,required" one-of:"sqlite|postgres"`
 	Path      string        `sexp:",arg,required"`                       // of the file, or the database's URL
-	Statement time.Duration `sexp:"statement-limit" min:"0.1" max:"600"` // that the server gives a statement
+	Statement time.Duration `sexp:"statement-limit" min:"0.1" max:"600"` // statement timeout that the server applies
 }
 
-// place is where the store is, without a password.
-func (s StoreSettings) place() string {
+// location returns where the store is, without a password.
+func (s StoreSettings) location() string {
 	if s.Kind != "postgres" {
 		return s.Path
 	}
@@ -48,11 +48,11 @@
 	return u.Redacted()
 }
 
-// ClassSettings say when the records of a class must be durable.
+// ClassSettings says when the records of a class must be durable.
 type ClassSettings struct {
 	Name   string        `sexp:",arg,required"`
 	Policy string        `sexp:",arg,required" one-of:"off|behind|told|before"`
-	Window time.Duration `sexp:"repeat" min:"0" max:"604800"` // a repeated key is given the recorded result for so long
+	Window time.Duration `sexp:"repeat" min:"0" max:"604800"` // a repeated key gets the recorded result for this long
 	Where  settings.Pos  `sexp:",pos"`
 }
 
@@ -63,7 +63,7 @@
 		Messages: l.Messages, Bytes: settings.Size(l.Bytes), Batch: l.Batch}
 }
 
-// classes brings the settings to the platform's classes; one that is not named is written behind.
+// classes resolves the settings against the platform's classes; a class that is not listed is written behind.
 func (r *RecordSettings) classes(cfg *platform.Config) ([]record.Class, error) {
 	out := make([]record.Class, len(cfg.Settings.Classes))
 	for i, c := range cfg.Settings.Classes {
@@ -88,31 +88,32 @@
 	return out, nil
 }
 
-// OpenStore opens a store as the settings name it. Verbs open it to be read.
+// OpenStore opens the store that the settings name, for an instance of the dispatcher and a use; verbs open it to
+// read. This default fails; a build with a store replaces it.
 var OpenStore = func(context.Context, StoreSettings, string, StoreUse) (record.Store, error) {
 	return nil, errors.New("this build has no store of record; bin/granitewing-store has")
 }
 
-// StoreUse is what a store is opened for.
+// StoreUse is the purpose for which a store is opened.
 type StoreUse uint8
 
-// The uses of a store.
+// Purposes for which a store is opened.
 const (
 	Serving   StoreUse = iota // a dispatcher writes to it
 	Reading                   // an operator looks at it
 	Repairing                 // an operator settles or prunes
 )
 
-// recoverLimit is how long a start may take over what earlier starts left.
-const recoverLimit = 2 * time.Minute
+// recoverTimeout bounds the recovery of what earlier starts left.
+const recoverTimeout = 2 * time.Minute
 
-// openRecords opens the store, settles what was left open, and gives what the driver needs.
+// openRecords opens the store, settles the records that earlier starts left open, and returns what the driver needs.
 func openRecords(cfg *platform.Config, r *RecordSettings, log *slog.Logger) (*driver.Records, error) {
 	classes, err := r.classes(cfg)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), recoverLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), recoverTimeout)
 	defer cancel()
 	store, err := OpenStore(ctx, r.Store, cfg.Name, Serving)
 	if err != nil {
@@ -127,17 +128,17 @@
 		store.Close()
 		return nil, fmt.Errorf("recovery: %w", err)
 	}
-	log.Info("store of record", "epoch", store.Epoch(), "settled_failed", done.Failed, "settled_refused", done.Refused, "keys", done.Keys, "took", done.Took)
+	log.Info("store of record opened", "epoch", store.Epoch(), "settled_failed", done.Failed, "settled_refused", done.Refused, "keys", done.Keys, "took", done.Took)
 	return &driver.Records{Journal: j, Store: store, Limit: r.Limit}, nil
 }
 
 const (
 	pruneEvery = time.Minute
-	pruneBatch = 2000 // records of one deletion, so that writes don't wait long behind it
+	pruneBatch = 2000 // records per deletion, so that writes do not wait long behind it
 )
 
-// prune deletes what is older than the settings keep, until stop is closed. now is the dispatcher's own clock, in which the
-// records' times are: a step of the wall clock makes no record older.
+// prune deletes records that are past their retention until stop is closed. now is the dispatcher's clock, which the
+// times in the records use: a step of the wall clock makes no record older.
 func prune(r *RecordSettings, store record.Store, now func() int64, log *slog.Logger, stop <-chan struct{}) {
 	tick := time.NewTicker(pruneEvery)
 	defer tick.Stop()
@@ -149,7 +150,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), pruneEvery)
 		if err := pruneOnce(ctx, r, store, now()); err != nil {
-			log.Warn("store of record: retention", "cause", err)
+			log.Warn("store of record: pruning failed", "cause", err)
 		}
 		cancel()
 	}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -10,32 +10,34 @@
 	"time"
 )
 
-// Range is a span of plain numbers, written as one number or two.
+// Range is a range of plain numbers, written as one number or two.
 type Range struct{ Lo, Hi float64 }
 
-// Span is a span of durations, written as one duration or two.
+// Span is a range of durations, written as one duration or two.
 type Span struct{ Lo, Hi time.Duration }
 
-// Size is a number of bytes, written with KiB, MiB or GiB, or plain.
+// Size is a number of bytes, written plain or with KiB, MiB or GiB.
 type Size int64
 
-// Defaulter gives a value what it holds where the settings are silent; Decode calls it before it reads.
+// Defaulter sets the default values of a struct; Decode calls it before it reads the fields.
 type Defaulter interface{ SetDefaults() }
 
-// Checker refuses values that don't go together; Decode calls it once a list is read.
+// Checker validates values that depend on each other; Decode calls it after reading a list. An *Error is returned as
+// it is, any other error gets the list's position.
 type Checker interface{ Check() error }
 
-// Decode fills a struct from a list, whose head is the name of what it describes. Fields are told by tags:
+// Decode fills the struct that into points to from a list, whose head names what it describes. Field tags map fields to
+// the list's items:
 //
 //	Rate  float64   `sexp:"rate,required" min:"0"`  (rate 14)
 //	Name  string    `sexp:",arg"`                   the next plain word after the head
 //	Kind  string    `sexp:",head"`                  the head itself
 //	Kinds []Kind    `sexp:"host-kind"`              each (host-kind …), in order
 //	Steps []Step    `sexp:"constant|ramp"`          each (constant …) or (ramp …), in order
-//	Where Pos       `sexp:",pos"`                   where the list stands
+//	Where Pos       `sexp:",pos"`                   the position of the list
 //
-// min and max bound numbers (of durations: in seconds), one-of lists the words that a string may be. A key that is not
-// known, missing, repeated or of another type is an *Error that names its place and path.
+// min and max bound numbers (durations in seconds); one-of lists the allowed words of a string. A key that is unknown,
+// missing, repeated or of the wrong type is an *Error with its position and path.
 func Decode(n *Node, into any) error {
 	v := reflect.ValueOf(into).Elem()
 	if n.Kind != List || n.Head() == "" {
@@ -44,25 +46,25 @@
 	return decodeStruct(n, v, n.Head())
 }
 
-// DecodeFile reads a file that holds one list with the given head.
+// DecodeFile reads a file that must hold exactly one list with the given head. A fault in the text is an *Error.
 func DecodeFile(path, head string, into any) error {
 	nodes, err := ReadFile(path)
 	if err != nil {
 		return err
 	}
-	return decodeOne(path, nodes, head, into)
+	return decodeSingle(path, nodes, head, into)
 }
 
-// DecodeText is DecodeFile for a text at hand.
+// DecodeText decodes a text like DecodeFile; name stands for the file in errors.
 func DecodeText(name string, text []byte, head string, into any) error {
 	nodes, err := Parse(name, text)
 	if err != nil {
 		return err
 	}
-	return decodeOne(name, nodes, head, into)
+	return decodeSingle(name, nodes, head, into)
 }
 
-func decodeOne(name string, nodes []*Node, head string, into any) error {
+func decodeSingle(name string, nodes []*Node, head string, into any) error {
 	if len(nodes) == 0 {
 		return &Error{Pos{name, 1, 1}, "", fmt.Sprintf("want one list (%s …)", head)}
 	}
@@ -70,13 +72,13 @@
 		return &Error{nodes[0].Pos, "", fmt.Sprintf("want a list (%s …)", head)}
 	}
 	if len(nodes) > 1 {
-		return &Error{nodes[1].Pos, "", fmt.Sprintf("one (%s …) is all that may stand here", head)}
+		return &Error{nodes[1].Pos, "", fmt.Sprintf("want no more than one list (%s …)", head)}
 	}
 	return Decode(nodes[0], into)
 }
 
-// field is a struct's field with its tag.
-type field struct {
+// structField is a field of a struct with its tag.
+type structField struct {
 	value    reflect.Value
 	tag      reflect.StructTag
 	names    []string
@@ -89,9 +91,9 @@
 	if d, ok := v.Addr().Interface().(Defaulter); ok {
 		d.SetDefaults()
 	}
-	var args []*field
-	keys := map[string]*field{}
-	var ordered []*field
+	var args []*structField
+	keys := map[string]*structField{}
+	var ordered []*structField
 	for i := range v.NumField() {
 		sf := v.Type().Field(i)
 		tag, ok := sf.Tag.Lookup("sexp")
@@ -99,7 +101,7 @@
 			continue
 		}
 		name, options, _ := strings.Cut(tag, ",")
-		f := &field{value: v.Field(i), tag: sf.Tag, required: strings.Contains(options, "required")}
+		f := &structField{value: v.Field(i), tag: sf.Tag, required: strings.Contains(options, "required")}
 		switch {
 		case strings.Contains(options, "head"):
 			f.value.SetString(n.Head())
@@ -120,7 +122,7 @@
 	for _, item := range n.Items[1:] {
 		if item.Kind != List {
 			if len(args) == 0 {
-				return &Error{item.Pos, path, fmt.Sprintf("nothing plain is awaited here, have %q", item.Text)}
+				return &Error{item.Pos, path, fmt.Sprintf("unexpected plain value %q", item.Text)}
 			}
 			if err := decodeScalar(item, args[0].value, args[0].tag, path); err != nil {
 				return err
@@ -131,7 +133,7 @@
 		head := item.Head()
 		f := keys[head]
 		if f == nil {
-			return &Error{item.Pos, path + "." + head, "unknown key; known here: " + known(ordered)}
+			return &Error{item.Pos, path + "." + head, "unknown key; known keys: " + joinNames(ordered)}
 		}
 		if f.seen && !f.many {
 			return &Error{item.Pos, path + "." + head, "given twice"}
@@ -142,7 +144,7 @@
 		}
 	}
 	if len(args) > 0 && args[0].required {
-		return &Error{n.Pos, path, "wants a " + strings.ToLower(args[0].names[0]) + " after its first word"}
+		return &Error{n.Pos, path, "want a " + strings.ToLower(args[0].names[0]) + " after the first word"}
 	}
 	for _, f := range ordered {
 		if f.required && !f.seen {
@@ -150,9 +152,9 @@
 		}
 	}
 	if c, ok := v.Addr().Interface().(Checker); ok {
-		var placed *Error
-		if err := c.Check(); errors.As(err, &placed) {
-			return placed // it knows the place better than the list's own
+		var positioned *Error
+		if err := c.Check(); errors.As(err, &positioned) {
+			return positioned // its position is more precise than that of the list
 		} else if err != nil {
 			return &Error{n.Pos, path, err.Error()}
 		}
@@ -160,7 +162,7 @@
 	return nil
 }
 
-func known(fields []*field) string {
+func joinNames(fields []*structField) string {
 	var names []string
 	for _, f := range fields {
 		names = append(names, f.names...)
@@ -171,7 +173,7 @@
 	return strings.Join(names, ", ")
 }
 
-func decodeField(n *Node, f *field, path string) error {
+func decodeField(n *Node, f *structField, path string) error {
 	t := f.value.Type()
 	switch {
 	case f.many:
@@ -201,11 +203,11 @@
 	case t == rangeType || t == spanType:
 		return decodeSpan(n, f.value, f.tag, path)
 	case t.Kind() == reflect.Bool && len(n.Items) == 1:
-		f.value.SetBool(true) // the key alone says yes
+		f.value.SetBool(true) // the key alone means yes
 		return nil
 	}
 	if len(n.Items) != 2 {
-		return &Error{n.Pos, path, fmt.Sprintf("wants one value, has %d", len(n.Items)-1)}
+		return &Error{n.Pos, path, fmt.Sprintf("want one value, have %d", len(n.Items)-1)}
 	}
 	return decodeScalar(n.Items[1], f.value, f.tag, path)
 }
@@ -219,10 +221,10 @@
 
 func isScalar(t reflect.Type) bool { return t == rangeType || t == spanType }
 
-// decodeSpan reads one value or two.
+// decodeSpan decodes a Range or Span from one value or two.
 func decodeSpan(n *Node, v reflect.Value, tag reflect.StructTag, path string) error {
 	if len(n.Items) != 2 && len(n.Items) != 3 {
-		return &Error{n.Pos, path, fmt.Sprintf("wants one value or two, has %d", len(n.Items)-1)}
+		return &Error{n.Pos, path, fmt.Sprintf("want one value or two, have %d", len(n.Items)-1)}
 	}
 	for i := range 2 {
 		if err := decodeScalar(n.Items[min(i+1, len(n.Items)-1)], v.Field(i), tag, path); err != nil {
@@ -309,7 +311,7 @@
 		v.SetFloat(f)
 		number = f
 	default:
-		panic("settings: no way to read a " + v.Type().String())
+		panic("settings: unsupported field type " + v.Type().String())
 	}
 	if low, err := strconv.ParseFloat(tag.Get("min"), 64); err == nil && number < low {
 		return wrong("at least " + tag.Get("min") + unit(v))
@@ -327,7 +329,7 @@
 	return ""
 }
 
-// parseNumber takes decimal numbers, percentages included; infinities and words for numbers are none.
+// parseNumber parses decimal numbers, including percentages; infinities and NaN are refused.
 func parseNumber(text string) (float64, error) {
 	plain, percent := strings.CutSuffix(text, "%")
 	if strings.Trim(plain, "0123456789.-+eE") != "" {
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -1,6 +1,7 @@
-// Package settings reads the product's own settings: S-expressions, decoded into Go types. A reader of its own
-// keeps the place of each word, so that an error names file, line, column and the key's path; EDN libraries give
-// values without places.
+// Package settings reads the product's own settings: S-expressions, decoded into Go types. Parse and ReadFile give the
+// expressions of a text as Nodes, Decode, DecodeText and DecodeFile fill a struct by its field tags, and Format writes
+// expressions in a canonical form. It has its own reader, which keeps the position of each word, so that an error
+// names file, line, column and the path of the key; EDN libraries give values without positions.
 package settings
 
 import (
@@ -12,13 +13,13 @@
 	"unicode/utf8"
 )
 
-// Bounds of a text, so that no file can exhaust the stack or the memory.
+// Bounds on a text, so that no file can exhaust the stack or the memory.
 const (
 	maxText  = 4 << 20 // bytes
-	maxDepth = 64      // lists within lists
+	maxDepth = 64      // nesting of lists
 )
 
-// Pos is a place in a text; lines and columns (in characters) count from 1.
+// Pos is a position in a text; lines and columns (in characters) count from 1.
 type Pos struct {
 	File      string
 	Line, Col int
@@ -26,27 +27,27 @@
 
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
-// Kind says what a node is.
+// Kind is the type of a node.
 type Kind uint8
 
-// The kinds of nodes.
+// The types of nodes.
 const (
-	Word   Kind = iota // a symbol, number, duration, size: anything without quotes
-	String             // a text in quotes
+	Word   Kind = iota // a symbol, number, duration or size: any word without quotes
+	String             // a quoted text
 	List
 )
 
-// Node is an expression with its place.
+// Node is an expression with its position.
 type Node struct {
 	Pos
 	Kind     Kind
 	Text     string   // of a Word or String, unquoted
 	Items    []*Node  // of a List
-	Comments []string // lines that stand before it, each without its semicolons
+	Comments []string // comment lines before it, without their semicolons
 	Tail     []string // comments before a List's closing parenthesis
 }
 
-// Head is the first word of a list, or nothing.
+// Head returns the first word of a list, or an empty string.
 func (n *Node) Head() string {
 	if n.Kind == List && len(n.Items) > 0 && n.Items[0].Kind == Word {
 		return n.Items[0].Text
@@ -54,10 +55,10 @@
 	return ""
 }
 
-// Error is a fault in settings.
+// Error is a fault in settings, with its position.
 type Error struct {
 	Pos
-	Path string // keys from the outermost in, joined by dots; empty where the text itself is malformed
+	Path string // keys from the outermost to the innermost, joined by dots; empty if the text itself is malformed
 	Why  string
 }
 
@@ -68,7 +69,7 @@
 	return fmt.Sprintf("%s: %s: %s", e.Pos, e.Path, e.Why)
 }
 
-// ReadFile parses a file.
+// ReadFile parses a file. Malformed text is an *Error.
 func ReadFile(path string) ([]*Node, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads all expressions of a text. An error is an *Error.
+// Parse returns all expressions of a text. Any error is an *Error.
 func Parse(file string, text []byte) ([]*Node, error) {
 	p := &parser{text: text, pos: Pos{file, 1, 1}}
 	if len(text) > maxText {
@@ -94,18 +95,18 @@
 }
 
 type parser struct {
-	text []byte
-	at   int
-	pos  Pos
+	text   []byte
+	offset int
+	pos    Pos
 }
 
-// next takes one character; -1 is the end.
+// next consumes one character; it returns -1 at the end.
 func (p *parser) next() rune {
-	if p.at >= len(p.text) {
+	if p.offset >= len(p.text) {
 		return -1
 	}
-	r, n := utf8.DecodeRune(p.text[p.at:])
-	p.at += n
+	r, n := utf8.DecodeRune(p.text[p.offset:])
+	p.offset += n
 	if p.pos.Col++; r == '\n' {
 		p.pos.Line++
 		p.pos.Col = 1
@@ -114,21 +115,21 @@
 }
 
 func (p *parser) peek() rune {
-	if p.at >= len(p.text) {
+	if p.offset >= len(p.text) {
 		return -1
 	}
-	r, _ := utf8.DecodeRune(p.text[p.at:])
+	r, _ := utf8.DecodeRune(p.text[p.offset:])
 	return r
 }
 
-// list reads up to a closing parenthesis, or to the end of the text where open is nil.
+// list reads to the closing parenthesis, or to the end of the text if open is nil.
 func (p *parser) list(open *Node, depth int) (items []*Node, tail []string, err error) {
 	var comments []string
 	for {
 		at := p.pos
 		switch r := p.peek(); {
 		case r < 0 && open != nil:
-			return nil, nil, &Error{open.Pos, "", "parenthesis is never closed"}
+			return nil, nil, &Error{open.Pos, "", "parenthesis is not closed"}
 		case r < 0:
 			return items, comments, nil
 		case unicode.IsSpace(r):
@@ -136,7 +137,7 @@
 		case r == ';':
 			comments = append(comments, p.comment())
 		case r == ')' && open == nil:
-			return nil, nil, &Error{at, "", "parenthesis closes nothing"}
+			return nil, nil, &Error{at, "", "closing parenthesis without an opening one"}
 		case r == ')':
 			p.next()
 			return items, comments, nil
@@ -162,24 +163,24 @@
 }
 
 func (p *parser) comment() string {
-	start := p.at
+	start := p.offset
 	for r := p.peek(); r >= 0 && r != '\n'; r = p.peek() {
 		p.next()
 	}
-	return strings.TrimSpace(strings.TrimLeft(string(p.text[start:p.at]), ";"))
+	return strings.TrimSpace(strings.TrimLeft(string(p.text[start:p.offset]), ";"))
 }
 
 func (p *parser) atom() (*Node, error) {
 	n := &Node{Pos: p.pos}
-	start := p.at
+	start := p.offset
 	if p.peek() != '"' {
 		for r := p.peek(); r >= 0 && !unicode.IsSpace(r) && !strings.ContainsRune(`()";`, r); r = p.peek() {
 			if !unicode.IsPrint(r) {
-				return nil, &Error{p.pos, "", fmt.Sprintf("character %q can't stand in a word", r)}
+				return nil, &Error{p.pos, "", fmt.Sprintf("character %q is not allowed in a word", r)}
 			}
 			p.next()
 		}
-		n.Text = string(p.text[start:p.at])
+		n.Text = string(p.text[start:p.offset])
 		return n, nil
 	}
 	p.next()
@@ -190,7 +191,7 @@
 		case '\\':
 			p.next()
 		case '"':
-			text, err := strconv.Unquote(string(p.text[start:p.at]))
+			text, err := strconv.Unquote(string(p.text[start:p.offset]))
 			if err != nil {
 				return nil, &Error{n.Pos, "", "quoted text has an unknown escape"}
 			}
@@ -200,10 +201,10 @@
 	}
 }
 
-// lineWidth is what a list may take to stand on one line.
+// lineWidth is the width up to which a list is written on one line, in bytes.
 const lineWidth = 100
 
-// Format writes expressions in the one form that all of them have: parsing it gives them again, comments included.
+// Format writes expressions in their canonical form. Parsing it gives the same expressions, comments included.
 func Format(nodes []*Node) string {
 	var b strings.Builder
 	for _, n := range nodes {
@@ -225,7 +226,7 @@
 		b.WriteString(atomText(n))
 		return
 	}
-	// Words stay beside the opening parenthesis up to the first list, which gets a line of its own like all after it.
+	// Leading words stay on the line of the opening parenthesis; the first list and every item after it get a line each.
 	b.WriteByte('(')
 	i := 0
 	for ; i < len(n.Items) && n.Items[i].Kind != List && len(n.Items[i].Comments) == 0; i++ {
@@ -253,7 +254,7 @@
 	}
 }
 
-// flatten writes a node on one line; false if comments forbid it.
+// flatten writes a node on one line; false if it contains comments.
 func flatten(n *Node) (string, bool) {
 	if n.Kind != List {
 		return atomText(n), true
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -64,28 +64,28 @@
 		t.Error(diff)
 	}
 	if p := got.Kinds[1].Where; p != (Pos{"a.sexp", 3, 24}) {
-		t.Errorf("the second kind stands at %v", p)
+		t.Errorf("the second kind is at %v", p)
 	}
 }
 
-// Each fault is refused with its place and the path of its key.
+// Each fault is reported with its position and the path of its key.
 func TestFaults(t *testing.T) {
 	for text, want := range map[string]string{
-		`(sample (hosts 9)`:                            `f:1:1: parenthesis is never closed`,
-		`(sample (hosts 9)))`:                          `f:1:19: parenthesis closes nothing`,
+		`(sample (hosts 9)`:                            `f:1:1: parenthesis is not closed`,
+		`(sample (hosts 9)))`:                          `f:1:19: closing parenthesis without an opening one`,
 		"(sample\n (hosts \"9\n\"))":                   `f:2:9: quoted text is not closed on its line`,
 		`(sample (hosts "\q"))`:                        `f:1:16: quoted text has an unknown escape`,
 		`(sample (hosts nine))`:                        `f:1:16: sample.hosts: want a whole number, have "nine"`,
 		`(sample (hosts "9"))`:                         `f:1:16: sample.hosts: want a value without quotes, have "9"`,
 		`(sample (hosts 0))`:                           `f:1:16: sample.hosts: want at least 1, have "0"`,
 		`(sample (hosts 9) (hosts 9))`:                 `f:1:19: sample.hosts: given twice`,
-		`(sample (hosts 9 9))`:                         `f:1:9: sample.hosts: wants one value, has 2`,
+		`(sample (hosts 9 9))`:                         `f:1:9: sample.hosts: want one value, have 2`,
 		`(sample (hosts (9)))`:                         `f:1:16: sample.hosts: want a plain value, have a list`,
 		`(sample)`:                                     `f:1:1: sample.hosts: missing`,
 		"(sample (hosts 9)\n  (inner c))":              `f:2:3: sample.inner.share: missing`,
-		`(sample (hosts 9) (kind (share 1)))`:          `f:1:19: sample.kind: wants a name after its first word`,
+		`(sample (hosts 9) (kind (share 1)))`:          `f:1:19: sample.kind: want a name after the first word`,
 		`(sample (hosts 9) (kind a (share 2)))`:        `f:1:34: sample.kind.share: want at most 1, have "2"`,
-		`(sample (hosts 9) (kind a (part 2)))`:         `f:1:27: sample.kind.part: unknown key; known here: share`,
+		`(sample (hosts 9) (kind a (part 2)))`:         `f:1:27: sample.kind.part: unknown key; known keys: share`,
 		`(sample (hosts 9) (wait 5))`:                  `f:1:25: sample.wait: want a duration such as 750ms, have "5"`,
 		`(sample (hosts 9) (ramp (for 0s)))`:           `f:1:30: sample.ramp.for: want at least 0.001 s, have "0s"`,
 		`(sample (hosts 9) (room 5KB))`:                `f:1:25: sample.room: want a size such as 64KiB, have "5KB"`,
@@ -93,19 +93,19 @@
 		`(sample (hosts 9) (speed Inf))`:               `f:1:26: sample.speed: want a number, have "Inf"`,
 		`(sample (hosts 9) (on maybe))`:                `f:1:23: sample.on: want yes or no, have "maybe"`,
 		`(sample (hosts 9) (mode open))`:               `f:1:25: sample.mode: want one of keep, close, have "open"`,
-		`(sample a b (hosts 9))`:                       `f:1:11: sample: nothing plain is awaited here, have "b"`,
+		`(sample a b (hosts 9))`:                       `f:1:11: sample: unexpected plain value "b"`,
 		`(sample (hosts 13))`:                          `f:1:1: sample: 13 hosts are one too many`,
 		`(other)`:                                      `f:1:1: want a list (sample …)`,
 		``:                                             `f:1:1: want one list (sample …)`,
-		`(sample (hosts 9)) (sample)`:                  `f:1:20: one (sample …) is all that may stand here`,
+		`(sample (hosts 9)) (sample)`:                  `f:1:20: want no more than one list (sample …)`,
 		strings.Repeat("(", maxDepth+1):                fmt.Sprintf(`f:1:%d: lists nest deeper than %d`, maxDepth+1, maxDepth),
 		"(sample \xff)":                                `f:1:1: text is not UTF-8`,
-		"(sample \x01)":                                `f:1:9: character '\x01' can't stand in a word`,
+		"(sample \x01)":                                `f:1:9: character '\x01' is not allowed in a word`,
 		`(sample (hosts 9) (number -1))`:               `f:1:27: sample.number: want a whole number from 0, have "-1"`,
 		`(sample (hosts 99999999999999999999999999))`:  `f:1:16: sample.hosts: want a whole number, have "99999999999999999999999999"`,
 		`(sample (hosts 9) (room 99999999999999GiB))`:  `f:1:25: sample.room: want a size such as 64KiB, have "99999999999999GiB"`,
-		`(sample (hosts 9) ((share 1)))`:               `f:1:19: sample.: unknown key; known here: hosts, wait, room, speed, delay, zones, on, kind, constant, ramp, inner, mode, number`,
-		`(sample (hosts 9) (inner c (share 1) (x 1)))`: `f:1:38: sample.inner.x: unknown key; known here: share`,
+		`(sample (hosts 9) ((share 1)))`:               `f:1:19: sample.: unknown key; known keys: hosts, wait, room, speed, delay, zones, on, kind, constant, ramp, inner, mode, number`,
+		`(sample (hosts 9) (inner c (share 1) (x 1)))`: `f:1:38: sample.inner.x: unknown key; known keys: share`,
 	} {
 		var s sample
 		err := DecodeText("f", []byte(text), "sample", &s)
@@ -115,7 +115,7 @@
 	}
 }
 
-// drawNode draws any expression that can be written.
+// drawNode generates any expression that can be written.
 func drawNode(t *rapid.T, depth int) *Node {
 	comments := rapid.SliceOfN(rapid.StringMatching(`[a-z(" ]{0,12}[a-z]`), 0, 2).Draw(t, "comments")
 	for i := range comments {
@@ -142,7 +142,7 @@
 	return n
 }
 
-// What Format writes parses to the same expressions, comments included, and formats to the same text.
+// The output of Format parses to the same expressions, comments included, and formats to the same text.
 func TestFormatRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var nodes []*Node
@@ -163,7 +163,7 @@
 	})
 }
 
-// The shipped experiments stand in the one form that Format writes.
+// The shipped experiments are in the canonical form that Format writes.
 func TestShippedFilesAreFormatted(t *testing.T) {
 	files, err := filepath.Glob("../../lab/*.sexp")
 	if err != nil || len(files) == 0 {
@@ -184,7 +184,7 @@
 	}
 }
 
-// No text makes the reader panic, and what it takes it can write and read again.
+// No text makes the parser panic, and what it accepts can be written and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`(sample "a" (hosts 9) ; comment` + "\n(speed 1 2))"))
 	f.Add([]byte("(((((\"\\u1234\""))
