--- a/cmd/granitewing-fleet/main_test.go
+++ b/cmd/granitewing-fleet/main_test.go
@@ -91,14 +91,14 @@
 	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
 	serves := make(chan string, 1)
 	go func() {
-		door := ""
+		admin := ""
 		for s := bufio.NewScanner(out); s.Scan(); {
 			_, addr, _ := strings.Cut(s.Text(), "addr=")
 			switch {
 			case strings.Contains(s.Text(), "msg=door"):
-				door = strings.TrimSpace(addr)
+				admin = strings.TrimSpace(addr)
 			case strings.Contains(s.Text(), "msg=listening"):
-				serves <- door
+				serves <- admin
 			}
 		}
 		select {
@@ -107,8 +107,8 @@
 		}
 	}()
 	select {
-	case door := <-serves:
-		return &process{cmd, door}
+	case admin := <-serves:
+		return &process{cmd, admin}
 	case <-time.After(testTimeout):
 		t.Fatal("the process neither serves nor exits")
 		return nil
@@ -139,9 +139,9 @@
 }
 
 // fetchStatus returns the status, or nil while the dispatcher does not report it yet.
-func fetchStatus(t *testing.T, door string) (*status, []byte) {
+func fetchStatus(t *testing.T, admin string) (*status, []byte) {
 	t.Helper()
-	out, err := exec.Command(program, "fleet", "status", "--door", door, "--json").Output()
+	out, err := exec.Command(program, "fleet", "status", "--door", admin, "--json").Output()
 	if err != nil {
 		return nil, out
 	}
@@ -153,11 +153,11 @@
 }
 
 // waitForStatus polls the status until it is as wanted.
-func waitForStatus(t *testing.T, door, what string, want func(*status) bool) {
+func waitForStatus(t *testing.T, admin, what string, want func(*status) bool) {
 	t.Helper()
 	var last []byte
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
-		s, out := fetchStatus(t, door)
+		s, out := fetchStatus(t, admin)
 		if s != nil && want(s) {
 			return
 		}
@@ -185,7 +185,7 @@
 // by cause; a member that falls silent or leaves is shown as such.
 func TestInvalidReportsAreRefused(t *testing.T) {
 	bind := freeAddress(t)
-	door := start(t, "n0", fmt.Sprintf(`(label "t") (bind %q) (every 100ms)`, bind))
+	admin := start(t, "n0", fmt.Sprintf(`(label "t") (bind %q) (every 100ms)`, bind))
 	f, _ := peer(t, "p", "t", 7, bind)
 	seq := uint64(0)
 	sendReport := func(r func() *ledger.Report) func(*status) bool {
@@ -194,17 +194,17 @@
 	unless := func(do, want func(*status) bool) func(*status) bool {
 		return func(s *status) bool { return want(s) || do(s) }
 	}
-	waitForStatus(t, door, "a member whose reports count", unless(sendReport(func() *ledger.Report { return report("p", 7, seq, 2) }),
+	waitForStatus(t, admin, "a member whose reports count", unless(sendReport(func() *ledger.Report { return report("p", 7, seq, 2) }),
 		func(s *status) bool { return s.Members == 1 && s.Heard == 1 }))
-	waitForStatus(t, door, "an invalid report refused", unless(sendReport(func() *ledger.Report { return report("p", 7, seq, math.Inf(1)) }),
+	waitForStatus(t, admin, "an invalid report refused", unless(sendReport(func() *ledger.Report { return report("p", 7, seq, math.Inf(1)) }),
 		func(s *status) bool { return s.Refused["range"] > 0 }))
-	waitForStatus(t, door, "an older incarnation refused", unless(sendReport(func() *ledger.Report { return report("p", 6, seq, 2) }),
+	waitForStatus(t, admin, "an older incarnation refused", unless(sendReport(func() *ledger.Report { return report("p", 6, seq, 2) }),
 		func(s *status) bool { return s.Refused["old"] > 0 }))
-	waitForStatus(t, door, "its own name refused", unless(sendReport(func() *ledger.Report { return report("n0", 1<<63, seq, 2) }),
+	waitForStatus(t, admin, "its own name refused", unless(sendReport(func() *ledger.Report { return report("n0", 1<<63, seq, 2) }),
 		func(s *status) bool { return s.Refused["self"] > 0 }))
-	waitForStatus(t, door, "silence noticed", func(s *status) bool { return s.Heard == 0 && len(s.Peers) == 1 && s.Peers[0].State == "silent" })
+	waitForStatus(t, admin, "silence noticed", func(s *status) bool { return s.Heard == 0 && len(s.Peers) == 1 && s.Peers[0].State == "silent" })
 	f.Leave()
-	waitForStatus(t, door, "a member that left", func(s *status) bool { return s.Members == 0 && len(s.Peers) == 1 && s.Peers[0].State == "gone" })
+	waitForStatus(t, admin, "a member that left", func(s *status) bool { return s.Members == 0 && len(s.Peers) == 1 && s.Peers[0].State == "gone" })
 }
 
 // A process is suspended and removed from the membership, and another one with its name starts; then the first
@@ -212,18 +212,18 @@
 func TestSuspendedProcessResumesAfterReplacement(t *testing.T) {
 	t.Parallel()
 	bind := freeAddress(t)
-	door := start(t, "n0", fmt.Sprintf(`(label "t") (bind %q)`, bind))
+	admin := start(t, "n0", fmt.Sprintf(`(label "t") (bind %q)`, bind))
 	// It reports more often than its successor, so that its report would often be the latest.
 	first := run(t, "n1", fmt.Sprintf(`(label "t") (bind %q) (join %q) (every 30ms)`, freeAddress(t), bind))
 	var old string
-	waitForStatus(t, door, "the first process", func(s *status) bool {
+	waitForStatus(t, admin, "the first process", func(s *status) bool {
 		for _, p := range s.Peers {
 			old = p.Incarnation
 		}
 		return s.Heard == 1
 	})
 	first.signal(t, syscall.SIGSTOP)
-	waitForStatus(t, door, "its removal from the membership", func(s *status) bool { return s.Members == 0 })
+	waitForStatus(t, admin, "its removal from the membership", func(s *status) bool { return s.Members == 0 })
 	// The name may stay taken for some seconds; a process that finds it taken exits, and its platform starts it again.
 	var next *process
 	for end := time.Now().Add(testTimeout); next == nil; {
@@ -241,11 +241,11 @@
 		}
 		return s.Members == 1 && s.Heard == 1
 	}
-	waitForStatus(t, door, "the successor", successor)
+	waitForStatus(t, admin, "the successor", successor)
 	first.signal(t, syscall.SIGCONT)
-	waitForStatus(t, door, "the first process refused", func(s *status) bool { return s.Refused["old"] > 0 })
+	waitForStatus(t, admin, "the first process refused", func(s *status) bool { return s.Refused["old"] > 0 })
 	for range 30 {
-		if s, out := fetchStatus(t, door); s == nil || !successor(s) {
+		if s, out := fetchStatus(t, admin); s == nil || !successor(s) {
 			t.Fatalf("the first process counts instead of its successor\n%s", out)
 		}
 	}
@@ -254,12 +254,12 @@
 // Fleets with different labels do not mix, even at the same address.
 func TestFleetLabelsSeparateFleets(t *testing.T) {
 	bind := freeAddress(t)
-	door := start(t, "n0", fmt.Sprintf(`(label "ours") (bind %q) (every 100ms)`, bind))
+	admin := start(t, "n0", fmt.Sprintf(`(label "ours") (bind %q) (every 100ms)`, bind))
 	theirs, _ := peer(t, "p", "theirs", 1, bind)
 	defer theirs.Leave()
 	ours, _ := peer(t, "q", "ours", 1, bind)
 	defer ours.Leave()
-	waitForStatus(t, door, "the one of this fleet", func(s *status) bool { return s.Members == 1 })
+	waitForStatus(t, admin, "the one of this fleet", func(s *status) bool { return s.Members == 1 })
 	if h := theirs.Take(); len(h.Members) != 0 {
 		t.Errorf("a member of another fleet sees %d of this one", len(h.Members))
 	}
--- a/cmd/granitewing/main_test.go
+++ b/cmd/granitewing/main_test.go
@@ -125,12 +125,12 @@
 }
 
 // addresses waits for the addresses that a program logs: of its listener and, if configured, its admin endpoint.
-func (w *harness) addresses(lines chan string) (listen, door string) {
+func (w *harness) addresses(lines chan string) (listen, admin string) {
 	if strings.Contains(w.configText, `"management"`) {
-		_, door, _ = strings.Cut(w.awaitOn(lines, "msg=door"), "addr=")
+		_, admin, _ = strings.Cut(w.awaitOn(lines, "msg=door"), "addr=")
 	}
 	_, listen, _ = strings.Cut(w.awaitOn(lines, "msg=listening"), "addr=")
-	return listen, door
+	return listen, admin
 }
 
 // configure writes the configuration with old replaced by now, or by the address of the listener named now.
--- a/internal/driver/post_check_test.go
+++ b/internal/driver/post_check_test.go
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// writeModel runs the journal's writer beside an owner. If waitsForResult is set, the owner waits for the result of a write
-// before it sends the next batch.
+// writeModel runs the journal's writer beside an owner. If waitsForResult is set, the owner waits for the result of a
+// write before it sends the next batch.
 func writeModel(waitsForResult bool) check.Make {
 	return func() ([]func(), func() error) {
 		s := &store{}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -57,12 +57,12 @@
 		return err
 	}
 	if cfg.Management != "" {
-		door, err := net.Listen("tcp", cfg.Management)
+		admin, err := net.Listen("tcp", cfg.Management)
 		if err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
-		go d.Door(door)
-		log.Info("door", "addr", door.Addr().String())
+		go d.Door(admin)
+		log.Info("door", "addr", admin.Addr().String())
 	}
 	if product.Fleet != nil {
 		member, err := joinFleet(cfg, product.Fleet, d, log)
