--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,8 +1,11 @@
 //go:build check
 
-// Package check runs two to four goroutines of real code one at a time over all the orders in which they can touch what they
-// share (seam). Orders that differ only in the order of touches of different objects are alike, and one of them is run
-// (sleep sets). What it finds is an order, as a short list, that can be run again.
+// Package check runs two to four goroutines of real code one at a time, over all interleavings of their accesses
+// to shared objects. The code under test marks its accesses through package seam; it needs the build tag check.
+//
+// Interleavings that differ only in the order of accesses to different objects are equivalent, and only one of
+// them is run (sleep sets). Run searches; when it finds a failure, Result.Schedule describes the interleaving as a
+// short list, which Replay runs again.
 package check
 
 import (
@@ -15,26 +18,26 @@
 	"granitewing/internal/seam"
 )
 
-// Bounds of a search.
+// Bounds limit a search.
 type Bounds struct {
-	Preemptions int // times that a goroutine which could go on is made to wait; -1: as often as there is
-	Schedules   int // orders run at most
-	Steps       int // of one order at most
+	Preemptions int // preemptions per interleaving, that is switches away from a goroutine that could continue; -1: unlimited
+	Schedules   int // interleavings per search
+	Steps       int // accesses per interleaving
 }
 
-// Default bounds a search that takes some seconds.
+// Default limits a search to a few seconds.
 var Default = Bounds{Preemptions: -1, Schedules: 300_000, Steps: 2000}
 
-// Result is what a search came to.
+// Result is the outcome of a search.
 type Result struct {
-	Schedules int   // orders that were run
-	Pruned    int   // orders left as like one that was run
-	Whole     bool  // all orders within the bound of preemptions were run
-	Schedule  []int // that failed: whose turn it was, and which way was chosen, in turn
-	Err       error // of it; nil if all were well
+	Schedules int   // interleavings that were run to their end
+	Pruned    int   // interleavings skipped because an equivalent one was run
+	Whole     bool  // all interleavings within the bound of preemptions were covered
+	Schedule  []int // the failing one: for each decision the goroutine that ran, or the option that Choose returned
+	Err       error // failure of Schedule; nil if no interleaving failed
 }
 
-// String says it in a line.
+// String summarizes the result in one line.
 func (r *Result) String() string {
 	s := fmt.Sprintf("%d orders run, %d left as alike, all of them: %t", r.Schedules, r.Pruned, r.Whole)
 	if r.Err != nil {
@@ -43,53 +46,54 @@
 	return s
 }
 
-// Make makes the goroutines of one order, and what must hold once all have ended. It is called anew for each.
+// Make creates the goroutines of one interleaving, and a check that must hold once all of them have ended; after
+// may be nil. It is called again for each interleaving.
 type Make func() (threads []func(), after func() error)
 
-// errPruned ends an order that is like one that was run.
+// errPruned ends an interleaving that is equivalent to one that was run.
 var errPruned = errors.New("like one that was run")
 
 // thread is one goroutine.
 type thread struct {
-	objects []any // that it touches next
-	ready   func() bool
-	resume  chan bool // false: end
-	over    bool
+	nextObjects []any // objects of its next access
+	ready       func() bool
+	resume      chan bool // false: abort
+	done        bool
 }
 
-// node is a place in an order where something was chosen.
-type node struct {
-	ways   int // of a choice; 0: it is a turn
-	pick   int
-	able   []int        // who could go on
-	sleep  map[int]bool // whose going on is like something that was run
-	before int          // who went on before, -1 at the start
-	spent  int          // preemptions until here
+// decision is a point in an interleaving at which the search picks a goroutine or an option.
+type decision struct {
+	options     int // number of options of a Choose call; 0: a goroutine is picked
+	picked      int
+	enabled     []int        // goroutines that could continue
+	sleepSet    map[int]bool // goroutines whose continuation would be equivalent to an interleaving that was run
+	previous    int          // goroutine that ran before, -1 at the start
+	preemptions int          // number of preemptions before this point
 }
 
-// search is one search; one runs at a time, since the seam is one.
+// search is one search. Only one runs at a time, since the hooks of package seam are global.
 type search struct {
-	bounds  Bounds
-	path    []*node
-	at      int
-	threads []*thread
-	yielded chan int // who has come to its next touch, or its end
-	current int
-	failed  error
-	steps   int
-	ending  bool // the order is over; those in the middle end
+	bounds   Bounds
+	path     []*decision
+	depth    int
+	threads  []*thread
+	yielded  chan int // goroutine that has reached its next access, or its end
+	current  int
+	failure  error
+	steps    int
+	aborting bool // the interleaving is over; goroutines that have not ended are aborted
 }
 
-var alone sync.Mutex
+var searchMutex sync.Mutex
 
-// Run searches all orders within the bounds, until one fails.
+// Run searches all interleavings within the bounds, until one fails.
 func Run(b Bounds, m Make) *Result {
-	alone.Lock()
-	defer alone.Unlock()
+	searchMutex.Lock()
+	defer searchMutex.Unlock()
 	s := &search{bounds: b}
 	r := &Result{}
 	for {
-		switch err := s.play(m, nil); {
+		switch err := s.runSchedule(m, nil); {
 		case errors.Is(err, errPruned):
 			r.Pruned++
 		case err != nil:
@@ -99,7 +103,7 @@
 		default:
 			r.Schedules++
 		}
-		if !s.next() {
+		if !s.backtrack() {
 			r.Whole = true
 			return r
 		}
@@ -109,40 +113,41 @@
 	}
 }
 
-// Replay runs one order again.
+// Replay runs the interleaving of a Result's Schedule again and returns its failure.
 func Replay(schedule []int, m Make) error {
-	alone.Lock()
-	defer alone.Unlock()
+	searchMutex.Lock()
+	defer searchMutex.Unlock()
 	s := &search{bounds: Default}
-	return s.play(m, schedule)
+	return s.runSchedule(m, schedule)
 }
 
-// schedule is the order as it was run.
+// schedule returns the decisions of the interleaving that was run.
 func (s *search) schedule() (out []int) {
 	for _, n := range s.path {
-		if n.ways > 0 {
-			out = append(out, n.pick)
+		if n.options > 0 {
+			out = append(out, n.picked)
 		} else {
-			out = append(out, n.able[n.pick])
+			out = append(out, n.enabled[n.picked])
 		}
 	}
 	return out
 }
 
-// next turns to the order after this one: the last place where something else can be chosen. What was chosen there sleeps
-// from now on: until someone touches what it touches, its turn would lead to what was run.
-func (s *search) next() bool {
+// backtrack moves to the next interleaving: it changes the last decision that has an alternative, and reports
+// whether there is one. The goroutine picked before enters the sleep set: until another goroutine accesses one of
+// its objects, running it would lead to an interleaving equivalent to one that was run.
+func (s *search) backtrack() bool {
 	for len(s.path) > 0 {
 		n := s.path[len(s.path)-1]
-		if n.ways > 0 {
-			if n.pick++; n.pick < n.ways {
+		if n.options > 0 {
+			if n.picked++; n.picked < n.options {
 				return true
 			}
 		} else {
-			n.sleep[n.able[n.pick]] = true
-			for i := range n.able {
-				if !n.sleep[n.able[i]] && s.may(n, n.able[i]) {
-					n.pick = i
+			n.sleepSet[n.enabled[n.picked]] = true
+			for i := range n.enabled {
+				if !n.sleepSet[n.enabled[i]] && s.withinBound(n, n.enabled[i]) {
+					n.picked = i
 					return true
 				}
 			}
@@ -152,45 +157,46 @@
 	return false
 }
 
-// may tells whether the bound of preemptions lets a thread go on there.
-func (s *search) may(n *node, who int) bool {
-	return s.bounds.Preemptions < 0 || !preempts(n, who) || n.spent < s.bounds.Preemptions
+// withinBound reports whether the bound of preemptions allows a goroutine to run at a decision.
+func (s *search) withinBound(n *decision, who int) bool {
+	return s.bounds.Preemptions < 0 || !preempts(n, who) || n.preemptions < s.bounds.Preemptions
 }
 
-func preempts(n *node, who int) bool {
-	if n.before < 0 || n.before == who {
+func preempts(n *decision, who int) bool {
+	if n.previous < 0 || n.previous == who {
 		return false
 	}
-	return slices.Contains(n.able, n.before)
+	return slices.Contains(n.enabled, n.previous)
 }
 
-// play runs one order: as the path says as far as it goes, or a schedule, and then the first that may.
-func (s *search) play(m Make, schedule []int) error {
-	s.at, s.failed, s.steps, s.current, s.ending = 0, nil, 0, -1, false
+// runSchedule runs one interleaving: it follows the decisions of the path as far as it goes, or a schedule, and
+// then picks the first goroutine that is allowed.
+func (s *search) runSchedule(m Make, schedule []int) error {
+	s.depth, s.failure, s.steps, s.current, s.aborting = 0, nil, 0, -1, false
 	s.yielded = make(chan int)
 	threads, after := m()
 	s.threads = nil
 	for range threads {
 		s.threads = append(s.threads, &thread{resume: make(chan bool)})
 	}
-	seam.Turn = func(ready func() bool, objects ...any) { s.wait(s.current, ready, objects) }
+	seam.Turn = func(ready func() bool, objects ...any) { s.yield(s.current, ready, objects) }
 	seam.Choose = func(n int) int { return s.choose(n, schedule) }
 	defer func() { seam.Turn, seam.Choose = nil, nil }()
 	for i, f := range threads {
-		go s.thread(i, f)
-		<-s.yielded // it has come to its start
+		go s.runThread(i, f)
+		<-s.yielded // the goroutine has reached its start
 	}
-	err := s.turns(schedule)
-	s.ending = true
+	err := s.runThreads(schedule)
+	s.aborting = true
 	for i, t := range s.threads {
-		if !t.over {
+		if !t.done {
 			s.current = i
 			t.resume <- false
 			<-s.yielded
 		}
 	}
 	if err == nil {
-		err = s.failed
+		err = s.failure
 	}
 	if err == nil && after != nil {
 		seam.Turn, seam.Choose = nil, nil
@@ -199,43 +205,44 @@
 	return err
 }
 
-// ended is thrown to end a goroutine in the middle.
-type ended struct{}
+// aborted is the panic value that ends a goroutine before its end.
+type aborted struct{}
 
-func (s *search) thread(i int, f func()) {
+func (s *search) runThread(i int, f func()) {
 	t := s.threads[i]
 	defer func() {
-		if r := recover(); r != nil && r != (any)(ended{}) && s.failed == nil {
-			s.failed = fmt.Errorf("goroutine %d: %v", i, r)
+		if r := recover(); r != nil && r != (any)(aborted{}) && s.failure == nil {
+			s.failure = fmt.Errorf("goroutine %d: %v", i, r)
 		}
-		t.over = true
+		t.done = true
 		s.yielded <- i
 	}()
-	s.wait(i, nil, nil)
+	s.yield(i, nil, nil)
 	f()
 }
 
-// wait is a goroutine's: it says what it touches next, and waits for its turn.
-func (s *search) wait(i int, ready func() bool, objects []any) {
-	if s.ending {
-		panic(ended{})
+// yield is called in a goroutine before an access. It announces the objects and waits until the search resumes the
+// goroutine.
+func (s *search) yield(i int, ready func() bool, objects []any) {
+	if s.aborting {
+		panic(aborted{})
 	}
 	t := s.threads[i]
-	t.objects, t.ready = objects, ready
+	t.nextObjects, t.ready = objects, ready
 	s.yielded <- i
 	if !<-t.resume {
-		panic(ended{})
+		panic(aborted{})
 	}
 }
 
-// turns gives turns until all have ended.
-func (s *search) turns(schedule []int) error {
+// runThreads resumes one goroutine after the other until all have ended.
+func (s *search) runThreads(schedule []int) error {
 	sleep, before, spent := map[int]bool{}, -1, 0
 	for {
 		var able []int
 		over := true
 		for i, t := range s.threads {
-			if t.over {
+			if t.done {
 				continue
 			}
 			over = false
@@ -244,26 +251,26 @@
 			}
 		}
 		switch {
-		case s.failed != nil || over:
-			return s.failed
+		case s.failure != nil || over:
+			return s.failure
 		case len(able) == 0:
 			return errors.New("each waits for another")
 		case s.steps >= s.bounds.Steps:
 			return fmt.Errorf("no end after %d steps", s.steps)
 		}
 		s.steps++
-		n, err := s.turn(able, sleep, before, spent, schedule)
+		n, err := s.pickThread(able, sleep, before, spent, schedule)
 		if err != nil {
 			return err
 		}
-		who := n.able[n.pick]
+		who := n.enabled[n.picked]
 		if preempts(n, who) {
 			spent++
 		}
 		t := s.threads[who]
 		next := map[int]bool{}
-		for i := range n.sleep {
-			if i != who && apart(s.threads[i].objects, t.objects) {
+		for i := range n.sleepSet {
+			if i != who && independent(s.threads[i].nextObjects, t.nextObjects) {
 				next[i] = true
 			}
 		}
@@ -273,56 +280,57 @@
 	}
 }
 
-// apart tells whether two touches can be in either order.
-func apart(a, b []any) bool {
+// independent reports whether two accesses can be made in either order.
+func independent(a, b []any) bool {
 	return !slices.ContainsFunc(a, func(x any) bool { return slices.Contains(b, x) })
 }
 
-// turn says whose turn it is.
-func (s *search) turn(able []int, sleep map[int]bool, before, spent int, schedule []int) (*node, error) {
-	n := &node{able: able, sleep: sleep, before: before, spent: spent}
-	if s.at < len(s.path) {
-		n = s.path[s.at]
-		s.at++
+// pickThread picks the goroutine that runs next.
+func (s *search) pickThread(able []int, sleep map[int]bool, before, spent int, schedule []int) (*decision, error) {
+	n := &decision{enabled: able, sleepSet: sleep, previous: before, preemptions: spent}
+	if s.depth < len(s.path) {
+		n = s.path[s.depth]
+		s.depth++
 		return n, nil
 	}
-	n.pick = -1
+	n.picked = -1
 	for i, who := range able {
 		switch {
-		case s.at < len(schedule) && schedule[s.at] == who, s.at >= len(schedule) && schedule != nil && n.pick < 0:
-			n.pick = i
-		case schedule == nil && !sleep[who] && s.may(n, who) && (n.pick < 0 || who == before):
-			n.pick = i // who went on before goes on where it can: fewest preemptions first
+		case s.depth < len(schedule) && schedule[s.depth] == who, s.depth >= len(schedule) && schedule != nil && n.picked < 0:
+			n.picked = i
+		case schedule == nil && !sleep[who] && s.withinBound(n, who) && (n.picked < 0 || who == before):
+			n.picked = i // the goroutine that ran before continues if it can, so that interleavings with few preemptions come first
 		}
 	}
-	if n.pick < 0 {
+	if n.picked < 0 {
 		if schedule != nil {
-			return nil, fmt.Errorf("the schedule does not fit at its place %d", s.at)
+			return nil, fmt.Errorf("the schedule does not fit at its place %d", s.depth)
 		}
 		return nil, errPruned
 	}
 	s.path = append(s.path, n)
-	s.at++
+	s.depth++
 	return n, nil
 }
 
-// choose says which of n ways a goroutine goes.
+// choose picks one of n options.
 func (s *search) choose(n int, schedule []int) int {
-	if s.at < len(s.path) {
-		s.at++
-		return s.path[s.at-1].pick
+	if s.depth < len(s.path) {
+		s.depth++
+		return s.path[s.depth-1].picked
 	}
-	c := &node{ways: n}
-	if s.at < len(schedule) {
-		c.pick = schedule[s.at]
+	c := &decision{options: n}
+	if s.depth < len(schedule) {
+		c.picked = schedule[s.depth]
 	}
 	s.path = append(s.path, c)
-	s.at++
-	return c.pick
+	s.depth++
+	return c.picked
 }
 
-// Touch says that a goroutine touches something which all that do touch through here.
+// Touch marks an access to an object. All accesses that the search has to order must go through Touch or package
+// seam.
 func Touch(object any) { seam.Turn(nil, object) }
 
-// Choose gives one of n ways; all of them are run.
+// Choose returns one of n options, 0 to n-1; the search tries all of them.
 func Choose(n int) int { return seam.Choose(n) }
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -11,7 +11,7 @@
 )
 
 // lost is a counter that two goroutines read and write, with a lock between or without.
-func lost(locked bool) Make {
+func counter(locked bool) Make {
 	return func() ([]func(), func() error) {
 		var mu seam.Mutex
 		n := 0
@@ -35,7 +35,7 @@
 }
 
 // crossed is two locks taken in two orders.
-func crossed() ([]func(), func() error) {
+func lockOrderInversion() ([]func(), func() error) {
 	var a, b seam.Mutex
 	take := func(x, y *seam.Mutex) func() {
 		return func() {
@@ -54,9 +54,9 @@
 		make Make
 		want string
 	}{
-		"a lost update":       {lost(false), "one is lost"},
-		"locks in two orders": {crossed, "each waits for another"},
-		"with a lock":         {lost(true), ""},
+		"a lost update":       {counter(false), "one is lost"},
+		"locks in two orders": {lockOrderInversion, "each waits for another"},
+		"with a lock":         {counter(true), ""},
 	} {
 		r := Run(Default, c.make)
 		t.Logf("%s: %v", name, r)
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -1,6 +1,11 @@
-// Package audit checks the four rules from what hosts, clients and discovery saw, never from what a dispatcher says of
-// itself: one final answer each; no unsafe repeat and no two attempts at once; nothing new to a host 750 ms after its
-// drain was told; no cold host overrun.
+// Package audit checks the rules of message delivery against what hosts, clients and discovery observed, never
+// against what a dispatcher reports about itself. The four rules are: each try gets one final answer; no unsafe
+// repeat and no two attempts at a time; no new message to a host 750 ms after the notification of its drain; no
+// cold host is overrun.
+//
+// Hosts, clients and discovery record their observations in a Log; Log.Check returns the Report. CheckRecords and
+// CheckHistory check the store of record of the dispatchers against the same observations, and Crowds measures
+// concurrency. All times are microseconds since the start of the run unless noted otherwise.
 package audit
 
 import (
@@ -12,73 +17,74 @@
 	"granitewing/internal/lab/client"
 )
 
-// Figures of the rules, in microseconds. On sockets every limit is 50 ms longer than in the simulator.
+// Limits of the rules, in microseconds where they are times. On sockets every limit is 50 ms longer than in the
+// simulator (socketSlack).
 const (
-	socketSlack = 50_000
-	drainGrace  = 750_000
-	toldLatest  = 6_000_000 // what discovery has to tell counts as told by then
-	attemptMost = 3
-	shownMost   = 20 // breaches told in full, of each rule
+	socketSlack       = 50_000
+	drainGrace        = 750_000
+	maxDiscoveryDelay = 6_000_000 // a change in discovery's list counts as known to every dispatcher after this time
+	maxAttempts       = 3
+	maxShown          = 20 // breaches listed in full, per rule
 )
 
-// Class is what the rules need of a class.
+// Class is what the rules need to know about a class.
 type Class struct {
 	Name   string
 	Repeat string // safe, keyed or unsafe
-	Window int64  // within which a cell drops repeats
+	Window int64  // time within which a cell drops repeats, microseconds
 }
 
-// End says how an attempt ended at its host.
+// End is how an attempt ended at its host.
 type End uint8
 
 // The ends of an attempt.
 const (
 	Open      End = iota
-	Done          // Answer of the host is the result
-	Failed        // an error; may have run
-	Unstarted     // turned away or handed back; never ran
-	Lost          // killed; may have run
-	Closed        // the dispatcher ended it; may have run
+	Done          // the host's answer is the result
+	Failed        // error; may have run
+	Unstarted     // rejected or returned by the host; never ran
+	Lost          // the host was killed; may have run
+	Closed        // the dispatcher closed the connection; may have run
 )
 
-// attempt is one that reached a host whole.
+// attempt is an attempt that a host received completely.
 type attempt struct {
 	host       string
 	cell       int
 	dispatcher int
-	first      int64 // byte
-	came       int64 // last byte
+	firstByte  int64 // time of the first byte
+	arrived    int64 // time of the last byte
 	ended      int64
 	end        End
 	answer     string
-	rank       int // of a part of a gang
-	parts      int // of the gang; 0: it is none
+	rank       int // index of this part within its gang
+	parts      int // number of parts of the gang; 0: not a gang
 }
 
-// try is one of a client's requests.
+// try is one request of a client.
 type try struct {
-	class      int
-	dispatcher int
-	sent       int64
-	ended      int64
-	result     client.Result
-	answer     string
-	known      bool // a client sent it
-	over       bool
-	extra      bool // more came on the connection than one answer
-	attempts   []attempt
+	class        int
+	dispatcher   int
+	sent         int64
+	ended        int64
+	result       client.Result
+	answer       string
+	sentByClient bool // false: only a host has observed it
+	finished     bool
+	extraAnswer  bool // the client received more than one answer
+	attempts     []attempt
 }
 
-// Log collects what was seen. It may be used by several goroutines.
+// Log collects observations. It is safe for concurrent use.
 type Log struct {
-	mu      sync.Mutex
-	classes []Class
-	tries   map[string]*try
-	phases  map[phaseKey][]phaseAt // told to a dispatcher
-	listed  map[string][]phaseAt   // as discovery's list had it
-	kills   map[int][]kill
-	falls   []string
-	strange []string
+	mu           sync.Mutex
+	classes      []Class
+	tries        map[string]*try
+	reported     map[phaseKey][]phaseAt // what discovery sent to a dispatcher
+	listed       map[string][]phaseAt   // the contents of discovery's list
+	kills        map[int][]kill
+	overrunHosts []string
+	reusedNames  []string
 }
 
 type phaseKey struct {
@@ -93,12 +99,12 @@
 
 type kill struct{ from, to int64 }
 
-// New makes a log for classes.
+// New returns a log for classes; tries refer to a class by its index.
 func New(classes []Class) *Log {
-	return &Log{classes: classes, tries: map[string]*try{}, phases: map[phaseKey][]phaseAt{}, listed: map[string][]phaseAt{}, kills: map[int][]kill{}}
+	return &Log{classes: classes, tries: map[string]*try{}, reported: map[phaseKey][]phaseAt{}, listed: map[string][]phaseAt{}, kills: map[int][]kill{}}
 }
 
-func (l *Log) get(name string) *try {
+func (l *Log) tryNamed(name string) *try {
 	t := l.tries[name]
 	if t == nil {
 		t = &try{}
@@ -107,89 +113,90 @@
 	return t
 }
 
-// Sent books a try that a client is about to send.
+// Sent records a try that a client is about to send.
 func (l *Log) Sent(at int64, name string, class, dispatcher int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.get(name)
-	if t.known {
-		l.strange = append(l.strange, fmt.Sprintf("client used the name %s twice", name))
+	t := l.tryNamed(name)
+	if t.sentByClient {
+		l.reusedNames = append(l.reusedNames, fmt.Sprintf("client used the name %s twice", name))
 	}
-	t.known, t.class, t.dispatcher, t.sent = true, class, dispatcher, at
+	t.sentByClient, t.class, t.dispatcher, t.sent = true, class, dispatcher, at
 }
 
-// Ended books what a client got; answer is the content of a served try.
+// Ended records the result of a try for its client. answer is the content of a served try.
 func (l *Log) Ended(at int64, name string, r client.Result, answer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.get(name)
-	if t.over {
-		t.extra = true
+	t := l.tryNamed(name)
+	if t.finished {
+		t.extraAnswer = true
 		return
 	}
-	t.over, t.ended, t.result, t.answer = true, at, r, answer
+	t.finished, t.ended, t.result, t.answer = true, at, r, answer
 }
 
-// Extra books bytes beyond the one answer to a try.
+// Extra records that a client received bytes after the answer to a try.
 func (l *Log) Extra(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.get(name).extra = true
+	l.tryNamed(name).extraAnswer = true
 }
 
-// Came books an attempt whose last byte reached a host, and gives its handle.
+// Came records an attempt whose last byte reached a host, and returns a handle for Finish.
 func (l *Log) Came(first, last int64, name, host string, cell, dispatcher int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.get(name)
-	t.attempts = append(t.attempts, attempt{host: host, cell: cell, dispatcher: dispatcher, first: first, came: last})
+	t := l.tryNamed(name)
+	t.attempts = append(t.attempts, attempt{host: host, cell: cell, dispatcher: dispatcher, firstByte: first, arrived: last})
 	return len(t.attempts) - 1
 }
 
-// CamePart books an attempt that is one part of several.
+// CamePart is like Came for one part of a gang: rank is the index of the part, parts their number.
 func (l *Log) CamePart(first, last int64, name, host string, cell, dispatcher, rank, parts int) int {
 	n := l.Came(first, last, name, host, cell, dispatcher)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := &l.get(name).attempts[n]
+	a := &l.tryNamed(name).attempts[n]
 	a.rank, a.parts = rank, parts
 	return n
 }
 
-// Finish books the end of an attempt; only the first counts.
+// Finish records the end of an attempt; later calls for the same attempt are ignored.
 func (l *Log) Finish(at int64, name string, handle int, end End, answer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := &l.get(name).attempts[handle]
+	a := &l.tryNamed(name).attempts[handle]
 	if a.end == Open {
 		a.end, a.ended, a.answer = end, at, answer
 	}
 }
 
-// Told books what discovery wrote to a dispatcher of a host.
+// Told records that discovery sent the state of a host to a dispatcher.
 func (l *Log) Told(at int64, dispatcher int, host string, ready bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := phaseKey{dispatcher, host}
-	l.phases[k] = append(l.phases[k], phaseAt{at, ready})
+	l.reported[k] = append(l.reported[k], phaseAt{at, ready})
 }
 
-// Listed books what discovery has to tell.
+// Listed records a change of a host's state in discovery's list.
 func (l *Log) Listed(at int64, host string, ready bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.listed[host] = append(l.listed[host], phaseAt{at, ready})
 }
 
-// Killed books a time in which a dispatcher was dead; what it had taken is not held against it. A process that was killed
-// (from) after it had been told to end (to, before that) is excused what it took until it was told alone.
+// Killed records an interval in which a dispatcher was dead; tries that were open in it may be lost. For a process
+// that was told to end and killed later, from is the time of the kill and to, which is earlier, the time at which
+// it was told: only the tries that it had accepted before that are excused.
 func (l *Log) Killed(dispatcher int, from, to int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.kills[dispatcher] = append(l.kills[dispatcher], kill{from, to})
 }
 
-// Dead is how many seconds dispatchers were dead, summed over all of them.
+// Dead returns the time that dispatchers were dead, in seconds, summed over all dispatchers.
 func (l *Log) Dead() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -202,14 +209,14 @@
 	return float64(microseconds) / 1e6
 }
 
-// Fell books a cold host that fell over.
+// Fell records a cold host that failed under load.
 func (l *Log) Fell(at int64, host string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.falls = append(l.falls, fmt.Sprintf("%s at %.3f s", host, float64(at)/1e6))
+	l.overrunHosts = append(l.overrunHosts, fmt.Sprintf("%s at %.3f s", host, float64(at)/1e6))
 }
 
-// Rule is one rule's verdict.
+// Rule is the result of checking one rule.
 type Rule struct {
 	Name    string   `json:"rule"`
 	Checked int      `json:"checked"`
@@ -222,11 +229,11 @@
 	Rules    []Rule `json:"rules"`
 	Tries    int    `json:"tries"`
 	Attempts int    `json:"attempts"`
-	Excused  int    `json:"excused"` // tries that were lost with a dispatcher that was killed
-	Repeats  int    `json:"repeats"` // attempts beyond a try's first
+	Excused  int    `json:"excused"` // tries that were lost with a killed dispatcher
+	Repeats  int    `json:"repeats"` // attempts beyond the first of a try
 }
 
-// Broken counts the breaches of all rules.
+// Broken returns the number of breaches of all rules.
 func (r *Report) Broken() int {
 	n := 0
 	for _, rule := range r.Rules {
@@ -251,19 +258,19 @@
 }
 
 func (r *Rule) breach(format string, args ...any) {
-	if r.Broken++; len(r.Shown) < shownMost {
+	if r.Broken++; len(r.Shown) < maxShown {
 		r.Shown = append(r.Shown, fmt.Sprintf(format, args...))
 	}
 }
 
-// Check gives the verdict on all that was seen.
+// Check checks the four rules against all observations.
 func (l *Log) Check() *Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	one := Rule{Name: "one final answer each"}
 	safe := Rule{Name: "no unsafe repeat, one attempt at a time"}
 	drain := Rule{Name: "nothing new to a host that leaves"}
-	cold := Rule{Name: "no cold host overrun", Broken: len(l.falls)}
+	cold := Rule{Name: "no cold host overrun", Broken: len(l.overrunHosts)}
 	rep := &Report{}
 	for _, name := range slices.Sorted(mapKeys(l.tries)) {
 		t := l.tries[name]
@@ -276,16 +283,16 @@
 		l.checkAttempts(name, t, &safe)
 		for _, a := range t.attempts {
 			drain.Checked++
-			if since, leaves := l.leaving(a); leaves && a.first > since+drainGrace+socketSlack {
-				drain.breach("%s reached %s %d ms after its leaving was told", name, a.host, (a.first-since)/1000)
+			if since, leaves := l.leavingSince(a); leaves && a.firstByte > since+drainGrace+socketSlack {
+				drain.breach("%s reached %s %d ms after its leaving was told", name, a.host, (a.firstByte-since)/1000)
 			}
 		}
 	}
-	for _, s := range l.strange {
+	for _, s := range l.reusedNames {
 		one.breach("%s", s)
 	}
 	cold.Checked = len(l.listed)
-	cold.Shown = l.falls[:min(len(l.falls), shownMost)]
+	cold.Shown = l.overrunHosts[:min(len(l.overrunHosts), maxShown)]
 	rep.Rules = []Rule{one, safe, drain, cold}
 	return rep
 }
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -10,7 +10,7 @@
 var classes = []Class{{"reading", "safe", 0}, {"batch", "keyed", 40_000_000}, {"alert", "unsafe", 0}}
 
 // Each script is what hosts and clients saw; the audit names the rule that it breaks, or none.
-func TestBreaches(t *testing.T) {
+func TestRules(t *testing.T) {
 	const s = 1_000_000
 	served := func(l *Log, class int) {
 		l.Sent(0, "t", class, 0)
--- a/internal/lab/audit/checks.go
+++ b/internal/lab/audit/checks.go
@@ -8,23 +8,23 @@
 	"granitewing/internal/lab/client"
 )
 
-// The checks of each try and attempt, and what the hosts were given.
+// Checks of each try and attempt, and the load of each host.
 
 func (l *Log) checkAnswer(name string, t *try, rule *Rule, rep *Report) {
-	if !t.known {
+	if !t.sentByClient {
 		rule.breach("%s reached a host and no client sent it", name)
 		return
 	}
-	if t.extra {
+	if t.extraAnswer {
 		rule.breach("%s got more than one answer", name)
 	}
-	if !t.over {
+	if !t.finished {
 		rule.breach("%s got no answer before the run ended", name)
 		return
 	}
 	switch t.result {
 	case client.Broken, client.Silent:
-		if l.dead(t) {
+		if l.killedDuring(t) {
 			rep.Excused++
 			return
 		}
@@ -43,13 +43,13 @@
 	}
 }
 
-// dead tells whether a try's dispatcher was killed under it.
-func (l *Log) dead(t *try) bool {
+// killedDuring reports whether the dispatcher of a try was killed while the try was open.
+func (l *Log) killedDuring(t *try) bool {
 	return slices.ContainsFunc(l.kills[t.dispatcher], func(k kill) bool { return t.sent <= k.to && t.ended >= k.from })
 }
 
-// until is when an attempt was over.
-func (a *attempt) until() int64 {
+// endTime returns the time at which the attempt ended; far in the future if it has not ended.
+func (a *attempt) endTime() int64 {
 	if a.end == Open {
 		return math.MaxInt64 / 2
 	}
@@ -59,10 +59,10 @@
 func mayHaveRun(a attempt) bool { return a.end != Unstarted }
 
 func (l *Log) checkAttempts(name string, t *try, rule *Rule) {
-	if !t.known {
+	if !t.sentByClient {
 		return
 	}
-	most := attemptMost
+	most := maxAttempts
 	for _, a := range t.attempts {
 		most = max(most, a.parts)
 	}
@@ -70,17 +70,18 @@
 		rule.breach("%s had %d attempts", name, len(t.attempts))
 	}
 	c := l.classes[t.class]
-	sorted := slices.SortedStableFunc(slices.Values(t.attempts), func(a, b attempt) int { return cmp.Compare(a.came, b.came) })
+	sorted := slices.SortedStableFunc(slices.Values(t.attempts), func(a, b attempt) int { return cmp.Compare(a.arrived, b.arrived) })
 	for i, a := range sorted {
 		for _, b := range sorted[:i] {
 			if a.parts > 0 && a.rank != b.rank && a.host != b.host {
-				continue // parts of one gang, at hosts of their own
+				continue // parts of one gang, at different hosts
 			}
 			if a.parts > 0 {
 				rule.breach("%s: part %d was sent to %s, and part %d to %s", name, a.rank, a.host, b.rank, b.host)
 			}
-			// One that was over before its host came to read it is seen late, and after the next at another host.
-			if beside := min(b.until(), a.until()) - a.came; beside > socketSlack {
+			// An attempt may have ended before its host read it. The host then observes it late, after the next attempt has
+			// already reached another host. Only the real overlap of the two counts.
+			if beside := min(b.endTime(), a.endTime()) - a.arrived; beside > socketSlack {
 				rule.breach("%s: an attempt at %s while one was out at %s, for %d ms", name, a.host, b.host, beside/1000)
 			}
 			if !mayHaveRun(b) {
@@ -89,32 +90,34 @@
 			switch {
 			case c.Repeat == "unsafe":
 				rule.breach("%s (%s): sent to %s though it may have run at %s", name, c.Name, a.host, b.host)
-			case c.Repeat == "keyed" && (a.cell != b.cell || a.came-b.came > c.Window):
+			case c.Repeat == "keyed" && (a.cell != b.cell || a.arrived-b.arrived > c.Window):
 				rule.breach("%s (%s): repeated at %s outside its rack or window after %s", name, c.Name, a.host, b.host)
 			}
 		}
 	}
 }
 
-// leaving tells since when a dispatcher had to know that a host drains or is gone, at the time of an attempt.
-func (l *Log) leaving(a attempt) (int64, bool) {
+// leavingSince reports whether a dispatcher had to know, at the time of an attempt, that the host is draining or
+// gone, and since when. The dispatcher has to know it from the time at which discovery sent it, or
+// maxDiscoveryDelay after the change at the latest.
+func (l *Log) leavingSince(a attempt) (int64, bool) {
 	latest := func(list []phaseAt, lag int64) (phaseAt, bool) {
 		var found phaseAt
 		ok := false
 		for _, p := range list {
-			if p.at+lag <= a.first {
+			if p.at+lag <= a.firstByte {
 				found, ok = phaseAt{p.at + lag, p.ready}, true
 			}
 		}
 		return found, ok
 	}
-	told, was := latest(l.phases[phaseKey{a.dispatcher, a.host}], 0)
-	due, had := latest(l.listed[a.host], toldLatest)
+	told, was := latest(l.reported[phaseKey{a.dispatcher, a.host}], 0)
+	due, had := latest(l.listed[a.host], maxDiscoveryDelay)
 	switch {
 	case was && !told.ready:
-		// A list that was told again does not start the time anew.
+		// A repeated notification of the same state does not restart the period.
 		since := told.at
-		for _, p := range slices.Backward(l.phases[phaseKey{a.dispatcher, a.host}]) {
+		for _, p := range slices.Backward(l.reported[phaseKey{a.dispatcher, a.host}]) {
 			if p.at > told.at {
 				continue
 			}
@@ -124,26 +127,26 @@
 			since = p.at
 		}
 		return since, true
-	case had && !due.ready && (!was || told.at < due.at-toldLatest):
+	case had && !due.ready && (!was || told.at < due.at-maxDiscoveryDelay):
 		return due.at, true
 	}
 	return 0, false
 }
 
-// HostLoad is what one host got.
+// HostLoad is the load of one host.
 type HostLoad struct {
 	Host      string `json:"host"`
 	PerSecond []int  `json:"attempts_per_second"`
 }
 
-// HostLoads counts the attempts that reached each host, by second, in the hosts' order.
+// HostLoads returns the number of attempts that reached each host per second, sorted by host name.
 func (l *Log) HostLoads() []HostLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	loads := map[string][]int{}
 	for _, t := range l.tries {
 		for _, a := range t.attempts {
-			i := int(max(a.came, 0) / 1e6)
+			i := int(max(a.arrived, 0) / 1e6)
 			s := loads[a.host]
 			for len(s) <= i {
 				s = append(s, 0)
--- a/internal/lab/audit/crowd.go
+++ b/internal/lab/audit/crowd.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// Crowd is how many jobs of a class the hosts saw at once, and in a time.
+// Crowd describes the concurrency and the starts of a class's jobs, as the hosts observed them.
 type Crowd struct {
 	Class  string    `json:"class"`
-	Most   int       `json:"most_at_once"` // jobs that had an attempt at a host that was not over
-	Starts []float64 `json:"starts_s"`     // when the first attempt of each came to its host, in order
+	Most   int       `json:"most_at_once"` // maximum number of jobs with an unfinished attempt at a host at one time
+	Starts []float64 `json:"starts_s"`     // arrival times of the first attempt of each job, seconds, in order
 }
 
-// Beyond is by how much the starts of any time were more than a rate (jobs a second) allows in it, at most.
+// Beyond returns the largest excess of starts over a rate: the maximum over all intervals of the number of starts
+// in the interval, less what the rate (jobs per second) allows in it.
 func (c *Crowd) Beyond(rate float64) float64 {
 	sum, most, at := 0.0, 0.0, 0.0
 	for _, s := range c.Starts {
@@ -22,7 +23,8 @@
 	return most
 }
 
-// Crowds counts the jobs of each class, from what the hosts saw by themselves. An attempt that has not ended is there still.
+// Crowds returns the concurrency and starts of each class, from the hosts' observations alone. An attempt without
+// an end counts as still running.
 func (l *Log) Crowds() []Crowd {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,12 +38,12 @@
 		c := &out[class]
 		c.Class = l.classes[class].Name
 		for _, t := range l.tries {
-			if !t.known || t.class != class || len(t.attempts) == 0 {
+			if !t.sentByClient || t.class != class || len(t.attempts) == 0 {
 				continue
 			}
-			from, to := t.attempts[0].came, int64(0)
+			from, to := t.attempts[0].arrived, int64(0)
 			for _, a := range t.attempts {
-				from = min(from, a.came)
+				from = min(from, a.arrived)
 				if a.end == Open {
 					a.ended = 1 << 62
 				}
--- a/internal/lab/audit/history.go
+++ b/internal/lab/audit/history.go
@@ -9,26 +9,27 @@
 	"granitewing/internal/lab/client"
 )
 
-// historyLimit is how long the check of a history may take.
-const historyLimit = 30 * time.Second
+// historyTimeout limits the duration of a history check.
+const historyTimeout = 30 * time.Second
 
-// operation is what a history is made of: a client's try with the answer it got, or the record read when all is over.
+// operation is the input of an operation in the history: a client's try, or the read of its record after the run.
 type operation struct {
 	name   string
 	read   bool
 	policy string
 }
 
-// answer is an operation's outcome. unknown is a client's that heard nothing.
+// answer is the output of an operation and the state of the model. unknown marks a try whose client received no
+// answer.
 type answer struct {
-	verdict string
-	content string
-	unknown bool
-	careful bool // settled as failed by a start
+	verdict        string
+	content        string
+	unknown        bool
+	settledAtStart bool // settled as failed by a later start
 }
 
-// recordModel is what a store of record is: a register for each message that is written once, by its answer. A client that
-// heard nothing leaves open what was written.
+// recordModel is the sequential specification of a store of record: for each message a register that is written
+// once, by its answer. If the client received no answer, the written value is unknown.
 var recordModel = (&porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		index := map[string]int{}
@@ -50,11 +51,11 @@
 		in, out, now := input.(operation), output.(answer), state.(answer)
 		switch {
 		case in.read && now.unknown:
-			// Nobody was told, so any final word will do; but a message of such a class has one.
+			// No client saw an answer, so any final verdict is allowed, but the message must have one.
 			return []any{out}
 		case in.read && out.verdict == "" && now.verdict == "refused":
-			return []any{now} // refused before it was taken: there is no record
-		case in.read && now.verdict == "refused" && out.careful:
+			return []any{now} // refused before it was accepted: there is no record
+		case in.read && now.verdict == "refused" && out.settledAtStart:
 			return []any{now}
 		case in.read && now == (answer{verdict: out.verdict, content: out.content}):
 			return []any{now}
@@ -68,8 +69,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// CheckHistory holds the run against the model of a store of record with porcupine. Classes that are written behind are
-// left out: their last steps may be lost.
+// CheckHistory uses porcupine to check the run against the model of a store of record. Classes that are written
+// behind are skipped: their last steps may be lost.
 func (l *Log) CheckHistory(list []Record) Rule {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,11 +90,11 @@
 	var history []porcupine.Operation
 	for _, name := range slices.Sorted(mapKeys(l.tries)) {
 		t := l.tries[name]
-		if !t.known || !durable[t.class] {
+		if !t.sentByClient || !durable[t.class] {
 			continue
 		}
 		out := answer{unknown: true}
-		if t.over {
+		if t.finished {
 			switch t.result {
 			case client.Served:
 				out = answer{verdict: "served", content: t.answer}
@@ -106,16 +107,16 @@
 		history = append(history, porcupine.Operation{ClientId: 0, Input: operation{name: name}, Call: t.sent, Output: out, Return: max(t.ended, t.sent+1)})
 		read := answer{}
 		if r := byName[name]; r != nil {
-			read = answer{verdict: r.Verdict, content: string(r.Content), careful: r.careful()}
+			read = answer{verdict: r.Verdict, content: string(r.Content), settledAtStart: r.settledAtStart()}
 		}
 		history = append(history, porcupine.Operation{ClientId: 1, Input: operation{name: name, read: true}, Call: end + 1, Output: read, Return: end + 2})
 		rule.Checked++
 	}
-	switch porcupine.CheckOperationsTimeout(recordModel, history, historyLimit) {
+	switch porcupine.CheckOperationsTimeout(recordModel, history, historyTimeout) {
 	case porcupine.Illegal:
 		rule.breach("porcupine finds no order of the tries and reads that a store of record could give")
 	case porcupine.Unknown:
-		rule.breach("porcupine came to no end within %v", historyLimit)
+		rule.breach("porcupine came to no end within %v", historyTimeout)
 	}
 	return rule
 }
--- a/internal/lab/audit/records.go
+++ b/internal/lab/audit/records.go
@@ -7,7 +7,7 @@
 	"granitewing/internal/lab/client"
 )
 
-// Record is what a dispatcher's store of record has of a try, as its export gives it.
+// Record is the record of a try in a dispatcher's store of record, in the format of its export.
 type Record struct {
 	Instance   string `json:"instance"`
 	Name       string `json:"name"`
@@ -21,14 +21,16 @@
 	} `json:"attempts"`
 }
 
-// careful tells whether a start settled the record as failed. A refusal that was given at once while the store was gone may
-// be lost by a crash, and the older step then settles so, which is the more careful word.
-func (r *Record) careful() bool {
+// settledAtStart reports whether a dispatcher settled the record as failed at its start. A refusal that was sent
+// at once while the store was unavailable may be lost by a crash. The older step is then settled as failed, which
+// is the more careful verdict.
+func (r *Record) settledAtStart() bool {
 	return r.Verdict == "failed" && strings.HasPrefix(r.Note, "settled at start")
 }
 
-// CheckRecords holds the records against what clients received and hosts got. Of classes that are written behind some may
-// be missing after a kill; of the others none, unless the message was refused before it was taken and no host saw it.
+// CheckRecords compares the records with what clients received and what hosts observed. Records of classes that
+// are written behind may be missing after a kill. Records of other classes may be missing only if the message was
+// refused before it was accepted and no host observed it.
 func (l *Log) CheckRecords(list []Record) Rule {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,14 +43,14 @@
 			rule.breach("%s has two records", r.Name)
 		}
 		byName[r.Name] = r
-		if t := l.tries[r.Name]; t == nil || !t.known {
+		if t := l.tries[r.Name]; t == nil || !t.sentByClient {
 			rule.breach("%s is recorded and no client sent it", r.Name)
 		}
 		if r.Verdict == "open" {
 			rule.breach("%s is open after all dispatchers have ended", r.Name)
 		}
 	}
-	// What must be durable is told by a policy of any record of the class.
+	// The policy of any record of a class shows what must be durable for the class.
 	durable := map[int]string{}
 	for name, r := range byName {
 		if t := l.tries[name]; t != nil && r.Policy != "behind" {
@@ -58,10 +60,10 @@
 	for _, name := range slices.Sorted(mapKeys(l.tries)) {
 		t, r := l.tries[name], byName[name]
 		policy := durable[t.class]
-		if !t.known || r == nil {
+		if !t.sentByClient || r == nil {
 			switch {
-			case !t.known || policy == "":
-			case t.over && t.result == client.Served, t.over && t.result == client.Failed && policy == "before" && len(t.attempts) > 0:
+			case !t.sentByClient || policy == "":
+			case t.finished && t.result == client.Served, t.finished && t.result == client.Failed && policy == "before" && len(t.attempts) > 0:
 				rule.breach("%s was answered %s and has no record", name, t.result)
 			case policy == "before" && len(t.attempts) > 0:
 				rule.breach("%s reached %s and has no record", name, t.attempts[0].host)
@@ -77,12 +79,12 @@
 		}
 		switch {
 		case policy == "":
-			continue // behind: its last steps may be missing
-		case t.over && t.result == client.Served && (r.Verdict != "served" || string(r.Content) != t.answer):
+			continue // written behind: the last steps may be missing
+		case t.finished && t.result == client.Served && (r.Verdict != "served" || string(r.Content) != t.answer):
 			rule.breach("%s was served %q, its record says %s %q", name, t.answer, r.Verdict, r.Content)
-		case t.over && t.result == client.Refused && r.Verdict != "refused" && !r.careful():
+		case t.finished && t.result == client.Refused && r.Verdict != "refused" && !r.settledAtStart():
 			rule.breach("%s was refused, its record says %s", name, r.Verdict)
-		case t.over && t.result == client.Failed && r.Verdict != "failed":
+		case t.finished && t.result == client.Failed && r.Verdict != "failed":
 			rule.breach("%s failed, its record says %s", name, r.Verdict)
 		case policy == "before" && ran && !r.MayHaveRun:
 			rule.breach("%s may have run, its record says that it did not", name)
--- a/internal/lab/hold/hold.go
+++ b/internal/lab/hold/hold.go
@@ -1,6 +1,9 @@
-// Package hold keeps ports of the laboratory's from being given to another program while nobody listens at them. Between the
-// moment at which a port is found free and that at which a process listens there, the system gives it to whoever asks for
-// any port: to a host of another play that listens at all addresses, or to a call that another play makes from the address.
+// Package hold reserves TCP ports for processes that the laboratory starts later. Between the moment at which a
+// port is found free and the moment at which a process listens on it, the system may give the port to any other
+// socket that asks for an unspecified one: to a listener on all addresses of a host in another run, or to an
+// outgoing connection of another run from the same address.
+//
+// Take and Both reserve a Port; Port.Release ends the reservation.
 package hold
 
 import (
@@ -11,22 +14,22 @@
 	"syscall"
 )
 
-// Port is a TCP port that is bound and does not listen: calls are refused, the system gives it to nobody, and a process that
-// asks for it by its number may listen there all the same, as often as it likes.
+// Port is a TCP port that is bound but does not listen. Connections to it are refused, and the system gives it to
+// no other socket. A process that asks for it by number can still listen on it, any number of times.
 type Port struct {
 	fd   int
 	addr netip.AddrPort
 }
 
-// Take binds an IPv4 address and port; port 0 is one that the system chooses. What keeps a port is not inherited by processes
-// that are started meanwhile.
+// Take binds an IPv4 address and port; for port 0 the system chooses one. The socket is not inherited by processes
+// started in the meantime.
 func Take(addr netip.AddrPort) (*Port, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("hold %s: %w", addr, err)
 	}
 	p := &Port{fd: fd}
-	// With it a listener may take the port beside this socket, and connections of before may still be closing.
+	// SO_REUSEADDR allows a listener on the port beside this socket, and earlier connections that are still closing.
 	if err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: addr.Addr().As4(), Port: int(addr.Port())})
 	}
@@ -42,8 +45,8 @@
 	return p, nil
 }
 
-// Both holds a port that the system chooses and that is free for datagrams as well. Nobody else is given it for connections,
-// and what picks ports for datagrams at an address of the laboratory's looks at those first.
+// Both reserves a port chosen by the system that is free for UDP as well. The system gives it to no other TCP socket. UDP
+// can't be reserved, but code that picks a UDP port at a laboratory address takes the TCP port of that number first.
 func Both(addr netip.Addr) (*Port, error) {
 	var last error
 	for range 8 {
@@ -64,10 +67,10 @@
 	return nil, last
 }
 
-// Addr is the address that it holds.
+// Addr returns the reserved address.
 func (p *Port) Addr() netip.AddrPort { return p.addr }
 
-// Release gives the port up; nil holds none. It may be called more than once.
+// Release ends the reservation. It may be called more than once, and on nil.
 func (p *Port) Release() {
 	if p != nil && p.fd > 0 {
 		syscall.Close(p.fd)
--- a/internal/lab/hold/hold_test.go
+++ b/internal/lab/hold/hold_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-const portRange = 51 // IP_LOCAL_PORT_RANGE, Linux 6.3
+const ipLocalPortRange = 51 // IP_LOCAL_PORT_RANGE, Linux 6.3
 
 // onlyThat asks the system for any port of a range of one, at an address, as a listener at all addresses and a call do.
-func onlyThat(t *testing.T, host string, port uint16) (net.Listener, error) {
+func listenInRangeOfOne(t *testing.T, host string, port uint16) (net.Listener, error) {
 	only := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		c.Control(func(fd uintptr) {
-			if err := syscall.SetsockoptInt(int(fd), syscall.IPPROTO_IP, portRange, int(port)<<16|int(port)); err != nil {
+			if err := syscall.SetsockoptInt(int(fd), syscall.IPPROTO_IP, ipLocalPortRange, int(port)<<16|int(port)); err != nil {
 				t.Skip("this kernel has no range of ports for one socket: ", err)
 			}
 		})
@@ -41,7 +41,7 @@
 	}
 	for range 2 {
 		for _, host := range []string{"0.0.0.0", "127.77.0.1"} {
-			if ln, err := onlyThat(t, host, p.Addr().Port()); err == nil {
+			if ln, err := listenInRangeOfOne(t, host, p.Addr().Port()); err == nil {
 				ln.Close()
 				t.Errorf("%s: the system gave the port that is held", host)
 			}
@@ -54,7 +54,7 @@
 	for range 16 {
 		p.Release()
 		p.Release()
-		if ln, err = onlyThat(t, "0.0.0.0", p.Addr().Port()); err == nil {
+		if ln, err = listenInRangeOfOne(t, "0.0.0.0", p.Addr().Port()); err == nil {
 			break
 		}
 		was := err
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -1,5 +1,6 @@
-// Package measure keeps what clients met: counts by class and outcome, latencies from the intended send, and worth by
-// second. Recorders of several generators merge into one.
+// Package measure records the results that clients observe: counts by class and outcome, latencies from the
+// intended send time, and the value served by second. Generators add a Sample per job to a Recorder; recorders of
+// several generators or processes can be merged.
 package measure
 
 import (
@@ -15,123 +16,125 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is what became of a job over all its tries.
+// Outcome is the final outcome of a job over all its tries.
 type Outcome uint8
 
 // The outcomes of a job.
 const (
-	InTime     Outcome = iota // served within its class's aim
-	Late                      // served after it
-	Refused                   // the last try was
-	Failed                    // the last try was
-	Unanswered                // the last try broke, stayed silent or was never sent
-	Left                      // the client hung up
+	InTime     Outcome = iota // served within the target of its class
+	Late                      // served after the target
+	Refused                   // the last try was refused
+	Failed                    // the last try failed
+	Unanswered                // the last try broke, got no answer or was never sent
+	Left                      // the client disconnected
 )
 
-// Outcomes lists all.
+// Outcomes lists all outcomes.
 var Outcomes = []Outcome{InTime, Late, Refused, Failed, Unanswered, Left}
 
 var outcomeNames = [...]string{"in-time", "late", "refused", "failed", "unanswered", "left"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Sample is one job's end.
+// Sample is the result of one job.
 type Sample struct {
 	Class   int
-	At      time.Duration // intended send, from the start
-	Latency time.Duration // from there to the final answer
+	At      time.Duration // intended send time, from the start of the run
+	Latency time.Duration // from the intended send time to the final answer
 	Outcome Outcome
 	Worth   float64
 	Tries   int
 	Zone    int
 }
 
-// Latencies up to ten minutes are kept to three digits over the whole run, and to two digits by second.
+// Range of recorded latencies: up to ten minutes, with three significant digits over the whole run and two per
+// second.
 const (
-	lowest  = 1
-	highest = 600_000_000 // microseconds
+	minLatency = 1
+	maxLatency = 600_000_000 // microseconds
 )
 
-type cell struct {
+type classOutcome struct {
 	class   int
 	outcome Outcome
 }
 
 type second struct {
-	Asked  float64 `json:"asked"`   // worth
-	InTime float64 `json:"in_time"` // worth
+	Asked  float64 `json:"asked"`   // value of all jobs
+	InTime float64 `json:"in_time"` // value of the jobs served in time
 	Jobs   int     `json:"jobs"`
-	counts map[cell]int64
+	counts map[classOutcome]int64
 	hist   *hdrhistogram.Histogram
 }
 
-// Recorder takes samples. It may be used by several goroutines.
+// Recorder collects samples. It is safe for concurrent use.
 type Recorder struct {
-	mu      sync.Mutex
-	classes []string
-	hists   map[cell]*hdrhistogram.Histogram
-	tries   []int64
-	worth   []float64 // asked, by class
-	inTime  []float64
-	seconds []second
+	mu             sync.Mutex
+	classes        []string
+	hists          map[classOutcome]*hdrhistogram.Histogram
+	tries          []int64
+	requestedValue []float64 // by class
+	inTimeValue    []float64
+	seconds        []second
 }
 
-// NewRecorder makes a recorder for classes.
+// NewRecorder returns a recorder for the given classes.
 func NewRecorder(classes []string) *Recorder {
-	return &Recorder{classes: classes, hists: map[cell]*hdrhistogram.Histogram{}, tries: make([]int64, len(classes)),
-		worth: make([]float64, len(classes)), inTime: make([]float64, len(classes))}
+	return &Recorder{classes: classes, hists: map[classOutcome]*hdrhistogram.Histogram{}, tries: make([]int64, len(classes)),
+		requestedValue: make([]float64, len(classes)), inTimeValue: make([]float64, len(classes))}
 }
 
-// maxSeconds bounds the series of a run: a day.
+// maxSeconds bounds the series of a run to one day.
 const maxSeconds = 86_400
 
-// Add takes a sample.
+// Add records a sample. Latencies outside the recorded range are clipped to it.
 func (r *Recorder) Add(s Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	us := min(max(s.Latency.Microseconds(), lowest), highest)
-	k := cell{s.Class, s.Outcome}
+	us := min(max(s.Latency.Microseconds(), minLatency), maxLatency)
+	k := classOutcome{s.Class, s.Outcome}
 	h := r.hists[k]
 	if h == nil {
-		h = hdrhistogram.New(lowest, highest, 3)
+		h = hdrhistogram.New(minLatency, maxLatency, 3)
 		r.hists[k] = h
 	}
-	h.RecordValue(us) // within its bounds, so it can't fail
+	h.RecordValue(us) // the value is within the bounds, so this can't fail
 	r.tries[s.Class] += int64(s.Tries)
-	r.worth[s.Class] += s.Worth
+	r.requestedValue[s.Class] += s.Worth
 	i := min(max(int(s.At/time.Second), 0), maxSeconds)
 	for len(r.seconds) <= i {
 		r.seconds = append(r.seconds, second{})
 	}
 	sec := &r.seconds[i]
 	if sec.counts == nil {
-		sec.counts, sec.hist = map[cell]int64{}, hdrhistogram.New(100, highest, 2)
+		sec.counts, sec.hist = map[classOutcome]int64{}, hdrhistogram.New(100, maxLatency, 2)
 	}
 	sec.counts[k]++
 	sec.hist.RecordValue(max(us, 100))
 	sec.Jobs++
 	sec.Asked += s.Worth
 	if s.Outcome == InTime {
-		r.inTime[s.Class] += s.Worth
+		r.inTimeValue[s.Class] += s.Worth
 		sec.InTime += s.Worth
 	}
 }
 
-// Merge adds another recorder of the same classes.
+// Merge adds the samples of another recorder. It returns an error if the classes differ. The caller must ensure
+// that o is not in use.
 func (r *Recorder) Merge(o *Recorder) error {
 	if !slices.Equal(r.classes, o.classes) {
 		return fmt.Errorf("classes differ: %v and %v", r.classes, o.classes)
 	}
 	for k, h := range o.hists {
 		if r.hists[k] == nil {
-			r.hists[k] = hdrhistogram.New(lowest, highest, 3)
+			r.hists[k] = hdrhistogram.New(minLatency, maxLatency, 3)
 		}
 		r.hists[k].Merge(h)
 	}
 	for i := range r.classes {
 		r.tries[i] += o.tries[i]
-		r.worth[i] += o.worth[i]
-		r.inTime[i] += o.inTime[i]
+		r.requestedValue[i] += o.requestedValue[i]
+		r.inTimeValue[i] += o.inTimeValue[i]
 	}
 	for i, s := range o.seconds {
 		for len(r.seconds) <= i {
@@ -142,7 +145,7 @@
 		}
 		t := &r.seconds[i]
 		if t.counts == nil {
-			t.counts, t.hist = map[cell]int64{}, hdrhistogram.New(100, highest, 2)
+			t.counts, t.hist = map[classOutcome]int64{}, hdrhistogram.New(100, maxLatency, 2)
 		}
 		for k, n := range s.counts {
 			t.counts[k] += n
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// Row is a class's figures, or the sum over all. Latencies are of jobs that were served, in time or late.
+// Row holds the figures of a class, or the total. Latencies are those of served jobs, in time or late.
 type Row struct {
 	Class      string        `json:"class"`
 	Asked      int64         `json:"asked"`
@@ -164,26 +167,26 @@
 	Unanswered int64         `json:"unanswered"`
 	Left       int64         `json:"left"`
 	Tries      int64         `json:"tries"`
-	Service    float64       `json:"service"` // worth served in time by worth asked
+	Service    float64       `json:"service"` // value served in time divided by value requested
 	P50        time.Duration `json:"p50_ns"`
 	P99        time.Duration `json:"p99_ns"`
 	P999       time.Duration `json:"p999_ns"`
 	Max        time.Duration `json:"max_ns"`
 }
 
-// Rows gives the table: a row a class and one for all.
+// Rows returns one row per class, followed by the total.
 func (r *Recorder) Rows() []Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var rows []Row
 	all := Row{Class: "all"}
-	allServed := hdrhistogram.New(lowest, highest, 3)
+	allServed := hdrhistogram.New(minLatency, maxLatency, 3)
 	var worth, inTime float64
 	for i, name := range r.classes {
 		row := Row{Class: name, Tries: r.tries[i]}
-		served := hdrhistogram.New(lowest, highest, 3)
+		served := hdrhistogram.New(minLatency, maxLatency, 3)
 		for _, o := range Outcomes {
-			h := r.hists[cell{i, o}]
+			h := r.hists[classOutcome{i, o}]
 			if h == nil {
 				continue
 			}
@@ -195,10 +198,10 @@
 		}
 		row.quantiles(served)
 		allServed.Merge(served)
-		if r.worth[i] > 0 {
-			row.Service = r.inTime[i] / r.worth[i]
+		if r.requestedValue[i] > 0 {
+			row.Service = r.inTimeValue[i] / r.requestedValue[i]
 		}
-		worth, inTime, all.Tries = worth+r.worth[i], inTime+r.inTime[i], all.Tries+r.tries[i]
+		worth, inTime, all.Tries = worth+r.requestedValue[i], inTime+r.inTimeValue[i], all.Tries+r.tries[i]
 		rows = append(rows, row)
 	}
 	all.quantiles(allServed)
@@ -219,7 +222,7 @@
 	r.Max = time.Duration(h.Max()) * time.Microsecond
 }
 
-// WriteTable writes rows for people.
+// WriteTable writes rows as a text table.
 func WriteTable(w io.Writer, rows []Row) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tasked\tin time\tlate\trefused\tfailed\tno answer\tleft\ttries\tservice\tp50\tp99\tp99.9\t")
@@ -230,7 +233,7 @@
 	t.Flush()
 }
 
-// Short writes a duration with three digits.
+// Short formats a duration with three significant digits.
 func Short(d time.Duration) string {
 	switch {
 	case d >= time.Second:
@@ -241,15 +244,15 @@
 	return fmt.Sprintf("%.3g us", float64(d)/1e3)
 }
 
-// Point is a second of a run.
+// Point holds the figures of one second of a run.
 type Point struct {
 	Second  int           `json:"second"`
 	Jobs    int           `json:"jobs"`
-	Service float64       `json:"service"` // worth in time by worth asked; 1 where nothing was asked
+	Service float64       `json:"service"` // value served in time divided by value requested; 1 if nothing was requested
 	P99     time.Duration `json:"p99_ns"`  // of all final answers
 }
 
-// Series gives the run by second of the intended send.
+// Series returns the figures of the run by second of the intended send time.
 func (r *Recorder) Series() []Point {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -266,11 +269,12 @@
 	return out
 }
 
-// Curve gives latencies of served jobs of a class (-1 = all) at percentiles.
+// Curve returns the latencies of the served jobs of a class (-1 = all classes) at the given percentiles (0 to
+// 100).
 func (r *Recorder) Curve(class int, percentiles []float64) []time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := hdrhistogram.New(lowest, highest, 3)
+	h := hdrhistogram.New(minLatency, maxLatency, 3)
 	for k, part := range r.hists {
 		if (class < 0 || k.class == class) && k.outcome <= Late {
 			h.Merge(part)
@@ -283,40 +287,40 @@
 	return out
 }
 
-// Classes lists the classes.
+// Classes returns the names of the classes.
 func (r *Recorder) Classes() []string { return r.classes }
 
-// kept is a recorder's form in files, from which recorders of several processes are merged.
-type kept struct {
-	Classes []string     `json:"classes"`
-	Hists   []keptHist   `json:"latencies"`
-	Tries   []int64      `json:"tries"`
-	Worth   []float64    `json:"worth_asked"`
-	InTime  []float64    `json:"worth_in_time"`
-	Seconds []keptSecond `json:"seconds"`
+// recorderJSON is the file format of a recorder; it allows to merge recorders of several processes.
+type recorderJSON struct {
+	Classes []string        `json:"classes"`
+	Hists   []histogramJSON `json:"latencies"`
+	Tries   []int64         `json:"tries"`
+	Worth   []float64       `json:"worth_asked"`
+	InTime  []float64       `json:"worth_in_time"`
+	Seconds []secondJSON    `json:"seconds"`
 }
 
-type keptHist struct {
+type histogramJSON struct {
 	Class   int     `json:"class"`
 	Outcome Outcome `json:"outcome"`
 	Data    string  `json:"hdr,omitempty"` // HdrHistogram V2, compressed, base64
 	Count   int64   `json:"count"`
 }
 
-type keptSecond struct {
+type secondJSON struct {
 	second
-	Counts []keptHist `json:"counts,omitempty"`
-	Hist   string     `json:"hdr,omitempty"`
+	Counts []histogramJSON `json:"counts,omitempty"`
+	Hist   string          `json:"hdr,omitempty"`
 }
 
 // MarshalJSON implements json.Marshaler.
 func (r *Recorder) MarshalJSON() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := kept{Classes: r.classes, Tries: r.tries, Worth: r.worth, InTime: r.inTime}
+	k := recorderJSON{Classes: r.classes, Tries: r.tries, Worth: r.requestedValue, InTime: r.inTimeValue}
 	for i := range r.classes {
 		for _, o := range Outcomes {
-			h := r.hists[cell{i, o}]
+			h := r.hists[classOutcome{i, o}]
 			if h == nil {
 				continue
 			}
@@ -324,11 +328,11 @@
 			if err != nil {
 				return nil, err
 			}
-			k.Hists = append(k.Hists, keptHist{i, o, string(data), h.TotalCount()})
+			k.Hists = append(k.Hists, histogramJSON{i, o, string(data), h.TotalCount()})
 		}
 	}
 	for _, s := range r.seconds {
-		ks := keptSecond{second: s}
+		ks := secondJSON{second: s}
 		if s.hist != nil {
 			data, err := s.hist.EncodeV2()
 			if err != nil {
@@ -337,8 +341,8 @@
 			ks.Hist = string(data)
 			for i := range r.classes {
 				for _, o := range Outcomes {
-					if n := s.counts[cell{i, o}]; n > 0 {
-						ks.Counts = append(ks.Counts, keptHist{Class: i, Outcome: o, Count: n})
+					if n := s.counts[classOutcome{i, o}]; n > 0 {
+						ks.Counts = append(ks.Counts, histogramJSON{Class: i, Outcome: o, Count: n})
 					}
 				}
 			}
@@ -350,7 +354,7 @@
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (r *Recorder) UnmarshalJSON(text []byte) error {
-	var k kept
+	var k recorderJSON
 	if err := json.Unmarshal(text, &k); err != nil {
 		return err
 	}
@@ -359,15 +363,15 @@
 		return fmt.Errorf("a recorder of %d classes has figures of another number", n)
 	}
 	decode := func(data string) (*hdrhistogram.Histogram, error) { return hdrhistogram.Decode([]byte(data)) }
-	good := func(h keptHist) bool { return h.Class >= 0 && h.Class < n && int(h.Outcome) < len(Outcomes) }
+	good := func(h histogramJSON) bool { return h.Class >= 0 && h.Class < n && int(h.Outcome) < len(Outcomes) }
 	*r = *NewRecorder(k.Classes)
-	r.tries, r.worth, r.inTime = k.Tries, k.Worth, k.InTime
+	r.tries, r.requestedValue, r.inTimeValue = k.Tries, k.Worth, k.InTime
 	for _, kh := range k.Hists {
 		h, err := decode(kh.Data)
 		if err != nil || !good(kh) {
 			return fmt.Errorf("latencies of class %d: %v", kh.Class, err)
 		}
-		r.hists[cell{kh.Class, kh.Outcome}] = h
+		r.hists[classOutcome{kh.Class, kh.Outcome}] = h
 	}
 	for _, ks := range k.Seconds {
 		s := ks.second
@@ -376,12 +380,12 @@
 			if err != nil {
 				return fmt.Errorf("second %d: %v", len(r.seconds), err)
 			}
-			s.hist, s.counts = h, map[cell]int64{}
+			s.hist, s.counts = h, map[classOutcome]int64{}
 			for _, c := range ks.Counts {
 				if !good(c) {
 					return fmt.Errorf("second %d: a count of class %d", len(r.seconds), c.Class)
 				}
-				s.counts[cell{c.Class, c.Outcome}] = c.Count
+				s.counts[classOutcome{c.Class, c.Outcome}] = c.Count
 			}
 		}
 		r.seconds = append(r.seconds, s)
@@ -389,14 +393,14 @@
 	return nil
 }
 
-// Verdict is what a generator says of itself.
+// Verdict is a load generator's own assessment of its run.
 type Verdict struct {
 	Valid  bool     `json:"valid"`
 	Causes []string `json:"causes,omitempty"`
 	LagP50 float64  `json:"send_lag_p50_ms"`
 	LagP99 float64  `json:"send_lag_p99_ms"`
 	LagMax float64  `json:"send_lag_max_ms"`
-	CPU    float64  `json:"cpu_share"` // of the machine's cores
+	CPU    float64  `json:"cpu_share"` // share of the machine's cores, 0 to 1
 	Sched  float64  `json:"scheduling_p99_ms"`
 	Open   int      `json:"connections_most"`
 	Unsent int      `json:"unsent"`
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -16,7 +16,7 @@
 	"granitewing/internal/lab/experiment"
 )
 
-// plots draws what a result has.
+// plots returns the plots for the contents of a result.
 func plots(r *experiment.Results) []namedPlot {
 	if len(r.Sizes) > 0 {
 		return sizePlots(r)
@@ -33,11 +33,11 @@
 	return out
 }
 
-// line adds a line of a colour of its own.
-func line(p *plot.Plot, i int, name string, points plotter.XYs) {
+// addLine adds a line with its own colour and a legend entry.
+func addLine(p *plot.Plot, i int, name string, points plotter.XYs) {
 	l, err := plotter.NewLine(points)
 	if err != nil {
-		return // no points, or a figure that is none: nothing to draw
+		return // no points, or an invalid number: nothing to draw
 	}
 	l.Color = plotutil.Color(i)
 	l.Width = vg.Points(1.4)
@@ -45,8 +45,8 @@
 	p.Legend.Add(name, l)
 }
 
-// marks draws failures on the time axis, with their labels where they are few; the page lists all.
-func marks(p *plot.Plot, list []experiment.Mark, top float64, c color.Color) {
+// drawMarks draws failures on the time axis. Labels are drawn only if there are few; the page lists all of them.
+func drawMarks(p *plot.Plot, list []experiment.Mark, top float64, c color.Color) {
 	for _, m := range list {
 		l, err := plotter.NewLine(plotter.XYs{{X: m.At, Y: 0}, {X: m.At, Y: top}})
 		if err != nil {
@@ -74,8 +74,9 @@
 	}
 }
 
-// smooth is over how many seconds service is shown: with 14 jobs a second a single one is noise.
-const smooth = 3
+// smoothingSeconds is the width of the moving average of the service. With 14 jobs a second, the value of a single
+// second is mostly noise.
+const smoothingSeconds = 3
 
 func overTime(r *experiment.Results) namedPlot {
 	p := plot.New()
@@ -99,7 +100,7 @@
 		}
 		var points plotter.XYs
 		for s := range sum {
-			lo, hi := max(s-smooth/2, 0), min(s+smooth/2, len(sum)-1)
+			lo, hi := max(s-smoothingSeconds/2, 0), min(s+smoothingSeconds/2, len(sum)-1)
 			a, w := 0.0, 0.0
 			for k := lo; k <= hi; k++ {
 				a, w = a+sum[k], w+weight[k]
@@ -108,12 +109,12 @@
 				points = append(points, plotter.XY{X: float64(s), Y: a / w})
 			}
 		}
-		line(p, i, v, points)
+		addLine(p, i, v, points)
 	}
 	if len(r.Plays) > 0 {
-		marks(p, r.Plays[0].Marks, 1, color.RGBA{R: 170, A: 255})
+		drawMarks(p, r.Plays[0].Marks, 1, color.RGBA{R: 170, A: 255})
 	}
-	note := fmt.Sprintf("Each point is the mean over %d seconds.", smooth)
+	note := fmt.Sprintf("Each point is the mean over %d seconds.", smoothingSeconds)
 	if len(r.Plays) > len(r.Variants) {
 		note += " Lines are means over seeds; failures are those of the first seed."
 	}
@@ -124,7 +125,7 @@
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "percentile", "latency from the intended send, s"
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	// The axis counts nines: 90, 99, 99.9 and so on lie at equal distances.
+	// The axis is logarithmic in the distance to 100%: 90, 99, 99.9 and so on are equally spaced.
 	var percentiles []float64
 	for x := 0.0; x <= 4; x += 0.05 {
 		percentiles = append(percentiles, 100*(1-math.Pow(10, -x)))
@@ -140,7 +141,7 @@
 			}
 		}
 		if len(points) > 1 {
-			line(p, n, name, points)
+			addLine(p, n, name, points)
 			n++
 		}
 	}
@@ -156,37 +157,37 @@
 		}
 	}
 	if n == 0 {
-		p.Y.Min, p.Y.Max = 0.001, 1 // a logarithmic axis has no place for nothing
+		p.Y.Min, p.Y.Max = 0.001, 1 // a logarithmic axis needs a positive range
 	}
 	return namedPlot{p, "latency", "Latency by percentile", "Of jobs that were served, retries included; of the first seed where several were played.", false}
 }
 
-// grid is attempts by second and host.
-type grid struct{ o *experiment.Outcome }
+// hostGrid is the number of attempts by second and host, as the data of a heat map.
+type hostGrid struct{ o *experiment.Outcome }
 
-func (g grid) Dims() (c, r int) {
+func (g hostGrid) Dims() (c, r int) {
 	for _, h := range g.o.Hosts {
 		c = max(c, len(h.PerSecond))
 	}
 	return c, len(g.o.Hosts)
 }
-func (g grid) Z(c, r int) float64 {
+func (g hostGrid) Z(c, r int) float64 {
 	if s := g.o.Hosts[r].PerSecond; c < len(s) {
 		return float64(s[c])
 	}
 	return 0
 }
-func (g grid) X(c int) float64 { return float64(c) }
-func (g grid) Y(r int) float64 { return float64(r) }
+func (g hostGrid) X(c int) float64 { return float64(c) }
+func (g hostGrid) Y(r int) float64 { return float64(r) }
 
 func byHost(o *experiment.Outcome) namedPlot {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "second", "host"
-	g := grid{o}
+	g := hostGrid{o}
 	if c, r := g.Dims(); c < 2 || r < 2 {
 		return namedPlot{p, "hosts", "Attempts by host", "Too little was sent to draw.", true}
 	}
-	// Black is nothing, so that a host that gets no work stands out.
+	// Black is zero, so that a host without work stands out.
 	colors := moreland.BlackBody()
 	colors.SetMin(0)
 	colors.SetMax(1)
@@ -198,7 +199,7 @@
 		}
 		p.Y.Tick.Marker = plot.ConstantTicks(ticks)
 	}
-	marks(p, o.Marks, float64(len(o.Hosts))-0.5, color.RGBA{R: 120, G: 200, B: 255, A: 255})
+	drawMarks(p, o.Marks, float64(len(o.Hosts))-0.5, color.RGBA{R: 120, G: 200, B: 255, A: 255})
 	most := 0
 	for _, h := range o.Hosts {
 		for _, n := range h.PerSecond {
@@ -218,7 +219,7 @@
 		{"decision", "CPU of a message by size", "microseconds of CPU a message, all its events", func(s experiment.Size) float64 { return s.Decision }, true},
 		{"service", "Service by size", "worth served in time", func(s experiment.Size) float64 {
 			if s.Partial {
-				return 0 // not told
+				return 0 // not measured
 			}
 			return s.Service
 		}, false},
@@ -251,7 +252,7 @@
 		for i, name := range names {
 			points := lines[name]
 			drawn += len(points)
-			line(p, i, name, points)
+			addLine(p, i, name, points)
 			if s, err := plotter.NewScatter(points); err == nil {
 				s.GlyphStyle = draw.GlyphStyle{Color: plotutil.Color(i), Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
 				p.Add(s)
@@ -261,7 +262,7 @@
 			continue
 		}
 		if f.log {
-			// Whole decades, so that the axis has more than one figure.
+			// The axis covers whole decades, so that it has more than one labelled tick.
 			p.Y.Min, p.Y.Max = math.Pow(10, math.Floor(math.Log10(p.Y.Min))), math.Pow(10, math.Ceil(math.Log10(p.Y.Max)))
 		}
 		out = append(out, namedPlot{p, f.name, f.title, "", false})
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,6 @@
-// Package report turns results into a self-contained page, plots as SVG and PNG, and JSON.
+// Package report writes the results of an experiment as a self-contained HTML page, plots in SVG and PNG, and
+// JSON. Open prepares a Folder before the run, Folder.Write writes the report, Read reads the results again, and
+// Merge combines the results of several generators.
 package report
 
 import (
@@ -19,14 +21,14 @@
 	"granitewing/internal/lab/measure"
 )
 
-// Folder is where a report goes. It is made and tried out before a run, since a run's result that can't be written is
-// lost.
+// Folder is the directory of a report. It is created and tested before a run, since results that can't be written
+// are lost.
 type Folder struct{ dir string }
 
-// roomNeeded is about what a report takes.
-const roomNeeded = 16 << 20
+// requiredSpace is the approximate size of a report in bytes.
+const requiredSpace = 16 << 20
 
-// Open makes a folder and sees that it can be written.
+// Open creates a directory and checks that it can be written and has enough free space.
 func Open(dir string) (*Folder, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("report folder: %w", err)
@@ -37,21 +39,21 @@
 	}
 	defer os.Remove(probe.Name())
 	defer probe.Close()
-	// A hole would be made whatever room there is, so bytes are written.
+	// Bytes are written, since a file with a hole can be created even on a full disk.
 	if _, err := probe.Write(make([]byte, 1<<20)); err != nil {
 		return nil, fmt.Errorf("report folder: %w", err)
 	}
-	if free, ok := freeSpace(dir); ok && free < roomNeeded {
-		return nil, fmt.Errorf("report folder: %s has %d bytes left, a report takes up to %d", dir, free, roomNeeded)
+	if free, ok := freeSpace(dir); ok && free < requiredSpace {
+		return nil, fmt.Errorf("report folder: %s has %d bytes left, a report takes up to %d", dir, free, requiredSpace)
 	}
 	return &Folder{dir}, nil
 }
 
-// Path is a file in the folder.
+// Path returns the path of a file in the folder.
 func (f *Folder) Path(name string) string { return filepath.Join(f.dir, name) }
 
-// picture is a plot in the page.
-type picture struct {
+// pagePlot is a plot in the page.
+type pagePlot struct {
 	Title string
 	Name  string
 	SVG   template.URL
@@ -67,13 +69,13 @@
 	if err := f.save("results.json", text); err != nil {
 		return err
 	}
-	var pictures []picture
+	var pictures []pagePlot
 	for _, p := range plots(r) {
 		svg, err := f.draw(p)
 		if err != nil {
 			return fmt.Errorf("plot %s: %w", p.name, err)
 		}
-		pictures = append(pictures, picture{p.title, p.name, template.URL("data:image/svg+xml;base64," + base64.StdEncoding.EncodeToString(svg)), p.note})
+		pictures = append(pictures, pagePlot{p.title, p.name, template.URL("data:image/svg+xml;base64," + base64.StdEncoding.EncodeToString(svg)), p.note})
 	}
 	var page bytes.Buffer
 	if err := pageTemplate.Execute(&page, map[string]any{"R": r, "Pictures": pictures, "Broken": r.Broken(), "Invalid": r.Invalid()}); err != nil {
@@ -82,7 +84,7 @@
 	return f.save("index.html", page.Bytes())
 }
 
-// save writes a file whole or not at all.
+// save replaces a file atomically.
 func (f *Folder) save(name string, text []byte) error {
 	tmp := f.Path("." + name)
 	if err := os.WriteFile(tmp, text, 0o644); err != nil {
@@ -121,7 +123,7 @@
 	return svg, nil
 }
 
-// namedPlot is a plot with where it goes.
+// namedPlot is a plot with its file name, title and note.
 type namedPlot struct {
 	*plot.Plot
 	name  string
@@ -130,7 +132,7 @@
 	tall  bool
 }
 
-// Read reads the results of an earlier run.
+// Read reads the results of an earlier run from its directory.
 func Read(dir string) (*experiment.Results, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "results.json"))
 	if err != nil {
@@ -143,7 +145,8 @@
 	return r, nil
 }
 
-// Merge joins the results of generators that ran side by side at one fleet: plays of one variant and seed become one.
+// Merge combines the results of generators that ran at the same time against one fleet: runs with the same variant
+// and seed are merged. It modifies and returns the first result.
 func Merge(all []*experiment.Results) (*experiment.Results, error) {
 	out := all[0]
 	for _, r := range all[1:] {
@@ -162,7 +165,7 @@
 			}
 			o.Rows, o.Series = o.Recorder.Rows(), o.Recorder.Series()
 			o.Service = o.Rows[len(o.Rows)-1].Service
-			o.Verdict = worse(o.Verdict, p.Verdict)
+			o.Verdict = mergeVerdicts(o.Verdict, p.Verdict)
 			o.Cut = o.Cut || p.Cut
 			o.Notes = append(o.Notes, "merged from several generators")
 		}
@@ -170,8 +173,8 @@
 	return out, nil
 }
 
-// worse joins what two generators say of themselves.
-func worse(a, b measure.Verdict) measure.Verdict {
+// mergeVerdicts combines the assessments of two generators; the worse one prevails.
+func mergeVerdicts(a, b measure.Verdict) measure.Verdict {
 	a.Valid = a.Valid && b.Valid
 	a.Causes = append(a.Causes, b.Causes...)
 	a.LagP50, a.LagP99, a.LagMax = max(a.LagP50, b.LagP50), max(a.LagP99, b.LagP99), max(a.LagMax, b.LagMax)
--- a/internal/lab/report/space.go
+++ b/internal/lab/report/space.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// freeSpace is what an ordinary user may still write.
+// freeSpace returns the number of bytes that an unprivileged user can still write, and whether it is known.
 func freeSpace(dir string) (int64, bool) {
 	var s syscall.Statfs_t
 	if syscall.Statfs(dir, &s) != nil {
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -1,5 +1,9 @@
-// Package trace reads recorded traces of jobs as they come: unsorted, with gaps, repeated lines and clocks that were
-// set back; it says what it found and scales them without losing their mix and burstiness.
+// Package trace reads recorded traces of jobs and scales them. Recorded traces may be unsorted, have gaps and
+// repeated lines, and come from clocks that were set back; an import corrects what it can and reports its
+// Findings. Scaling preserves the mix of classes and the burstiness.
+//
+// ReadFile, ReadCSV and ReadJSON return a Trace. Gaps and Scale return modified copies, Summary returns the
+// properties to compare, and Write writes CSV.
 package trace
 
 import (
@@ -24,33 +28,33 @@
 	"granitewing/internal/lab/arrive"
 )
 
-// maxEntries bounds what a trace may hold in memory.
+// maxEntries bounds the number of entries of a trace, which is held in memory.
 const maxEntries = 10_000_000
 
-// Entry is one job of a trace; what was not recorded is empty.
+// Entry is one job of a trace; fields that were not recorded are empty.
 type Entry struct {
-	At       time.Duration // from the first
+	At       time.Duration // time since the first entry
 	Class    string
 	Work     time.Duration // on one core of speed 1
 	Key      string
 	Zone     string
-	Deadline time.Duration // the wait that its client told
+	Deadline time.Duration // time that the client declared it would wait
 }
 
-// Trace is a recorded trace in the order of its times.
+// Trace is a recorded trace, sorted by time.
 type Trace struct {
 	Entries []Entry
 	Found   Findings
 }
 
-// Findings is what an import put right, or would not.
+// Findings counts the defects that an import corrected or rejected.
 type Findings struct {
-	Lines    int      // with an entry
-	Unsorted int      // that stood before an earlier one; sorted
-	Steps    int      // back of the clock by more than a second; times after them are kept as told
-	Repeated int      // the same to the letter and time as the line before in order; dropped
-	Bad      int      // that could not be read; dropped
-	First    string   // of these, with its line
+	Lines    int      // lines that contain an entry
+	Unsorted int      // entries that came after a later one; sorted
+	Steps    int      // times the clock went back by more than a second; later times are kept as recorded
+	Repeated int      // entries identical to another one with the same time; dropped
+	Bad      int      // unreadable lines; dropped
+	First    string   // the first unreadable line, with its number
 	Missing  []string // columns that the trace does not have
 }
 
@@ -65,10 +69,10 @@
 	return s
 }
 
-// columns are the names of an entry's parts; time alone must be there.
+// columns are the names of an entry's fields in files; only time is required.
 var columns = []string{"time", "class", "work", "key", "zone", "deadline"}
 
-// ReadFile reads a file as JSON lines if its name ends in .jsonl or .ndjson, else as CSV with a line of names.
+// ReadFile reads a file: as JSON lines if its name ends in .jsonl or .ndjson, otherwise as CSV with a header line.
 func ReadFile(path string) (*Trace, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -86,15 +90,16 @@
 	return t, nil
 }
 
-// raw is an entry with the time as recorded, in seconds.
-type raw struct {
+// rawEntry is an entry with its time as recorded, in seconds.
+type rawEntry struct {
 	at   float64
 	e    Entry
 	line int
 }
 
-// ReadCSV reads comma-separated values. Times are seconds (of any epoch) or RFC 3339; work and deadline are seconds,
-// or durations with a unit.
+// ReadCSV reads comma-separated values with a header line. Times are seconds (of any epoch) or RFC 3339; work and
+// deadline are seconds, or durations with a unit. Unreadable lines are counted in Findings; it returns an error if
+// there is no time column, no readable entry, or more entries than fit in memory.
 func ReadCSV(r io.Reader) (*Trace, error) {
 	c := csv.NewReader(r)
 	c.FieldsPerRecord = -1
@@ -111,7 +116,7 @@
 		return nil, errors.New("no column named time")
 	}
 	t := &Trace{}
-	var raws []raw
+	var raws []rawEntry
 	for {
 		record, err := c.Read()
 		if errors.Is(err, io.EOF) {
@@ -123,7 +128,7 @@
 			if !errors.As(err, &pe) {
 				return nil, err
 			}
-			t.bad(pe.Line, err)
+			t.addBad(pe.Line, err)
 			continue
 		}
 		v, err := parse(line, func(name string) (string, bool) {
@@ -134,7 +139,7 @@
 			return strings.TrimSpace(record[i]), true
 		})
 		if err != nil {
-			t.bad(line, err)
+			t.addBad(line, err)
 			continue
 		}
 		if raws = append(raws, v); len(raws) > maxEntries {
@@ -146,17 +151,17 @@
 			t.Found.Missing = append(t.Found.Missing, name)
 		}
 	}
-	return t, t.take(raws)
+	return t, t.sortEntries(raws)
 }
 
-// ReadJSON reads one JSON object a line.
+// ReadJSON reads one JSON object per line, with the same fields and errors as ReadCSV.
 func ReadJSON(r io.Reader) (*Trace, error) {
 	t := &Trace{}
 	text, err := io.ReadAll(r)
 	if err != nil {
 		return nil, err
 	}
-	var raws []raw
+	var raws []rawEntry
 	seen := map[string]bool{}
 	line := 0
 	for part := range bytes.SplitSeq(text, []byte{'\n'}) {
@@ -168,7 +173,7 @@
 		d.UseNumber()
 		var object map[string]any
 		if err := d.Decode(&object); err != nil {
-			t.bad(line, err)
+			t.addBad(line, err)
 			continue
 		}
 		v, err := parse(line, func(name string) (string, bool) {
@@ -180,7 +185,7 @@
 			return fmt.Sprint(v), true
 		})
 		if err != nil {
-			t.bad(line, err)
+			t.addBad(line, err)
 			continue
 		}
 		if raws = append(raws, v); len(raws) > maxEntries {
@@ -192,17 +197,17 @@
 			t.Found.Missing = append(t.Found.Missing, name)
 		}
 	}
-	return t, t.take(raws)
+	return t, t.sortEntries(raws)
 }
 
-func (t *Trace) bad(line int, err error) {
+func (t *Trace) addBad(line int, err error) {
 	if t.Found.Bad++; t.Found.First == "" {
 		t.Found.First = fmt.Sprintf("line %d: %v", line, err)
 	}
 }
 
-func parse(line int, get func(string) (string, bool)) (raw, error) {
-	v := raw{line: line}
+func parse(line int, get func(string) (string, bool)) (rawEntry, error) {
+	v := rawEntry{line: line}
 	text, ok := get("time")
 	if !ok || text == "" {
 		return v, errors.New("no time")
@@ -235,8 +240,8 @@
 	return v, nil
 }
 
-// take sorts what was read, counting what stood out of order.
-func (t *Trace) take(raws []raw) error {
+// sortEntries sorts the entries, drops repeated ones, and counts entries that were out of order.
+func (t *Trace) sortEntries(raws []rawEntry) error {
 	t.Found.Lines = len(raws)
 	if len(raws) == 0 {
 		return errors.New("no entry could be read")
@@ -251,9 +256,9 @@
 		}
 		latest = max(latest, raws[i].at)
 	}
-	slices.SortStableFunc(raws, func(a, b raw) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(raws, func(a, b rawEntry) int { return cmp.Compare(a.at, b.at) })
 	first := raws[0].at
-	seen := map[Entry]bool{} // at one time
+	seen := map[Entry]bool{} // entries with the current time
 	for i, r := range raws {
 		r.e.At = time.Duration(math.Round((r.at - first) * 1e9))
 		if i > 0 && r.at != raws[i-1].at {
@@ -269,7 +274,7 @@
 	return nil
 }
 
-// Length is the time from the first entry to the last.
+// Length returns the time from the first entry to the last.
 func (t *Trace) Length() time.Duration {
 	if len(t.Entries) == 0 {
 		return 0
@@ -277,7 +282,7 @@
 	return t.Entries[len(t.Entries)-1].At
 }
 
-// Times lists the entries' times.
+// Times returns the times of the entries.
 func (t *Trace) Times() []time.Duration {
 	out := make([]time.Duration, len(t.Entries))
 	for i, e := range t.Entries {
@@ -286,7 +291,7 @@
 	return out
 }
 
-// Mix gives each class's share of the entries.
+// Mix returns each class's share of the entries.
 func (t *Trace) Mix() map[string]float64 {
 	out := map[string]float64{}
 	for _, e := range t.Entries {
@@ -295,22 +300,22 @@
 	return out
 }
 
-// GapMode says what becomes of gaps.
+// GapMode is the treatment of gaps.
 type GapMode string
 
-// What becomes of gaps.
+// The treatments of gaps.
 const (
-	Keep  GapMode = "keep"  // they stay as they are
-	Close GapMode = "close" // they are cut to the usual distance of two entries
-	Fill  GapMode = "fill"  // entries drawn from before and after them, at the rate round them
+	Keep  GapMode = "keep"  // gaps are left as they are
+	Close GapMode = "close" // gaps are shortened to the mean distance of entries outside gaps
+	Fill  GapMode = "fill"  // gaps are filled with entries drawn from the whole trace, at its usual rate
 )
 
-// GapReport is what was found and done; it is to be shown whatever was done.
+// GapReport describes the gaps that were found and what was done about them. It is to be shown for every mode.
 type GapReport struct {
 	Mode   GapMode
-	Limit  time.Duration // from which a distance counted as a gap
+	Limit  time.Duration // distances above the limit count as gaps
 	Gaps   int
-	Longer time.Duration // in all
+	Longer time.Duration // total length of the gaps
 	Filled int
 }
 
@@ -328,8 +333,10 @@
 	return s + "kept"
 }
 
-// Gaps treats gaps as asked. limit 0 takes ten times the distance that 99 of 100 neighbours keep: chance goes so far
-// beyond it once in e^46 distances of a Poisson process, and clusters only widen it.
+// Gaps returns the trace with gaps treated according to mode, and a report. Distances between neighbours above
+// limit are gaps. With limit 0, the limit is ten times the 99th percentile of the distances, and at least 1 ms: in
+// a Poisson process a distance exceeds it by chance with a probability of e^-46, and clustering only raises the
+// limit.
 func (t *Trace) Gaps(mode GapMode, limit time.Duration, rng *rand.Rand) (*Trace, GapReport) {
 	rep := GapReport{Mode: mode, Limit: limit}
 	n := len(t.Entries)
@@ -363,7 +370,7 @@
 			case Close:
 				shift += gaps[i-1] - usual
 			case Fill:
-				// Whole stretches of a few entries are drawn, which keeps their clusters.
+				// Sequences of up to 8 consecutive entries are drawn, which preserves their clusters.
 				from := t.Entries[i-1].At
 				for at := from + usual; at < e.At-usual; {
 					k := rng.IntN(n - 1)
@@ -390,19 +397,19 @@
 	return out, rep
 }
 
-// Scale plays a trace pace times as fast with rate times as many entries. Below 1 entries are dropped at random; above 1
-// each is joined by copies that lie between it and its next neighbour of the same class, so that clusters stay
-// clusters. Both leave the mix of classes as it is but for chance.
+// Scale returns a trace that runs pace times as fast and has rate times as many entries. If rate is below 1,
+// entries are dropped at random. If it is above 1, copies of each entry are added between it and the next entry of
+// the same class, so that clusters are preserved. Both preserve the mix of classes except for random variation.
 func (t *Trace) Scale(pace, rate float64, rng *rand.Rand) *Trace {
 	out := &Trace{Found: t.Found}
-	next := make([]time.Duration, len(t.Entries)) // of the same class
+	next := make([]time.Duration, len(t.Entries)) // time of the next entry of the same class
 	last := map[string]time.Duration{}
 	for i := len(t.Entries) - 1; i >= 0; i-- {
 		e := t.Entries[i]
 		if at, ok := last[e.Class]; ok {
 			next[i] = at
 		} else {
-			next[i] = e.At + t.Length()/time.Duration(len(t.Entries)) // the last of its class
+			next[i] = e.At + t.Length()/time.Duration(len(t.Entries)) // the last entry of its class
 		}
 		last[e.Class] = e.At
 	}
@@ -424,7 +431,7 @@
 	return out
 }
 
-// Summary tells of a trace what scaling has to keep.
+// Summary holds the properties of a trace that scaling has to preserve.
 type Summary struct {
 	Entries    int                `json:"entries"`
 	Seconds    float64            `json:"seconds"`
@@ -434,7 +441,7 @@
 	Dispersion float64            `json:"count_dispersion"`
 }
 
-// Summary gives a trace's figures.
+// Summary returns the properties of a trace.
 func (t *Trace) Summary() Summary {
 	s := Summary{Entries: len(t.Entries), Seconds: t.Length().Seconds(), Mix: t.Mix()}
 	if s.Seconds > 0 {
@@ -444,7 +451,7 @@
 	return s
 }
 
-// Write writes a trace as CSV.
+// Write writes a trace as CSV with a header line.
 func (t *Trace) Write(w io.Writer) error {
 	c := csv.NewWriter(w)
 	c.Write(columns)
@@ -461,5 +468,5 @@
 	return c.Error()
 }
 
-// Hash turns a key into a number.
+// Hash returns a 64-bit hash of a key.
 func Hash(key string) uint64 { return xxhash.Sum64String(key) }
--- a/internal/record/breaker.go
+++ b/internal/record/breaker.go
@@ -2,59 +2,64 @@
 
 import "math/rand/v2"
 
-// Breaker decides from the writes' ends and ages whether the store may be waited for. Times are microseconds.
+// Breaker is a circuit breaker for the store. It decides from the results and durations of writes whether commands
+// may wait for the store. Times are microseconds.
 type Breaker struct {
-	Patience int64 // a write older than that opens it
-	Least    int64 // between two probes at first
-	Most     int64 // and at last
-	rng      *rand.Rand
-	open     bool
-	begun    int64 // of the write under way, 0 = none
-	pause    int64
-	next     int64 // time of the next probe
-	opened   int   // how often
+	Patience     int64 // a write that takes longer opens the breaker
+	Least        int64 // first pause between two probes
+	Most         int64 // upper bound of the pause
+	rng          *rand.Rand
+	open         bool
+	writeStarted int64 // start of the current write, 0 = none
+	pause        int64
+	nextProbe    int64 // time of the next probe
+	trips        int   // how often the breaker has opened
 }
 
-// NewBreaker makes one that is closed: the store is waited for.
+// NewBreaker returns a closed breaker: commands wait for the store. Durations are microseconds; seed seeds the
+// random part of the pauses.
 func NewBreaker(patience, least, most int64, seed uint64) *Breaker {
 	return &Breaker{Patience: patience, Least: max(least, 1), Most: max(most, least, 1), rng: rand.New(rand.NewPCG(seed, 31))}
 }
 
-// Open tells whether the store is taken for gone.
+// Open reports whether the store counts as unavailable.
 func (b *Breaker) Open() bool { return b.open }
 
-// Opened counts how often it was taken for gone.
-func (b *Breaker) Opened() int { return b.opened }
+// Opened returns how often the breaker has opened.
+func (b *Breaker) Opened() int { return b.trips }
 
-// MayWrite tells whether a write may begin now: any while closed, one probe at a time while open.
-func (b *Breaker) MayWrite(now int64) bool { return b.begun == 0 && (!b.open || now >= b.next) }
+// MayWrite reports whether a write may begin now. At most one write runs at a time; while the breaker is open,
+// only probes may begin.
+func (b *Breaker) MayWrite(now int64) bool {
+	return b.writeStarted == 0 && (!b.open || now >= b.nextProbe)
+}
 
-// Begin books a write.
-func (b *Breaker) Begin(now int64) { b.begun = max(now, 1) }
+// Begin records the start of a write.
+func (b *Breaker) Begin(now int64) { b.writeStarted = max(now, 1) }
 
-// Next is when Late or MayWrite has to be asked again, 0 for never.
+// Next returns the time at which Late or MayWrite has to be called again, 0 for never.
 func (b *Breaker) Next() int64 {
 	switch {
-	case b.begun != 0 && !b.open:
-		return b.begun + b.Patience
-	case b.begun == 0 && b.open:
-		return b.next
+	case b.writeStarted != 0 && !b.open:
+		return b.writeStarted + b.Patience
+	case b.writeStarted == 0 && b.open:
+		return b.nextProbe
 	}
 	return 0
 }
 
-// Late opens it if the write under way has lasted too long; true if that is news.
+// Late opens the breaker if the current write takes too long, and reports whether the breaker opened.
 func (b *Breaker) Late(now int64) bool {
-	if b.open || b.begun == 0 || now < b.begun+b.Patience {
+	if b.open || b.writeStarted == 0 || now < b.writeStarted+b.Patience {
 		return false
 	}
 	b.trip(now)
 	return true
 }
 
-// End books the end of a write; changed tells whether the breaker opened or closed by it.
+// End records the end of a write. changed reports whether the breaker opened or closed.
 func (b *Breaker) End(now int64, ok bool) (changed bool) {
-	b.begun = 0
+	b.writeStarted = 0
 	switch {
 	case ok && b.open:
 		b.open, b.pause = false, 0
@@ -65,19 +70,20 @@
 		b.trip(now)
 		return true
 	}
-	b.wait(now)
+	b.scheduleProbe(now)
 	return false
 }
 
 func (b *Breaker) trip(now int64) {
 	b.open, b.pause = true, 0
-	b.opened++
-	b.wait(now)
+	b.trips++
+	b.scheduleProbe(now)
 }
 
-// wait sets the next probe: the pause doubles, and each dispatcher takes a random part of it, so that those who lost one
-// store together don't come back together.
-func (b *Breaker) wait(now int64) {
+// scheduleProbe sets the time of the next probe with exponential backoff: the pause doubles up to its bound. Each
+// dispatcher waits a random part of the pause, so that dispatchers that lost the same store do not return
+// together.
+func (b *Breaker) scheduleProbe(now int64) {
 	b.pause = min(max(2*b.pause, b.Least), b.Most)
-	b.next = now + b.pause/2 + b.rng.Int64N(b.pause/2+1)
+	b.nextProbe = now + b.pause/2 + b.rng.Int64N(b.pause/2+1)
 }
--- a/internal/record/journal.go
+++ b/internal/record/journal.go
@@ -7,122 +7,125 @@
 	"granitewing/logic"
 )
 
-// Limits bound what a journal keeps while the store is slow or gone.
+// Limits bound what a journal keeps while the store is slow or unavailable.
 type Limits struct {
-	Messages int   // open or not yet durable
-	Bytes    int   // of their names, keys and results
-	Batch    int   // records of one write
-	Hold     int64 // microseconds that an answer other than a result waits for its write at most
-	Margin   int64 // before a deadline a result that is not durable gives way to a failure
-	Keys     int   // results of keyed messages that are remembered for repeats
+	Messages int   // messages that are open or not yet durable
+	Bytes    int   // total size of their names, keys and results
+	Batch    int   // maximum number of records in one write
+	Hold     int64 // longest wait of an answer other than a result for its write, microseconds
+	Margin   int64 // time before its deadline at which a result that is not durable is replaced by a failure, microseconds
+	Keys     int   // results of keyed messages that are remembered to answer repeats
 }
 
-// DefaultLimits are for a dispatcher of 192 MB.
+// DefaultLimits are for a dispatcher with 192 MB of memory.
 var DefaultLimits = Limits{Messages: 50_000, Bytes: 32 << 20, Batch: 2_000, Hold: 250_000, Margin: 5_000, Keys: 20_000}
 
-// Class is what a journal needs to know of a class.
+// Class is what a journal needs to know about a message class.
 type Class struct {
 	Name   string
 	Policy Policy
-	Window int64 // microseconds within which a repeated key is given the recorded result; 0 = never
+	Window int64 // microseconds within which a repeated key gets the recorded result; 0 = never
 }
 
-// Message is a message as it was taken.
+// Message describes an accepted message.
 type Message struct {
 	Name, Key string
 	Class     int
 	Deadline  int64 // Unix microseconds
 }
 
-// Stats count what a journal did.
+// Stats are the counters of a journal.
 type Stats struct {
-	Written    int64 // records in writes that succeeded
+	Written    int64 // records in successful writes
 	Writes     int64
-	Errors     int64 // writes that failed
-	Lost       int64 // records of Behind classes dropped at a bound
-	Unrecorded int64 // answers given while the store was gone, to be written later
-	Overtaken  int64 // results that were not durable by their deadline and gave way to a failure
-	Refused    int64 // messages refused because the store was gone
-	Repeated   int64 // repeats answered from the record
+	Errors     int64 // failed writes
+	Lost       int64 // records of Behind classes dropped because a limit was reached
+	Unrecorded int64 // answers sent while the store was unavailable or slow, to be written later
+	Overtaken  int64 // results that were not durable by their deadline and were replaced by a failure
+	Refused    int64 // messages refused because the store was unavailable or a limit was reached
+	Repeated   int64 // repeats answered with a recorded result
 }
 
 // entry is a message that is open or not yet durable.
 type entry struct {
-	id      memory.ID // the core's, while it is open
-	rec     Record
-	class   int
-	policy  Policy
-	durable uint32 // step that the store has
-	asked   uint32 // step in the write under way
-	queued  bool   // in dirty
-	sends   []hold
-	answer  *hold
-	over    bool // the core has answered it, or its client left
-	told    bool // the client has its answer
-	bytes   int
-	place   int // in waits, -1 for none
-}
-
-// waits are the answers that are held, the one that is let go first at the top.
-type waits []*entry
-
-func (w waits) Len() int           { return len(w) }
-func (w waits) Less(a, b int) bool { return w[a].answer.until < w[b].answer.until }
-func (w waits) Swap(a, b int)      { w[a], w[b] = w[b], w[a]; w[a].place, w[b].place = a, b }
-func (w *waits) Push(x any)        { e := x.(*entry); e.place = len(*w); *w = append(*w, e) }
-func (w *waits) Pop() any {
+	id          memory.ID // the core's id, valid while the message is open
+	rec         Record
+	class       int
+	policy      Policy
+	durableStep uint32 // last step that the store holds
+	flightStep  uint32 // step contained in the current write
+	queued      bool   // the entry is in Journal.dirty
+	heldSends   []heldCommand
+	heldAnswer  *heldCommand
+	closed      bool // the core has answered the message, or its client disconnected
+	replied     bool // the answer has gone to the client, or none is needed any more
+	bytes       int
+	heapIndex   int // index in Journal.heldAnswers, -1 if absent
+}
+
+// answerHeap is a heap of the entries with a held answer, ordered by the time at which the answer must be
+// released.
+type answerHeap []*entry
+
+func (w answerHeap) Len() int           { return len(w) }
+func (w answerHeap) Less(a, b int) bool { return w[a].heldAnswer.releaseAt < w[b].heldAnswer.releaseAt }
+func (w answerHeap) Swap(a, b int)      { w[a], w[b] = w[b], w[a]; w[a].heapIndex, w[b].heapIndex = a, b }
+func (w *answerHeap) Push(x any)        { e := x.(*entry); e.heapIndex = len(*w); *w = append(*w, e) }
+func (w *answerHeap) Pop() any {
 	old := *w
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
-	*w, e.place = old[:len(old)-1], -1
+	*w, e.heapIndex = old[:len(old)-1], -1
 	return e
 }
 
-// hold is a command that waits for a step to be durable.
-type hold struct {
-	cmd   memory.Command
-	step  uint32
-	until int64 // when it is let go whatever the store does; 0 for never
+// heldCommand is a command that waits until a step is durable.
+type heldCommand struct {
+	cmd       memory.Command
+	step      uint32
+	releaseAt int64 // when it is released even if the step is not durable; 0 = never
 }
 
-// Journal follows messages and says what is to be written and which commands may go. Not for two goroutines at once.
+// Journal follows the messages of one dispatcher. It decides what has to be written and which commands may be
+// carried out. It is not safe for concurrent use.
 type Journal struct {
-	classes []Class
-	limits  Limits
-	Breaker *Breaker
-	next    uint64
-	open    map[memory.ID]*entry
-	dirty   []*entry            // in the order of their first change
-	flight  []*entry            // in the write under way
-	held    map[*entry]struct{} // with sendings that wait
-	waits   waits
-	writing bool
-	bytes   int
-	retired int // told, and not yet durable
-	keys    map[string]keyed
-	order   []string
-	stats   Stats
-}
-
-type keyed struct {
+	classes           []Class
+	limits            Limits
+	Breaker           *Breaker
+	nextID            uint64
+	open              map[memory.ID]*entry
+	dirty             []*entry            // in the order of their first unwritten change
+	inFlight          []*entry            // contained in the current write
+	withHeldSends     map[*entry]struct{} // entries with attempts that are held back
+	heldAnswers       answerHeap
+	writing           bool
+	bytes             int
+	repliedNotDurable int // entries that are replied and not yet durable
+	keyedResults      map[string]keyedResult
+	keyOrder          []string
+	stats             Stats
+}
+
+type keyedResult struct {
 	content []byte
-	until   int64
+	expires int64
 }
 
-// New makes a journal whose records get ids of an epoch.
+// New returns a journal whose records get ids of the given epoch.
 func New(classes []Class, epoch uint32, limits Limits, b *Breaker) *Journal {
-	return &Journal{classes: classes, limits: limits, Breaker: b, next: uint64(epoch) << 32, open: map[memory.ID]*entry{},
-		held: map[*entry]struct{}{}, keys: map[string]keyed{}}
+	return &Journal{classes: classes, limits: limits, Breaker: b, nextID: uint64(epoch) << 32, open: map[memory.ID]*entry{},
+		withHeldSends: map[*entry]struct{}{}, keyedResults: map[string]keyedResult{}}
 }
 
-// Stats gives the counts.
+// Stats returns the counters.
 func (j *Journal) Stats() Stats { return j.stats }
 
-// Waiting is how many messages are open or not yet durable.
-func (j *Journal) Waiting() int { return len(j.open) + j.retired }
+// Waiting returns the number of messages that are open or not yet durable.
+func (j *Journal) Waiting() int { return len(j.open) + j.repliedNotDurable }
 
-// Admit tells whether a message of a class may be taken now. One that must be durable before it is sent may not while
-// the store is gone, or while too much waits for it.
+// Admit reports whether a message of a class may be accepted now. A message whose attempts must be durable is
+// refused while the store is unavailable; one whose answer or attempts must be durable is refused while a limit of
+// the journal is reached. Other classes are always admitted.
 func (j *Journal) Admit(class int) bool {
 	if j.classes[class].Policy < Told {
 		return true
@@ -136,37 +139,38 @@
 
 func (j *Journal) full() bool { return j.Waiting() >= j.limits.Messages || j.bytes >= j.limits.Bytes }
 
-// Repeat gives the recorded result of a key, if its window has not passed.
+// Repeat returns the recorded result of a key if its window has not passed. now is Unix microseconds.
 func (j *Journal) Repeat(now int64, class int, key string) ([]byte, bool) {
 	if key == "" || j.classes[class].Window <= 0 {
 		return nil, false
 	}
-	k, known := j.keys[j.classes[class].Name+"\x00"+key]
-	if !known || now > k.until {
+	k, known := j.keyedResults[j.classes[class].Name+"\x00"+key]
+	if !known || now > k.expires {
 		return nil, false
 	}
 	j.stats.Repeated++
 	return k.content, true
 }
 
-// Remember keeps a keyed result for repeats. A recovery calls it with what the store holds.
+// Remember keeps a keyed result to answer repeats. A recovery calls it for the results in the store.
 func (j *Journal) Remember(class int, key string, content []byte, answered int64) {
 	window := j.classes[class].Window
 	if key == "" || window <= 0 {
 		return
 	}
 	k := j.classes[class].Name + "\x00" + key
-	if _, known := j.keys[k]; !known {
-		j.order = append(j.order, k)
+	if _, known := j.keyedResults[k]; !known {
+		j.keyOrder = append(j.keyOrder, k)
 	}
-	j.keys[k] = keyed{content, answered + window}
-	for len(j.order) > j.limits.Keys {
-		delete(j.keys, j.order[0])
-		j.order = j.order[1:]
+	j.keyedResults[k] = keyedResult{content, answered + window}
+	for len(j.keyOrder) > j.limits.Keys {
+		delete(j.keyedResults, j.keyOrder[0])
+		j.keyOrder = j.keyOrder[1:]
 	}
 }
 
-// Take begins the record of a message that the core has taken.
+// Take starts the record of a message that the core has accepted. A message of a Behind class gets no record and
+// counts as lost when a limit is reached.
 func (j *Journal) Take(now int64, id memory.ID, m Message) {
 	c := j.classes[m.Class]
 	if c.Policy == Off {
@@ -178,16 +182,16 @@
 			return
 		}
 	}
-	j.next++
-	e := &entry{id: id, place: -1, class: m.Class, policy: c.Policy, bytes: len(m.Name) + len(m.Key) + 200}
-	e.rec = Record{ID: j.next, Name: m.Name, Key: m.Key, Class: c.Name, Policy: c.Policy.String(), Taken: now, Deadline: m.Deadline}
+	j.nextID++
+	e := &entry{id: id, heapIndex: -1, class: m.Class, policy: c.Policy, bytes: len(m.Name) + len(m.Key) + 200}
+	e.rec = Record{ID: j.nextID, Name: m.Name, Key: m.Key, Class: c.Name, Policy: c.Policy.String(), Taken: now, Deadline: m.Deadline}
 	j.bytes += e.bytes
 	j.open[id] = e
-	j.change(e)
+	j.markChanged(e)
 }
 
-// change marks a record as changed.
-func (j *Journal) change(e *entry) {
+// markChanged increments the step of a record and queues it for writing.
+func (j *Journal) markChanged(e *entry) {
 	e.rec.Step++
 	if !e.queued {
 		e.queued = true
@@ -195,8 +199,8 @@
 	}
 }
 
-// Filter takes the commands of a call of the core and gives those that may be carried out now, in their order. The
-// others are held and given by Wrote, Late or Due.
+// Filter takes the commands that a call of the core returned, records them, and returns the commands that may be
+// carried out now, in their order. The others are held until Wrote, Due or Trouble returns them.
 func (j *Journal) Filter(now int64, cmds []memory.Command) []memory.Command {
 	out := make([]memory.Command, 0, len(cmds))
 	for _, c := range cmds {
@@ -205,15 +209,15 @@
 		case e == nil:
 			out = append(out, c)
 		case c.Kind == memory.Send:
-			if j.send(now, c, e) {
+			if j.recordSend(now, c, e) {
 				out = append(out, c)
 			}
 		case c.Kind == memory.Drop:
-			if !j.drop(now, c, e) {
+			if !j.recordDrop(now, c, e) {
 				out = append(out, c)
 			}
 		case c.Kind == memory.Answer:
-			out = j.answer(now, c, e, out)
+			out = j.recordAnswer(now, c, e, out)
 		default:
 			out = append(out, c)
 		}
@@ -221,28 +225,29 @@
 	return out
 }
 
-// send books an attempt; true if it may go at once.
-func (j *Journal) send(now int64, c memory.Command, e *entry) bool {
+// recordSend records an attempt and reports whether it may be sent at once.
+func (j *Journal) recordSend(now int64, c memory.Command, e *entry) bool {
 	if len(e.rec.Attempts) < MaxAttempts {
 		e.rec.Attempts = append(e.rec.Attempts, Attempt{Host: c.Addr, Sent: now})
 	}
-	j.change(e)
+	j.markChanged(e)
 	if e.policy != Before {
 		return true
 	}
-	e.sends = append(e.sends, hold{cmd: c, step: e.rec.Step})
-	j.held[e] = struct{}{}
+	e.heldSends = append(e.heldSends, heldCommand{cmd: c, step: e.rec.Step})
+	j.withHeldSends[e] = struct{}{}
 	return false
 }
 
-// drop books that an attempt was called off; true if it was still held, so that nothing went out.
-func (j *Journal) drop(now int64, c memory.Command, e *entry) bool {
+// recordDrop records that an attempt was cancelled. It reports whether the attempt was still held, in which case
+// nothing was sent.
+func (j *Journal) recordDrop(now int64, c memory.Command, e *entry) bool {
 	held := false
-	for i, h := range e.sends {
+	for i, h := range e.heldSends {
 		if h.cmd.Relay == c.Relay {
-			e.sends = append(e.sends[:i], e.sends[i+1:]...)
+			e.heldSends = append(e.heldSends[:i], e.heldSends[i+1:]...)
 			held = true
-			j.unheld(e)
+			j.untrackIfNoSends(e)
 			break
 		}
 	}
@@ -250,73 +255,74 @@
 	if held {
 		result = Unsent
 	}
-	j.end(now, e, result)
+	j.recordEnd(now, e, result)
 	return held
 }
 
-func (j *Journal) unheld(e *entry) {
-	if len(e.sends) == 0 {
-		delete(j.held, e)
+func (j *Journal) untrackIfNoSends(e *entry) {
+	if len(e.heldSends) == 0 {
+		delete(j.withHeldSends, e)
 	}
 }
 
-func (j *Journal) end(now int64, e *entry, result Result) {
-	// The core numbers attempts as they are decided; one that the rules forbade never became a command, so the last
-	// that has no end is meant.
+func (j *Journal) recordEnd(now int64, e *entry, result Result) {
+	// The core numbers attempts when it decides them. An attempt that the rules forbade never became a command, so
+	// the numbers may have gaps. The last attempt without an end is the one that ended.
 	for i := len(e.rec.Attempts) - 1; i >= 0; i-- {
 		if a := &e.rec.Attempts[i]; a.Result == Unknown {
 			a.Ended, a.Result = max(now, a.Sent), result
 			if result.NeverRan() {
 				a.Started = false
 			}
-			j.change(e)
+			j.markChanged(e)
 			return
 		}
 	}
 }
 
-// Started books that a host has begun to run an attempt.
+// Started records that a host has begun to run an attempt.
 func (j *Journal) Started(r memory.RelayID) {
 	if e := j.open[r.Message]; e != nil && len(e.rec.Attempts) > 0 {
 		if a := &e.rec.Attempts[len(e.rec.Attempts)-1]; a.Result == Unknown && !a.Started {
 			a.Started = true
-			j.change(e)
+			j.markChanged(e)
 		}
 	}
 }
 
-// Ended books the end of an attempt, before the core is told of it.
+// Ended records the end of an attempt. It has to be called before the core is notified of the end.
 func (j *Journal) Ended(now int64, r memory.RelayID, result logic.Result) {
 	if e := j.open[r.Message]; e != nil {
-		j.end(now, e, ResultOf(result))
+		j.recordEnd(now, e, ResultOf(result))
 	}
 }
 
-// Left books that a client has gone before its answer. A result that it will not read needs no store.
+// Left records that a client disconnected before it was answered. A result that the client will not read does not
+// wait for the store.
 func (j *Journal) Left(now int64, id memory.ID) {
 	e := j.open[id]
 	if e == nil {
 		return
 	}
-	if e.answer == nil && !e.over {
+	if e.heldAnswer == nil && !e.closed {
 		e.rec.Verdict, e.rec.Answered = HungUp, max(now, e.rec.Taken)
-		j.change(e)
+		j.markChanged(e)
 	}
-	e.over = true
-	j.retire(e)
+	e.closed = true
+	j.markReplied(e)
 }
 
-// answer books the final answer and gives it where it needn't wait.
-func (j *Journal) answer(now int64, c memory.Command, e *entry, out []memory.Command) []memory.Command {
-	if e.over {
+// recordAnswer records the final answer and appends it to out if it need not wait for the store.
+func (j *Journal) recordAnswer(now int64, c memory.Command, e *entry, out []memory.Command) []memory.Command {
+	if e.closed {
 		return out
 	}
-	e.over = true
-	if len(e.sends) > 0 {
-		// What still waits for its record never went out.
-		e.sends = nil
-		j.unheld(e)
-		j.end(now, e, Unsent)
+	e.closed = true
+	if len(e.heldSends) > 0 {
+		// Attempts that still wait for their record were never sent.
+		e.heldSends = nil
+		j.untrackIfNoSends(e)
+		j.recordEnd(now, e, Unsent)
 	}
 	e.rec.Answered = max(now, e.rec.Taken)
 	switch c.Verdict {
@@ -329,65 +335,67 @@
 	default:
 		e.rec.Verdict = Failed
 	}
-	j.change(e)
+	j.markChanged(e)
 	if e.policy < Told {
-		j.retire(e)
+		j.markReplied(e)
 		return append(out, c)
 	}
-	h := hold{cmd: c, step: e.rec.Step, until: e.rec.Deadline - j.limits.Margin}
+	h := heldCommand{cmd: c, step: e.rec.Step, releaseAt: e.rec.Deadline - j.limits.Margin}
 	if c.Verdict != memory.Served {
-		h.until = min(h.until, now+j.limits.Hold)
+		h.releaseAt = min(h.releaseAt, now+j.limits.Hold)
 		if j.Breaker.Open() {
-			// What was given up is answered at once, and written when the store is back.
+			// The message has already failed or been refused: answer at once, write the record when the store is back.
 			j.stats.Unrecorded++
 			e.rec.Note = "answered while the store was gone, written later"
-			j.retire(e)
+			j.markReplied(e)
 			return append(out, c)
 		}
 	}
-	e.answer = &h
-	heap.Push(&j.waits, e)
-	if h.until <= now {
-		return append(out, j.giveUp(e)) // its time is over already
+	e.heldAnswer = &h
+	heap.Push(&j.heldAnswers, e)
+	if h.releaseAt <= now {
+		return append(out, j.releaseWithoutRecord(e)) // its time has already passed
 	}
 	return out
 }
 
-// retire lets go of an entry whose client is told; it is kept until it is durable.
-func (j *Journal) retire(e *entry) {
-	if e.told {
+// markReplied ends the tracking of an open message after its client was answered or left. The entry is kept until
+// it is durable.
+func (j *Journal) markReplied(e *entry) {
+	if e.replied {
 		return
 	}
-	e.told = true
-	if e.place >= 0 {
-		heap.Remove(&j.waits, e.place)
+	e.replied = true
+	if e.heapIndex >= 0 {
+		heap.Remove(&j.heldAnswers, e.heapIndex)
 	}
-	e.answer, e.sends = nil, nil
-	delete(j.held, e)
+	e.heldAnswer, e.heldSends = nil, nil
+	delete(j.withHeldSends, e)
 	if e.policy != Behind && e.rec.Verdict == Served {
-		// A repeat of a keyed job gets what was served.
+		// A repeat of a keyed message gets the result that was served.
 		j.Remember(e.class, e.rec.Key, e.rec.Content, e.rec.Answered)
 	}
 	delete(j.open, e.id)
-	if e.durable == e.rec.Step {
+	if e.durableStep == e.rec.Step {
 		j.bytes -= e.bytes
 		return
 	}
-	j.retired++
+	j.repliedNotDurable++
 }
 
-// Batch gives the records of the next write, or nothing while one is under way, none has changed or the store is not to
-// be asked. What changes meanwhile gathers for the next: the slower the store, the larger its batches.
+// Batch returns the records of the next write. It returns nil while a write is in progress, while nothing has
+// changed, or while the breaker does not allow a write. Changes in the meantime accumulate for the next write, so
+// a slower store gets larger batches.
 func (j *Journal) Batch(now int64) []Record {
 	if j.writing || len(j.dirty) == 0 || !j.Breaker.MayWrite(now) {
 		return nil
 	}
 	n := min(len(j.dirty), j.limits.Batch)
-	j.flight = append(j.flight[:0], j.dirty[:n]...)
+	j.inFlight = append(j.inFlight[:0], j.dirty[:n]...)
 	j.dirty = append(j.dirty[:0], j.dirty[n:]...)
 	out := make([]Record, 0, n)
-	for _, e := range j.flight {
-		e.queued, e.asked = false, e.rec.Step
+	for _, e := range j.inFlight {
+		e.queued, e.flightStep = false, e.rec.Step
 		r := e.rec
 		r.Attempts = append([]Attempt(nil), e.rec.Attempts...)
 		out = append(out, r)
@@ -397,18 +405,19 @@
 	return out
 }
 
-// Wrote takes the end of a write and gives the commands that it lets go. After an error nothing is known of it: its
-// records are written again, which is harmless if they were.
+// Wrote takes the result of a write and returns the commands that it releases. changed reports whether the breaker
+// opened or closed. After an error it is unknown whether the records were written: they are written again, which
+// is harmless if they were.
 func (j *Journal) Wrote(now int64, err error) (out []memory.Command, changed bool) {
 	j.writing = false
 	changed = j.Breaker.End(now, err == nil)
 	if err == nil {
 		j.stats.Writes++
-		j.stats.Written += int64(len(j.flight))
+		j.stats.Written += int64(len(j.inFlight))
 	} else {
 		j.stats.Errors++
 	}
-	for _, e := range j.flight {
+	for _, e := range j.inFlight {
 		if err != nil {
 			if !e.queued {
 				e.queued = true
@@ -416,46 +425,47 @@
 			}
 			continue
 		}
-		told := e.told
-		e.durable = max(e.durable, e.asked)
-		out = j.release(e, out)
-		if told && e.durable == e.rec.Step {
+		told := e.replied
+		e.durableStep = max(e.durableStep, e.flightStep)
+		out = j.releaseDurable(e, out)
+		if told && e.durableStep == e.rec.Step {
 			j.bytes -= e.bytes
-			j.retired--
+			j.repliedNotDurable--
 		}
 	}
-	j.flight = j.flight[:0]
+	j.inFlight = j.inFlight[:0]
 	if err != nil {
 		j.shed()
 	}
 	return out, changed
 }
 
-// release lets go what is durable.
-func (j *Journal) release(e *entry, out []memory.Command) []memory.Command {
-	for len(e.sends) > 0 && e.sends[0].step <= e.durable {
-		out = append(out, e.sends[0].cmd)
-		e.sends = e.sends[1:]
+// releaseDurable releases the held commands of an entry whose step is durable.
+func (j *Journal) releaseDurable(e *entry, out []memory.Command) []memory.Command {
+	for len(e.heldSends) > 0 && e.heldSends[0].step <= e.durableStep {
+		out = append(out, e.heldSends[0].cmd)
+		e.heldSends = e.heldSends[1:]
 	}
-	j.unheld(e)
-	if e.answer != nil && e.answer.step <= e.durable {
-		out = append(out, e.answer.cmd)
-		j.retire(e)
+	j.untrackIfNoSends(e)
+	if e.heldAnswer != nil && e.heldAnswer.step <= e.durableStep {
+		out = append(out, e.heldAnswer.cmd)
+		j.markReplied(e)
 	}
 	return out
 }
 
-// shed drops records of Behind classes that were told, the oldest first, while too much waits.
+// shed drops records of Behind classes whose clients have been answered, the oldest first, while a limit is
+// reached.
 func (j *Journal) shed() {
 	if !j.full() {
 		return
 	}
 	kept := j.dirty[:0]
 	for _, e := range j.dirty {
-		if e.told && e.policy == Behind && j.full() {
+		if e.replied && e.policy == Behind && j.full() {
 			j.stats.Lost++
 			j.bytes -= e.bytes
-			j.retired--
+			j.repliedNotDurable--
 			continue
 		}
 		kept = append(kept, e)
@@ -464,43 +474,44 @@
 	j.dirty = kept
 }
 
-// Next is when Due has to be called, 0 for never.
+// Next returns the time at which Due has to be called, 0 for never.
 func (j *Journal) Next() int64 {
 	next := j.Breaker.Next()
-	if len(j.waits) > 0 {
-		if until := j.waits[0].answer.until; next == 0 || until < next {
+	if len(j.heldAnswers) > 0 {
+		if until := j.heldAnswers[0].heldAnswer.releaseAt; next == 0 || until < next {
 			next = until
 		}
 	}
 	return next
 }
 
-// Due does what time asks for: it opens the breaker under a write that lasts too long, and lets answers go that can't
-// wait any longer. refuse names messages that were never sent and wait for a store that is gone: the core has to refuse
-// them. changed tells that the breaker opened.
+// Due handles expired timers: it opens the breaker if the current write takes too long, and releases answers that
+// can't wait any longer. refuse lists messages that were never sent and wait for an unavailable store; the core
+// has to refuse them. changed reports whether the breaker opened.
 func (j *Journal) Due(now int64) (out []memory.Command, refuse []memory.ID, changed bool) {
 	changed = j.Breaker.Late(now)
 	out, refuse = j.Trouble(now)
-	for len(j.waits) > 0 && j.waits[0].answer.until <= now {
-		out = append(out, j.giveUp(j.waits[0]))
+	for len(j.heldAnswers) > 0 && j.heldAnswers[0].heldAnswer.releaseAt <= now {
+		out = append(out, j.releaseWithoutRecord(j.heldAnswers[0]))
 	}
 	return out, refuse, changed
 }
 
-// Trouble lets go what must not wait for a store that is gone; nothing while the breaker is closed.
+// Trouble releases the commands that must not wait for an unavailable store: it returns the answers other than
+// results, and in refuse the messages that the core has to refuse. It does nothing while the breaker is closed.
 func (j *Journal) Trouble(now int64) (out []memory.Command, refuse []memory.ID) {
 	if !j.Breaker.Open() {
 		return nil, nil
 	}
-	for e := range j.held {
-		if !e.over {
+	for e := range j.withHeldSends {
+		if !e.closed {
 			refuse = append(refuse, e.id)
 		}
 	}
-	for i := 0; i < len(j.waits); {
-		if e := j.waits[i]; e.answer.cmd.Verdict != memory.Served {
-			out = append(out, j.giveUp(e))
-			i = 0 // the heap has changed its order
+	for i := 0; i < len(j.heldAnswers); {
+		if e := j.heldAnswers[i]; e.heldAnswer.cmd.Verdict != memory.Served {
+			out = append(out, j.releaseWithoutRecord(e))
+			i = 0 // the heap order has changed
 			continue
 		}
 		i++
@@ -508,10 +519,10 @@
 	return out, refuse
 }
 
-// giveUp lets an answer go without its record. A result gives way to a failure, since it may not be told before it is
-// durable; what was given up anyway goes as it is.
-func (j *Journal) giveUp(e *entry) memory.Command {
-	cmd := e.answer.cmd
+// releaseWithoutRecord releases an answer whose record is not durable. A result is replaced by a failure, since a
+// result must not be sent before it is durable. Any other answer is sent unchanged.
+func (j *Journal) releaseWithoutRecord(e *entry) memory.Command {
+	cmd := e.heldAnswer.cmd
 	if cmd.Verdict == memory.Served {
 		j.stats.Overtaken++
 		e.rec.Verdict, e.rec.Content = Failed, nil
@@ -521,7 +532,7 @@
 		j.stats.Unrecorded++
 		e.rec.Note = "answered while the store was slow, written later"
 	}
-	j.change(e)
-	j.retire(e)
+	j.markChanged(e)
+	j.markReplied(e)
 	return cmd
 }
--- a/internal/record/journal_test.go
+++ b/internal/record/journal_test.go
@@ -44,7 +44,7 @@
 }
 
 // names tells commands in short.
-func names(cmds []memory.Command) string {
+func describe(cmds []memory.Command) string {
 	var out []string
 	for _, c := range cmds {
 		s := []string{"send", "drop", "answer", "wake", "watch", "leave"}[c.Kind]
@@ -58,7 +58,7 @@
 
 func expect(t *testing.T, what string, cmds []memory.Command, want string) {
 	t.Helper()
-	if got := names(cmds); got != want {
+	if got := describe(cmds); got != want {
 		t.Errorf("%s: %q goes, want %q", what, got, want)
 	}
 }
@@ -76,7 +76,7 @@
 
 // A job that must not run twice is written before each sending and before its answer; a keyed one before its answer; a
 // reading waits for nothing.
-func TestWhatWaits(t *testing.T) {
+func TestCommandsWaitForDurability(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
 	take(j, 0, 2, batch, "k")
@@ -116,7 +116,7 @@
 }
 
 // A sending that is called off while it waits goes nowhere, and its record says that it never ran.
-func TestCalledOffWhileWaiting(t *testing.T) {
+func TestCancelledWhileHeld(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
 	j.Filter(0, []memory.Command{send(1, 0)})
@@ -135,7 +135,7 @@
 }
 
 // A write whose end is an error is made again, whether or not it was done; nothing goes until one has succeeded.
-func TestWriteAgain(t *testing.T) {
+func TestFailedWriteIsRetried(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
 	j.Filter(0, []memory.Command{send(1, 0)})
@@ -225,7 +225,7 @@
 }
 
 // A client that leaves needs no answer; its record closes.
-func TestLeft(t *testing.T) {
+func TestClientHangsUp(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
 	j.Filter(0, []memory.Command{send(1, 0)})
@@ -257,7 +257,7 @@
 	}
 }
 
-func TestVerifyNamesTheFault(t *testing.T) {
+func TestVerifyReportsViolation(t *testing.T) {
 	good := func() Record {
 		return Record{ID: 1, Step: 3, Name: "t", Class: "alert", Policy: "before", Taken: 1, Answered: 9, Verdict: Served, Content: []byte("x"),
 			Attempts: []Attempt{{Host: "a", Sent: 2, Ended: 3, Result: Returned}, {Host: "b", Sent: 4, Started: true, Ended: 8, Result: Done}}}
@@ -319,36 +319,36 @@
 }
 
 // world is a journal with a store, hosts and clients round it, for searches and random plays.
-type worldState struct {
-	j      *Journal
-	store  map[uint64]Record
-	ran    map[memory.ID]bool // a host has it, or had
-	told   map[memory.ID]memory.Command
-	alone  map[memory.ID]bool // told while the store was taken for gone
-	inCore map[memory.ID]int  // attempts; -1 once answered
-	flight []Record
-	now    int64
+type harness struct {
+	j                 *Journal
+	store             map[uint64]Record
+	atHost            map[memory.ID]bool // a host has it, or had
+	answered          map[memory.ID]memory.Command
+	answeredWhileOpen map[memory.ID]bool // told while the store was taken for gone
+	attempts          map[memory.ID]int  // attempts; -1 once answered
+	inFlight          []Record
+	now               int64
 }
 
-func newWorld(class Class) *worldState {
-	return &worldState{j: New([]Class{class}, 1, Limits{Messages: 100, Bytes: 1 << 20, Batch: 100, Hold: 250, Margin: 5, Keys: 10}, NewBreaker(100, 50, 100, 1)),
-		store: map[uint64]Record{}, ran: map[memory.ID]bool{}, told: map[memory.ID]memory.Command{}, alone: map[memory.ID]bool{}, inCore: map[memory.ID]int{}}
+func newHarness(class Class) *harness {
+	return &harness{j: New([]Class{class}, 1, Limits{Messages: 100, Bytes: 1 << 20, Batch: 100, Hold: 250, Margin: 5, Keys: 10}, NewBreaker(100, 50, 100, 1)),
+		store: map[uint64]Record{}, atHost: map[memory.ID]bool{}, answered: map[memory.ID]memory.Command{}, answeredWhileOpen: map[memory.ID]bool{}, attempts: map[memory.ID]int{}}
 }
 
-func (w *worldState) carry(cmds []memory.Command) {
+func (w *harness) execute(cmds []memory.Command) {
 	for _, c := range cmds {
 		switch c.Kind {
 		case memory.Send:
-			w.ran[c.Relay.Message] = true
+			w.atHost[c.Relay.Message] = true
 		case memory.Answer:
-			w.told[c.Relay.Message] = c
-			w.alone[c.Relay.Message] = w.j.Breaker.Open()
+			w.answered[c.Relay.Message] = c
+			w.answeredWhileOpen[c.Relay.Message] = w.j.Breaker.Open()
 		}
 	}
 }
 
-func (w *worldState) apply() {
-	for _, r := range w.flight {
+func (w *harness) commit() {
+	for _, r := range w.inFlight {
 		if r.Step > w.store[r.ID].Step {
 			w.store[r.ID] = r
 		}
@@ -356,72 +356,72 @@
 }
 
 // step does one thing; false if it can't be done now.
-func (w *worldState) step(action int) bool {
+func (w *harness) step(action int) bool {
 	const id = memory.ID(1)
 	w.now += 10
-	attempts, known := w.inCore[id]
+	attempts, known := w.attempts[id]
 	switch action {
 	case 0: // a message arrives and is sent
 		if known {
 			return false
 		}
 		w.j.Take(w.now, id, Message{Name: "t", Class: 0, Deadline: w.now + 100_000})
-		w.inCore[id] = 1
-		w.carry(w.j.Filter(w.now, []memory.Command{send(id, 0)}))
+		w.attempts[id] = 1
+		w.execute(w.j.Filter(w.now, []memory.Command{send(id, 0)}))
 	case 1: // a write begins
-		if w.flight != nil {
+		if w.inFlight != nil {
 			return false
 		}
-		w.flight = w.j.Batch(w.now + 1000) // beyond any pause of the breaker
-		return w.flight != nil
+		w.inFlight = w.j.Batch(w.now + 1000) // beyond any pause of the breaker
+		return w.inFlight != nil
 	case 2, 3, 4: // it succeeds; fails; is done and its answer is lost
-		if w.flight == nil {
+		if w.inFlight == nil {
 			return false
 		}
 		if action != 3 {
-			w.apply()
+			w.commit()
 		}
-		w.flight = nil
+		w.inFlight = nil
 		var err error
 		if action != 2 {
 			err = errors.New("gone")
 		}
 		out, _ := w.j.Wrote(w.now, err)
-		w.carry(out)
+		w.execute(out)
 		more, refuse := w.j.Trouble(w.now)
-		w.carry(more)
+		w.execute(more)
 		for _, r := range refuse {
-			w.inCore[r] = -1
-			w.carry(w.j.Filter(w.now, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: r, Attempt: attempts - 1}}, verdict(r, memory.Refused)}))
+			w.attempts[r] = -1
+			w.execute(w.j.Filter(w.now, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: r, Attempt: attempts - 1}}, verdict(r, memory.Refused)}))
 		}
 	case 5: // the host serves it
-		if !w.ran[id] || attempts < 1 {
+		if !w.atHost[id] || attempts < 1 {
 			return false
 		}
-		w.inCore[id] = -1
+		w.attempts[id] = -1
 		w.j.Ended(w.now, memory.RelayID{Message: id, Attempt: attempts - 1}, logic.Served)
-		w.carry(w.j.Filter(w.now, []memory.Command{served(id, "x")}))
+		w.execute(w.j.Filter(w.now, []memory.Command{served(id, "x")}))
 	case 6: // the host hands it back, and it goes to another
-		if !w.ran[id] || attempts != 1 {
+		if !w.atHost[id] || attempts != 1 {
 			return false
 		}
-		w.ran[id] = false
-		w.inCore[id] = 2
+		w.atHost[id] = false
+		w.attempts[id] = 2
 		w.j.Ended(w.now, memory.RelayID{Message: id, Attempt: 0}, logic.Refused)
-		w.carry(w.j.Filter(w.now, []memory.Command{send(id, 1)}))
+		w.execute(w.j.Filter(w.now, []memory.Command{send(id, 1)}))
 	case 7: // the host's connection breaks, and the decisions give it up
-		if !w.ran[id] || attempts < 1 {
+		if !w.atHost[id] || attempts < 1 {
 			return false
 		}
-		w.inCore[id] = -1
+		w.attempts[id] = -1
 		w.j.Ended(w.now, memory.RelayID{Message: id, Attempt: attempts - 1}, logic.Broken)
-		w.carry(w.j.Filter(w.now, []memory.Command{verdict(id, memory.Failed)}))
+		w.execute(w.j.Filter(w.now, []memory.Command{verdict(id, memory.Failed)}))
 	}
 	return true
 }
 
 // crash kills the dispatcher here, starts it anew and names what the record then has wrong.
-func (w *worldState) crash() string {
+func (w *harness) checkCrash() string {
 	var r Record
 	for _, r = range w.store {
 		if err := r.Verify(); err != nil {
@@ -432,16 +432,16 @@
 			return "settled: " + err.Error()
 		}
 	}
-	for id, ran := range w.ran {
+	for id, ran := range w.atHost {
 		if ran && !r.MayHaveRun() {
 			return fmt.Sprintf("a host has %d, and the record says that none had", id)
 		}
 	}
-	for id, c := range w.told {
+	for id, c := range w.answered {
 		switch {
 		case c.Verdict == memory.Served && r.Verdict != Served:
 			return fmt.Sprintf("%d was served to its client, and the record says %s", id, r.Verdict)
-		case c.Verdict == memory.Refused && len(w.store) > 0 && r.Verdict != Refused && !w.alone[id]:
+		case c.Verdict == memory.Refused && len(w.store) > 0 && r.Verdict != Refused && !w.answeredWhileOpen[id]:
 			return fmt.Sprintf("%d was refused to its client, and the record says %s", id, r.Verdict)
 		case c.Verdict == memory.Failed && (r.Verdict == Served || r.Verdict == Refused):
 			return fmt.Sprintf("%d failed for its client, and the record says %s", id, r.Verdict)
@@ -451,17 +451,17 @@
 }
 
 // search plays every sequence of actions up to a depth against the journal itself, with a crash after each.
-func search(class Class, depth int) (played int, fault string, path []int) {
+func explore(class Class, depth int) (played int, fault string, path []int) {
 	var extend func(prefix []int) bool
 	extend = func(prefix []int) bool {
-		w := newWorld(class)
+		w := newHarness(class)
 		for _, a := range prefix {
 			if !w.step(a) {
 				return false
 			}
 		}
 		played++
-		if fault = w.crash(); fault != "" {
+		if fault = w.checkCrash(); fault != "" {
 			path = slices.Clone(prefix)
 			return true
 		}
@@ -483,7 +483,7 @@
 // does. Left aside is a refusal that was given at once because the store was gone: a crash then finds an older step, which
 // settles as failed, the more careful word.
 func TestEveryInterleaving(t *testing.T) {
-	played, fault, path := search(Class{"alert", Before, 0}, 18)
+	played, fault, path := explore(Class{"alert", Before, 0}, 18)
 	if fault != "" {
 		t.Errorf("%s after %v", fault, path)
 	}
@@ -492,7 +492,7 @@
 	}
 	t.Logf("%d sequences", played)
 	for policy, want := range map[Policy]string{Told: "the record says that none had", Behind: "the record says"} {
-		if _, fault, path := search(Class{"alert", policy, 0}, 18); !strings.Contains(fault, want) {
+		if _, fault, path := explore(Class{"alert", policy, 0}, 18); !strings.Contains(fault, want) {
 			t.Errorf("%s: found %q after %v; a durability point less must show", policy, fault, path)
 		}
 	}
@@ -500,7 +500,7 @@
 
 // Random lives of many messages over a store that fails at random: what goes without being durable is noted, ids and
 // steps grow, and the books come out even.
-func TestJournalKeepsBooks(t *testing.T) {
+func TestJournalInvariantsUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := New(classes, 1, Limits{Messages: 8, Bytes: 4000, Batch: 3, Hold: 250, Margin: 5, Keys: 4}, NewBreaker(100, 50, 400, 1))
 		store := map[uint64]Record{}
@@ -622,8 +622,8 @@
 			}
 			finish(nil)
 		}
-		if j.Waiting() != 0 || j.bytes != 0 || len(j.held) != 0 || len(j.waits) != 0 {
-			t.Fatalf("%d wait, %d bytes, %d held, %d answers when all is written", j.Waiting(), j.bytes, len(j.held), len(j.waits))
+		if j.Waiting() != 0 || j.bytes != 0 || len(j.withHeldSends) != 0 || len(j.heldAnswers) != 0 {
+			t.Fatalf("%d wait, %d bytes, %d held, %d answers when all is written", j.Waiting(), j.bytes, len(j.withHeldSends), len(j.heldAnswers))
 		}
 	})
 }
--- a/internal/record/pgstandin/standin.go
+++ b/internal/record/pgstandin/standin.go
@@ -1,5 +1,8 @@
-// Package pgstandin stands in for a PostgreSQL server: enough of its published protocol (version 3) for pgx to work
-// against it, over rows in SQLite, with failures on command. It is for tests and the laboratory alone.
+// Package pgstandin is a stand-in for a PostgreSQL server, for tests and the laboratory only. It implements as
+// much of the published protocol (version 3) as pgx needs, keeps the rows in SQLite, and injects failures on
+// request.
+//
+// Start runs a server, Server.URL returns the address for clients, and Server.Set injects Faults.
 package pgstandin
 
 import (
@@ -15,18 +18,19 @@
 
 	"github.com/jackc/pgx/v5/pgproto3"
 	"github.com/jackc/pgx/v5/pgtype"
-	_ "modernc.org/sqlite" // holds the rows
+	_ "modernc.org/sqlite" // stores the rows
 )
 
-// Faults are what goes wrong until they are set anew.
+// Faults are the failures that a server injects until they are set again. The counted ones apply to the next
+// operations of their kind.
 type Faults struct {
 	Delay       time.Duration // before each answer
-	Silent      bool          // nothing is answered, nothing read
-	ResetBefore int           // so many commits end in a reset and are not done
-	ResetAfter  int           // so many commits are done and end in a reset: the client can't tell
-	Serialize   int           // so many commits fail with SQLSTATE 40001
-	DiskFull    int           // so many inserts fail with 53100
-	Refuse      bool          // new connections are refused with 53300
+	Silent      bool          // the server neither answers nor reads
+	ResetBefore int           // number of commits that are not executed and end in a reset
+	ResetAfter  int           // number of commits that are executed and end in a reset, so the client can't know the outcome
+	Serialize   int           // number of commits that fail with SQLSTATE 40001
+	DiskFull    int           // number of inserts that fail with SQLSTATE 53100
+	Refuse      bool          // new connections are refused with SQLSTATE 53300
 }
 
 // Server is a running stand-in.
@@ -35,16 +39,16 @@
 	db    *sql.DB
 	types *pgtype.Map
 
-	mu      sync.Mutex
-	faults  Faults
-	changed chan struct{} // closed when the faults are set
-	conns   map[net.Conn]struct{}
-	commits int
-	wait    sync.WaitGroup
-	closed  bool
+	mu       sync.Mutex
+	faults   Faults
+	changed  chan struct{} // closed when the faults are set
+	conns    map[net.Conn]struct{}
+	commits  int
+	handlers sync.WaitGroup
+	closed   bool
 }
 
-// Start starts a server whose rows are in a file.
+// Start starts a server that stores its rows in the SQLite file at path. It listens on a free port of 127.0.0.1.
 func Start(path string) (*Server, error) {
 	db, err := sql.Open("sqlite", "file:"+path+"?_pragma=busy_timeout(5000)&_pragma=journal_mode(WAL)&_pragma=synchronous(NORMAL)")
 	if err != nil {
@@ -56,16 +60,16 @@
 		return nil, err
 	}
 	s := &Server{ln: ln, db: db, types: pgtype.NewMap(), changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	s.wait.Go(s.accept)
+	s.handlers.Go(s.accept)
 	return s, nil
 }
 
-// URL is what a client connects to.
+// URL returns the connection URL for clients.
 func (s *Server) URL() string {
 	return "postgres://keeper@" + s.ln.Addr().String() + "/granitewing?sslmode=disable"
 }
 
-// Set sets the faults from now on.
+// Set replaces the faults.
 func (s *Server) Set(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +78,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Commits counts the transactions that were done.
+// Commits returns the number of executed commits.
 func (s *Server) Commits() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +94,7 @@
 	}
 }
 
-// Close ends the server.
+// Close stops the server and waits for its sessions.
 func (s *Server) Close() {
 	s.ln.Close()
 	s.mu.Lock()
@@ -99,7 +103,7 @@
 	s.changed = make(chan struct{})
 	s.mu.Unlock()
 	s.Drop()
-	s.wait.Wait()
+	s.handlers.Wait()
 	s.db.Close()
 }
 
@@ -119,8 +123,8 @@
 		s.mu.Lock()
 		s.conns[c] = struct{}{}
 		s.mu.Unlock()
-		s.wait.Go(func() {
-			(&session{s: s, c: c, b: pgproto3.NewBackend(c, c), statements: map[string]*statement{}, portals: map[string]*portal{}}).run()
+		s.handlers.Go(func() {
+			(&session{server: s, netConn: c, backend: pgproto3.NewBackend(c, c), statements: map[string]*statement{}, portals: map[string]*portal{}}).run()
 			c.Close()
 			s.mu.Lock()
 			delete(s.conns, c)
@@ -129,8 +133,8 @@
 	}
 }
 
-// spend uses up one of a counted fault.
-func (s *Server) spend(count func(*Faults) *int) bool {
+// consume uses up one of a counted fault and reports whether there was one left.
+func (s *Server) consume(count func(*Faults) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := count(&s.faults)
@@ -141,8 +145,8 @@
 	return true
 }
 
-// stall waits while the server is to be silent, and for the delay of an answer.
-func (s *Server) stall() {
+// delayAnswer blocks while the server is silent, and then for the delay before an answer.
+func (s *Server) delayAnswer() {
 	for {
 		s.mu.Lock()
 		silent, delay, changed, closed := s.faults.Silent, s.faults.Delay, s.changed, s.closed
@@ -166,12 +170,12 @@
 
 // session is one client's connection.
 type session struct {
-	s          *Server
-	c          net.Conn
-	b          *pgproto3.Backend
-	conn       *sql.Conn
-	status     byte // I, T or E
-	failed     bool // until the next Sync
+	server     *Server
+	netConn    net.Conn
+	backend    *pgproto3.Backend
+	dbConn     *sql.Conn
+	txStatus   byte // I (idle), T (in a transaction) or E (in a failed transaction)
+	skipToSync bool // after an error: skip messages until the next Sync
 	statements map[string]*statement
 	portals    map[string]*portal
 }
@@ -187,26 +191,26 @@
 	formats []int16
 }
 
-// errGone ends a session.
-var errGone = errors.New("the connection is over")
+// errSessionEnded ends a session.
+var errSessionEnded = errors.New("the connection is over")
 
 func (x *session) run() {
 	if x.startup() != nil {
 		return
 	}
-	conn, err := x.s.db.Conn(context.Background())
+	conn, err := x.server.db.Conn(context.Background())
 	if err != nil {
 		return
 	}
-	x.conn, x.status = conn, 'I'
+	x.dbConn, x.txStatus = conn, 'I'
 	defer func() {
-		if x.status != 'I' {
+		if x.txStatus != 'I' {
 			conn.ExecContext(context.Background(), "ROLLBACK")
 		}
 		conn.Close()
 	}()
 	for {
-		msg, err := x.b.Receive()
+		msg, err := x.backend.Receive()
 		if err != nil {
 			return
 		}
@@ -218,42 +222,42 @@
 
 func (x *session) startup() error {
 	for {
-		msg, err := x.b.ReceiveStartupMessage()
+		msg, err := x.backend.ReceiveStartupMessage()
 		if err != nil {
 			return err
 		}
-		x.s.stall()
+		x.server.delayAnswer()
 		switch msg.(type) {
 		case *pgproto3.SSLRequest, *pgproto3.GSSEncRequest:
-			if _, err := x.c.Write([]byte("N")); err != nil {
+			if _, err := x.netConn.Write([]byte("N")); err != nil {
 				return err
 			}
 		case *pgproto3.StartupMessage:
-			x.s.mu.Lock()
-			refuse := x.s.faults.Refuse
-			x.s.mu.Unlock()
+			x.server.mu.Lock()
+			refuse := x.server.faults.Refuse
+			x.server.mu.Unlock()
 			if refuse {
-				x.b.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "53300", Message: "sorry, too many clients already"})
-				x.b.Flush()
-				return errGone
+				x.backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "53300", Message: "sorry, too many clients already"})
+				x.backend.Flush()
+				return errSessionEnded
 			}
-			x.b.Send(&pgproto3.AuthenticationOk{})
+			x.backend.Send(&pgproto3.AuthenticationOk{})
 			for name, value := range map[string]string{"server_version": "16.0", "client_encoding": "UTF8", "standard_conforming_strings": "on", "integer_datetimes": "on"} {
-				x.b.Send(&pgproto3.ParameterStatus{Name: name, Value: value})
+				x.backend.Send(&pgproto3.ParameterStatus{Name: name, Value: value})
 			}
-			x.b.Send(&pgproto3.BackendKeyData{ProcessID: 1, SecretKey: []byte{0, 0, 0, 1}})
-			x.b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
-			return x.b.Flush()
-		default: // a request to cancel; statements here are short
-			return errGone
+			x.backend.Send(&pgproto3.BackendKeyData{ProcessID: 1, SecretKey: []byte{0, 0, 0, 1}})
+			x.backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
+			return x.backend.Flush()
+		default: // a cancel request: not supported, since statements here are short
+			return errSessionEnded
 		}
 	}
 }
 
-// handle answers one message; an error ends the session.
+// handle processes one message; an error ends the session.
 func (x *session) handle(msg pgproto3.FrontendMessage) error {
-	if x.failed {
-		// After an error all is skipped up to the next Sync.
+	if x.skipToSync {
+		// After an error everything up to the next Sync is skipped.
 		if _, sync := msg.(*pgproto3.Sync); !sync {
 			return nil
 		}
@@ -262,14 +266,14 @@
 	switch m := msg.(type) {
 	case *pgproto3.Query:
 		err = x.execute(&portal{statement: &statement{text: m.String}}, true)
-		if e := x.report(err); e != nil {
+		if e := x.sendError(err); e != nil {
 			return e
 		}
-		x.failed = false
-		return x.ready()
+		x.skipToSync = false
+		return x.sendReady()
 	case *pgproto3.Parse:
 		x.statements[m.Name] = &statement{m.Query, paramTypes(m.Query, m.ParameterOIDs)}
-		x.b.Send(&pgproto3.ParseComplete{})
+		x.backend.Send(&pgproto3.ParseComplete{})
 	case *pgproto3.Describe:
 		err = x.describe(m)
 	case *pgproto3.Bind:
@@ -280,22 +284,22 @@
 		}
 	case *pgproto3.Close:
 		delete(x.statements, m.Name)
-		x.b.Send(&pgproto3.CloseComplete{})
+		x.backend.Send(&pgproto3.CloseComplete{})
 	case *pgproto3.Flush:
-		return x.b.Flush()
+		return x.backend.Flush()
 	case *pgproto3.Sync:
-		x.failed = false
-		return x.ready()
+		x.skipToSync = false
+		return x.sendReady()
 	case *pgproto3.Terminate:
-		return errGone
+		return errSessionEnded
 	}
-	return x.report(err)
+	return x.sendError(err)
 }
 
-func (x *session) ready() error {
-	x.s.stall()
-	x.b.Send(&pgproto3.ReadyForQuery{TxStatus: x.status})
-	return x.b.Flush()
+func (x *session) sendReady() error {
+	x.server.delayAnswer()
+	x.backend.Send(&pgproto3.ReadyForQuery{TxStatus: x.txStatus})
+	return x.backend.Flush()
 }
 
 // sqlError is an error with its SQLSTATE.
@@ -303,9 +307,9 @@
 
 func (e *sqlError) Error() string { return e.text }
 
-// report sends an error to the client; errGone is passed on.
-func (x *session) report(err error) error {
-	if err == nil || errors.Is(err, errGone) {
+// sendError sends an error to the client. It returns errSessionEnded and sends nothing for it.
+func (x *session) sendError(err error) error {
+	if err == nil || errors.Is(err, errSessionEnded) {
 		return err
 	}
 	code := "XX000"
@@ -313,45 +317,45 @@
 	if errors.As(err, &e) {
 		code = e.code
 	}
-	x.b.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: code, Message: err.Error()})
-	x.failed = true
-	if x.status == 'T' {
-		x.status = 'E'
+	x.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: code, Message: err.Error()})
+	x.skipToSync = true
+	if x.txStatus == 'T' {
+		x.txStatus = 'E'
 	}
 	return nil
 }
 
 var (
-	casts  = regexp.MustCompile(`\$(\d+)::(\w+)`)
-	spaces = regexp.MustCompile(`\s+`)
-	oids   = map[string]uint32{"text": pgtype.TextOID, "bigint": pgtype.Int8OID, "bytea": pgtype.ByteaOID}
-	// What the columns of the store's queries are; all others are texts.
-	columns = map[string]uint32{"id": pgtype.Int8OID, "step": pgtype.Int8OID, "taken": pgtype.Int8OID, "deadline": pgtype.Int8OID, "answered": pgtype.Int8OID,
+	castPattern       = regexp.MustCompile(`\$(\d+)::(\w+)`)
+	whitespacePattern = regexp.MustCompile(`\s+`)
+	typeOIDs          = map[string]uint32{"text": pgtype.TextOID, "bigint": pgtype.Int8OID, "bytea": pgtype.ByteaOID}
+	// Types of the columns in the store's queries; all other columns are text.
+	columnOIDs = map[string]uint32{"id": pgtype.Int8OID, "step": pgtype.Int8OID, "taken": pgtype.Int8OID, "deadline": pgtype.Int8OID, "answered": pgtype.Int8OID,
 		"epoch": pgtype.Int8OID, "started": pgtype.Int8OID, "version": pgtype.Int8OID, "n": pgtype.Int8OID, "content": pgtype.ByteaOID}
 )
 
-// paramTypes finds the types of a query's parameters from their casts.
+// paramTypes determines the types of a query's parameters from their casts.
 func paramTypes(text string, given []uint32) []uint32 {
 	out := append([]uint32(nil), given...)
-	for _, m := range casts.FindAllStringSubmatch(text, -1) {
+	for _, m := range castPattern.FindAllStringSubmatch(text, -1) {
 		var n int
 		fmt.Sscan(m[1], &n)
 		for len(out) < n {
 			out = append(out, pgtype.TextOID)
 		}
-		out[n-1] = oids[m[2]]
+		out[n-1] = typeOIDs[m[2]]
 	}
 	return out
 }
 
-// translate brings a statement into SQLite's words.
+// translate converts a statement to SQLite's dialect.
 func translate(text string) string {
-	text = casts.ReplaceAllString(text, "?$1")
-	return strings.TrimSpace(spaces.ReplaceAllString(text, " "))
+	text = castPattern.ReplaceAllString(text, "?$1")
+	return strings.TrimSpace(whitespacePattern.ReplaceAllString(text, " "))
 }
 
-// returns tells whether a statement gives rows.
-func returns(text string) bool {
+// returnsRows reports whether a statement returns rows.
+func returnsRows(text string) bool {
 	upper := strings.ToUpper(strings.TrimSpace(text))
 	return strings.HasPrefix(upper, "SELECT") || strings.Contains(upper, " RETURNING ")
 }
@@ -363,25 +367,25 @@
 			st = p.statement
 		}
 	} else if st != nil {
-		x.b.Send(&pgproto3.ParameterDescription{ParameterOIDs: st.params})
+		x.backend.Send(&pgproto3.ParameterDescription{ParameterOIDs: st.params})
 	}
 	if st == nil {
 		return &sqlError{"26000", "no such statement"}
 	}
-	if !returns(st.text) {
-		x.b.Send(&pgproto3.NoData{})
+	if !returnsRows(st.text) {
+		x.backend.Send(&pgproto3.NoData{})
 		return nil
 	}
-	fields, err := x.fields(st, nil)
+	fields, err := x.fieldDescriptions(st, nil)
 	if err != nil {
 		return err
 	}
-	x.b.Send(&pgproto3.RowDescription{Fields: fields})
+	x.backend.Send(&pgproto3.RowDescription{Fields: fields})
 	return nil
 }
 
-// names gives a query's columns without running it.
-func (x *session) fields(st *statement, formats []int16) ([]pgproto3.FieldDescription, error) {
+// fieldDescriptions returns a query's columns without running it.
+func (x *session) fieldDescriptions(st *statement, formats []int16) ([]pgproto3.FieldDescription, error) {
 	if strings.Contains(st.text, "pg_advisory_xact_lock") {
 		return []pgproto3.FieldDescription{{Name: []byte("lock"), DataTypeOID: pgtype.TextOID, DataTypeSize: -1, TypeModifier: -1}}, nil
 	}
@@ -390,7 +394,7 @@
 		names = strings.Split(st.text[i+len(" RETURNING "):], ",")
 	} else {
 		args := make([]any, len(st.params))
-		rows, err := x.conn.QueryContext(context.Background(), "SELECT * FROM ("+translate(st.text)+") LIMIT 0", args...)
+		rows, err := x.dbConn.QueryContext(context.Background(), "SELECT * FROM ("+translate(st.text)+") LIMIT 0", args...)
 		if err != nil {
 			return nil, err
 		}
@@ -401,16 +405,16 @@
 	}
 	out := make([]pgproto3.FieldDescription, len(names))
 	for i, n := range names {
-		oid := columns[strings.TrimSpace(n)]
+		oid := columnOIDs[strings.TrimSpace(n)]
 		if oid == 0 {
 			oid = pgtype.TextOID
 		}
-		out[i] = pgproto3.FieldDescription{Name: []byte(strings.TrimSpace(n)), DataTypeOID: oid, DataTypeSize: -1, TypeModifier: -1, Format: format(formats, i)}
+		out[i] = pgproto3.FieldDescription{Name: []byte(strings.TrimSpace(n)), DataTypeOID: oid, DataTypeSize: -1, TypeModifier: -1, Format: formatCode(formats, i)}
 	}
 	return out, nil
 }
 
-func format(formats []int16, i int) int16 {
+func formatCode(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 0:
 		return 0
@@ -438,13 +442,13 @@
 			switch oid {
 			case pgtype.Int8OID:
 				var n int64
-				if err := x.s.types.Scan(oid, format(m.ParameterFormatCodes, i), raw, &n); err != nil {
+				if err := x.server.types.Scan(oid, formatCode(m.ParameterFormatCodes, i), raw, &n); err != nil {
 					return &sqlError{"22P02", err.Error()}
 				}
 				v = n
 			case pgtype.ByteaOID:
 				var b []byte
-				if err := x.s.types.Scan(oid, format(m.ParameterFormatCodes, i), raw, &b); err != nil {
+				if err := x.server.types.Scan(oid, formatCode(m.ParameterFormatCodes, i), raw, &b); err != nil {
 					return &sqlError{"22P02", err.Error()}
 				}
 				v = append([]byte{}, b...)
@@ -455,56 +459,56 @@
 		p.args = append(p.args, v)
 	}
 	x.portals[m.DestinationPortal] = p
-	x.b.Send(&pgproto3.BindComplete{})
+	x.backend.Send(&pgproto3.BindComplete{})
 	return nil
 }
 
-// execute runs a statement and sends its rows and its end.
+// execute runs a statement and sends its rows and its completion.
 func (x *session) execute(p *portal, simple bool) error {
 	text := translate(p.text)
 	words := strings.Fields(strings.ToUpper(strings.TrimSuffix(text, ";")))
 	if len(words) == 0 {
-		x.b.Send(&pgproto3.EmptyQueryResponse{})
+		x.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
-	if x.status == 'E' && words[0] != "ROLLBACK" && words[0] != "COMMIT" {
+	if x.txStatus == 'E' && words[0] != "ROLLBACK" && words[0] != "COMMIT" {
 		return &sqlError{"25P02", "current transaction is aborted"}
 	}
 	done := func(tag string) error {
-		x.b.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
+		x.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 		return nil
 	}
 	ctx := context.Background()
 	switch {
 	case strings.HasPrefix(text, "--"): // a ping
-		x.b.Send(&pgproto3.EmptyQueryResponse{})
+		x.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	case words[0] == "BEGIN":
-		if _, err := x.conn.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
+		if _, err := x.dbConn.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
 			return &sqlError{"55P03", err.Error()}
 		}
-		x.status = 'T'
+		x.txStatus = 'T'
 		return done("BEGIN")
-	case words[0] == "ROLLBACK" || words[0] == "COMMIT" && x.status == 'E':
-		x.status = 'I'
-		if _, err := x.conn.ExecContext(ctx, "ROLLBACK"); err != nil {
+	case words[0] == "ROLLBACK" || words[0] == "COMMIT" && x.txStatus == 'E':
+		x.txStatus = 'I'
+		if _, err := x.dbConn.ExecContext(ctx, "ROLLBACK"); err != nil {
 			return err
 		}
 		return done("ROLLBACK")
 	case words[0] == "COMMIT":
 		return x.commit(ctx, done)
-	case strings.Contains(text, "pg_advisory_xact_lock"): // BEGIN IMMEDIATE holds all others off already
+	case strings.Contains(text, "pg_advisory_xact_lock"): // BEGIN IMMEDIATE already excludes all other writers
 		if simple {
 			return &sqlError{"0A000", "not in the simple protocol"}
 		}
-		x.b.Send(&pgproto3.DataRow{Values: [][]byte{{}}})
+		x.backend.Send(&pgproto3.DataRow{Values: [][]byte{{}}})
 		return done("SELECT 1")
 	}
-	if words[0] == "INSERT" && x.s.spend(func(f *Faults) *int { return &f.DiskFull }) {
+	if words[0] == "INSERT" && x.server.consume(func(f *Faults) *int { return &f.DiskFull }) {
 		return &sqlError{"53100", "could not extend file: No space left on device"}
 	}
-	if !returns(text) {
-		res, err := x.conn.ExecContext(ctx, text, p.args...)
+	if !returnsRows(text) {
+		res, err := x.dbConn.ExecContext(ctx, text, p.args...)
 		if err != nil {
 			return err
 		}
@@ -515,7 +519,7 @@
 		}
 		return done(tag)
 	}
-	n, err := x.rows(ctx, text, p, simple)
+	n, err := x.sendRows(ctx, text, p, simple)
 	if err != nil {
 		return err
 	}
@@ -523,40 +527,40 @@
 }
 
 func (x *session) commit(ctx context.Context, done func(string) error) error {
-	x.s.stall()
-	if x.s.spend(func(f *Faults) *int { return &f.ResetBefore }) {
-		reset(x.c)
-		return errGone
-	}
-	if x.s.spend(func(f *Faults) *int { return &f.Serialize }) {
-		x.conn.ExecContext(ctx, "ROLLBACK")
-		x.status = 'I'
+	x.server.delayAnswer()
+	if x.server.consume(func(f *Faults) *int { return &f.ResetBefore }) {
+		reset(x.netConn)
+		return errSessionEnded
+	}
+	if x.server.consume(func(f *Faults) *int { return &f.Serialize }) {
+		x.dbConn.ExecContext(ctx, "ROLLBACK")
+		x.txStatus = 'I'
 		return &sqlError{"40001", "could not serialize access due to concurrent update"}
 	}
-	x.status = 'I'
-	if _, err := x.conn.ExecContext(ctx, "COMMIT"); err != nil {
+	x.txStatus = 'I'
+	if _, err := x.dbConn.ExecContext(ctx, "COMMIT"); err != nil {
 		return err
 	}
-	x.s.mu.Lock()
-	x.s.commits++
-	x.s.mu.Unlock()
-	if x.s.spend(func(f *Faults) *int { return &f.ResetAfter }) {
-		reset(x.c)
-		return errGone
+	x.server.mu.Lock()
+	x.server.commits++
+	x.server.mu.Unlock()
+	if x.server.consume(func(f *Faults) *int { return &f.ResetAfter }) {
+		reset(x.netConn)
+		return errSessionEnded
 	}
 	return done("COMMIT")
 }
 
-// rows sends a query's rows.
-func (x *session) rows(ctx context.Context, text string, p *portal, simple bool) (n int, err error) {
-	fields, err := x.fields(p.statement, p.formats)
+// sendRows runs a query, sends its rows and returns their number.
+func (x *session) sendRows(ctx context.Context, text string, p *portal, simple bool) (n int, err error) {
+	fields, err := x.fieldDescriptions(p.statement, p.formats)
 	if err != nil {
 		return 0, err
 	}
 	if simple {
-		x.b.Send(&pgproto3.RowDescription{Fields: fields})
+		x.backend.Send(&pgproto3.RowDescription{Fields: fields})
 	}
-	rows, err := x.conn.QueryContext(ctx, text, p.args...)
+	rows, err := x.dbConn.QueryContext(ctx, text, p.args...)
 	if err != nil {
 		return 0, err
 	}
@@ -586,11 +590,11 @@
 					continue
 				}
 			}
-			if row[i], err = x.s.types.Encode(fields[i].DataTypeOID, fields[i].Format, v, []byte{}); err != nil {
+			if row[i], err = x.server.types.Encode(fields[i].DataTypeOID, fields[i].Format, v, []byte{}); err != nil {
 				return n, err
 			}
 		}
-		x.b.Send(&pgproto3.DataRow{Values: row})
+		x.backend.Send(&pgproto3.DataRow{Values: row})
 		n++
 	}
 	return n, rows.Err()
--- a/internal/record/postgres/postgres.go
+++ b/internal/record/postgres/postgres.go
@@ -1,5 +1,8 @@
-// Package postgres keeps the store of record in a PostgreSQL database, which several dispatchers may share: each writes
-// records of its own name, fenced by an epoch.
+// Package postgres implements record.Store in a PostgreSQL database. Several dispatchers may share a database:
+// each writes records under its own instance name, fenced by an epoch.
+//
+// Open connects, migrates the schema, and takes the next epoch of the instance. Options.ReadOnly opens a database
+// without an epoch, for operator commands.
 package postgres
 
 import (
@@ -17,33 +20,34 @@
 	"granitewing/internal/record"
 )
 
-// Options of a store.
+// Options configure a store.
 type Options struct {
-	URL       string        // postgres://user@host/database?sslmode=verify-full and so on, as libpq takes it
-	Instance  string        // the dispatcher's name
-	Statement time.Duration // the server ends a statement that lasts longer; 0 = 10 s
-	ReadOnly  bool          // for operators' verbs: no epoch is taken
-	Writable  bool          // with ReadOnly: records may be pruned
+	URL       string        // postgres://user@host/database?sslmode=verify-full and similar, in libpq's syntax
+	Instance  string        // name of the dispatcher
+	Statement time.Duration // statement_timeout: the server cancels statements that take longer; 0 = 10 s
+	ReadOnly  bool          // for operator commands: takes no epoch
+	Writable  bool          // with ReadOnly: an operator may prune records
 }
 
-// Store is an open database.
+// Store is a pool of connections to a database. It implements record.Store.
 type Store struct {
-	pool  *pgxpool.Pool
-	o     Options
-	epoch uint32
+	pool    *pgxpool.Pool
+	options Options
+	epoch   uint32
 }
 
-// poolMost is one connection for writes, and some for reads and retention.
-const poolMost = 3
+// maxPoolConns allows one connection for writes, and the others for reads and retention.
+const maxPoolConns = 3
 
-// connectLimit is how long a connection may take to come up.
-const connectLimit = 5 * time.Second
+// connectTimeout limits the time to establish a connection.
+const connectTimeout = 5 * time.Second
 
-// schemaLock is the advisory lock under which schemas are brought up, so that two dispatchers that start together don't.
+// schemaLock is the key of the advisory lock held during a migration, so that two dispatchers that start at the
+// same time do not migrate concurrently.
 const schemaLock = 7_203_771_193
 
-// migrations make each version of the schema from the one before, each in a transaction of its own. They are never changed
-// once they were in a release; a new one is added behind.
+// migrations contains the statements that lead from each schema version to the next, each version in its own
+// transaction. A released migration is never changed; new ones are appended.
 var migrations = [][]string{
 	{
 		`CREATE TABLE granitewing_instances (name TEXT PRIMARY KEY, epoch BIGINT NOT NULL, started BIGINT NOT NULL)`,
@@ -61,36 +65,37 @@
 	},
 }
 
-// Version is the schema that this build writes.
+// Version is the schema version that this build writes.
 var Version = len(migrations)
 
-// Open connects and takes the next epoch of the instance.
+// Open connects to the database, migrates its schema, and takes the next epoch of the instance. Errors do not
+// contain the password.
 func Open(ctx context.Context, o Options) (*Store, error) {
 	cfg, err := pgxpool.ParseConfig(o.URL)
 	if err != nil {
-		return nil, fmt.Errorf("store: the PostgreSQL URL can't be read: %w", hide(err))
+		return nil, fmt.Errorf("store: the PostgreSQL URL can't be read: %w", redactParseError(err))
 	}
 	if o.Statement == 0 {
 		o.Statement = 10 * time.Second
 	}
-	cfg.MaxConns = poolMost
-	cfg.ConnConfig.ConnectTimeout = connectLimit
+	cfg.MaxConns = maxPoolConns
+	cfg.ConnConfig.ConnectTimeout = connectTimeout
 	cfg.ConnConfig.RuntimeParams["application_name"] = "granitewing " + o.Instance
 	cfg.ConnConfig.RuntimeParams["statement_timeout"] = fmt.Sprint(o.Statement.Milliseconds())
 	pool, err := pgxpool.NewWithConfig(ctx, cfg)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	s := &Store{pool: pool, o: o}
+	s := &Store{pool: pool, options: o}
 	if err := s.prepare(ctx); err != nil {
 		s.Close()
-		return nil, s.fail(err)
+		return nil, s.wrapError(err)
 	}
 	return s, nil
 }
 
-// hide keeps passwords out of errors.
-func hide(err error) error {
+// redactParseError keeps passwords out of errors.
+func redactParseError(err error) error {
 	var parse *pgconn.ParseConfigError
 	if errors.As(err, &parse) {
 		return errors.New("want postgres://user@host:port/database?sslmode=…")
@@ -98,8 +103,8 @@
 	return err
 }
 
-// fail words an error for operators.
-func (s *Store) fail(err error) error {
+// wrapError adds the address of the database and, for known SQLSTATE codes, a description for operators.
+func (s *Store) wrapError(err error) error {
 	c := s.pool.Config().ConnConfig
 	where := fmt.Sprintf("store %s:%d/%s", c.Host, c.Port, c.Database)
 	var pg *pgconn.PgError
@@ -116,7 +121,7 @@
 }
 
 func (s *Store) prepare(ctx context.Context) error {
-	if _, err := s.pool.Exec(ctx, "CREATE TABLE IF NOT EXISTS granitewing_schema (version BIGINT NOT NULL)"); err != nil && !s.o.ReadOnly {
+	if _, err := s.pool.Exec(ctx, "CREATE TABLE IF NOT EXISTS granitewing_schema (version BIGINT NOT NULL)"); err != nil && !s.options.ReadOnly {
 		return err
 	}
 	for {
@@ -128,19 +133,20 @@
 			break
 		}
 	}
-	if s.o.ReadOnly {
+	if s.options.ReadOnly {
 		return nil
 	}
 	var epoch int64
 	now := time.Now()
 	err := s.pool.QueryRow(ctx, `INSERT INTO granitewing_instances (name, epoch, started) VALUES ($1::text, $2::bigint, $3::bigint)
 		ON CONFLICT (name) DO UPDATE SET epoch = CASE WHEN granitewing_instances.epoch >= excluded.epoch THEN granitewing_instances.epoch + 1
-		ELSE excluded.epoch END, started = excluded.started RETURNING epoch`, s.o.Instance, record.EpochAt(now), now.UnixMicro()).Scan(&epoch)
+		ELSE excluded.epoch END, started = excluded.started RETURNING epoch`, s.options.Instance, record.EpochAt(now), now.UnixMicro()).Scan(&epoch)
 	s.epoch = uint32(epoch)
 	return err
 }
 
-// migrate brings the schema up by one version, whole or not at all; true once it is this build's.
+// migrate brings the schema up by one version in one transaction. done reports whether the schema is at the
+// version of this build.
 func (s *Store) migrate(ctx context.Context) (done bool, err error) {
 	err = pgx.BeginFunc(ctx, s.pool, func(tx pgx.Tx) error {
 		if _, err := tx.Exec(ctx, "SELECT pg_advisory_xact_lock($1::bigint)", int64(schemaLock)); err != nil {
@@ -156,7 +162,7 @@
 		case int(version) == Version:
 			done = true
 			return nil
-		case s.o.ReadOnly:
+		case s.options.ReadOnly:
 			return fmt.Errorf("schema %d, this build reads %d: start the dispatcher once, which brings it up", version, Version)
 		}
 		for _, statement := range migrations[version] {
@@ -184,14 +190,15 @@
  ON CONFLICT (instance, id) DO UPDATE SET step = excluded.step, attempts = excluded.attempts, verdict = excluded.verdict, answered = excluded.answered,
  content = excluded.content, note = excluded.note, deadline = excluded.deadline WHERE excluded.step > granitewing_records.step`
 
-// Write implements record.Store. The whole transaction is sent at once, and the fence is its first statement: the row of
-// the instance stays locked until the commit, so that a newer start waits for it or is seen by it.
+// Write implements record.Store. The whole transaction is sent in one round trip, and its first statement is the
+// fence: it locks the row of the instance until the commit, so a newer start either waits for this write or is
+// seen by it.
 func (s *Store) Write(ctx context.Context, batch []record.Record) error {
 	err := pgx.BeginFunc(ctx, s.pool, func(tx pgx.Tx) error {
 		b := &pgx.Batch{}
 		fenced := true
-		if !s.o.ReadOnly {
-			b.Queue("UPDATE granitewing_instances SET epoch = epoch WHERE name = $1::text AND epoch = $2::bigint", s.o.Instance, int64(s.epoch)).Exec(func(tag pgconn.CommandTag) error {
+		if !s.options.ReadOnly {
+			b.Queue("UPDATE granitewing_instances SET epoch = epoch WHERE name = $1::text AND epoch = $2::bigint", s.options.Instance, int64(s.epoch)).Exec(func(tag pgconn.CommandTag) error {
 				fenced = tag.RowsAffected() == 0
 				return nil
 			})
@@ -204,7 +211,7 @@
 			if err != nil {
 				return err
 			}
-			b.Queue(upsert, s.o.Instance, int64(r.ID), int64(r.Step), r.Name, r.Key, r.Class, r.Policy, r.Taken, r.Deadline, string(attempts), r.Verdict.String(),
+			b.Queue(upsert, s.options.Instance, int64(r.ID), int64(r.Step), r.Name, r.Key, r.Class, r.Policy, r.Taken, r.Deadline, string(attempts), r.Verdict.String(),
 				r.Answered, r.Content, r.Note)
 		}
 		if err := tx.SendBatch(ctx, b).Close(); err != nil {
@@ -218,15 +225,15 @@
 	if err == nil || errors.Is(err, record.ErrFenced) {
 		return err
 	}
-	return s.fail(err)
+	return s.wrapError(err)
 }
 
 const columns = "instance, id, step, name, key, class, policy, taken, deadline, attempts, verdict, answered, content, note"
 
-func (s *Store) each(ctx context.Context, f func(string, record.Record) error, query string, args ...any) error {
+func (s *Store) queryRecords(ctx context.Context, f func(string, record.Record) error, query string, args ...any) error {
 	rows, err := s.pool.Query(ctx, query, args...)
 	if err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
 	defer rows.Close()
 	for rows.Next() {
@@ -234,7 +241,7 @@
 		var id, step int64
 		var r record.Record
 		if err := rows.Scan(&instance, &id, &step, &r.Name, &r.Key, &r.Class, &r.Policy, &r.Taken, &r.Deadline, &attempts, &verdict, &r.Answered, &r.Content, &r.Note); err != nil {
-			return s.fail(err)
+			return s.wrapError(err)
 		}
 		r.ID, r.Step = uint64(id), uint32(step)
 		var known bool
@@ -249,7 +256,7 @@
 		}
 	}
 	if err := rows.Err(); err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
 	return nil
 }
@@ -257,17 +264,18 @@
 // OpenRecords implements record.Store.
 func (s *Store) OpenRecords(ctx context.Context, limit int) ([]record.Record, error) {
 	var out []record.Record
-	err := s.each(ctx, func(_ string, r record.Record) error {
+	err := s.queryRecords(ctx, func(_ string, r record.Record) error {
 		out = append(out, r)
 		return nil
 	}, "SELECT "+columns+" FROM granitewing_records WHERE instance = $1::text AND verdict = 'open' AND id < $2::bigint ORDER BY id LIMIT $3::bigint",
-		s.o.Instance, int64(s.epoch)<<32, int64(limit))
+		s.options.Instance, int64(s.epoch)<<32, int64(limit))
 	return out, err
 }
 
-// Keyed implements record.Store. Repeats may come to any dispatcher, so the results of all are given.
+// Keyed implements record.Store. A repeat may arrive at any dispatcher, so it includes the results of all
+// instances.
 func (s *Store) Keyed(ctx context.Context, since int64, f func(class, key string, content []byte, answered int64)) error {
-	return s.each(ctx, func(_ string, r record.Record) error {
+	return s.queryRecords(ctx, func(_ string, r record.Record) error {
 		f(r.Class, r.Key, r.Content, r.Answered)
 		return nil
 	}, "SELECT "+columns+" FROM granitewing_records WHERE verdict = 'served' AND key <> '' AND answered >= $1::bigint ORDER BY answered", since)
@@ -301,24 +309,24 @@
 		args = append(args, int64(q.Limit))
 		query += fmt.Sprintf(" LIMIT $%d::bigint", len(args))
 	}
-	return s.each(ctx, f, query, args...)
+	return s.queryRecords(ctx, f, query, args...)
 }
 
-// Prune implements record.Store. A serving dispatcher prunes its own records alone.
+// Prune implements record.Store. A serving dispatcher prunes only its own records.
 func (s *Store) Prune(ctx context.Context, before int64, limit int) (int, error) {
-	if s.o.ReadOnly && !s.o.Writable {
+	if s.options.ReadOnly && !s.options.Writable {
 		return 0, errors.New("the store was opened to be read alone")
 	}
 	own := ""
 	args := []any{before, int64(limit)}
-	if !s.o.ReadOnly {
+	if !s.options.ReadOnly {
 		own = " AND instance = $3::text"
-		args = append(args, s.o.Instance)
+		args = append(args, s.options.Instance)
 	}
 	tag, err := s.pool.Exec(ctx, `DELETE FROM granitewing_records WHERE (instance, id) IN (SELECT instance, id FROM granitewing_records
 		WHERE verdict <> 'open' AND answered < $1::bigint`+own+` ORDER BY answered LIMIT $2::bigint)`, args...)
 	if err != nil {
-		return 0, s.fail(err)
+		return 0, s.wrapError(err)
 	}
 	return int(tag.RowsAffected()), nil
 }
@@ -326,7 +334,7 @@
 // Size implements record.Store.
 func (s *Store) Size(ctx context.Context) (n int64, err error) {
 	if err := s.pool.QueryRow(ctx, "SELECT count(*) AS n FROM granitewing_records").Scan(&n); err != nil {
-		return 0, s.fail(err)
+		return 0, s.wrapError(err)
 	}
 	return n, nil
 }
--- a/internal/record/postgres/postgres_test.go
+++ b/internal/record/postgres/postgres_test.go
@@ -80,7 +80,7 @@
 }
 
 // A server that says nothing holds a write no longer than its time; afterwards the store goes on.
-func TestSilence(t *testing.T) {
+func TestUnresponsiveServer(t *testing.T) {
 	s := server(t)
 	st := open(t, s, "n0")
 	s.Set(pgstandin.Faults{Silent: true})
@@ -131,7 +131,7 @@
 }
 
 // A schema that is newer, one that was cut off, a server without room for connections, a URL that is none.
-func TestOpening(t *testing.T) {
+func TestOpenErrors(t *testing.T) {
 	s := server(t)
 	s.Set(pgstandin.Faults{Refuse: true})
 	if _, err := Open(ctx, Options{URL: s.URL(), Instance: "n0"}); err == nil || !strings.Contains(err.Error(), "has no connection left") {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,12 @@
-// Package record decides what of each message is written to the store of record, and when: which step waits until it is
-// durable, what is written behind, and what becomes of messages that a crash left open. It does no I/O and reads no clock.
+// Package record decides which messages are written to the durable store of record, and when: which step waits
+// until its record is durable, what is written in the background, and how messages that a crash left open are
+// settled. It does no I/O and reads no clock; callers pass the time.
+//
+// A Record describes one message, its attempts and its final answer. A Journal follows the messages of a
+// dispatcher: Filter passes or holds the commands of the dispatcher's core, Batch returns the records to write,
+// and Wrote takes the result of the write and releases held commands. A Breaker detects a slow or lost store.
+// Store is the interface to the storage; the subpackages sqlite and postgres implement it. Recover settles at
+// start what earlier starts left open.
 package record
 
 import (
@@ -11,19 +18,19 @@
 // Policy says when the records of a class must be durable.
 type Policy uint8
 
-// The policies of a class.
+// The policies of a class, from the weakest to the strongest.
 const (
 	Off    Policy = iota // nothing is written
-	Behind               // written in batches after the fact; what is lost is bounded and counted
-	Told                 // durable before the client is told
-	Before               // durable before each sending, and before the client is told
+	Behind               // written in batches afterwards; records may be lost, but the loss is bounded and counted
+	Told                 // durable before the client is answered
+	Before               // durable before each attempt is sent, and before the client is answered
 )
 
 var policyNames = [...]string{"off", "behind", "told", "before"}
 
 func (p Policy) String() string { return policyNames[p] }
 
-// ParsePolicy reads a policy's name.
+// ParsePolicy parses the name of a policy and reports whether it is known.
 func ParsePolicy(name string) (Policy, bool) {
 	for i, n := range policyNames {
 		if n == name {
@@ -33,23 +40,23 @@
 	return Off, false
 }
 
-// Verdict is the final answer that a client got.
+// Verdict is the final answer that the client received.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Open    Verdict = iota // not answered
-	Served                 // Content is the result
-	Refused                // trying again is harmless
-	Failed                 // nothing is promised; MayHaveRun tells more
-	HungUp                 // the client left before an answer
+	Open    Verdict = iota // not answered yet
+	Served                 // Record.Content is the result
+	Refused                // the client may safely try again
+	Failed                 // nothing is promised; Record.MayHaveRun reports whether a host may have run the message
+	HungUp                 // the client disconnected before it was answered
 )
 
 var verdictNames = [...]string{"open", "served", "refused", "failed", "hung-up"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// ParseVerdict reads a verdict's name.
+// ParseVerdict parses the name of a verdict and reports whether it is known.
 func ParseVerdict(name string) (Verdict, bool) {
 	for i, n := range verdictNames {
 		if n == name {
@@ -59,33 +66,34 @@
 	return Open, false
 }
 
-// Attempt is one sending of a message. Times are Unix microseconds.
+// Attempt is one try to run a message at a host. Times are Unix microseconds.
 type Attempt struct {
 	Host    string `json:"host"`
-	Sent    int64  `json:"sent"` // when it was decided
+	Sent    int64  `json:"sent"` // when the attempt was decided
 	Started bool   `json:"started,omitempty"`
-	Ended   int64  `json:"ended,omitempty"` // 0 = not known to have
+	Ended   int64  `json:"ended,omitempty"` // 0 = not known to have ended
 	Result  Result `json:"result,omitempty"`
 }
 
 // Result is how an attempt ended.
 type Result string
 
-// The results of an attempt; all but Returned, Unreached and Unsent may have run.
+// The results of an attempt. After any result except Returned, Unreached and Unsent the host may have run the
+// message.
 const (
 	Unknown   Result = ""
 	Done      Result = "served"
 	Errored   Result = "failed"
-	Returned  Result = "returned"  // the host never ran it
-	Unreached Result = "unreached" // no connection; it never ran
-	Unsent    Result = "unsent"    // decided and called off before a byte was written
+	Returned  Result = "returned"  // the host returned the message and never ran it
+	Unreached Result = "unreached" // no connection; the host never ran it
+	Unsent    Result = "unsent"    // decided and cancelled before a byte was written
 	Broke     Result = "broken"
 	Late      Result = "timed-out"
 	CalledOff Result = "called-off"
 	NoGood    Result = "unusable"
 )
 
-// ResultOf translates the decision module's word.
+// ResultOf converts a result of the decision module.
 func ResultOf(r logic.Result) Result {
 	switch r {
 	case logic.Served:
@@ -108,28 +116,28 @@
 	return NoGood
 }
 
-// NeverRan tells whether a result promises that the host has not run the message.
+// NeverRan reports whether the result guarantees that the host has not run the message.
 func (r Result) NeverRan() bool { return r == Returned || r == Unreached || r == Unsent }
 
-// Record is all that is kept of a message. It is written whole; a later step replaces an earlier one, and an earlier one
-// never a later, so that a write whose answer was lost may be repeated.
+// Record is everything that is stored about a message. It is always written whole. A later step replaces an
+// earlier one and never the other way round, so a write whose acknowledgement was lost may be repeated.
 type Record struct {
-	ID       uint64    `json:"id"`   // within the instance: its epoch in the upper half, a count below
+	ID       uint64    `json:"id"`   // unique within the instance: epoch in the upper 32 bits, a counter in the lower 32
 	Step     uint32    `json:"step"` // grows with each change
-	Name     string    `json:"name"` // the client's own, X-Txn
+	Name     string    `json:"name"` // chosen by the client, header X-Txn
 	Key      string    `json:"key,omitempty"`
 	Class    string    `json:"class"`
 	Policy   string    `json:"policy"`
-	Taken    int64     `json:"taken"` // Unix microseconds
+	Taken    int64     `json:"taken"` // when the message was accepted; Unix microseconds, like the other times
 	Deadline int64     `json:"deadline"`
 	Attempts []Attempt `json:"attempts,omitempty"`
 	Verdict  Verdict   `json:"-"`
 	Answered int64     `json:"answered,omitempty"`
-	Content  []byte    `json:"content,omitempty"` // of a served message
-	Note     string    `json:"note,omitempty"`    // what an operator should know: settled at start, store too slow
+	Content  []byte    `json:"content,omitempty"` // result of a served message
+	Note     string    `json:"note,omitempty"`    // remark for operators: settled at start, store too slow
 }
 
-// MayHaveRun tells whether any host may have run the message.
+// MayHaveRun reports whether any host may have run the message.
 func (r *Record) MayHaveRun() bool {
 	for _, a := range r.Attempts {
 		if !a.Result.NeverRan() {
@@ -139,10 +147,11 @@
 	return false
 }
 
-// MaxAttempts is the most sendings that a record may hold; the rules allow 3, and one more may have been called off.
+// MaxAttempts is the largest number of attempts in a record. The rules allow 3 attempts, and further ones may have
+// been cancelled before they were sent.
 const MaxAttempts = 16
 
-// Verify checks what holds of every record, and names the first thing that does not.
+// Verify checks the invariants of a record and returns an error that describes the first violation.
 func (r *Record) Verify() error {
 	bad := func(format string, args ...any) error {
 		return fmt.Errorf("record %d (%s): %s", r.ID, r.Name, fmt.Sprintf(format, args...))
@@ -196,14 +205,15 @@
 	return nil
 }
 
-// Settle closes a record that a crash left open, as its class's rules ask: what may have run failed, what never ran was
-// refused. It is never sent again. Settling twice changes nothing.
+// Settle closes a record that a crash left open: as failed if the message may have run, as refused if it never
+// ran. The message is never sent again. now is Unix microseconds. Settle reports whether it changed the record;
+// settling twice changes nothing.
 func (r *Record) Settle(now int64) bool {
 	if r.Verdict != Open {
 		return false
 	}
 	r.Step++
-	r.Answered = max(now, r.Taken) // the clock may have been set back meanwhile
+	r.Answered = max(now, r.Taken) // the clock may have been set back in the meantime
 	if r.MayHaveRun() {
 		r.Verdict, r.Note = Failed, "settled at start: sent and unanswered when the dispatcher ended; it may have run"
 	} else {
--- a/internal/record/sqlite/faults_test.go
+++ b/internal/record/sqlite/faults_test.go
@@ -22,15 +22,15 @@
 // disk stands between SQLite and the system: it fails writes and syncs, and keeps for each file what would be found after a
 // power cut. What was written and not yet synced is there in part at most; what was written before a sync that failed is
 // gone for good, though it can still be read until then, and no later sync brings it back.
-type disk struct {
-	mu     sync.Mutex
-	store  string // path of the one store that has faults
-	files  map[string]*diskFile
-	left   map[string]int // calls of a kind until the next fault
-	faults int            // calls in a row that fail then
-	code   int32          // what they say
-	happen int            // faults so far
-	old    struct {
+type faultyDisk struct {
+	mu        sync.Mutex
+	store     string // path of the one store that has faults
+	files     map[string]*diskFile
+	countdown map[string]int // calls of a kind until the next fault
+	faults    int            // calls in a row that fail then
+	code      int32          // what they say
+	injected  int            // faults so far
+	original  struct {
 		write    func(*libc.TLS, uintptr, uintptr, int32, int64) int32
 		sync     func(*libc.TLS, uintptr, int32) int32
 		truncate func(*libc.TLS, uintptr, int64) int32
@@ -60,22 +60,22 @@
 }
 
 // pointer gives a function as SQLite's tables hold them.
-func pointer[F any](f F) uintptr {
+func funcToPointer[F any](f F) uintptr {
 	return *(*uintptr)(unsafe.Pointer(&struct{ f F }{f}))
 }
 
 // function gives what such a table holds.
-func function[F any](p uintptr) F {
+func pointerToFunc[F any](p uintptr) F {
 	return *(*F)(unsafe.Pointer(&struct{ p uintptr }{p}))
 }
 
 // at gives what stands at an address of SQLite's own memory, which the collector knows nothing of.
-func at[T any](address uintptr) *T {
+func memoryAt[T any](address uintptr) *T {
 	return *(**T)(unsafe.Pointer(&address))
 }
 
 // watch puts a disk under every file that SQLite opens in this process, until the test is over.
-func watch(t *testing.T) *disk {
+func installFaultyDisk(t *testing.T) *faultyDisk {
 	t.Helper()
 	tls := libc.NewTLS()
 	defer tls.Close()
@@ -89,12 +89,12 @@
 	if rc := sqlite3.Xsqlite3_open_v2(tls, name, place, sqlite3.SQLITE_OPEN_READWRITE|sqlite3.SQLITE_OPEN_CREATE, 0); rc != 0 {
 		t.Fatalf("open: %d", rc)
 	}
-	db := *at[uintptr](place)
+	db := *memoryAt[uintptr](place)
 	defer sqlite3.Xsqlite3_close(tls, db)
 	if rc := sqlite3.Xsqlite3_file_control(tls, db, 0, sqlite3.SQLITE_FCNTL_FILE_POINTER, place+8); rc != 0 {
 		t.Fatalf("file pointer: %d", rc)
 	}
-	main := at[sqlite3.Tsqlite3_file](*at[uintptr](place + 8)).FpMethods
+	main := memoryAt[sqlite3.Tsqlite3_file](*memoryAt[uintptr](place + 8)).FpMethods
 	// The log is reached by a table of its own, as a file that nobody locks.
 	statement, err := libc.CString("PRAGMA journal_mode = WAL; CREATE TABLE t (a)")
 	if err != nil {
@@ -107,26 +107,26 @@
 	if rc := sqlite3.Xsqlite3_file_control(tls, db, 0, sqlite3.SQLITE_FCNTL_JOURNAL_POINTER, place+8); rc != 0 {
 		t.Fatalf("journal pointer: %d", rc)
 	}
-	log := at[sqlite3.Tsqlite3_file](*at[uintptr](place + 8)).FpMethods
-	d := &disk{files: map[string]*diskFile{}, left: map[string]int{}}
-	methods := at[sqlite3.Tsqlite3_io_methods](main)
-	d.old.write = function[func(*libc.TLS, uintptr, uintptr, int32, int64) int32](methods.FxWrite)
-	d.old.sync = function[func(*libc.TLS, uintptr, int32) int32](methods.FxSync)
-	d.old.truncate = function[func(*libc.TLS, uintptr, int64) int32](methods.FxTruncate)
+	log := memoryAt[sqlite3.Tsqlite3_file](*memoryAt[uintptr](place + 8)).FpMethods
+	d := &faultyDisk{files: map[string]*diskFile{}, countdown: map[string]int{}}
+	methods := memoryAt[sqlite3.Tsqlite3_io_methods](main)
+	d.original.write = pointerToFunc[func(*libc.TLS, uintptr, uintptr, int32, int64) int32](methods.FxWrite)
+	d.original.sync = pointerToFunc[func(*libc.TLS, uintptr, int32) int32](methods.FxSync)
+	d.original.truncate = pointerToFunc[func(*libc.TLS, uintptr, int64) int32](methods.FxTruncate)
 	write, sync, truncate := d.write, d.sync, d.truncate
 	for _, table := range []uintptr{main, log} {
-		methods := at[sqlite3.Tsqlite3_io_methods](table)
+		methods := memoryAt[sqlite3.Tsqlite3_io_methods](table)
 		was := *methods
-		methods.FxWrite, methods.FxSync, methods.FxTruncate = pointer(write), pointer(sync), pointer(truncate)
+		methods.FxWrite, methods.FxSync, methods.FxTruncate = funcToPointer(write), funcToPointer(sync), funcToPointer(truncate)
 		t.Cleanup(func() { *methods = was })
 	}
 	t.Cleanup(func() { runtime.KeepAlive([]any{write, sync, truncate}) }) // SQLite's tables do not keep them
 	return d
 }
 
-func pathOf(file uintptr) string { return libc.GoString(at[sqlite3.TunixFile](file).FzPath) }
+func pathOf(file uintptr) string { return libc.GoString(memoryAt[sqlite3.TunixFile](file).FzPath) }
 
-func (d *disk) file(file uintptr) *diskFile {
+func (d *faultyDisk) file(file uintptr) *diskFile {
 	path := pathOf(file)
 	f := d.files[path]
 	if f == nil {
@@ -137,36 +137,36 @@
 }
 
 // fails tells whether a call of a kind on a file is to fail.
-func (d *disk) fails(kind string, file uintptr) bool {
-	left, armed := d.left[kind]
+func (d *faultyDisk) shouldFail(kind string, file uintptr) bool {
+	left, armed := d.countdown[kind]
 	if !armed || !strings.HasPrefix(pathOf(file), d.store) {
 		return false
 	}
-	d.left[kind] = left - 1
+	d.countdown[kind] = left - 1
 	if left > 1 {
 		return false
 	}
 	if left <= 1-d.faults {
-		delete(d.left, kind)
+		delete(d.countdown, kind)
 		return false
 	}
-	d.happen++
+	d.injected++
 	return true
 }
 
-func (d *disk) write(tls *libc.TLS, file, data uintptr, size int32, offset int64) int32 {
+func (d *faultyDisk) write(tls *libc.TLS, file, data uintptr, size int32, offset int64) int32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	bytes := append([]byte{}, unsafe.Slice(at[byte](data), size)...)
-	if d.fails("write", file) {
+	bytes := append([]byte{}, unsafe.Slice(memoryAt[byte](data), size)...)
+	if d.shouldFail("write", file) {
 		// A part of it may have got there.
 		half := size / 2
-		d.old.write(tls, file, data, half, offset)
+		d.original.write(tls, file, data, half, offset)
 		f := d.file(file)
 		f.pending = append(f.pending, diskChange{offset, bytes[:half]})
 		return d.code
 	}
-	rc := d.old.write(tls, file, data, size, offset)
+	rc := d.original.write(tls, file, data, size, offset)
 	if rc == 0 {
 		f := d.file(file)
 		f.pending = append(f.pending, diskChange{offset, bytes})
@@ -174,11 +174,11 @@
 	return rc
 }
 
-func (d *disk) sync(tls *libc.TLS, file uintptr, flags int32) int32 {
+func (d *faultyDisk) sync(tls *libc.TLS, file uintptr, flags int32) int32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.file(file)
-	if d.fails("sync", file) {
+	if d.shouldFail("sync", file) {
 		f.pending = nil
 		return d.code
 	}
@@ -186,13 +186,13 @@
 		f.durable = c.apply(f.durable)
 	}
 	f.pending = nil
-	return d.old.sync(tls, file, flags)
+	return d.original.sync(tls, file, flags)
 }
 
-func (d *disk) truncate(tls *libc.TLS, file uintptr, size int64) int32 {
+func (d *faultyDisk) truncate(tls *libc.TLS, file uintptr, size int64) int32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	rc := d.old.truncate(tls, file, size)
+	rc := d.original.truncate(tls, file, size)
 	if rc == 0 {
 		f := d.file(file)
 		f.pending = append(f.pending, diskChange{at: size})
@@ -202,7 +202,7 @@
 
 // cut writes what a power cut at this moment leaves of a store into another folder: of what is not synced some is there, the
 // last of it by half.
-func (d *disk) cut(t *testing.T, path string, r *rand.Rand) string {
+func (d *faultyDisk) powerCut(t *testing.T, path string, r *rand.Rand) string {
 	t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -237,15 +237,15 @@
 	for kind, list := range codes {
 		for _, code := range list {
 			for nth := 1; nth <= 14; nth++ {
-				t.Run(fmt.Sprintf("%s %d at %d", kind, code, nth), func(t *testing.T) { playFaults(t, kind, code, nth) })
+				t.Run(fmt.Sprintf("%s %d at %d", kind, code, nth), func(t *testing.T) { runFaults(t, kind, code, nth) })
 			}
 		}
 	}
 }
 
-func playFaults(t *testing.T, kind string, code int32, nth int) {
+func runFaults(t *testing.T, kind string, code int32, nth int) {
 	r := rand.New(rand.NewPCG(uint64(nth), uint64(code)))
-	d := watch(t)
+	d := installFaultyDisk(t)
 	path := filepath.Join(t.TempDir(), "a.db")
 	s, err := Open(ctx, Options{Path: path, Instance: "n0", Busy: 100 * time.Millisecond})
 	if err != nil {
@@ -274,21 +274,21 @@
 		write()
 	}
 	d.mu.Lock()
-	d.store, d.code, d.faults, d.left[kind] = path, code, 1+nth%3, nth
+	d.store, d.code, d.faults, d.countdown[kind] = path, code, 1+nth%3, nth
 	d.mu.Unlock()
 	for i := range 12 {
 		write()
 		if i%2 == 0 {
-			checkCut(t, d.cut(t, path, r), durable)
+			checkAfterPowerCut(t, d.powerCut(t, path, r), durable)
 		}
 	}
-	if d.happen == 0 {
+	if d.injected == 0 {
 		t.Fatal("nothing failed")
 	}
 }
 
 // checkCut opens what a power cut has left.
-func checkCut(t *testing.T, path string, durable map[uint64]bool) {
+func checkAfterPowerCut(t *testing.T, path string, durable map[uint64]bool) {
 	t.Helper()
 	s, err := Open(ctx, Options{Path: path, Instance: "n0", Busy: 100 * time.Millisecond})
 	if err != nil {
