--- a/internal/record/sqlite/sqlite.go
+++ b/internal/record/sqlite/sqlite.go
@@ -1,4 +1,8 @@
-// Package sqlite keeps the store of record in a SQLite file: write-ahead log, one writer, fenced by an epoch.
+// Package sqlite implements record.Store in a SQLite file, with a write-ahead log, a single writer, and fencing by
+// an epoch.
+//
+// Open locks the file for the lifetime of the Store, migrates its schema, and takes the next epoch of the
+// instance. Options.ReadOnly opens a file without the lock and without an epoch, for operator commands.
 package sqlite
 
 import (
@@ -12,31 +16,31 @@
 	"strings"
 	"time"
 
-	_ "modernc.org/sqlite" // the driver, in Go alone
+	_ "modernc.org/sqlite" // the driver, without cgo
 
 	"granitewing/internal/record"
 )
 
-// Options of a store.
+// Options configure a store.
 type Options struct {
 	Path     string
-	Instance string           // the dispatcher's name
-	Busy     time.Duration    // how long a write waits for another program's lock; 0 = one second
-	Now      func() time.Time // nil = the system's clock
-	ReadOnly bool             // for operators' verbs: no epoch is taken, and nothing can be written
-	Writable bool             // with ReadOnly: records may be settled and pruned by an operator
+	Instance string           // name of the dispatcher
+	Busy     time.Duration    // longest wait of a write for another program's lock; 0 = 1 s
+	Now      func() time.Time // nil = the system clock
+	ReadOnly bool             // for operator commands: takes no lock and no epoch; read only unless Writable is set
+	Writable bool             // with ReadOnly: an operator may settle and prune records
 }
 
-// Store is an open file.
+// Store is an open file. It implements record.Store.
 type Store struct {
-	db    *sql.DB
-	o     Options
-	epoch uint32
-	lock  *os.File
+	db      *sql.DB
+	options Options
+	epoch   uint32
+	lock    *os.File
 }
 
-// migrations make each version of the schema from the one before, in order and each in a transaction of its own. They
-// are never changed once they were in a release; a new one is added behind.
+// migrations contains the statements that lead from each schema version to the next. They are applied in order,
+// each in its own transaction. A released migration is never changed; new ones are appended.
 var migrations = []string{
 	`CREATE TABLE instances (name TEXT PRIMARY KEY, epoch INTEGER NOT NULL, started INTEGER NOT NULL) STRICT;
 	 CREATE TABLE records (instance TEXT NOT NULL, id INTEGER NOT NULL, step INTEGER NOT NULL, name TEXT NOT NULL, key TEXT NOT NULL,
@@ -48,11 +52,11 @@
 	 CREATE INDEX records_name ON records (name)`,
 }
 
-// Version is the schema that this build writes.
+// Version is the schema version that this build writes.
 var Version = len(migrations)
 
-// Open opens or makes a file and takes the next epoch of the instance. What makes it unusable is told in one line: locked
-// by another process, corrupt, read-only, of a newer schema.
+// Open opens or creates a file and takes the next epoch of the instance. If the file is unusable, the error states
+// the reason in one line: locked by another process, corrupt, read-only, or with a newer schema.
 func Open(ctx context.Context, o Options) (*Store, error) {
 	if o.Busy == 0 {
 		o.Busy = time.Second
@@ -65,14 +69,14 @@
 			return nil, fmt.Errorf("store %s: %w", o.Path, err)
 		}
 	}
-	s := &Store{o: o}
+	s := &Store{options: o}
 	if !o.ReadOnly {
-		if err := s.takeLock(); err != nil {
+		if err := s.acquireLock(); err != nil {
 			return nil, err
 		}
 	}
-	// synchronous=FULL has each commit in the write-ahead log synced: NORMAL would lose the last commits at a power cut,
-	// which is just what a record that must be durable may not.
+	// synchronous=FULL syncs the write-ahead log at each commit. NORMAL would lose the last commits in a power
+	// failure, which a record that must be durable does not allow.
 	q := url.Values{"_pragma": {fmt.Sprintf("busy_timeout(%d)", o.Busy.Milliseconds()), "journal_mode(WAL)", "synchronous(FULL)", "foreign_keys(1)",
 		"wal_autocheckpoint(2000)", "journal_size_limit(67108864)"}, "_txlock": {"immediate"}}
 	if o.ReadOnly && !o.Writable {
@@ -80,10 +84,10 @@
 	}
 	db, err := sql.Open("sqlite", "file:"+(&url.URL{Path: o.Path}).EscapedPath()+"?"+q.Encode())
 	if err != nil {
-		return nil, s.fail(err)
+		return nil, s.wrapError(err)
 	}
 	s.db = db
-	// One writer beside readers; more connections would only wait for each other.
+	// SQLite allows one writer beside the readers; more connections would only wait for each other.
 	db.SetMaxOpenConns(4)
 	if err := s.prepare(ctx); err != nil {
 		s.Close()
@@ -92,8 +96,8 @@
 	return s, nil
 }
 
-// fail words an error for operators.
-func (s *Store) fail(err error) error {
+// wrapError adds the path of the store and, for known errors, a description for operators.
+func (s *Store) wrapError(err error) error {
 	text := err.Error()
 	why := ""
 	switch {
@@ -109,48 +113,48 @@
 		why = "has no room left on its disk"
 	}
 	if why == "" {
-		return fmt.Errorf("store %s: %w", s.o.Path, err)
+		return fmt.Errorf("store %s: %w", s.options.Path, err)
 	}
-	return fmt.Errorf("store %s %s: %w", s.o.Path, why, err)
+	return fmt.Errorf("store %s %s: %w", s.options.Path, why, err)
 }
 
 func (s *Store) prepare(ctx context.Context) error {
 	var version int
 	if err := s.db.QueryRowContext(ctx, "PRAGMA user_version").Scan(&version); err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
 	if version > Version {
-		return fmt.Errorf("store %s has schema %d, this build knows %d: it is from a newer granitewing, start that one", s.o.Path, version, Version)
+		return fmt.Errorf("store %s has schema %d, this build knows %d: it is from a newer granitewing, start that one", s.options.Path, version, Version)
 	}
-	if s.o.ReadOnly {
+	if s.options.ReadOnly {
 		if version < Version {
-			return fmt.Errorf("store %s has schema %d, this build reads %d: start the dispatcher once, which brings it up", s.o.Path, version, Version)
+			return fmt.Errorf("store %s has schema %d, this build reads %d: start the dispatcher once, which brings it up", s.options.Path, version, Version)
 		}
 		return nil
 	}
 	var check string
 	if err := s.db.QueryRowContext(ctx, "PRAGMA quick_check(1)").Scan(&check); err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
 	if check != "ok" {
-		return fmt.Errorf("store %s is corrupt (%s); restore a backup, or move it away to begin a new one", s.o.Path, check)
+		return fmt.Errorf("store %s is corrupt (%s); restore a backup, or move it away to begin a new one", s.options.Path, check)
 	}
 	for v := version; v < Version; v++ {
 		if err := s.migrate(ctx, v); err != nil {
-			return s.fail(fmt.Errorf("schema %d: %w", v+1, err))
+			return s.wrapError(fmt.Errorf("schema %d: %w", v+1, err))
 		}
 	}
-	now := s.o.Now()
+	now := s.options.Now()
 	err := s.db.QueryRowContext(ctx, `INSERT INTO instances VALUES (?, ?, ?) ON CONFLICT (name) DO UPDATE SET
 		epoch = CASE WHEN epoch >= excluded.epoch THEN epoch + 1 ELSE excluded.epoch END, started = excluded.started
-		RETURNING epoch`, s.o.Instance, record.EpochAt(now), now.UnixMicro()).Scan(&s.epoch)
+		RETURNING epoch`, s.options.Instance, record.EpochAt(now), now.UnixMicro()).Scan(&s.epoch)
 	if err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
 	return nil
 }
 
-// migrate brings the schema from version v to v+1, whole or not at all.
+// migrate brings the schema from version v to v+1 in one transaction.
 func (s *Store) migrate(ctx context.Context, v int) error {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
@@ -175,7 +179,7 @@
 	if s.db != nil {
 		err = s.db.Close()
 	}
-	s.unlock()
+	s.releaseLock()
 	return err
 }
 
@@ -187,13 +191,13 @@
 func (s *Store) Write(ctx context.Context, batch []record.Record) error {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
 	defer tx.Rollback()
-	if !s.o.ReadOnly {
+	if !s.options.ReadOnly {
 		var epoch uint32
-		if err := tx.QueryRowContext(ctx, "SELECT epoch FROM instances WHERE name = ?", s.o.Instance).Scan(&epoch); err != nil {
-			return s.fail(err)
+		if err := tx.QueryRowContext(ctx, "SELECT epoch FROM instances WHERE name = ?", s.options.Instance).Scan(&epoch); err != nil {
+			return s.wrapError(err)
 		}
 		if epoch != s.epoch {
 			return record.ErrFenced
@@ -201,7 +205,7 @@
 	}
 	stmt, err := tx.PrepareContext(ctx, upsert)
 	if err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
 	defer stmt.Close()
 	for i := range batch {
@@ -210,13 +214,13 @@
 		if err != nil {
 			return err
 		}
-		if _, err := stmt.ExecContext(ctx, s.o.Instance, int64(r.ID), r.Step, r.Name, r.Key, r.Class, r.Policy, r.Taken, r.Deadline,
+		if _, err := stmt.ExecContext(ctx, s.options.Instance, int64(r.ID), r.Step, r.Name, r.Key, r.Class, r.Policy, r.Taken, r.Deadline,
 			string(attempts), r.Verdict.String(), r.Answered, r.Content, r.Note); err != nil {
-			return s.fail(err)
+			return s.wrapError(err)
 		}
 	}
 	if err := tx.Commit(); err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
 	return nil
 }
@@ -242,10 +246,10 @@
 	return instance, r, nil
 }
 
-func (s *Store) each(ctx context.Context, f func(string, record.Record) error, query string, args ...any) error {
+func (s *Store) queryRecords(ctx context.Context, f func(string, record.Record) error, query string, args ...any) error {
 	rows, err := s.db.QueryContext(ctx, query, args...)
 	if err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
 	defer rows.Close()
 	for rows.Next() {
@@ -263,10 +267,10 @@
 // OpenRecords implements record.Store.
 func (s *Store) OpenRecords(ctx context.Context, limit int) ([]record.Record, error) {
 	var out []record.Record
-	err := s.each(ctx, func(_ string, r record.Record) error {
+	err := s.queryRecords(ctx, func(_ string, r record.Record) error {
 		out = append(out, r)
 		return nil
-	}, "SELECT "+columns+" FROM records WHERE instance = ? AND verdict = 'open' AND id < ? ORDER BY id LIMIT ?", s.o.Instance, int64(s.epoch)<<32, limit)
+	}, "SELECT "+columns+" FROM records WHERE instance = ? AND verdict = 'open' AND id < ? ORDER BY id LIMIT ?", s.options.Instance, int64(s.epoch)<<32, limit)
 	return out, err
 }
 
@@ -274,7 +278,7 @@
 func (s *Store) Keyed(ctx context.Context, since int64, f func(class, key string, content []byte, answered int64)) error {
 	rows, err := s.db.QueryContext(ctx, "SELECT class, key, content, answered FROM records WHERE verdict = 'served' AND key <> '' AND answered >= ? ORDER BY answered", since)
 	if err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
 	defer rows.Close()
 	for rows.Next() {
@@ -316,18 +320,18 @@
 		query += " LIMIT ?"
 		args = append(args, q.Limit)
 	}
-	return s.each(ctx, f, query, args...)
+	return s.queryRecords(ctx, f, query, args...)
 }
 
-// Prune implements record.Store.
+// Prune implements record.Store. It deletes records of all instances.
 func (s *Store) Prune(ctx context.Context, before int64, limit int) (int, error) {
-	if s.o.ReadOnly && !s.o.Writable {
+	if s.options.ReadOnly && !s.options.Writable {
 		return 0, errors.New("the store was opened to be read alone")
 	}
 	res, err := s.db.ExecContext(ctx, `DELETE FROM records WHERE (instance, id) IN
 		(SELECT instance, id FROM records WHERE verdict <> 'open' AND answered < ? ORDER BY answered LIMIT ?)`, before, limit)
 	if err != nil {
-		return 0, s.fail(err)
+		return 0, s.wrapError(err)
 	}
 	n, err := res.RowsAffected()
 	return int(n), err
@@ -339,7 +343,7 @@
 	return n, err
 }
 
-// Checkpoint brings the write-ahead log into the file, so that the file alone is whole.
+// Checkpoint copies the write-ahead log into the database file, so that the file is complete without the log.
 func (s *Store) Checkpoint(ctx context.Context) error {
 	_, err := s.db.ExecContext(ctx, "PRAGMA wal_checkpoint(TRUNCATE)")
 	return err
--- a/internal/record/sqlite/sqlite_test.go
+++ b/internal/record/sqlite/sqlite_test.go
@@ -43,7 +43,7 @@
 	if _, err := Open(ctx, Options{Path: path, Instance: "n1"}); err == nil || !strings.Contains(err.Error(), "in use by another dispatcher") {
 		t.Errorf("a second dispatcher on the file: %v", err)
 	}
-	s.unlock()
+	s.releaseLock()
 	newer := open(t, path, "n0")
 	if err := s.Write(ctx, []record.Record{storetest.Record(s, 1, 1, record.Open)}); !errors.Is(err, record.ErrFenced) {
 		t.Errorf("the older start wrote: %v", err)
@@ -107,7 +107,7 @@
 }
 
 // What can't be used is refused with a plain line.
-func TestRefused(t *testing.T) {
+func TestOpenErrors(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -118,7 +118,7 @@
 	}
 	newer := filepath.Join(dir, "newer.db")
 	open(t, newer, "n0").Close()
-	tamper(t, newer, "PRAGMA user_version = 99")
+	execStatement(t, newer, "PRAGMA user_version = 99")
 	cut := filepath.Join(dir, "cut.db")
 	s := open(t, cut, "n0")
 	var many []record.Record
@@ -162,7 +162,7 @@
 	}
 }
 
-func tamper(t *testing.T, path, statement string) {
+func execStatement(t *testing.T, path, statement string) {
 	t.Helper()
 	db, err := sql.Open("sqlite", "file:"+path)
 	if err != nil {
@@ -179,7 +179,7 @@
 func TestMigrations(t *testing.T) {
 	for v := range Version {
 		path := filepath.Join(t.TempDir(), "a.db")
-		s := &Store{o: Options{Path: path}}
+		s := &Store{options: Options{Path: path}}
 		db, err := sql.Open("sqlite", "file:"+path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -6,57 +6,64 @@
 	"time"
 )
 
-// Store keeps records. Implementations are safe for one writer and any readers. An error of Write leaves open whether
-// the records were written; writing them again is harmless.
+// Store holds records. Implementations are safe for one writer and any number of readers. After an error of Write
+// it is unknown whether the records were written; writing them again is harmless.
 type Store interface {
-	// Write writes records durably, all or none. A record replaces one of the same id whose step is lower.
+	// Write writes records durably, all or none. A record replaces a stored one with the same id and a lower step. It
+	// returns ErrFenced if a newer start of the instance has taken over.
 	Write(ctx context.Context, batch []Record) error
-	// Epoch is this start's number of the instance; records of earlier starts have lower ones in their ids.
+	// Epoch returns the number of this start of the instance. Records of earlier starts have a lower epoch in their
+	// ids.
 	Epoch() uint32
-	// OpenRecords gives up to limit records of earlier starts that were never answered, the oldest first.
+	// OpenRecords returns up to limit records of earlier starts that were never answered, the oldest first.
 	OpenRecords(ctx context.Context, limit int) ([]Record, error)
-	// Keyed calls f with the key, class, result and time of each keyed message that was served after a time.
+	// Keyed calls f with the class, key, result and answer time of each keyed message that was served at or after
+	// since (Unix microseconds).
 	Keyed(ctx context.Context, since int64, f func(class, key string, content []byte, answered int64)) error
-	// Query calls f with the records that fit, in the order of their ids.
+	// Query calls f with the records that match q, in the order of instance and id. It stops at the first error of f
+	// and returns it.
 	Query(ctx context.Context, q Query, f func(instance string, r Record) error) error
-	// Prune deletes answered records that were answered before a time, at most limit, and tells how many.
+	// Prune deletes at most limit records that were answered before the given time (Unix microseconds) and returns
+	// how many it deleted.
 	Prune(ctx context.Context, before int64, limit int) (int, error)
-	// Size is the number of records.
+	// Size returns the number of records.
 	Size(ctx context.Context) (int64, error)
 	Close() error
 }
 
-// Query chooses records; what is empty chooses all.
+// Query selects records; an empty field matches all records.
 type Query struct {
 	Instance string
 	Class    string
-	Verdict  string // a verdict's name
+	Verdict  string // name of a verdict
 	Name     string
-	Since    int64 // taken at or after
-	Until    int64 // taken before
+	Since    int64 // accepted at or after, Unix microseconds
+	Until    int64 // accepted before, Unix microseconds
 	Limit    int
 }
 
-// ErrFenced says that a newer start of the same instance has taken over; nothing was written.
+// ErrFenced is returned when a newer start of the same instance has taken over the store; nothing was written.
 var ErrFenced = errors.New("a newer dispatcher of this name has taken over the store")
 
-// EpochAt is the least epoch of a start at a time: seconds since 2026. Epochs that only counted could be given twice after
-// a store was restored from a backup, once to a dispatcher that still runs.
+// EpochAt returns the lowest epoch for a start at the given time: the seconds since 2026-01-01 UTC. An epoch that
+// only counted starts could be assigned twice after a store was restored from a backup, once to a dispatcher that
+// still runs.
 func EpochAt(t time.Time) int64 { return max(t.Unix()-1_767_225_600, 1) }
 
-// settleBatch is how many records a recovery settles in one write.
+// settleBatch is the number of records that a recovery settles in one write.
 const settleBatch = 5000
 
-// Recovered tells what a recovery did.
+// Recovered describes what a recovery did.
 type Recovered struct {
 	Failed  int // settled as failed: they may have run
 	Refused int // settled as refused: they never ran
-	Keys    int // results remembered for repeats
+	Keys    int // keyed results remembered to answer repeats
 	Took    time.Duration
 }
 
-// Recover settles what earlier starts left open and remembers keyed results. A crash within it is harmless: what was
-// settled stays so, and the rest is settled at the next start. now is Unix microseconds.
+// Recover settles the records that earlier starts left open, and passes keyed results to the journal. A crash
+// during a recovery is harmless: settled records stay settled, and the next start settles the rest. now is Unix
+// microseconds.
 func Recover(ctx context.Context, s Store, j *Journal, classes []Class, now int64) (Recovered, error) {
 	begun := time.Now()
 	var rec Recovered
--- a/internal/record/storetest/storetest.go
+++ b/internal/record/storetest/storetest.go
@@ -1,4 +1,5 @@
-// Package storetest holds what every store of record must do; each back end's tests run it.
+// Package storetest is the conformance test suite for implementations of record.Store. The tests of each
+// implementation call Run; Record and All help to write further tests.
 package storetest
 
 import (
@@ -14,7 +15,7 @@
 
 var ctx = context.Background()
 
-// Record makes the n-th record of a store's present start.
+// Record returns the n-th record of a store's current start, with the given step and verdict.
 func Record(s record.Store, n uint64, step uint32, v record.Verdict) record.Record {
 	r := record.Record{ID: uint64(s.Epoch())<<32 | n, Step: step, Name: fmt.Sprintf("t%d", n), Class: "alert", Policy: "before", Taken: int64(n), Deadline: 99,
 		Attempts: []record.Attempt{{Host: "h", Sent: 5}}, Verdict: v}
@@ -27,7 +28,7 @@
 	return r
 }
 
-// All reads the records that fit.
+// All returns the records that match q.
 func All(t *testing.T, s record.Store, q record.Query) []record.Record {
 	t.Helper()
 	var out []record.Record
@@ -37,7 +38,8 @@
 	return out
 }
 
-// Run runs all of it. open opens the one store under test for an instance, as a new start of it.
+// Run runs the test suite. For each test it calls begin, which creates an empty store and returns a function that
+// opens it for an instance, as a new start of that instance.
 func Run(t *testing.T, begin func(t *testing.T) (open func(instance string) record.Store)) {
 	t.Run("write", func(t *testing.T) { testWrite(t, begin(t)) })
 	t.Run("recover", func(t *testing.T) { testRecover(t, begin(t)) })
@@ -45,7 +47,7 @@
 	t.Run("cancelled", func(t *testing.T) { testCancelled(t, begin(t)) })
 }
 
-// Records come back as they were written; a write again, or of an earlier step, changes nothing.
+// Records are read back as they were written. Writing a record again, or an earlier step of it, changes nothing.
 func testWrite(t *testing.T, open func(string) record.Store) {
 	s := open("n0")
 	defer s.Close()
@@ -79,7 +81,8 @@
 	}
 }
 
-// A start settles what the one before left, once, and remembers keyed results; its ids lie above all earlier ones.
+// A start settles the records that the previous start left open, exactly once, and remembers keyed results. Its
+// epoch is higher than all earlier ones.
 func testRecover(t *testing.T, open func(string) record.Store) {
 	s := open("n0")
 	last := s.Epoch()
@@ -114,7 +117,7 @@
 	}
 }
 
-// A recovery goes over more records than one of its writes holds, and a crash within it costs nothing.
+// A recovery settles more records than fit in one of its writes, and a crash during a recovery loses nothing.
 func testMany(t *testing.T, open func(string) record.Store) {
 	s := open("n0")
 	var batch []record.Record
@@ -126,7 +129,7 @@
 	}
 	s.Close()
 	s = open("n0")
-	// What a start had settled when it was killed.
+	// The records that a start had settled when it was killed.
 	part, err := s.OpenRecords(ctx, 100)
 	if err != nil || len(part) != 100 {
 		t.Fatalf("%d open, %v", len(part), err)
@@ -149,7 +152,7 @@
 	}
 }
 
-// A write whose time is over fails, and the store goes on.
+// A write with a cancelled context fails, and the store remains usable.
 func testCancelled(t *testing.T, open func(string) record.Store) {
 	s := open("n0")
 	defer s.Close()
