--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -39,9 +39,9 @@
 
 // String summarizes the result in one line.
 func (r *Result) String() string {
-	s := fmt.Sprintf("%d orders run, %d left as alike, all of them: %t", r.Schedules, r.Pruned, r.Whole)
+	s := fmt.Sprintf("%d interleavings run, %d pruned as equivalent, complete: %t", r.Schedules, r.Pruned, r.Whole)
 	if r.Err != nil {
-		s += fmt.Sprintf("; %v after %s", r.Err, strings.Trim(fmt.Sprint(r.Schedule), "[]"))
+		s += fmt.Sprintf("; %v with schedule %s", r.Err, strings.Trim(fmt.Sprint(r.Schedule), "[]"))
 	}
 	return s
 }
@@ -51,7 +51,7 @@
 type Make func() (threads []func(), after func() error)
 
 // errPruned ends an interleaving that is equivalent to one that was run.
-var errPruned = errors.New("like one that was run")
+var errPruned = errors.New("equivalent to an interleaving that was run")
 
 // thread is one goroutine.
 type thread struct {
@@ -237,44 +237,44 @@
 
 // runThreads resumes one goroutine after the other until all have ended.
 func (s *search) runThreads(schedule []int) error {
-	sleep, before, spent := map[int]bool{}, -1, 0
+	sleepSet, previous, preemptions := map[int]bool{}, -1, 0
 	for {
-		var able []int
-		over := true
+		var enabled []int
+		allDone := true
 		for i, t := range s.threads {
 			if t.done {
 				continue
 			}
-			over = false
+			allDone = false
 			if t.ready == nil || t.ready() {
-				able = append(able, i)
+				enabled = append(enabled, i)
 			}
 		}
 		switch {
-		case s.failure != nil || over:
+		case s.failure != nil || allDone:
 			return s.failure
-		case len(able) == 0:
-			return errors.New("each waits for another")
+		case len(enabled) == 0:
+			return errors.New("deadlock: no goroutine can continue")
 		case s.steps >= s.bounds.Steps:
-			return fmt.Errorf("no end after %d steps", s.steps)
+			return fmt.Errorf("not finished after %d steps", s.steps)
 		}
 		s.steps++
-		n, err := s.pickThread(able, sleep, before, spent, schedule)
+		n, err := s.pickThread(enabled, sleepSet, previous, preemptions, schedule)
 		if err != nil {
 			return err
 		}
 		who := n.enabled[n.picked]
 		if preempts(n, who) {
-			spent++
+			preemptions++
 		}
 		t := s.threads[who]
-		next := map[int]bool{}
+		nextSleepSet := map[int]bool{}
 		for i := range n.sleepSet {
 			if i != who && independent(s.threads[i].nextObjects, t.nextObjects) {
-				next[i] = true
+				nextSleepSet[i] = true
 			}
 		}
-		sleep, before, s.current = next, who, who
+		sleepSet, previous, s.current = nextSleepSet, who, who
 		t.resume <- true
 		<-s.yielded
 	}
@@ -286,25 +286,25 @@
 }
 
 // pickThread picks the goroutine that runs next.
-func (s *search) pickThread(able []int, sleep map[int]bool, before, spent int, schedule []int) (*decision, error) {
-	n := &decision{enabled: able, sleepSet: sleep, previous: before, preemptions: spent}
+func (s *search) pickThread(enabled []int, sleepSet map[int]bool, previous, preemptions int, schedule []int) (*decision, error) {
+	n := &decision{enabled: enabled, sleepSet: sleepSet, previous: previous, preemptions: preemptions}
 	if s.depth < len(s.path) {
 		n = s.path[s.depth]
 		s.depth++
 		return n, nil
 	}
 	n.picked = -1
-	for i, who := range able {
+	for i, who := range enabled {
 		switch {
 		case s.depth < len(schedule) && schedule[s.depth] == who, s.depth >= len(schedule) && schedule != nil && n.picked < 0:
 			n.picked = i
-		case schedule == nil && !sleep[who] && s.withinBound(n, who) && (n.picked < 0 || who == before):
-			n.picked = i // the goroutine that ran before continues if it can, so that interleavings with few preemptions come first
+		case schedule == nil && !sleepSet[who] && s.withinBound(n, who) && (n.picked < 0 || who == previous):
+			n.picked = i // prefer the goroutine that ran before: few preemptions come first
 		}
 	}
 	if n.picked < 0 {
 		if schedule != nil {
-			return nil, fmt.Errorf("the schedule does not fit at its place %d", s.depth)
+			return nil, fmt.Errorf("the schedule does not match at position %d", s.depth)
 		}
 		return nil, errPruned
 	}
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -10,7 +10,7 @@
 	"granitewing/internal/seam"
 )
 
-// lost is a counter that two goroutines read and write, with a lock between or without.
+// counter is a counter that two goroutines increment, with or without a lock.
 func counter(locked bool) Make {
 	return func() ([]func(), func() error) {
 		var mu seam.Mutex
@@ -27,14 +27,14 @@
 		}
 		return []func(){add, add}, func() error {
 			if n != 2 {
-				return errors.New("one is lost")
+				return errors.New("an update is lost")
 			}
 			return nil
 		}
 	}
 }
 
-// crossed is two locks taken in two orders.
+// lockOrderInversion is two goroutines that take two locks in opposite orders.
 func lockOrderInversion() ([]func(), func() error) {
 	var a, b seam.Mutex
 	take := func(x, y *seam.Mutex) func() {
@@ -48,14 +48,15 @@
 	return []func(){take(&a, &b), take(&b, &a)}, nil
 }
 
-// What is wrong in some order is found, and the order found shows it again; what is right in all is run in all.
+// A failure that occurs in some interleaving is found, and its schedule reproduces it. Correct code is run in all
+// interleavings.
 func TestFinds(t *testing.T) {
 	for name, c := range map[string]struct {
 		make Make
 		want string
 	}{
-		"a lost update":       {counter(false), "one is lost"},
-		"locks in two orders": {lockOrderInversion, "each waits for another"},
+		"a lost update":       {counter(false), "an update is lost"},
+		"locks in two orders": {lockOrderInversion, "deadlock: no goroutine can continue"},
 		"with a lock":         {counter(true), ""},
 	} {
 		r := Run(Default, c.make)
@@ -69,14 +70,14 @@
 			t.Errorf("%s: %v, want %s", name, r, c.want)
 		default:
 			if err := Replay(r.Schedule, c.make); err == nil || err.Error() != r.Err.Error() {
-				t.Errorf("%s again: %v", name, err)
+				t.Errorf("%s, replayed: %v", name, err)
 			}
 		}
 	}
 }
 
-// Orders that are alike are run once: of three goroutines that touch things of their own three times, one; of three that
-// touch one thing once each, all six.
+// Equivalent interleavings are run once. Three goroutines that each access an object of their own three times have
+// one interleaving; three that access a shared object once each have six.
 func TestAlike(t *testing.T) {
 	of := func(one bool) Make {
 		return func() ([]func(), func() error) {
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -267,33 +267,33 @@
 func (l *Log) Check() *Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one := Rule{Name: "one final answer each"}
-	safe := Rule{Name: "no unsafe repeat, one attempt at a time"}
-	drain := Rule{Name: "nothing new to a host that leaves"}
-	cold := Rule{Name: "no cold host overrun", Broken: len(l.overrunHosts)}
+	answers := Rule{Name: "one final answer each"}
+	repeats := Rule{Name: "no unsafe repeat, one attempt at a time"}
+	drains := Rule{Name: "nothing new to a host that leaves"}
+	overruns := Rule{Name: "no cold host overrun", Broken: len(l.overrunHosts)}
 	rep := &Report{}
 	for _, name := range slices.Sorted(mapKeys(l.tries)) {
 		t := l.tries[name]
 		rep.Tries++
 		rep.Attempts += len(t.attempts)
 		rep.Repeats += max(len(t.attempts)-1, 0)
-		one.Checked++
-		l.checkAnswer(name, t, &one, rep)
-		safe.Checked++
-		l.checkAttempts(name, t, &safe)
+		answers.Checked++
+		l.checkAnswer(name, t, &answers, rep)
+		repeats.Checked++
+		l.checkAttempts(name, t, &repeats)
 		for _, a := range t.attempts {
-			drain.Checked++
+			drains.Checked++
 			if since, leaves := l.leavingSince(a); leaves && a.firstByte > since+drainGrace+socketSlack {
-				drain.breach("%s reached %s %d ms after its leaving was told", name, a.host, (a.firstByte-since)/1000)
+				drains.breach("%s reached %s %d ms after its leaving was told", name, a.host, (a.firstByte-since)/1000)
 			}
 		}
 	}
 	for _, s := range l.reusedNames {
-		one.breach("%s", s)
+		answers.breach("%s", s)
 	}
-	cold.Checked = len(l.listed)
-	cold.Shown = l.overrunHosts[:min(len(l.overrunHosts), maxShown)]
-	rep.Rules = []Rule{one, safe, drain, cold}
+	overruns.Checked = len(l.listed)
+	overruns.Shown = l.overrunHosts[:min(len(l.overrunHosts), maxShown)]
+	rep.Rules = []Rule{answers, repeats, drains, overruns}
 	return rep
 }
 
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -9,7 +9,8 @@
 
 var classes = []Class{{"reading", "safe", 0}, {"batch", "keyed", 40_000_000}, {"alert", "unsafe", 0}}
 
-// Each script is what hosts and clients saw; the audit names the rule that it breaks, or none.
+// Each case is a sequence of observations of hosts and clients; the audit reports the rule that it violates, or
+// none.
 func TestRules(t *testing.T) {
 	const s = 1_000_000
 	served := func(l *Log, class int) {
@@ -20,19 +21,19 @@
 	}
 	for name, c := range map[string]struct {
 		do   func(l *Log)
-		want string // of the breach, empty for none
+		want string // part of the breach, empty for none
 	}{
-		"all is well":             {func(l *Log) { served(l, 2) }, ""},
-		"answered twice":          {func(l *Log) { served(l, 0); l.Ended(2*s, "t", client.Served, "r") }, "more than one answer"},
-		"bytes behind the answer": {func(l *Log) { served(l, 0); l.Extra("t") }, "more than one answer"},
-		"never answered":          {func(l *Log) { l.Sent(0, "t", 0, 0) }, "no answer before the run ended"},
-		"silence":                 {func(l *Log) { l.Sent(0, "t", 0, 0); l.Ended(s, "t", client.Silent, "") }, "no whole answer"},
-		"broken under a kill": {func(l *Log) {
+		"no breach":              {func(l *Log) { served(l, 2) }, ""},
+		"answered twice":         {func(l *Log) { served(l, 0); l.Ended(2*s, "t", client.Served, "r") }, "more than one answer"},
+		"bytes after the answer": {func(l *Log) { served(l, 0); l.Extra("t") }, "more than one answer"},
+		"never answered":         {func(l *Log) { l.Sent(0, "t", 0, 0) }, "no answer before the run ended"},
+		"no answer":              {func(l *Log) { l.Sent(0, "t", 0, 0); l.Ended(s, "t", client.Silent, "") }, "no whole answer"},
+		"broken during a kill": {func(l *Log) {
 			l.Sent(0, "t", 0, 0)
 			l.Ended(s, "t", client.Broken, "")
 			l.Killed(0, s-100, 5*s)
 		}, ""},
-		"broken under another's kill": {func(l *Log) {
+		"broken during the kill of another dispatcher": {func(l *Log) {
 			l.Sent(0, "t", 0, 0)
 			l.Ended(s, "t", client.Broken, "")
 			l.Killed(1, s-100, 5*s)
@@ -42,14 +43,14 @@
 			l.Finish(s, "t", l.Came(10, 20, "t", "a", 1, 0), Failed, "")
 			l.Ended(s, "t", client.Served, "r")
 		}, "which no host made"},
-		"a stranger":     {func(l *Log) { l.Came(10, 20, "x", "a", 1, 0) }, "no client sent it"},
-		"one name twice": {func(l *Log) { served(l, 0); l.Sent(5, "t", 0, 0) }, "used the name t twice"},
+		"an attempt of an unknown try": {func(l *Log) { l.Came(10, 20, "x", "a", 1, 0) }, "no client sent it"},
+		"one name twice":               {func(l *Log) { served(l, 0); l.Sent(5, "t", 0, 0) }, "used the name t twice"},
 		"unsafe and refused after it ran": {func(l *Log) {
 			l.Sent(0, "t", 2, 0)
 			l.Finish(s, "t", l.Came(10, 20, "t", "a", 1, 0), Failed, "")
 			l.Ended(s, "t", client.Refused, "")
 		}, "refused as if it had not run"},
-		"unsafe and handed back, then served elsewhere": {func(l *Log) {
+		"unsafe and returned, then served elsewhere": {func(l *Log) {
 			l.Sent(0, "t", 2, 0)
 			l.Finish(s, "t", l.Came(10, 20, "t", "a", 1, 0), Unstarted, "")
 			l.Finish(3*s, "t", l.Came(2*s, 2*s, "t", "b", 1, 0), Done, "r")
@@ -61,21 +62,21 @@
 			l.Finish(3*s, "t", l.Came(2*s, 2*s, "t", "b", 1, 0), Done, "r")
 			l.Ended(3*s, "t", client.Served, "r")
 		}, "sent to b though it may have run at a"},
-		"over when its host came to read it, after the next": {func(l *Log) {
+		"ended before its host read it, observed after the next attempt": {func(l *Log) {
 			l.Sent(0, "t", 0, 0)
 			a := l.Came(s, s, "t", "a", 1, 0)
 			l.Finish(s+10_009, "t", l.Came(s+10_000, s+10_000, "t", "b", 1, 0), Closed, "")
 			l.Finish(3*s, "t", a, Done, "r")
 			l.Ended(3*s, "t", client.Served, "r")
 		}, ""},
-		"two at once": {func(l *Log) {
+		"two attempts at a time": {func(l *Log) {
 			l.Sent(0, "t", 0, 0)
 			a := l.Came(10, 20, "t", "a", 1, 0)
 			l.Finish(3*s, "t", l.Came(s, s, "t", "b", 1, 0), Done, "r")
 			l.Finish(4*s, "t", a, Closed, "")
 			l.Ended(3*s, "t", client.Served, "r")
 		}, "while one was out at a"},
-		"a close that was seen late": {func(l *Log) {
+		"a close that was observed late": {func(l *Log) {
 			l.Sent(0, "t", 0, 0)
 			l.Finish(s+40_000, "t", l.Came(10, 20, "t", "a", 1, 0), Closed, "")
 			l.Finish(3*s, "t", l.Came(s, s, "t", "b", 1, 0), Done, "r")
@@ -108,7 +109,7 @@
 		}, "outside its rack or window"},
 		"to a host that drains": {func(l *Log) {
 			l.Told(0, 0, "a", false)
-			l.Told(790_000, 0, "a", false) // told again, which starts nothing anew
+			l.Told(790_000, 0, "a", false) // sent again, which does not restart the period
 			l.Sent(0, "t", 0, 0)
 			l.Finish(s, "t", l.Came(801_000, 802_000, "t", "a", 1, 0), Unstarted, "")
 			l.Ended(s, "t", client.Refused, "")
@@ -120,7 +121,7 @@
 			l.Ended(s, "t", client.Refused, "")
 		}, ""},
 		"to a host that drains, told to another dispatcher": {func(l *Log) { l.Told(0, 1, "a", false); served(l, 0) }, ""},
-		"to a host that is back": {func(l *Log) {
+		"to a host that is available again": {func(l *Log) {
 			l.Told(0, 0, "a", false)
 			l.Told(s, 0, "a", true)
 			l.Sent(0, "t", 0, 0)
@@ -134,7 +135,7 @@
 			l.Finish(9*s, "t", l.Came(8*s, 8*s, "t", "a", 1, 0), Unstarted, "")
 			l.Ended(9*s, "t", client.Refused, "")
 		}, "1000 ms after its leaving was told"},
-		"a cold host": {func(l *Log) { served(l, 0); l.Fell(s, "a") }, "a at 1.000 s"},
+		"a cold host overrun": {func(l *Log) { served(l, 0); l.Fell(s, "a") }, "a at 1.000 s"},
 	} {
 		l := New(classes)
 		c.do(l)
--- a/internal/lab/audit/checks.go
+++ b/internal/lab/audit/checks.go
@@ -62,11 +62,11 @@
 	if !t.sentByClient {
 		return
 	}
-	most := maxAttempts
+	allowed := maxAttempts
 	for _, a := range t.attempts {
-		most = max(most, a.parts)
+		allowed = max(allowed, a.parts)
 	}
-	if len(t.attempts) > most {
+	if len(t.attempts) > allowed {
 		rule.breach("%s had %d attempts", name, len(t.attempts))
 	}
 	c := l.classes[t.class]
@@ -81,8 +81,8 @@
 			}
 			// An attempt may have ended before its host read it. The host then observes it late, after the next attempt has
 			// already reached another host. Only the real overlap of the two counts.
-			if beside := min(b.endTime(), a.endTime()) - a.arrived; beside > socketSlack {
-				rule.breach("%s: an attempt at %s while one was out at %s, for %d ms", name, a.host, b.host, beside/1000)
+			if overlap := min(b.endTime(), a.endTime()) - a.arrived; overlap > socketSlack {
+				rule.breach("%s: an attempt at %s while one was out at %s, for %d ms", name, a.host, b.host, overlap/1000)
 			}
 			if !mayHaveRun(b) {
 				continue
@@ -111,14 +111,14 @@
 		}
 		return found, ok
 	}
-	told, was := latest(l.reported[phaseKey{a.dispatcher, a.host}], 0)
-	due, had := latest(l.listed[a.host], maxDiscoveryDelay)
+	lastReport, reportedOnce := latest(l.reported[phaseKey{a.dispatcher, a.host}], 0)
+	lastListed, listedOnce := latest(l.listed[a.host], maxDiscoveryDelay)
 	switch {
-	case was && !told.ready:
+	case reportedOnce && !lastReport.ready:
 		// A repeated notification of the same state does not restart the period.
-		since := told.at
+		since := lastReport.at
 		for _, p := range slices.Backward(l.reported[phaseKey{a.dispatcher, a.host}]) {
-			if p.at > told.at {
+			if p.at > lastReport.at {
 				continue
 			}
 			if p.ready {
@@ -127,8 +127,8 @@
 			since = p.at
 		}
 		return since, true
-	case had && !due.ready && (!was || told.at < due.at-maxDiscoveryDelay):
-		return due.at, true
+	case listedOnce && !lastListed.ready && (!reportedOnce || lastReport.at < lastListed.at-maxDiscoveryDelay):
+		return lastListed.at, true
 	}
 	return 0, false
 }
--- a/internal/lab/audit/crowd.go
+++ b/internal/lab/audit/crowd.go
@@ -15,12 +15,12 @@
 // Beyond returns the largest excess of starts over a rate: the maximum over all intervals of the number of starts
 // in the interval, less what the rate (jobs per second) allows in it.
 func (c *Crowd) Beyond(rate float64) float64 {
-	sum, most, at := 0.0, 0.0, 0.0
+	excess, maxExcess, last := 0.0, 0.0, 0.0
 	for _, s := range c.Starts {
-		sum = max(sum-rate*(s-at), 0) + 1
-		most, at = max(most, sum), s
+		excess = max(excess-rate*(s-last), 0) + 1
+		maxExcess, last = max(maxExcess, excess), s
 	}
-	return most
+	return maxExcess
 }
 
 // Crowds returns the concurrency and starts of each class, from the hosts' observations alone. An attempt without
--- a/internal/lab/audit/history.go
+++ b/internal/lab/audit/history.go
@@ -48,20 +48,20 @@
 	},
 	Init: func() []any { return []any{answer{}} },
 	Step: func(state, input, output any) []any {
-		in, out, now := input.(operation), output.(answer), state.(answer)
+		in, out, current := input.(operation), output.(answer), state.(answer)
 		switch {
-		case in.read && now.unknown:
+		case in.read && current.unknown:
 			// No client saw an answer, so any final verdict is allowed, but the message must have one.
 			return []any{out}
-		case in.read && out.verdict == "" && now.verdict == "refused":
-			return []any{now} // refused before it was accepted: there is no record
-		case in.read && now.verdict == "refused" && out.settledAtStart:
-			return []any{now}
-		case in.read && now == (answer{verdict: out.verdict, content: out.content}):
-			return []any{now}
+		case in.read && out.verdict == "" && current.verdict == "refused":
+			return []any{current} // refused before it was accepted: there is no record
+		case in.read && current.verdict == "refused" && out.settledAtStart:
+			return []any{current}
+		case in.read && current == (answer{verdict: out.verdict, content: out.content}):
+			return []any{current}
 		case in.read:
 			return nil
-		case now != (answer{}):
+		case current != (answer{}):
 			return nil // answered twice
 		}
 		return []any{out}
--- a/internal/lab/audit/records_test.go
+++ b/internal/lab/audit/records_test.go
@@ -7,7 +7,7 @@
 	"granitewing/internal/lab/client"
 )
 
-// Each script is one try and what the store has of it; the check names what does not agree, or nothing.
+// Each case is one try and its records in the store; the check reports what does not agree, or nothing.
 func TestCheckRecords(t *testing.T) {
 	type attempts = []struct {
 		Result string `json:"result"`
@@ -24,21 +24,21 @@
 		list   []Record
 		want   string
 	}{
-		"served and so recorded":              {client.Served, "r", true, record("before", "served", "r", true, sent), ""},
-		"served, the record says failed":      {client.Served, "r", true, record("before", "failed", "", true, sent), "its record says failed"},
-		"served with another result":          {client.Served, "r", true, record("told", "served", "x", true, sent), `its record says served "x"`},
-		"served and not recorded":             {client.Served, "r", true, record("told", "served", "r", true, sent)[1:], "was answered served and has no record"},
-		"refused, the record says served":     {client.Refused, "", false, record("told", "served", "r", true, sent), "its record says served"},
-		"refused before it was taken":         {client.Refused, "", false, record("before", "x", "", false, nil)[1:], ""},
-		"failed, the record says refused":     {client.Failed, "", true, record("before", "refused", "", true, sent), "failed, its record says refused"},
-		"at a host, the record says never":    {client.Broken, "", true, record("before", "refused", "", false, attempts{{"unsent"}}), "may have run, its record says that it did not"},
-		"at a host and without a record":      {client.Broken, "", true, record("before", "x", "", true, sent)[1:], "reached a and has no record"},
-		"at a host more often than recorded":  {client.Broken, "", true, record("before", "failed", "", true, attempts{{"unsent"}}), "reached hosts 1 times, its record has 0"},
-		"open after the end":                  {client.Broken, "", true, record("before", "open", "", true, sent), "is open after all dispatchers"},
-		"written behind and lost":             {client.Served, "r", true, record("behind", "x", "", true, sent)[1:], ""},
-		"two records":                         {client.Served, "r", true, append(record("before", "served", "r", true, sent), record("before", "served", "r", true, sent)[0]), "two records"},
-		"a record of what no client sent":     {client.Served, "r", true, append(record("before", "served", "r", true, sent), Record{Name: "x", Policy: "before", Verdict: "failed"}), "no client sent it"},
-		"broken under a kill, settled failed": {client.Broken, "", true, record("before", "failed", "", true, attempts{{""}}), ""},
+		"served and recorded as served":           {client.Served, "r", true, record("before", "served", "r", true, sent), ""},
+		"served, the record says failed":          {client.Served, "r", true, record("before", "failed", "", true, sent), "its record says failed"},
+		"served with another result":              {client.Served, "r", true, record("told", "served", "x", true, sent), `its record says served "x"`},
+		"served and not recorded":                 {client.Served, "r", true, record("told", "served", "r", true, sent)[1:], "was answered served and has no record"},
+		"refused, the record says served":         {client.Refused, "", false, record("told", "served", "r", true, sent), "its record says served"},
+		"refused before it was taken":             {client.Refused, "", false, record("before", "x", "", false, nil)[1:], ""},
+		"failed, the record says refused":         {client.Failed, "", true, record("before", "refused", "", true, sent), "failed, its record says refused"},
+		"at a host, the record says never":        {client.Broken, "", true, record("before", "refused", "", false, attempts{{"unsent"}}), "may have run, its record says that it did not"},
+		"at a host and without a record":          {client.Broken, "", true, record("before", "x", "", true, sent)[1:], "reached a and has no record"},
+		"at a host more often than recorded":      {client.Broken, "", true, record("before", "failed", "", true, attempts{{"unsent"}}), "reached hosts 1 times, its record has 0"},
+		"open after the end":                      {client.Broken, "", true, record("before", "open", "", true, sent), "is open after all dispatchers"},
+		"written behind and lost":                 {client.Served, "r", true, record("behind", "x", "", true, sent)[1:], ""},
+		"two records":                             {client.Served, "r", true, append(record("before", "served", "r", true, sent), record("before", "served", "r", true, sent)[0]), "two records"},
+		"a record of what no client sent":         {client.Served, "r", true, append(record("before", "served", "r", true, sent), Record{Name: "x", Policy: "before", Verdict: "failed"}), "no client sent it"},
+		"broken during a kill, settled as failed": {client.Broken, "", true, record("before", "failed", "", true, attempts{{""}}), ""},
 	} {
 		l := New(classes)
 		l.Sent(0, "t", 2, 0)
@@ -49,9 +49,9 @@
 		}
 		l.Ended(60, "t", c.result, c.answer)
 		rule := l.CheckRecords(c.list)
-		// What contradicts a client's answer also contradicts the history.
+		// A record that contradicts a client's answer also violates the history check.
 		if history := l.CheckHistory(c.list); strings.Contains(c.want, "its record says") && c.result != client.Broken && history.Broken == 0 || c.want == "" && history.Broken > 0 {
-			t.Errorf("%s: the history check finds %d", name, history.Broken)
+			t.Errorf("%s: the history check finds %d breaches", name, history.Broken)
 		}
 		if (rule.Broken > 0) != (c.want != "") || !strings.Contains(strings.Join(rule.Shown, "; "), c.want) {
 			t.Errorf("%s: %d breaches %q, want %q", name, rule.Broken, rule.Shown, c.want)
--- a/internal/lab/hold/hold.go
+++ b/internal/lab/hold/hold.go
@@ -26,22 +26,22 @@
 func Take(addr netip.AddrPort) (*Port, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("hold %s: %w", addr, err)
+		return nil, fmt.Errorf("reserve %s: %w", addr, err)
 	}
 	p := &Port{fd: fd}
 	// SO_REUSEADDR allows a listener on the port beside this socket, and earlier connections that are still closing.
 	if err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: addr.Addr().As4(), Port: int(addr.Port())})
 	}
-	var at syscall.Sockaddr
+	var bound syscall.Sockaddr
 	if err == nil {
-		at, err = syscall.Getsockname(fd)
+		bound, err = syscall.Getsockname(fd)
 	}
 	if err != nil {
 		p.Release()
-		return nil, fmt.Errorf("hold %s: %w", addr, err)
+		return nil, fmt.Errorf("reserve %s: %w", addr, err)
 	}
-	p.addr = netip.AddrPortFrom(addr.Addr(), uint16(at.(*syscall.SockaddrInet4).Port))
+	p.addr = netip.AddrPortFrom(addr.Addr(), uint16(bound.(*syscall.SockaddrInet4).Port))
 	return p, nil
 }
 
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -181,7 +181,7 @@
 	var rows []Row
 	all := Row{Class: "all"}
 	allServed := hdrhistogram.New(minLatency, maxLatency, 3)
-	var worth, inTime float64
+	var requested, inTime float64
 	for i, name := range r.classes {
 		row := Row{Class: name, Tries: r.tries[i]}
 		served := hdrhistogram.New(minLatency, maxLatency, 3)
@@ -201,12 +201,12 @@
 		if r.requestedValue[i] > 0 {
 			row.Service = r.inTimeValue[i] / r.requestedValue[i]
 		}
-		worth, inTime, all.Tries = worth+r.requestedValue[i], inTime+r.inTimeValue[i], all.Tries+r.tries[i]
+		requested, inTime, all.Tries = requested+r.requestedValue[i], inTime+r.inTimeValue[i], all.Tries+r.tries[i]
 		rows = append(rows, row)
 	}
 	all.quantiles(allServed)
-	if worth > 0 {
-		all.Service = inTime / worth
+	if requested > 0 {
+		all.Service = inTime / requested
 	}
 	return append(rows, all)
 }
@@ -360,15 +360,15 @@
 	}
 	n := len(k.Classes)
 	if len(k.Tries) != n || len(k.Worth) != n || len(k.InTime) != n || len(k.Seconds) > maxSeconds+1 {
-		return fmt.Errorf("a recorder of %d classes has figures of another number", n)
+		return fmt.Errorf("recorder with %d classes: series of a different length, or too many seconds", n)
 	}
 	decode := func(data string) (*hdrhistogram.Histogram, error) { return hdrhistogram.Decode([]byte(data)) }
-	good := func(h histogramJSON) bool { return h.Class >= 0 && h.Class < n && int(h.Outcome) < len(Outcomes) }
+	valid := func(h histogramJSON) bool { return h.Class >= 0 && h.Class < n && int(h.Outcome) < len(Outcomes) }
 	*r = *NewRecorder(k.Classes)
 	r.tries, r.requestedValue, r.inTimeValue = k.Tries, k.Worth, k.InTime
 	for _, kh := range k.Hists {
 		h, err := decode(kh.Data)
-		if err != nil || !good(kh) {
+		if err != nil || !valid(kh) {
 			return fmt.Errorf("latencies of class %d: %v", kh.Class, err)
 		}
 		r.hists[classOutcome{kh.Class, kh.Outcome}] = h
@@ -382,8 +382,8 @@
 			}
 			s.hist, s.counts = h, map[classOutcome]int64{}
 			for _, c := range ks.Counts {
-				if !good(c) {
-					return fmt.Errorf("second %d: a count of class %d", len(r.seconds), c.Class)
+				if !valid(c) {
+					return fmt.Errorf("second %d: count with invalid class %d or outcome", len(r.seconds), c.Class)
 				}
 				s.counts[classOutcome{c.Class, c.Outcome}] = c.Count
 			}
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -11,7 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Recorders of two generators, one read back from its file, merge to what one alone would have.
+// The recorders of two generators, one of them read from its file, merge to the same figures as one recorder of
+// all samples.
 func TestMerge(t *testing.T) {
 	classes := []string{"a", "b"}
 	whole, one, two := NewRecorder(classes), NewRecorder(classes), NewRecorder(classes)
@@ -44,16 +45,16 @@
 		t.Error(diff)
 	}
 	if err := one.Merge(NewRecorder([]string{"a"})); err == nil {
-		t.Error("recorders of other classes were merged")
+		t.Error("recorders with different classes were merged")
 	}
 	for _, bad := range []string{`{"classes":["a"],"tries":[]}`, `{"classes":["a"],"tries":[1],"worth_asked":[1],"worth_in_time":[1],"latencies":[{"class":3,"hdr":"x"}]}`} {
 		if err := json.Unmarshal([]byte(bad), &back); err == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 }
 
-// Rows count by class and outcome, worth by the second, and latencies of what was served alone.
+// Rows count by class and outcome, the value is measured by second, and latencies include served jobs only.
 func TestRows(t *testing.T) {
 	r := NewRecorder([]string{"a"})
 	for i, o := range Outcomes {
@@ -65,7 +66,7 @@
 		t.Error(diff)
 	}
 	if row.Service < 0.166 || row.Service > 0.167 || row.Max < 199*time.Millisecond || row.Max > 201*time.Millisecond {
-		t.Errorf("service %.3f, longest %v", row.Service, row.Max)
+		t.Errorf("service %.3f, maximum %v", row.Service, row.Max)
 	}
 	if s := r.Series(); len(s) != 6 || s[0].Service != 1 || s[1].Service != 0 {
 		t.Errorf("series %+v", s)
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -56,8 +56,8 @@
 		l.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
 		p.Add(l)
 	}
-	const mostLabels = 12
-	if len(list) == 0 || len(list) > mostLabels {
+	const maxLabels = 12
+	if len(list) == 0 || len(list) > maxLabels {
 		return
 	}
 	var at plotter.XYLabels
@@ -200,13 +200,13 @@
 		p.Y.Tick.Marker = plot.ConstantTicks(ticks)
 	}
 	drawMarks(p, o.Marks, float64(len(o.Hosts))-0.5, color.RGBA{R: 120, G: 200, B: 255, A: 255})
-	most := 0
+	peak := 0
 	for _, h := range o.Hosts {
 		for _, n := range h.PerSecond {
-			most = max(most, n)
+			peak = max(peak, n)
 		}
 	}
-	return namedPlot{p, "hosts", "Attempts by host", fmt.Sprintf("Of %s, seed %d. Brighter is more; the most is %d attempts in a second.", o.Variant, o.Seed, most), true}
+	return namedPlot{p, "hosts", "Attempts by host", fmt.Sprintf("Of %s, seed %d. Brighter is more; the most is %d attempts in a second.", o.Variant, o.Seed, peak), true}
 }
 
 func sizePlots(r *experiment.Results) []namedPlot {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -26,13 +26,13 @@
 	return o
 }
 
-// Whatever a run came to, its report can be written, read again and shows what happened: nothing at all, one play, two
-// variants, a sweep of which a part is missing.
+// A report can be written, read again and shows what happened for any result: without runs, with one run, two
+// variants, or an incomplete sweep.
 func TestWrite(t *testing.T) {
 	for name, r := range map[string]*experiment.Results{
-		"nothing":  {Experiment: "x", Variants: []string{"v"}, Cut: true},
-		"no jobs":  {Experiment: "x", Variants: []string{"v"}, Plays: []*experiment.Outcome{outcome("v", 1, 0)}},
-		"one play": {Experiment: "x", Variants: []string{"v"}, Plays: []*experiment.Outcome{outcome("v", 1, 40)}},
+		"nothing": {Experiment: "x", Variants: []string{"v"}, Cut: true},
+		"no jobs": {Experiment: "x", Variants: []string{"v"}, Plays: []*experiment.Outcome{outcome("v", 1, 0)}},
+		"one run": {Experiment: "x", Variants: []string{"v"}, Plays: []*experiment.Outcome{outcome("v", 1, 40)}},
 		"two": {Experiment: "x", Variants: []string{"v", "w"}, Plays: []*experiment.Outcome{outcome("v", 1, 40), outcome("w", 1, 30)},
 			Comparisons: []experiment.Comparison{{Figure: "service", Variant: "w", Against: "v", Verdict: "can't be told from noise"}}},
 		"a sweep": {Experiment: "x", Variants: []string{"v"}, Sizes: []experiment.Size{{Hosts: 10, Dispatchers: 1, Variant: "v", Service: 0.9, Decision: 5, HeapPerHost: 100},
@@ -54,15 +54,15 @@
 		}
 		page, err := os.ReadFile(filepath.Join(dir, "index.html"))
 		if err != nil || strings.Contains(string(page), "h<1>") || strings.Contains(string(page), "<no value>") {
-			t.Errorf("%s: %v; names in the page are not escaped, or a figure is missing", name, err)
+			t.Errorf("%s: %v; the page contains an unescaped name or lacks a figure", name, err)
 		}
 		if r.Cut != strings.Contains(string(page), "Cut short") {
-			t.Errorf("%s: a run that was cut must say so", name)
+			t.Errorf("%s: the page must state whether the run was cut short", name)
 		}
 	}
 }
 
-// Plays of one seed become one; what one generator says against itself stands for both.
+// Runs of one seed are merged; if one generator declares its run invalid, the merged run is invalid.
 func TestMerge(t *testing.T) {
 	a := &experiment.Results{Experiment: "x", Plays: []*experiment.Outcome{outcome("v", 1, 40)}}
 	b := &experiment.Results{Experiment: "x", Plays: []*experiment.Outcome{outcome("v", 1, 20), outcome("v", 2, 10)}}
@@ -72,6 +72,6 @@
 		t.Errorf("%v: %+v", err, got.Plays[0].Rows)
 	}
 	if _, err := Merge([]*experiment.Results{a, {Experiment: "y"}}); err == nil {
-		t.Error("two experiments were merged")
+		t.Error("results of different experiments were merged")
 	}
 }
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -104,12 +104,12 @@
 	c := csv.NewReader(r)
 	c.FieldsPerRecord = -1
 	c.TrimLeadingSpace = true
-	head, err := c.Read()
+	header, err := c.Read()
 	if err != nil {
-		return nil, fmt.Errorf("no line of column names: %w", err)
+		return nil, fmt.Errorf("no header line: %w", err)
 	}
 	index := map[string]int{}
-	for i, name := range head {
+	for i, name := range header {
 		index[strings.ToLower(strings.TrimSpace(name))] = i
 	}
 	if _, ok := index["time"]; !ok {
@@ -244,7 +244,7 @@
 func (t *Trace) sortEntries(raws []rawEntry) error {
 	t.Found.Lines = len(raws)
 	if len(raws) == 0 {
-		return errors.New("no entry could be read")
+		return errors.New("no readable entry")
 	}
 	latest := raws[0].at
 	for i := range raws {
@@ -352,14 +352,14 @@
 		rep.Limit = max(10*sorted[(len(sorted)-1)*99/100], time.Millisecond)
 	}
 	var sum time.Duration
-	near := 0
+	shortGaps := 0
 	for _, g := range gaps {
 		if g <= rep.Limit {
 			sum += g
-			near++
+			shortGaps++
 		}
 	}
-	usual := max(sum/time.Duration(max(near, 1)), time.Microsecond)
+	meanGap := max(sum/time.Duration(max(shortGaps, 1)), time.Microsecond)
 	out := &Trace{Found: t.Found}
 	var shift time.Duration
 	for i, e := range t.Entries {
@@ -368,18 +368,18 @@
 			rep.Longer += gaps[i-1]
 			switch mode {
 			case Close:
-				shift += gaps[i-1] - usual
+				shift += gaps[i-1] - meanGap
 			case Fill:
 				// Sequences of up to 8 consecutive entries are drawn, which preserves their clusters.
 				from := t.Entries[i-1].At
-				for at := from + usual; at < e.At-usual; {
+				for at := from + meanGap; at < e.At-meanGap; {
 					k := rng.IntN(n - 1)
 					for j := range min(8, n-1-k) {
 						step := gaps[k+j]
 						if step > rep.Limit {
-							step = usual
+							step = meanGap
 						}
-						if at += step; at >= e.At-usual {
+						if at += step; at >= e.At-meanGap {
 							break
 						}
 						drawn := t.Entries[k+j+1]
--- a/internal/lab/trace/trace_test.go
+++ b/internal/lab/trace/trace_test.go
@@ -13,7 +13,7 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(4, 4)) }
 
-// An import sorts, drops what is repeated or unreadable, keeps what remains and tells of all of it.
+// An import sorts entries, drops repeated and unreadable ones, keeps the others, and reports all of it.
 func TestImport(t *testing.T) {
 	csv := `Time, class, work, zone
 100.0, a, 0.5, dakar
@@ -56,10 +56,10 @@
 	}
 	for _, text := range []string{"", "class\na\n", "time\nx\n"} {
 		if _, err := ReadCSV(strings.NewReader(text)); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
-	// What is written is read again.
+	// A written trace can be read again.
 	var b bytes.Buffer
 	if err := got.Write(&b); err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 	}
 }
 
-// recorded is a trace of two classes in clusters with one gap of a minute.
+// recorded returns a trace of two classes with clusters and one gap of a minute.
 func recorded() *Trace {
 	r := rng()
 	t := &Trace{}
@@ -95,7 +95,7 @@
 	return t
 }
 
-// A gap is kept, closed or filled as asked, and reported each time.
+// A gap is kept, closed or filled according to the mode, and always reported.
 func TestGaps(t *testing.T) {
 	whole := recorded()
 	for mode, want := range map[GapMode]string{Keep: "kept", Close: "closed", Fill: "filled with"} {
@@ -123,16 +123,16 @@
 		case Fill:
 			rate := 4000 / (whole.Length() - time.Minute).Seconds()
 			if filled := float64(rep.Filled) / (rate * 60); longest > 10*time.Second || filled < 0.7 || filled > 1.3 || got.Length() != whole.Length() {
-				t.Errorf("filled: longest distance %v, %.2f of the entries that a minute has", longest, filled)
+				t.Errorf("filled: longest distance %v, %.2f of the expected entries", longest, filled)
 			}
 		}
 	}
 	if _, rep := whole.Gaps(Keep, 0, rng()); rep.Gaps != 1 {
-		t.Errorf("a limit of its own: %s", rep)
+		t.Errorf("default limit: %s", rep)
 	}
 }
 
-// Scaling changes time and rate, and leaves the mix and the clusters.
+// Scaling changes time and rate, and preserves the mix and the clusters.
 func TestScale(t *testing.T) {
 	whole, _ := recorded().Gaps(Close, 10*time.Second, rng())
 	before := whole.Summary()
@@ -148,12 +148,12 @@
 			t.Errorf("%v: class b is %.3f of the entries, was %.3f", c, after.Mix["b"], before.Mix["b"])
 		}
 		if c.rate >= 1 && after.Variation < 0.6*before.Variation {
-			t.Errorf("%v: gaps vary by %.2f, did by %.2f", c, after.Variation, before.Variation)
+			t.Errorf("%v: gap variation %.2f, was %.2f", c, after.Variation, before.Variation)
 		}
 	}
 }
 
-// No text makes the reader panic.
+// No input makes the reader panic.
 func FuzzReadCSV(f *testing.F) {
 	f.Add([]byte("time,class\n1,a\n0.5,b\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/record/breaker.go
+++ b/internal/record/breaker.go
@@ -18,8 +18,8 @@
 
 // NewBreaker returns a closed breaker: commands wait for the store. Durations are microseconds; seed seeds the
 // random part of the pauses.
-func NewBreaker(patience, least, most int64, seed uint64) *Breaker {
-	return &Breaker{Patience: patience, Least: max(least, 1), Most: max(most, least, 1), rng: rand.New(rand.NewPCG(seed, 31))}
+func NewBreaker(writeTimeout, minPause, maxPause int64, seed uint64) *Breaker {
+	return &Breaker{Patience: writeTimeout, Least: max(minPause, 1), Most: max(maxPause, minPause, 1), rng: rand.New(rand.NewPCG(seed, 31))}
 }
 
 // Open reports whether the store counts as unavailable.
--- a/internal/record/journal.go
+++ b/internal/record/journal.go
@@ -67,15 +67,15 @@
 // released.
 type answerHeap []*entry
 
-func (w answerHeap) Len() int           { return len(w) }
-func (w answerHeap) Less(a, b int) bool { return w[a].heldAnswer.releaseAt < w[b].heldAnswer.releaseAt }
-func (w answerHeap) Swap(a, b int)      { w[a], w[b] = w[b], w[a]; w[a].heapIndex, w[b].heapIndex = a, b }
-func (w *answerHeap) Push(x any)        { e := x.(*entry); e.heapIndex = len(*w); *w = append(*w, e) }
-func (w *answerHeap) Pop() any {
-	old := *w
+func (h answerHeap) Len() int           { return len(h) }
+func (h answerHeap) Less(a, b int) bool { return h[a].heldAnswer.releaseAt < h[b].heldAnswer.releaseAt }
+func (h answerHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a]; h[a].heapIndex, h[b].heapIndex = a, b }
+func (h *answerHeap) Push(x any)        { e := x.(*entry); e.heapIndex = len(*h); *h = append(*h, e) }
+func (h *answerHeap) Pop() any {
+	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
-	*w, e.heapIndex = old[:len(old)-1], -1
+	*h, e.heapIndex = old[:len(old)-1], -1
 	return e
 }
 
@@ -425,10 +425,10 @@
 			}
 			continue
 		}
-		told := e.replied
+		wasReplied := e.replied
 		e.durableStep = max(e.durableStep, e.flightStep)
 		out = j.releaseDurable(e, out)
-		if told && e.durableStep == e.rec.Step {
+		if wasReplied && e.durableStep == e.rec.Step {
 			j.bytes -= e.bytes
 			j.repliedNotDurable--
 		}
--- a/internal/record/journal_test.go
+++ b/internal/record/journal_test.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	reading = iota // behind
-	batch          // told, keyed
-	alert          // before
-	probe          // off
+	reading = iota // policy behind
+	batch          // policy told, keyed
+	alert          // policy before
+	probe          // policy off
 )
 
 var classes = []Class{{"reading", Behind, 0}, {"batch", Told, 40_000_000}, {"alert", Before, 0}, {"probe", Off, 0}}
@@ -43,7 +43,7 @@
 	j.Take(now, id, Message{Name: fmt.Sprintf("t%d", id), Key: key, Class: class, Deadline: now + 1000})
 }
 
-// names tells commands in short.
+// describe formats commands in short form.
 func describe(cmds []memory.Command) string {
 	var out []string
 	for _, c := range cmds {
@@ -56,14 +56,14 @@
 	return strings.Join(out, ", ")
 }
 
-func expect(t *testing.T, what string, cmds []memory.Command, want string) {
+func expect(t *testing.T, step string, cmds []memory.Command, want string) {
 	t.Helper()
 	if got := describe(cmds); got != want {
-		t.Errorf("%s: %q goes, want %q", what, got, want)
+		t.Errorf("%s: released %q, want %q", step, got, want)
 	}
 }
 
-// write makes the next write as a store that keeps its promise.
+// write runs the next write and ends it with err. It returns the records of the write and the released commands.
 func write(t *testing.T, j *Journal, now int64, err error) ([]Record, []memory.Command) {
 	t.Helper()
 	b := j.Batch(now)
@@ -74,15 +74,15 @@
 	return b, out
 }
 
-// A job that must not run twice is written before each sending and before its answer; a keyed one before its answer; a
-// reading waits for nothing.
+// A message of a Before class is durable before each attempt and before its answer, one of a Told class before its
+// answer, and one of a Behind class waits for nothing.
 func TestCommandsWaitForDurability(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
 	take(j, 0, 2, batch, "k")
 	take(j, 0, 3, reading, "")
 	take(j, 0, 4, probe, "")
-	expect(t, "sendings", j.Filter(1, []memory.Command{send(1, 0), send(2, 0), send(3, 0), send(4, 0)}), "send 2, send 3, send 4")
+	expect(t, "attempts", j.Filter(1, []memory.Command{send(1, 0), send(2, 0), send(3, 0), send(4, 0)}), "send 2, send 3, send 4")
 	b, out := write(t, j, 2, nil)
 	expect(t, "after the write", out, "send 1")
 	if len(b) != 3 || len(b[0].Attempts) != 1 || b[0].Verdict != Open || b[0].ID>>32 != 3 {
@@ -101,40 +101,41 @@
 		}
 	}
 	if j.Waiting() != 0 || j.bytes != 0 || len(j.open) != 0 {
-		t.Errorf("%d wait, %d bytes", j.Waiting(), j.bytes)
+		t.Errorf("%d messages waiting, %d bytes; want none", j.Waiting(), j.bytes)
 	}
-	// A repeat of the key within its window is given the recorded result.
+	// A repeat of the key within its window gets the recorded result.
 	if got, known := j.Repeat(1000, batch, "k"); !known || string(got) != "b" {
-		t.Errorf("a repeat got %q, %t", got, known)
+		t.Errorf("repeat within the window: %q, %t", got, known)
 	}
 	if _, known := j.Repeat(50_000_000, batch, "k"); known {
-		t.Error("a repeat beyond the window was answered")
+		t.Error("a repeat after the window was answered")
 	}
 	if _, known := j.Repeat(1000, alert, "k"); known {
 		t.Error("a class without a window answered a repeat")
 	}
 }
 
-// A sending that is called off while it waits goes nowhere, and its record says that it never ran.
+// An attempt that is cancelled while it is held is never sent, and its record says that it never ran.
 func TestCancelledWhileHeld(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
 	j.Filter(0, []memory.Command{send(1, 0)})
 	b := j.Batch(0)
 	drop := memory.Command{Kind: memory.Drop, Relay: memory.RelayID{Message: 1}}
-	expect(t, "the drop", j.Filter(1, []memory.Command{drop, send(1, 1)}), "")
+	expect(t, "cancelled while held", j.Filter(1, []memory.Command{drop, send(1, 1)}), "")
 	out, _ := j.Wrote(2, nil)
-	expect(t, "the write of the first", out, "")
+	expect(t, "write of the first attempt", out, "")
 	b2, out := write(t, j, 3, nil)
-	expect(t, "the write of the second", out, "send 1")
+	expect(t, "write of the second attempt", out, "send 1")
 	if b[0].Attempts[0].Result != Unknown || b2[0].Attempts[0].Result != Unsent || out[0].Addr != "h1" {
 		t.Errorf("%+v then %+v", b, b2)
 	}
-	// One that went out is stopped as ever.
-	expect(t, "a drop of what is out", j.Filter(4, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: 1, Attempt: 1}}}), "drop 1")
+	// An attempt that was sent is stopped as usual.
+	expect(t, "cancelled after it was sent", j.Filter(4, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: 1, Attempt: 1}}}), "drop 1")
 }
 
-// A write whose end is an error is made again, whether or not it was done; nothing goes until one has succeeded.
+// A write that ends with an error is repeated whether or not it was executed, and no command is released until a
+// write has succeeded.
 func TestFailedWriteIsRetried(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
@@ -142,21 +143,21 @@
 	_, out := write(t, j, 1, errors.New("reset"))
 	expect(t, "a failed write", out, "")
 	if !j.Breaker.Open() || j.Batch(1) != nil {
-		t.Error("the breaker is closed after an error, or lets the next write go at once")
+		t.Error("after an error the breaker is closed, or allows the next write at once")
 	}
 	next := j.Next()
 	if next <= 1 || next > 51 {
-		t.Errorf("the next probe is at %d", next)
+		t.Errorf("next probe at %d, want 2 to 51", next)
 	}
 	_, out = write(t, j, next, nil)
-	expect(t, "a later write", out, "send 1")
+	expect(t, "later write", out, "send 1")
 	if j.Breaker.Open() {
-		t.Error("a write succeeded and the breaker is open")
+		t.Error("the breaker is open after a successful write")
 	}
 }
 
-// A store that is slow: the breaker opens, what was never sent is refused, what was given up is answered at once, a result
-// waits up to its deadline and then gives way to a failure that the record tells of.
+// A slow store opens the breaker. Messages that were never sent are refused, answers other than results are sent
+// at once, and a result waits until its deadline and is then replaced by a failure, which the record notes.
 func TestSlowStore(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
@@ -172,25 +173,25 @@
 	j.Ended(2, memory.RelayID{Message: 3}, logic.Failed)
 	expect(t, "answers", j.Filter(2, []memory.Command{served(2, "x"), verdict(3, memory.Failed)}), "")
 	if next := j.Next(); next != 101 {
-		t.Errorf("the breaker's patience ends at 101, not %d", next)
+		t.Errorf("the write times out at %d, want 101", next)
 	}
 	out, refuse, changed := j.Due(101)
-	expect(t, "when patience ends", out, "answer-failed 3")
+	expect(t, "when the write times out", out, "answer-failed 3")
 	if !changed || !slices.Equal(refuse, []memory.ID{1}) {
 		t.Errorf("changed %t, refuse %v", changed, refuse)
 	}
 	expect(t, "the refusal", j.Filter(101, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: 1}}, verdict(1, memory.Refused)}), "answer-refused 1")
 	if j.Admit(alert) || !j.Admit(batch) || !j.Admit(reading) || !j.Admit(probe) {
-		t.Error("while the store is gone the classes that need it are refused, and no others")
+		t.Error("while the store is unavailable, exactly the classes that need it must be refused")
 	}
 	out, _, _ = j.Due(994)
 	expect(t, "before the deadline", out, "")
 	out, _, _ = j.Due(995)
 	expect(t, "at the deadline", out, "answer-failed 2")
-	// The store was only slow: its write ends after all, and the rest is written behind.
+	// The store was only slow: its write succeeds in the end, and the remaining records are written afterwards.
 	j.Wrote(2000, nil)
 	b, out := write(t, j, 2000, nil)
-	expect(t, "late", out, "")
+	expect(t, "late write", out, "")
 	for _, r := range b {
 		if err := r.Verify(); err != nil {
 			t.Error(err)
@@ -200,11 +201,12 @@
 		}
 	}
 	if s := j.Stats(); s.Overtaken != 1 || s.Unrecorded != 2 || s.Refused != 1 || j.Waiting() != 0 {
-		t.Errorf("%+v, %d wait", s, j.Waiting())
+		t.Errorf("%+v, %d messages waiting", s, j.Waiting())
 	}
 }
 
-// The spool is bounded: what is written behind is lost, the oldest first, and counted; what must be durable is refused.
+// The journal's memory is bounded. At the limit, records of Behind classes are dropped, the oldest first, and
+// counted, and messages of classes that must be durable are refused.
 func TestSpoolOverflows(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, reading, "")
@@ -216,7 +218,7 @@
 		j.Filter(100, []memory.Command{send(id, 0), served(id, "x")})
 	}
 	if j.Waiting() > 5 || j.Admit(batch) {
-		t.Errorf("%d wait where 5 may; a class that needs the store is taken: %t", j.Waiting(), j.Admit(batch))
+		t.Errorf("%d messages waiting, want at most 5; a class that needs the store is admitted: %t", j.Waiting(), j.Admit(batch))
 	}
 	j.Wrote(200, errors.New("gone"))
 	if s := j.Stats(); s.Lost < 6 {
@@ -224,7 +226,7 @@
 	}
 }
 
-// A client that leaves needs no answer; its record closes.
+// A client that disconnects needs no answer, and its record is closed.
 func TestClientHangsUp(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
@@ -233,7 +235,7 @@
 	j.Ended(1, memory.RelayID{Message: 1}, logic.Cancelled)
 	j.Left(1, 1)
 	b, out := write(t, j, 2, nil)
-	expect(t, "afterwards", out, "")
+	expect(t, "after the client left", out, "")
 	if b[0].Verdict != HungUp || b[0].Verify() != nil || j.Waiting() != 0 {
 		t.Errorf("%+v", b[0])
 	}
@@ -246,13 +248,13 @@
 		r    Record
 		want Verdict
 	}{{ran, Failed}, {never, Refused}, {Record{ID: 3, Step: 1, Name: "c", Class: "alert", Policy: "before", Taken: 50}, Refused}} {
-		// The clock was set back meanwhile.
+		// The clock was set back in the meantime.
 		if !c.r.Settle(10) || c.r.Verdict != c.want || c.r.Answered < c.r.Taken || c.r.Verify() != nil {
 			t.Errorf("%+v: %v", c.r, c.r.Verify())
 		}
 		again := c.r
 		if again.Settle(99) || !cmp.Equal(again, c.r) {
-			t.Error("settled twice")
+			t.Error("a second Settle changed the record")
 		}
 	}
 }
@@ -265,37 +267,37 @@
 	if r := good(); r.Verify() != nil {
 		t.Fatal(r.Verify())
 	}
-	for want, spoil := range map[string]func(*Record){
-		"has no step":                        func(r *Record) { r.Step = 0 },
-		"has no class":                       func(r *Record) { r.Class = "" },
-		"is open and was answered":           func(r *Record) { r.Verdict = Open },
-		"has no time of its answer":          func(r *Record) { r.Answered = 0 },
-		"is failed and has a result":         func(r *Record) { r.Verdict = Failed },
-		"names no host":                      func(r *Record) { r.Attempts[0].Host = "" },
-		"ended before it was sent":           func(r *Record) { r.Attempts[0].Ended = 1 },
-		"has a result and no end":            func(r *Record) { r.Attempts[0].Ended = 0 },
-		"was followed by another and has no": func(r *Record) { r.Attempts[0].Result, r.Attempts[0].Ended = "", 0 },
-		"started and is said never":          func(r *Record) { r.Attempts[0].Started = true },
-		"followed one that may have run":     func(r *Record) { r.Attempts[0].Result = Errored },
-		"is served and no host":              func(r *Record) { r.Attempts = r.Attempts[:1] },
-		"was refused as if it had not run":   func(r *Record) { r.Verdict, r.Content = Refused, nil },
-		"was sent 4 times":                   func(r *Record) { r.Policy = "told"; r.Attempts = append(r.Attempts, r.Attempts...) },
-		"has 17 attempts":                    func(r *Record) { r.Attempts = make([]Attempt, 17) },
+	for want, corrupt := range map[string]func(*Record){
+		"has no step":                          func(r *Record) { r.Step = 0 },
+		"has no class":                         func(r *Record) { r.Class = "" },
+		"is open but was answered":             func(r *Record) { r.Verdict = Open },
+		"has no answer time":                   func(r *Record) { r.Answered = 0 },
+		"is failed but has a result":           func(r *Record) { r.Verdict = Failed },
+		"names no host":                        func(r *Record) { r.Attempts[0].Host = "" },
+		"ended before it was sent":             func(r *Record) { r.Attempts[0].Ended = 1 },
+		"has a result but no end":              func(r *Record) { r.Attempts[0].Ended = 0 },
+		"was followed by another but has no":   func(r *Record) { r.Attempts[0].Result, r.Attempts[0].Ended = "", 0 },
+		"started but is recorded as never run": func(r *Record) { r.Attempts[0].Started = true },
+		"followed one that may have run":       func(r *Record) { r.Attempts[0].Result = Errored },
+		"is served but no host":                func(r *Record) { r.Attempts = r.Attempts[:1] },
+		"was refused but may have run":         func(r *Record) { r.Verdict, r.Content = Refused, nil },
+		"was sent 4 times":                     func(r *Record) { r.Policy = "told"; r.Attempts = append(r.Attempts, r.Attempts...) },
+		"has 17 attempts":                      func(r *Record) { r.Attempts = make([]Attempt, 17) },
 	} {
 		r := good()
-		spoil(&r)
+		corrupt(&r)
 		if err := r.Verify(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q, got %v", want, err)
 		}
 	}
 }
 
-// The breaker: one probe at a time, pauses that double up to their bound, a random part of each.
+// The breaker allows one probe at a time. Its pauses double up to a bound, and a part of each is random.
 func TestBreaker(t *testing.T) {
 	b := NewBreaker(100, 50, 400, 7)
 	b.Begin(1)
 	if b.Late(100) || !b.Late(101) || b.Late(500) || !b.Open() || b.MayWrite(10_000) {
-		t.Error("it opens once when a write lasts over 100, and no second write begins beside that")
+		t.Error("the breaker must open once, when a write takes over 100, and allow no second write meanwhile")
 	}
 	now, last := int64(500), int64(0)
 	b.End(now, false)
@@ -310,22 +312,22 @@
 		b.End(now, false)
 	}
 	if other := NewBreaker(100, 50, 400, 8); last == func() int64 { other.Begin(1); other.End(1, false); return other.Next() }() {
-		t.Error("two breakers probe together")
+		t.Error("two breakers with different seeds probe at the same time")
 	}
 	b.Begin(now)
 	if !b.End(now, true) || b.Open() || b.Next() != 0 || b.Opened() != 1 {
-		t.Errorf("closed by a good probe: open %t, next %d, opened %d", b.Open(), b.Next(), b.Opened())
+		t.Errorf("after a successful probe: open %t, next %d, opened %d", b.Open(), b.Next(), b.Opened())
 	}
 }
 
-// world is a journal with a store, hosts and clients round it, for searches and random plays.
+// harness runs a journal for one message with a model of the store, the hosts and the client.
 type harness struct {
 	j                 *Journal
 	store             map[uint64]Record
-	atHost            map[memory.ID]bool // a host has it, or had
+	atHost            map[memory.ID]bool // a host has the message, or had it
 	answered          map[memory.ID]memory.Command
-	answeredWhileOpen map[memory.ID]bool // told while the store was taken for gone
-	attempts          map[memory.ID]int  // attempts; -1 once answered
+	answeredWhileOpen map[memory.ID]bool // answered while the breaker was open
+	attempts          map[memory.ID]int  // number of attempts; -1 once the core has answered
 	inFlight          []Record
 	now               int64
 }
@@ -355,7 +357,7 @@
 	}
 }
 
-// step does one thing; false if it can't be done now.
+// step performs an action and reports whether it was possible.
 func (w *harness) step(action int) bool {
 	const id = memory.ID(1)
 	w.now += 10
@@ -372,9 +374,9 @@
 		if w.inFlight != nil {
 			return false
 		}
-		w.inFlight = w.j.Batch(w.now + 1000) // beyond any pause of the breaker
+		w.inFlight = w.j.Batch(w.now + 1000) // later than any pause of the breaker
 		return w.inFlight != nil
-	case 2, 3, 4: // it succeeds; fails; is done and its answer is lost
+	case 2, 3, 4: // the write succeeds; fails; is executed but its acknowledgement is lost
 		if w.inFlight == nil {
 			return false
 		}
@@ -394,14 +396,14 @@
 			w.attempts[r] = -1
 			w.execute(w.j.Filter(w.now, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: r, Attempt: attempts - 1}}, verdict(r, memory.Refused)}))
 		}
-	case 5: // the host serves it
+	case 5: // the host serves the message
 		if !w.atHost[id] || attempts < 1 {
 			return false
 		}
 		w.attempts[id] = -1
 		w.j.Ended(w.now, memory.RelayID{Message: id, Attempt: attempts - 1}, logic.Served)
 		w.execute(w.j.Filter(w.now, []memory.Command{served(id, "x")}))
-	case 6: // the host hands it back, and it goes to another
+	case 6: // the host returns the message, and it goes to another host
 		if !w.atHost[id] || attempts != 1 {
 			return false
 		}
@@ -409,7 +411,7 @@
 		w.attempts[id] = 2
 		w.j.Ended(w.now, memory.RelayID{Message: id, Attempt: 0}, logic.Refused)
 		w.execute(w.j.Filter(w.now, []memory.Command{send(id, 1)}))
-	case 7: // the host's connection breaks, and the decisions give it up
+	case 7: // the connection to the host breaks, and the core answers failed
 		if !w.atHost[id] || attempts < 1 {
 			return false
 		}
@@ -420,7 +422,7 @@
 	return true
 }
 
-// crash kills the dispatcher here, starts it anew and names what the record then has wrong.
+// checkCrash simulates a crash and a restart at this point, and returns what is wrong with the record afterwards.
 func (w *harness) checkCrash() string {
 	var r Record
 	for _, r = range w.store {
@@ -434,24 +436,24 @@
 	}
 	for id, ran := range w.atHost {
 		if ran && !r.MayHaveRun() {
-			return fmt.Sprintf("a host has %d, and the record says that none had", id)
+			return fmt.Sprintf("a host has %d, but the record says that none had", id)
 		}
 	}
 	for id, c := range w.answered {
 		switch {
 		case c.Verdict == memory.Served && r.Verdict != Served:
-			return fmt.Sprintf("%d was served to its client, and the record says %s", id, r.Verdict)
+			return fmt.Sprintf("%d was served to its client, but the record says %s", id, r.Verdict)
 		case c.Verdict == memory.Refused && len(w.store) > 0 && r.Verdict != Refused && !w.answeredWhileOpen[id]:
-			return fmt.Sprintf("%d was refused to its client, and the record says %s", id, r.Verdict)
+			return fmt.Sprintf("%d was refused to its client, but the record says %s", id, r.Verdict)
 		case c.Verdict == memory.Failed && (r.Verdict == Served || r.Verdict == Refused):
-			return fmt.Sprintf("%d failed for its client, and the record says %s", id, r.Verdict)
+			return fmt.Sprintf("%d failed for its client, but the record says %s", id, r.Verdict)
 		}
 	}
 	return ""
 }
 
-// search plays every sequence of actions up to a depth against the journal itself, with a crash after each.
-func explore(class Class, depth int) (played int, fault string, path []int) {
+// explore runs every sequence of actions up to a depth on a real journal, with a crash after each.
+func explore(class Class, depth int) (sequences int, violation string, path []int) {
 	var extend func(prefix []int) bool
 	extend = func(prefix []int) bool {
 		w := newHarness(class)
@@ -460,8 +462,8 @@
 				return false
 			}
 		}
-		played++
-		if fault = w.checkCrash(); fault != "" {
+		sequences++
+		if violation = w.checkCrash(); violation != "" {
 			path = slices.Clone(prefix)
 			return true
 		}
@@ -476,64 +478,66 @@
 		return false
 	}
 	extend(nil)
-	return played, fault, path
+	return sequences, violation, path
 }
 
-// With both durability points no crash anywhere leaves the record wrong; without either the search finds a crash that
-// does. Left aside is a refusal that was given at once because the store was gone: a crash then finds an older step, which
-// settles as failed, the more careful word.
+// With both durability points (before each attempt and before the answer) no crash leaves a wrong record; without
+// either of them the search finds a crash that does. Refusals that were sent at once while the breaker was open
+// are exempt: after a crash the store may hold an older step, which is settled as failed, the more careful
+// verdict.
 func TestEveryInterleaving(t *testing.T) {
-	played, fault, path := explore(Class{"alert", Before, 0}, 18)
-	if fault != "" {
-		t.Errorf("%s after %v", fault, path)
+	sequences, violation, path := explore(Class{"alert", Before, 0}, 18)
+	if violation != "" {
+		t.Errorf("%s after actions %v", violation, path)
 	}
-	if played < 500 {
-		t.Errorf("only %d sequences were played", played)
+	if sequences < 500 {
+		t.Errorf("only %d sequences were run, want 500", sequences)
 	}
-	t.Logf("%d sequences", played)
+	t.Logf("%d sequences", sequences)
 	for policy, want := range map[Policy]string{Told: "the record says that none had", Behind: "the record says"} {
-		if _, fault, path := explore(Class{"alert", policy, 0}, 18); !strings.Contains(fault, want) {
-			t.Errorf("%s: found %q after %v; a durability point less must show", policy, fault, path)
+		if _, violation, path := explore(Class{"alert", policy, 0}, 18); !strings.Contains(violation, want) {
+			t.Errorf("%s: found %q after actions %v; a missing durability point must be detected", policy, violation, path)
 		}
 	}
 }
 
-// Random lives of many messages over a store that fails at random: what goes without being durable is noted, ids and
-// steps grow, and the books come out even.
+// Random operations on many messages, with a store that fails at random: no message is answered twice, no message
+// that was sent is refused by the journal, all records are valid, and all counters are zero once everything is
+// written.
 func TestJournalInvariantsUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := New(classes, 1, Limits{Messages: 8, Bytes: 4000, Batch: 3, Hold: 250, Margin: 5, Keys: 4}, NewBreaker(100, 50, 400, 1))
 		store := map[uint64]Record{}
 		open := map[memory.ID]int{}
 		var ids []memory.ID
-		var flight []Record
-		sent, told := map[memory.ID]bool{}, map[memory.ID]bool{}
+		var inFlight []Record
+		sent, answered := map[memory.ID]bool{}, map[memory.ID]bool{}
 		now, next := int64(1), memory.ID(0)
-		carry := func(cmds []memory.Command) {
+		execute := func(cmds []memory.Command) {
 			for _, c := range cmds {
 				if c.Kind == memory.Answer {
-					if told[c.Relay.Message] {
+					if answered[c.Relay.Message] {
 						t.Fatalf("%d was answered twice", c.Relay.Message)
 					}
-					told[c.Relay.Message] = true
+					answered[c.Relay.Message] = true
 				}
 				if c.Kind == memory.Send {
 					sent[c.Relay.Message] = true
 				}
 			}
 		}
-		trouble := func(refuse []memory.ID) {
+		refuseAll := func(refuse []memory.ID) {
 			for _, id := range refuse {
 				if sent[id] {
-					t.Fatalf("%d was sent and is to be refused", id)
+					t.Fatalf("%d was sent, but is to be refused", id)
 				}
 				delete(open, id)
-				carry(j.Filter(now, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: id}}, verdict(id, memory.Refused)}))
+				execute(j.Filter(now, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: id}}, verdict(id, memory.Refused)}))
 			}
 		}
 		finish := func(err error) {
-			if err == nil || rapid.Bool().Draw(t, "done all the same") {
-				for _, r := range flight {
+			if err == nil || rapid.Bool().Draw(t, "executed in spite of the error") {
+				for _, r := range inFlight {
 					if e := r.Verify(); e != nil {
 						t.Fatal(e)
 					}
@@ -542,12 +546,12 @@
 					}
 				}
 			}
-			flight = nil
+			inFlight = nil
 			out, _ := j.Wrote(now, err)
-			carry(out)
+			execute(out)
 			more, refuse := j.Trouble(now)
-			carry(more)
-			trouble(refuse)
+			execute(more)
+			refuseAll(refuse)
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += int64(rapid.IntRange(0, 120).Draw(t, "wait"))
@@ -561,7 +565,7 @@
 				take(j, now, next, class, "k")
 				open[next] = class
 				ids = append(ids, next)
-				carry(j.Filter(now, []memory.Command{send(next, 0)}))
+				execute(j.Filter(now, []memory.Command{send(next, 0)}))
 			case 2:
 				if len(ids) == 0 {
 					continue
@@ -573,7 +577,7 @@
 				delete(open, id)
 				result := rapid.SampledFrom([]logic.Result{logic.Served, logic.Failed, logic.Refused}).Draw(t, "result")
 				j.Ended(now, memory.RelayID{Message: id}, result)
-				carry(j.Filter(now, []memory.Command{map[logic.Result]memory.Command{logic.Served: served(id, "x"), logic.Failed: verdict(id, memory.Failed),
+				execute(j.Filter(now, []memory.Command{map[logic.Result]memory.Command{logic.Served: served(id, "x"), logic.Failed: verdict(id, memory.Failed),
 					logic.Refused: verdict(id, memory.Refused)}[result]}))
 			case 3:
 				if len(ids) == 0 {
@@ -583,30 +587,30 @@
 				if _, is := open[id]; is {
 					delete(open, id)
 					j.Left(now, id)
-					told[id] = true
+					answered[id] = true
 				}
 			case 4:
-				if flight == nil {
-					flight = j.Batch(now)
+				if inFlight == nil {
+					inFlight = j.Batch(now)
 				}
 			case 5:
-				if flight != nil {
+				if inFlight != nil {
 					finish(rapid.SampledFrom([]error{nil, nil, errors.New("gone")}).Draw(t, "error"))
 				}
 			case 6:
 				out, refuse, _ := j.Due(now)
-				carry(out)
-				trouble(refuse)
+				execute(out)
+				refuseAll(refuse)
 			}
 			if s := j.Stats(); j.Waiting() > 8+4 && s.Lost == 0 && j.bytes > 1<<20 {
-				t.Fatalf("%d wait", j.Waiting())
+				t.Fatalf("%d messages waiting", j.Waiting())
 			}
 		}
-		// The store is well again: everything that is answered is written.
+		// The store has recovered: every answered message is written.
 		for range 100 {
-			if flight == nil {
+			if inFlight == nil {
 				now += 1000
-				if flight = j.Batch(now); flight == nil {
+				if inFlight = j.Batch(now); inFlight == nil {
 					break
 				}
 			}
@@ -617,13 +621,13 @@
 		}
 		for range 100 {
 			now += 1000
-			if flight = j.Batch(now); flight == nil {
+			if inFlight = j.Batch(now); inFlight == nil {
 				break
 			}
 			finish(nil)
 		}
 		if j.Waiting() != 0 || j.bytes != 0 || len(j.withHeldSends) != 0 || len(j.heldAnswers) != 0 {
-			t.Fatalf("%d wait, %d bytes, %d held, %d answers when all is written", j.Waiting(), j.bytes, len(j.withHeldSends), len(j.heldAnswers))
+			t.Fatalf("%d messages waiting, %d bytes, %d with held attempts, %d held answers after everything is written", j.Waiting(), j.bytes, len(j.withHeldSends), len(j.heldAnswers))
 		}
 	})
 }
--- a/internal/record/pgstandin/standin.go
+++ b/internal/record/pgstandin/standin.go
@@ -192,7 +192,7 @@
 }
 
 // errSessionEnded ends a session.
-var errSessionEnded = errors.New("the connection is over")
+var errSessionEnded = errors.New("session ended")
 
 func (x *session) run() {
 	if x.startup() != nil {
--- a/internal/record/postgres/postgres.go
+++ b/internal/record/postgres/postgres.go
@@ -73,7 +73,7 @@
 func Open(ctx context.Context, o Options) (*Store, error) {
 	cfg, err := pgxpool.ParseConfig(o.URL)
 	if err != nil {
-		return nil, fmt.Errorf("store: the PostgreSQL URL can't be read: %w", redactParseError(err))
+		return nil, fmt.Errorf("store: can't parse the PostgreSQL URL: %w", redactParseError(err))
 	}
 	if o.Statement == 0 {
 		o.Statement = 10 * time.Second
@@ -110,9 +110,9 @@
 	var pg *pgconn.PgError
 	if errors.As(err, &pg) {
 		if why := map[string]string{
-			"53100": "has no room left on its disk", "53300": "has no connection left", "57P03": "is starting up", "28P01": "refused the password",
-			"28000": "refused the user", "3D000": "does not exist", "25006": "is read-only", "42501": "gives this user too few rights",
-			"40001": "had two writers at once", "57014": "took too long over a statement",
+			"53100": "has no space left on its disk", "53300": "has no free connection", "57P03": "is starting up", "28P01": "refused the password",
+			"28000": "refused the user", "3D000": "does not exist", "25006": "is read-only", "42501": "denies this user a required privilege",
+			"40001": "reported a serialization conflict between writers", "57014": "cancelled a statement that took too long",
 		}[pg.Code]; why != "" {
 			return fmt.Errorf("%s %s: %w", where, why, err)
 		}
@@ -158,16 +158,16 @@
 		}
 		switch {
 		case int(version) > Version:
-			return fmt.Errorf("schema %d, this build knows %d: it is from a newer granitewing, start that one", version, Version)
+			return fmt.Errorf("schema version %d, this build supports up to %d: it was written by a newer granitewing, run that one", version, Version)
 		case int(version) == Version:
 			done = true
 			return nil
 		case s.options.ReadOnly:
-			return fmt.Errorf("schema %d, this build reads %d: start the dispatcher once, which brings it up", version, Version)
+			return fmt.Errorf("schema version %d, this build reads %d: start the dispatcher once to migrate it", version, Version)
 		}
 		for _, statement := range migrations[version] {
 			if _, err := tx.Exec(ctx, statement); err != nil {
-				return fmt.Errorf("schema %d: %w", version+1, err)
+				return fmt.Errorf("migration to schema version %d: %w", version+1, err)
 			}
 		}
 		_, err := tx.Exec(ctx, "INSERT INTO granitewing_schema (version) VALUES ($1::bigint)", version+1)
@@ -246,7 +246,7 @@
 		r.ID, r.Step = uint64(id), uint32(step)
 		var known bool
 		if r.Verdict, known = record.ParseVerdict(verdict); !known {
-			return fmt.Errorf("record %d of %s has the verdict %q", r.ID, instance, verdict)
+			return fmt.Errorf("record %d of %s has the unknown verdict %q", r.ID, instance, verdict)
 		}
 		if err := json.Unmarshal([]byte(attempts), &r.Attempts); err != nil {
 			return fmt.Errorf("record %d of %s has unreadable attempts: %w", r.ID, instance, err)
@@ -315,7 +315,7 @@
 // Prune implements record.Store. A serving dispatcher prunes only its own records.
 func (s *Store) Prune(ctx context.Context, before int64, limit int) (int, error) {
 	if s.options.ReadOnly && !s.options.Writable {
-		return 0, errors.New("the store was opened to be read alone")
+		return 0, errors.New("the store was opened read-only")
 	}
 	own := ""
 	args := []any{before, int64(limit)}
--- a/internal/record/postgres/postgres_test.go
+++ b/internal/record/postgres/postgres_test.go
@@ -36,7 +36,7 @@
 	return st
 }
 
-// Every store's tests.
+// The conformance tests for stores.
 func TestStore(t *testing.T) {
 	storetest.Run(t, func(t *testing.T) func(string) record.Store {
 		s := server(t)
@@ -44,8 +44,8 @@
 	})
 }
 
-// Each failure of the server fails the write, or leaves open whether it was done; the same write again succeeds and the
-// records are there once.
+// After each failure of the server the write has failed, or it is unknown whether it was executed. Repeating the
+// write succeeds, and each record exists once.
 func TestFaults(t *testing.T) {
 	for name, f := range map[string]pgstandin.Faults{
 		"reset before the commit":    {ResetBefore: 1},
@@ -63,12 +63,12 @@
 			if err == nil {
 				t.Fatal("the write succeeded")
 			}
-			if name == "disk full within the batch" && !strings.Contains(err.Error(), "has no room left on its disk") {
+			if name == "disk full within the batch" && !strings.Contains(err.Error(), "has no space left on its disk") {
 				t.Error(err)
 			}
 			for n := 0; err != nil; n++ {
 				if n > 5 {
-					t.Fatalf("still %v", err)
+					t.Fatalf("still failing: %v", err)
 				}
 				err = st.Write(ctx, batch)
 			}
@@ -79,7 +79,7 @@
 	}
 }
 
-// A server that says nothing holds a write no longer than its time; afterwards the store goes on.
+// A server that does not respond blocks a write only until the write's deadline. Afterwards the store works again.
 func TestUnresponsiveServer(t *testing.T) {
 	s := server(t)
 	st := open(t, s, "n0")
@@ -87,7 +87,7 @@
 	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
 	if err := st.Write(short, []record.Record{storetest.Record(st, 1, 1, record.Open)}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("under silence: %v", err)
+		t.Errorf("unresponsive server: %v", err)
 	}
 	s.Set(pgstandin.Faults{})
 	if err := st.Write(ctx, []record.Record{storetest.Record(st, 1, 1, record.Open)}); err != nil {
@@ -105,13 +105,14 @@
 	}
 }
 
-// Two dispatchers share a database, each with its own records; an older start of one name that writes on is refused.
+// Two dispatchers share a database, each with its own records. A write of an older start of the same name is
+// refused.
 func TestFenced(t *testing.T) {
 	s := server(t)
 	older, other := open(t, s, "n0"), open(t, s, "n1")
 	newer := open(t, s, "n0")
 	if err := older.Write(ctx, []record.Record{storetest.Record(older, 1, 1, record.Open)}); !errors.Is(err, record.ErrFenced) {
-		t.Errorf("the older start wrote: %v", err)
+		t.Errorf("write of the older start: %v", err)
 	}
 	for _, st := range []*Store{newer, other} {
 		if err := st.Write(ctx, []record.Record{storetest.Record(st, 1, 1, record.Open)}); err != nil {
@@ -123,23 +124,23 @@
 			t.Errorf("%d records of %q, want %d", got, instance, want)
 		}
 	}
-	// Each settles its own alone.
+	// Each settles only its own records.
 	again := open(t, s, "n1")
 	if list, err := again.OpenRecords(ctx, 10); err != nil || len(list) != 1 || list[0].ID != storetest.Record(other, 1, 1, record.Open).ID {
 		t.Errorf("%+v, %v", list, err)
 	}
 }
 
-// A schema that is newer, one that was cut off, a server without room for connections, a URL that is none.
+// Open fails on a newer schema, an interrupted migration, a server without free connections, and an invalid URL.
 func TestOpenErrors(t *testing.T) {
 	s := server(t)
 	s.Set(pgstandin.Faults{Refuse: true})
-	if _, err := Open(ctx, Options{URL: s.URL(), Instance: "n0"}); err == nil || !strings.Contains(err.Error(), "has no connection left") {
-		t.Errorf("without room: %v", err)
+	if _, err := Open(ctx, Options{URL: s.URL(), Instance: "n0"}); err == nil || !strings.Contains(err.Error(), "has no free connection") {
+		t.Errorf("no free connection: %v", err)
 	}
-	s.Set(pgstandin.Faults{ResetBefore: 1}) // in the middle of bringing the schema up
+	s.Set(pgstandin.Faults{ResetBefore: 1}) // during the migration
 	if _, err := Open(ctx, Options{URL: s.URL(), Instance: "n0"}); err == nil {
-		t.Error("a start that was cut off succeeded")
+		t.Error("Open succeeded although its migration was interrupted")
 	}
 	if _, err := Open(ctx, Options{URL: s.URL(), Instance: "n0", ReadOnly: true}); err == nil || !strings.Contains(err.Error(), "start the dispatcher once") {
 		t.Errorf("a reader of an old schema: %v", err)
@@ -148,7 +149,7 @@
 	if _, err := st.pool.Exec(ctx, "INSERT INTO granitewing_schema (version) VALUES ($1::bigint)", int64(99)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(ctx, Options{URL: s.URL(), Instance: "n0"}); err == nil || !strings.Contains(err.Error(), "from a newer granitewing") {
+	if _, err := Open(ctx, Options{URL: s.URL(), Instance: "n0"}); err == nil || !strings.Contains(err.Error(), "written by a newer granitewing") {
 		t.Errorf("a newer schema: %v", err)
 	}
 	if _, err := Open(ctx, Options{URL: "postgres://u:secret@[bad/", Instance: "n0"}); err == nil || strings.Contains(err.Error(), "secret") {
@@ -156,7 +157,7 @@
 	}
 }
 
-// Every earlier schema comes up to the present one.
+// Every earlier schema version is migrated to the current one.
 func TestMigrations(t *testing.T) {
 	for v := range Version {
 		s := server(t)
@@ -173,7 +174,7 @@
 	}
 }
 
-// BenchmarkWrite is what group commit gives against the stand-in: records a second by the size of a batch.
+// BenchmarkWrite measures group commit against the stand-in server: records per second by batch size.
 func BenchmarkWrite(b *testing.B) {
 	for _, size := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -153,36 +153,36 @@
 
 // Verify checks the invariants of a record and returns an error that describes the first violation.
 func (r *Record) Verify() error {
-	bad := func(format string, args ...any) error {
+	violation := func(format string, args ...any) error {
 		return fmt.Errorf("record %d (%s): %s", r.ID, r.Name, fmt.Sprintf(format, args...))
 	}
 	switch {
 	case r.Step == 0:
-		return bad("has no step")
+		return violation("has no step")
 	case r.Class == "":
-		return bad("has no class")
+		return violation("has no class")
 	case len(r.Attempts) > MaxAttempts:
-		return bad("has %d attempts", len(r.Attempts))
+		return violation("has %d attempts", len(r.Attempts))
 	case r.Verdict == Open && r.Answered != 0:
-		return bad("is open and was answered at %d", r.Answered)
+		return violation("is open but was answered at %d", r.Answered)
 	case r.Verdict != Open && r.Answered == 0:
-		return bad("is %s and has no time of its answer", r.Verdict)
+		return violation("is %s but has no answer time", r.Verdict)
 	case r.Verdict != Served && len(r.Content) > 0:
-		return bad("is %s and has a result", r.Verdict)
+		return violation("is %s but has a result", r.Verdict)
 	}
 	sent, done := 0, 0
 	for i, a := range r.Attempts {
 		switch {
 		case a.Host == "":
-			return bad("attempt %d names no host", i+1)
+			return violation("attempt %d names no host", i+1)
 		case a.Ended != 0 && a.Ended < a.Sent:
-			return bad("attempt %d ended before it was sent", i+1)
+			return violation("attempt %d ended before it was sent", i+1)
 		case a.Result != Unknown && a.Ended == 0:
-			return bad("attempt %d has a result and no end", i+1)
+			return violation("attempt %d has a result but no end", i+1)
 		case a.Result == Unknown && i < len(r.Attempts)-1:
-			return bad("attempt %d was followed by another and has no end", i+1)
+			return violation("attempt %d was followed by another but has no end", i+1)
 		case a.Started && a.Result.NeverRan():
-			return bad("attempt %d started and is said never to have run", i+1)
+			return violation("attempt %d started but is recorded as never run", i+1)
 		}
 		if a.Result != Unsent {
 			sent++
@@ -191,16 +191,16 @@
 			done++
 		}
 		if i > 0 && a.Result != Unsent && r.Policy == Before.String() && !r.Attempts[i-1].Result.NeverRan() {
-			return bad("attempt %d followed one that may have run (%s)", i+1, r.Attempts[i-1].Result)
+			return violation("attempt %d followed one that may have run (%s)", i+1, r.Attempts[i-1].Result)
 		}
 	}
 	switch {
 	case sent > 3:
-		return bad("was sent %d times", sent)
+		return violation("was sent %d times", sent)
 	case r.Verdict == Served && done == 0 && r.Note == "":
-		return bad("is served and no host served it")
+		return violation("is served but no host served it")
 	case r.Verdict == Refused && r.Policy == Before.String() && r.MayHaveRun():
-		return bad("was refused as if it had not run, and may have")
+		return violation("was refused but may have run")
 	}
 	return nil
 }
--- a/internal/record/sqlite/faults_test.go
+++ b/internal/record/sqlite/faults_test.go
@@ -19,17 +19,18 @@
 	"granitewing/internal/record/storetest"
 )
 
-// disk stands between SQLite and the system: it fails writes and syncs, and keeps for each file what would be found after a
-// power cut. What was written and not yet synced is there in part at most; what was written before a sync that failed is
-// gone for good, though it can still be read until then, and no later sync brings it back.
+// faultyDisk is a layer between SQLite and the operating system. It makes writes and syncs fail, and tracks for
+// each file what would remain after a power failure. Data that was written but not synced survives only in part.
+// Data that was written before a failed sync is lost: it can still be read until the power failure, but no later
+// sync makes it durable.
 type faultyDisk struct {
 	mu        sync.Mutex
-	store     string // path of the one store that has faults
+	store     string // path of the database that has faults
 	files     map[string]*diskFile
-	countdown map[string]int // calls of a kind until the next fault
-	faults    int            // calls in a row that fail then
-	code      int32          // what they say
-	injected  int            // faults so far
+	countdown map[string]int // number of calls of a kind until the next fault
+	faults    int            // number of consecutive calls that fail then
+	code      int32          // error code that they return
+	injected  int            // faults injected so far
 	original  struct {
 		write    func(*libc.TLS, uintptr, uintptr, int32, int64) int32
 		sync     func(*libc.TLS, uintptr, int32) int32
@@ -42,7 +43,7 @@
 	pending []diskChange
 }
 
-// diskChange is a write, or a truncation where data is nil.
+// diskChange is a write, or a truncation if data is nil.
 type diskChange struct {
 	at   int64
 	data []byte
@@ -59,22 +60,23 @@
 	return b
 }
 
-// pointer gives a function as SQLite's tables hold them.
+// funcToPointer converts a function to the representation in SQLite's method tables.
 func funcToPointer[F any](f F) uintptr {
 	return *(*uintptr)(unsafe.Pointer(&struct{ f F }{f}))
 }
 
-// function gives what such a table holds.
+// pointerToFunc converts an entry of such a table to a function.
 func pointerToFunc[F any](p uintptr) F {
 	return *(*F)(unsafe.Pointer(&struct{ p uintptr }{p}))
 }
 
-// at gives what stands at an address of SQLite's own memory, which the collector knows nothing of.
+// memoryAt returns the value at an address of SQLite's own memory, which the garbage collector does not manage.
 func memoryAt[T any](address uintptr) *T {
 	return *(**T)(unsafe.Pointer(&address))
 }
 
-// watch puts a disk under every file that SQLite opens in this process, until the test is over.
+// installFaultyDisk puts a faultyDisk under every file that SQLite opens in this process, until the end of the
+// test.
 func installFaultyDisk(t *testing.T) *faultyDisk {
 	t.Helper()
 	tls := libc.NewTLS()
@@ -84,18 +86,18 @@
 		t.Fatal(err)
 	}
 	defer libc.Xfree(tls, name)
-	place := libc.Xcalloc(tls, 2, 8)
-	defer libc.Xfree(tls, place)
-	if rc := sqlite3.Xsqlite3_open_v2(tls, name, place, sqlite3.SQLITE_OPEN_READWRITE|sqlite3.SQLITE_OPEN_CREATE, 0); rc != 0 {
+	out := libc.Xcalloc(tls, 2, 8)
+	defer libc.Xfree(tls, out)
+	if rc := sqlite3.Xsqlite3_open_v2(tls, name, out, sqlite3.SQLITE_OPEN_READWRITE|sqlite3.SQLITE_OPEN_CREATE, 0); rc != 0 {
 		t.Fatalf("open: %d", rc)
 	}
-	db := *memoryAt[uintptr](place)
+	db := *memoryAt[uintptr](out)
 	defer sqlite3.Xsqlite3_close(tls, db)
-	if rc := sqlite3.Xsqlite3_file_control(tls, db, 0, sqlite3.SQLITE_FCNTL_FILE_POINTER, place+8); rc != 0 {
+	if rc := sqlite3.Xsqlite3_file_control(tls, db, 0, sqlite3.SQLITE_FCNTL_FILE_POINTER, out+8); rc != 0 {
 		t.Fatalf("file pointer: %d", rc)
 	}
-	main := memoryAt[sqlite3.Tsqlite3_file](*memoryAt[uintptr](place + 8)).FpMethods
-	// The log is reached by a table of its own, as a file that nobody locks.
+	main := memoryAt[sqlite3.Tsqlite3_file](*memoryAt[uintptr](out + 8)).FpMethods
+	// The write-ahead log has a method table of its own, since SQLite opens it as a file without locks.
 	statement, err := libc.CString("PRAGMA journal_mode = WAL; CREATE TABLE t (a)")
 	if err != nil {
 		t.Fatal(err)
@@ -104,23 +106,23 @@
 	if rc := sqlite3.Xsqlite3_exec(tls, db, statement, 0, 0, 0); rc != 0 {
 		t.Fatalf("write: %d", rc)
 	}
-	if rc := sqlite3.Xsqlite3_file_control(tls, db, 0, sqlite3.SQLITE_FCNTL_JOURNAL_POINTER, place+8); rc != 0 {
+	if rc := sqlite3.Xsqlite3_file_control(tls, db, 0, sqlite3.SQLITE_FCNTL_JOURNAL_POINTER, out+8); rc != 0 {
 		t.Fatalf("journal pointer: %d", rc)
 	}
-	log := memoryAt[sqlite3.Tsqlite3_file](*memoryAt[uintptr](place + 8)).FpMethods
+	wal := memoryAt[sqlite3.Tsqlite3_file](*memoryAt[uintptr](out + 8)).FpMethods
 	d := &faultyDisk{files: map[string]*diskFile{}, countdown: map[string]int{}}
 	methods := memoryAt[sqlite3.Tsqlite3_io_methods](main)
 	d.original.write = pointerToFunc[func(*libc.TLS, uintptr, uintptr, int32, int64) int32](methods.FxWrite)
 	d.original.sync = pointerToFunc[func(*libc.TLS, uintptr, int32) int32](methods.FxSync)
 	d.original.truncate = pointerToFunc[func(*libc.TLS, uintptr, int64) int32](methods.FxTruncate)
 	write, sync, truncate := d.write, d.sync, d.truncate
-	for _, table := range []uintptr{main, log} {
+	for _, table := range []uintptr{main, wal} {
 		methods := memoryAt[sqlite3.Tsqlite3_io_methods](table)
-		was := *methods
+		saved := *methods
 		methods.FxWrite, methods.FxSync, methods.FxTruncate = funcToPointer(write), funcToPointer(sync), funcToPointer(truncate)
-		t.Cleanup(func() { *methods = was })
+		t.Cleanup(func() { *methods = saved })
 	}
-	t.Cleanup(func() { runtime.KeepAlive([]any{write, sync, truncate}) }) // SQLite's tables do not keep them
+	t.Cleanup(func() { runtime.KeepAlive([]any{write, sync, truncate}) }) // SQLite's tables do not keep them alive
 	return d
 }
 
@@ -136,7 +138,7 @@
 	return f
 }
 
-// fails tells whether a call of a kind on a file is to fail.
+// shouldFail reports whether a call of a kind on a file is to fail.
 func (d *faultyDisk) shouldFail(kind string, file uintptr) bool {
 	left, armed := d.countdown[kind]
 	if !armed || !strings.HasPrefix(pathOf(file), d.store) {
@@ -159,7 +161,7 @@
 	defer d.mu.Unlock()
 	bytes := append([]byte{}, unsafe.Slice(memoryAt[byte](data), size)...)
 	if d.shouldFail("write", file) {
-		// A part of it may have got there.
+		// A part of the write may have reached the disk.
 		half := size / 2
 		d.original.write(tls, file, data, half, offset)
 		f := d.file(file)
@@ -200,8 +202,8 @@
 	return rc
 }
 
-// cut writes what a power cut at this moment leaves of a store into another folder: of what is not synced some is there, the
-// last of it by half.
+// powerCut copies what a power failure at this moment would leave of a database to another directory: a random
+// number of the unsynced changes, the last of them in part.
 func (d *faultyDisk) powerCut(t *testing.T, path string, r *rand.Rand) string {
 	t.Helper()
 	d.mu.Lock()
@@ -227,8 +229,9 @@
 	return to
 }
 
-// What a write has said is durable is found after a power cut at any time, whole, however many writes and syncs failed
-// before it; a write that failed may be made again, and is not taken for done because the second time went well.
+// A record whose write succeeded is found after a power failure at any time, regardless of how many writes and
+// syncs failed before. A failed write can be repeated, and counts as durable only if the repetition itself made it
+// durable.
 func TestNothingDurableIsLost(t *testing.T) {
 	codes := map[string][]int32{
 		"write": {sqlite3.SQLITE_FULL, sqlite3.SQLITE_IOERR_WRITE},
@@ -252,7 +255,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	// A small log, so that what it holds is brought into the file during the test as well.
+	// A small write-ahead log, so that checkpoints happen during the test.
 	s.db.SetMaxOpenConns(1)
 	if _, err := s.db.Exec("PRAGMA wal_autocheckpoint = 8"); err != nil {
 		t.Fatal(err)
@@ -268,7 +271,7 @@
 				return
 			}
 		}
-		t.Fatal("the store did not come back")
+		t.Fatal("the store did not recover")
 	}
 	for range 6 {
 		write()
@@ -283,16 +286,16 @@
 		}
 	}
 	if d.injected == 0 {
-		t.Fatal("nothing failed")
+		t.Fatal("no fault was injected")
 	}
 }
 
-// checkCut opens what a power cut has left.
+// checkAfterPowerCut opens what a power failure has left and checks that it contains the durable records.
 func checkAfterPowerCut(t *testing.T, path string, durable map[uint64]bool) {
 	t.Helper()
 	s, err := Open(ctx, Options{Path: path, Instance: "n0", Busy: 100 * time.Millisecond})
 	if err != nil {
-		t.Fatalf("after a power cut: %v", err)
+		t.Fatalf("after a power failure: %v", err)
 	}
 	defer s.Close()
 	found := map[uint64]bool{}
@@ -301,7 +304,7 @@
 	}
 	for id := range durable {
 		if !found[id] {
-			t.Errorf("record %d was said to be durable and is gone", id&0xffffffff)
+			t.Errorf("record %d was durable and is lost", id&0xffffffff)
 		}
 	}
 }
--- a/internal/record/sqlite/sqlite.go
+++ b/internal/record/sqlite/sqlite.go
@@ -102,15 +102,15 @@
 	why := ""
 	switch {
 	case strings.Contains(text, "not a database"), strings.Contains(text, "malformed"):
-		why = "is corrupt or no store at all; restore a backup, or move it away to begin a new one"
+		why = "is corrupt or not a store; restore a backup, or move it away to create a new one"
 	case strings.Contains(text, "database is locked"), strings.Contains(text, "SQLITE_BUSY"):
 		why = "is locked by another program"
 	case strings.Contains(text, "readonly"):
-		why = "can't be written; check its owner and the folder's"
+		why = "can't be written; check the permissions of the file and its directory"
 	case strings.Contains(text, "unable to open"):
 		why = "can't be opened; check that the folder is there and may be written"
 	case strings.Contains(text, "disk is full"):
-		why = "has no room left on its disk"
+		why = "has no space left on its disk"
 	}
 	if why == "" {
 		return fmt.Errorf("store %s: %w", s.options.Path, err)
@@ -124,11 +124,11 @@
 		return s.wrapError(err)
 	}
 	if version > Version {
-		return fmt.Errorf("store %s has schema %d, this build knows %d: it is from a newer granitewing, start that one", s.options.Path, version, Version)
+		return fmt.Errorf("store %s has schema version %d, this build supports up to %d: it was written by a newer granitewing, run that one", s.options.Path, version, Version)
 	}
 	if s.options.ReadOnly {
 		if version < Version {
-			return fmt.Errorf("store %s has schema %d, this build reads %d: start the dispatcher once, which brings it up", s.options.Path, version, Version)
+			return fmt.Errorf("store %s has schema version %d, this build reads %d: start the dispatcher once to migrate it", s.options.Path, version, Version)
 		}
 		return nil
 	}
@@ -137,11 +137,11 @@
 		return s.wrapError(err)
 	}
 	if check != "ok" {
-		return fmt.Errorf("store %s is corrupt (%s); restore a backup, or move it away to begin a new one", s.options.Path, check)
+		return fmt.Errorf("store %s is corrupt (%s); restore a backup, or move it away to create a new one", s.options.Path, check)
 	}
 	for v := version; v < Version; v++ {
 		if err := s.migrate(ctx, v); err != nil {
-			return s.wrapError(fmt.Errorf("schema %d: %w", v+1, err))
+			return s.wrapError(fmt.Errorf("migration to schema version %d: %w", v+1, err))
 		}
 	}
 	now := s.options.Now()
@@ -238,7 +238,7 @@
 	r.ID = uint64(id)
 	var known bool
 	if r.Verdict, known = record.ParseVerdict(verdict); !known {
-		return instance, r, fmt.Errorf("record %d of %s has the verdict %q", r.ID, instance, verdict)
+		return instance, r, fmt.Errorf("record %d of %s has the unknown verdict %q", r.ID, instance, verdict)
 	}
 	if err := json.Unmarshal([]byte(attempts), &r.Attempts); err != nil {
 		return instance, r, fmt.Errorf("record %d of %s has unreadable attempts: %w", r.ID, instance, err)
@@ -326,7 +326,7 @@
 // Prune implements record.Store. It deletes records of all instances.
 func (s *Store) Prune(ctx context.Context, before int64, limit int) (int, error) {
 	if s.options.ReadOnly && !s.options.Writable {
-		return 0, errors.New("the store was opened to be read alone")
+		return 0, errors.New("the store was opened read-only")
 	}
 	res, err := s.db.ExecContext(ctx, `DELETE FROM records WHERE (instance, id) IN
 		(SELECT instance, id FROM records WHERE verdict <> 'open' AND answered < ? ORDER BY answered LIMIT ?)`, before, limit)
--- a/internal/record/sqlite/sqlite_test.go
+++ b/internal/record/sqlite/sqlite_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-// Every store's tests.
+// The conformance tests for stores.
 func TestStore(t *testing.T) {
 	storetest.Run(t, func(t *testing.T) func(string) record.Store {
 		path := filepath.Join(t.TempDir(), "a.db")
@@ -35,8 +35,8 @@
 	})
 }
 
-// An older start that writes on after a newer one has begun is refused. (The file's lock keeps both from one machine;
-// what gets past it, such as a copied folder on a network disk, meets the epoch.)
+// A write of an older start is refused after a newer one has begun. The file lock prevents this on one machine;
+// the epoch protects where the lock does not, for example on a copied directory on a network disk.
 func TestFenced(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.db")
 	s := open(t, path, "n0")
@@ -46,7 +46,7 @@
 	s.releaseLock()
 	newer := open(t, path, "n0")
 	if err := s.Write(ctx, []record.Record{storetest.Record(s, 1, 1, record.Open)}); !errors.Is(err, record.ErrFenced) {
-		t.Errorf("the older start wrote: %v", err)
+		t.Errorf("write of the older start: %v", err)
 	}
 	if err := newer.Write(ctx, []record.Record{storetest.Record(newer, 1, 1, record.Open)}); err != nil {
 		t.Error(err)
@@ -56,8 +56,9 @@
 	}
 }
 
-// A store that is restored from a backup an hour old: the next start fences off the one that still ran on what was
-// replaced, its ids lie above all that the lost records had, and what the copy has open settles.
+// A store is restored from a backup that is an hour old. The next start has a higher epoch than the start that ran
+// on the replaced file, its ids are higher than those of the lost records, and open records of the backup are
+// settled.
 func TestRestoredBackup(t *testing.T) {
 	dir := t.TempDir()
 	path, backup := filepath.Join(dir, "a.db"), filepath.Join(dir, "backup.db")
@@ -106,7 +107,7 @@
 	}
 }
 
-// What can't be used is refused with a plain line.
+// A file that can't be used is refused with an error of one line.
 func TestOpenErrors(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -119,8 +120,8 @@
 	newer := filepath.Join(dir, "newer.db")
 	open(t, newer, "n0").Close()
 	execStatement(t, newer, "PRAGMA user_version = 99")
-	cut := filepath.Join(dir, "cut.db")
-	s := open(t, cut, "n0")
+	truncated := filepath.Join(dir, "cut.db")
+	s := open(t, truncated, "n0")
 	var many []record.Record
 	for i := range uint64(2000) {
 		many = append(many, storetest.Record(s, i+1, 1, record.Open))
@@ -132,21 +133,21 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	info, _ := os.Stat(cut)
-	if err := os.Truncate(cut, info.Size()/2); err != nil {
+	info, _ := os.Stat(truncated)
+	if err := os.Truncate(truncated, info.Size()/2); err != nil {
 		t.Fatal(err)
 	}
 	for path, want := range map[string]string{
-		file("text", "this is no database, however long it may be"+strings.Repeat(".", 5000)): "corrupt or no store at all",
-		newer:                                 "has schema 99, this build knows 3: it is from a newer granitewing",
-		cut:                                   "corrupt",
+		file("text", "this is no database, however long it may be"+strings.Repeat(".", 5000)): "corrupt or not a store",
+		newer:                                 "has schema version 99, this build supports up to 3: it was written by a newer granitewing",
+		truncated:                             "corrupt",
 		filepath.Join(dir, "nowhere", "a.db"): "check that the folder is there",
 	} {
 		if _, err := Open(ctx, Options{Path: path, Instance: "n0"}); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v; want %q", path, err, want)
 		}
 	}
-	// One that another program holds a lock on.
+	// A file that another program holds a lock on.
 	held := filepath.Join(dir, "held.db")
 	s = open(t, held, "n0")
 	other, err := sql.Open("sqlite", "file:"+held)
@@ -158,7 +159,7 @@
 		t.Fatal(err)
 	}
 	if err := s.Write(ctx, []record.Record{storetest.Record(s, 1, 1, record.Open)}); err == nil || !strings.Contains(err.Error(), "locked by another program") {
-		t.Errorf("under another's lock: %v", err)
+		t.Errorf("locked by another program: %v", err)
 	}
 }
 
@@ -174,8 +175,8 @@
 	}
 }
 
-// Every earlier schema comes up to the present one with its records, and a migration that is cut off leaves the one
-// before whole.
+// Every earlier schema version is migrated to the current one with its records. A migration that is interrupted
+// leaves the previous version intact.
 func TestMigrations(t *testing.T) {
 	for v := range Version {
 		path := filepath.Join(t.TempDir(), "a.db")
@@ -195,16 +196,16 @@
 				t.Fatal(err)
 			}
 		}
-		// Cut off: the statement after the schema's own fails, as a kill before the commit would have it.
+		// Interrupted: a statement after those of the migration fails, which has the effect of a kill before the commit.
 		whole := migrations[v]
 		migrations[v] = whole + "; INSERT INTO nowhere VALUES (1)"
 		if err := s.migrate(ctx, v); err == nil {
-			t.Error("a broken migration passed")
+			t.Error("a failing migration succeeded")
 		}
 		migrations[v] = whole
 		var version int
 		if err := db.QueryRow("PRAGMA user_version").Scan(&version); err != nil || version != v {
-			t.Errorf("after a cut migration the schema is %d, want %d (%v)", version, v, err)
+			t.Errorf("after an interrupted migration the schema is %d, want %d (%v)", version, v, err)
 		}
 		db.Close()
 		up := open(t, path, "n0")
@@ -214,10 +215,11 @@
 	}
 }
 
-// A disk that is full in the middle of a batch fails the whole batch, and the store goes on when there is room.
+// If the disk becomes full in the middle of a batch, the whole batch fails. The store works again when there is
+// space.
 func TestDiskFull(t *testing.T) {
 	s := open(t, filepath.Join(t.TempDir(), "a.db"), "n0")
-	s.db.SetMaxOpenConns(1) // the bound below is of one connection
+	s.db.SetMaxOpenConns(1) // the limit below applies to one connection
 	if _, err := s.db.Exec("PRAGMA max_page_count = 20"); err != nil {
 		t.Fatal(err)
 	}
@@ -225,11 +227,11 @@
 	for i := range uint64(3000) {
 		many = append(many, storetest.Record(s, i+1, 1, record.Open))
 	}
-	if err := s.Write(ctx, many); err == nil || !strings.Contains(err.Error(), "no room left") {
-		t.Fatalf("a full disk: %v", err)
+	if err := s.Write(ctx, many); err == nil || !strings.Contains(err.Error(), "no space left") {
+		t.Fatalf("full disk: %v", err)
 	}
 	if n, _ := s.Size(ctx); n != 0 {
-		t.Errorf("%d records of a batch that failed", n)
+		t.Errorf("%d records of a failed batch", n)
 	}
 	if _, err := s.db.Exec("PRAGMA max_page_count = 100000"); err != nil {
 		t.Fatal(err)
@@ -239,7 +241,7 @@
 	}
 }
 
-// BenchmarkWrite is what group commit gives: records a second by the size of a batch.
+// BenchmarkWrite measures group commit: records per second by batch size.
 func BenchmarkWrite(b *testing.B) {
 	for _, size := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -264,7 +266,7 @@
 	}
 }
 
-// BenchmarkStart is how long a start takes over a million records of which a thousand are open.
+// BenchmarkStart measures a start with a million records, a thousand of them open.
 func BenchmarkStart(b *testing.B) {
 	path := filepath.Join(b.TempDir(), "a.db")
 	s, err := Open(ctx, Options{Path: path, Instance: "n0"})
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -65,7 +65,7 @@
 // during a recovery is harmless: settled records stay settled, and the next start settles the rest. now is Unix
 // microseconds.
 func Recover(ctx context.Context, s Store, j *Journal, classes []Class, now int64) (Recovered, error) {
-	begun := time.Now()
+	start := time.Now()
 	var rec Recovered
 	for {
 		open, err := s.OpenRecords(ctx, settleBatch)
@@ -87,13 +87,13 @@
 			return rec, err
 		}
 	}
-	index, window := map[string]int{}, int64(0)
+	index, maxWindow := map[string]int{}, int64(0)
 	for i, c := range classes {
 		index[c.Name] = i
-		window = max(window, c.Window)
+		maxWindow = max(maxWindow, c.Window)
 	}
-	if window > 0 {
-		err := s.Keyed(ctx, now-window, func(class, key string, content []byte, answered int64) {
+	if maxWindow > 0 {
+		err := s.Keyed(ctx, now-maxWindow, func(class, key string, content []byte, answered int64) {
 			if i, known := index[class]; known {
 				j.Remember(i, key, content, answered)
 				rec.Keys++
@@ -103,6 +103,6 @@
 			return rec, err
 		}
 	}
-	rec.Took = time.Since(begun)
+	rec.Took = time.Since(start)
 	return rec, nil
 }
--- a/internal/record/storetest/storetest.go
+++ b/internal/record/storetest/storetest.go
@@ -73,11 +73,11 @@
 	}
 	n, err := s.Prune(ctx, 1000, 10)
 	if err != nil || n != 1 || len(All(t, s, record.Query{Verdict: "open"})) != 1 {
-		t.Errorf("%d pruned, %v; what is open stays", n, err)
+		t.Errorf("%d pruned, %v; want 1, and the open record kept", n, err)
 	}
 	stop := errors.New("enough")
 	if err := s.Query(ctx, record.Query{}, func(string, record.Record) error { return stop }); !errors.Is(err, stop) {
-		t.Errorf("a reader that stops got %v", err)
+		t.Errorf("Query returned %v, want the error of its callback", err)
 	}
 }
 
@@ -102,7 +102,7 @@
 			t.Errorf("round %d: %+v, %v", round, got, err)
 		}
 		if content, known := j.Repeat(200, 0, "k"); !known || string(content) != "result" {
-			t.Errorf("round %d: a repeat gets %q", round, content)
+			t.Errorf("round %d: the repeat got %q", round, content)
 		}
 		if s.Epoch() <= last {
 			t.Errorf("epoch %d after %d", s.Epoch(), last)
@@ -148,7 +148,7 @@
 		t.Errorf("%+v, %v", r, err)
 	}
 	if n := len(All(t, s, record.Query{Verdict: "open"})); n != 0 {
-		t.Errorf("%d are open", n)
+		t.Errorf("%d records are still open", n)
 	}
 }
 
@@ -156,10 +156,10 @@
 func testCancelled(t *testing.T, open func(string) record.Store) {
 	s := open("n0")
 	defer s.Close()
-	over, cancel := context.WithCancel(ctx)
+	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
-	if err := s.Write(over, []record.Record{Record(s, 1, 1, record.Open)}); err == nil {
-		t.Error("a write whose time was over before it began succeeded")
+	if err := s.Write(cancelled, []record.Record{Record(s, 1, 1, record.Open)}); err == nil {
+		t.Error("a write with a cancelled context succeeded")
 	}
 	if err := s.Write(ctx, []record.Record{Record(s, 1, 1, record.Open)}); err != nil {
 		t.Error(err)
