--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,6 +1,6 @@
 // Package record decides which messages are written to the durable store of record, and when: which step waits
 // until its record is durable, what is written in the background, and how messages that a crash left open are
-// settled. It does no I/O and reads no clock; callers pass the time.
+// settled. Apart from Recover it does no I/O and reads no clock; callers pass the time.
 //
 // A Record describes one message, its attempts and its final answer. A Journal follows the messages of a
 // dispatcher: Filter passes or holds the commands of the dispatcher's core, Batch returns the records to write,
