--- a/internal/system/segment/errors.go
+++ b/internal/system/segment/errors.go
@@ -57,5 +57,5 @@
 type MissingRecordError struct{ Position Position }
 
 func (e *MissingRecordError) Error() string {
-	return fmt.Sprintf("no complete record in segment %d at offset %d", e.Position.Segment, e.Position.Offset)
+	return fmt.Sprintf("no record at segment %d offset %d", e.Position.Segment, e.Position.Offset)
 }
