--- a/internal/system/message/message.go
+++ b/internal/system/message/message.go
@@ -1,5 +1,5 @@
 // Package message defines the message that all roles exchange and stores keep on disk: an accepted client request
-// (Message), its state (Phase) and its outcome (End). The types are encoded as msgpack arrays, so the order of
+// (Message), its state (Phase) and its outcome (Outcome). The types are encoded as msgpack arrays, so the order of
 // their fields is part of the stored format.
 package message
 
@@ -71,12 +71,12 @@
 	DeadLetter Phase = "dead_letter"
 )
 
-// OwedTimes is a multiple of the time for which message states can be queried. For that long a store keeps an
+// OwedCallbackFactor is a multiple of the time for which message states can be queried. For that long a store keeps an
 // outcome whose callback is owed, and a carrier retries the callback.
-const OwedTimes = 2
+const OwedCallbackFactor = 2
 
-// End is the outcome of a message.
-type End struct {
+// Outcome is the outcome of a message.
+type Outcome struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
 	Phase    Phase
--- a/internal/system/node/store.go
+++ b/internal/system/node/store.go
@@ -154,7 +154,7 @@
 		})
 		n.backfiller = store.NewFiller(n, n.session, n.core.Disk(), &s.Tolerance, s.RepairRate())
 		drainer := store.NewEmptier(n, n.session, n.core.Disk(), &s.Tolerance, s.RepairRate())
-		outcomeRequester := store.NewEndsAsker(n, n.session, n.core.Disk(), n.longPending, func(ends []message.End) {
+		outcomeRequester := store.NewEndsAsker(n, n.session, n.core.Disk(), n.longPending, func(ends []message.Outcome) {
 			go func() { n.coreTasks <- func() { n.core.Ends(ends, func() {}) } }()
 		})
 		n.Connect(s.SeedKeepers())
--- a/internal/system/role/carrier/callback.go
+++ b/internal/system/role/carrier/callback.go
@@ -23,7 +23,7 @@
 type callback struct {
 	unit       *unit
 	url        string
-	outcome    message.End
+	outcome    message.Outcome
 	holders    []string
 	queuedAt   time.Duration // when this carrier queued it
 	attempts   int
@@ -71,7 +71,7 @@
 
 // queueCallback queues an outcome for its call-back URL. A call-back that is queued already, because its unit was
 // listed again, is reassigned to the given unit.
-func (c *Core) queueCallback(u *unit, address string, outcome message.End, holders []string) {
+func (c *Core) queueCallback(u *unit, address string, outcome message.Outcome, holders []string) {
 	if waiting := c.callbacks[outcome.ID]; waiting != nil {
 		waiting.unit.unrecorded--
 		u.unrecorded++
@@ -175,7 +175,7 @@
 		r.failures = 0
 		c.figures.Callbacks++
 		c.finishCallback(call)
-	case call.rejections >= maxRejections || c.env.Now()-call.queuedAt > message.OwedTimes*c.settings.Bounds.Status:
+	case call.rejections >= maxRejections || c.env.Now()-call.queuedAt > message.OwedCallbackFactor*c.settings.Bounds.Status:
 		r.failures = 0
 		c.env.Report("call-back abandoned", &GivenUpError{ID: call.outcome.ID, Tries: call.attempts, Status: status, Err: err})
 		c.finishCallback(call)
--- a/internal/system/role/carrier/callback_test.go
+++ b/internal/system/role/carrier/callback_test.go
@@ -35,7 +35,7 @@
 func TestMessageCompletedBeforeHandover(t *testing.T) {
 	r := newFixture()
 	r.receive = func(string) int { return http.StatusOK }
-	r.store("disk-2").outcomes["m1"] = message.End{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
+	r.store("disk-2").outcomes["m1"] = message.Outcome{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
 	r.core.Deliver(deliverBodyWithCallback("m1", ownedToken-1))
 	r.Pass(time.Second)
 	if !slices.Equal(r.calledBack, []string{"m1"}) || len(r.sent) > 0 {
@@ -151,7 +151,7 @@
 		}
 		return http.StatusOK
 	}
-	end := message.End{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
+	end := message.Outcome{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
 	listed := wire.ListedMessage{Message: deliverBodyWithCallback("m1", 1).Message, Phase: end.Phase, Stamp: end.Stamp}
 	r.store("disk-1").listed, r.store("disk-1").outcomes["m1"] = []wire.ListedMessage{listed}, end
 	for step := range uint64(5) {
--- a/internal/system/role/carrier/dispatch.go
+++ b/internal/system/role/carrier/dispatch.go
@@ -273,11 +273,11 @@
 		return
 	}
 	c.figures.Ended++
-	c.recordOutcome(it, message.End{ID: it.message.ID, Phase: phase, Stamp: stamp, CallbackOwed: it.message.Callback != ""})
+	c.recordOutcome(it, message.Outcome{ID: it.message.ID, Phase: phase, Stamp: stamp, CallbackOwed: it.message.Callback != ""})
 }
 
 // recordOutcome has the stores record a message's outcome, queues its call-back and removes the message.
-func (c *Core) recordOutcome(it *item, outcome message.End) {
+func (c *Core) recordOutcome(it *item, outcome message.Outcome) {
 	it.completed = true
 	it.queued = false
 	c.recent.add(c.env.Now(), outcome)
--- a/internal/system/role/carrier/duplicate.go
+++ b/internal/system/role/carrier/duplicate.go
@@ -117,7 +117,7 @@
 // foundOutcome handles an outcome that a store reported. Disks that lack it are sent it. A due call-back is made
 // here, possibly a second time: when the unit was taken over, the message may have been only on disks that did not
 // answer.
-func (q *outcomeQuery) foundOutcome(outcome message.End) {
+func (q *outcomeQuery) foundOutcome(outcome message.Outcome) {
 	c := q.core
 	q.finish()
 	if q.unit.dropped {
--- a/internal/system/role/carrier/handed_test.go
+++ b/internal/system/role/carrier/handed_test.go
@@ -94,7 +94,7 @@
 
 	ginkgo.It("queries the stores if the message may be older than the outcomes that it remembers", func() {
 		for id := range maxRecentOutcomes + 1 {
-			r.core.recent.add(r.Now(), message.End{ID: string(rune(id)) + "x", Phase: message.Succeeded})
+			r.core.recent.add(r.Now(), message.Outcome{ID: string(rune(id)) + "x", Phase: message.Succeeded})
 		}
 		r.store("disk-1").outcomes["m1"] = succeeded
 		Expect(r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken))).NotTo(BeNil())
--- a/internal/system/role/carrier/outbox.go
+++ b/internal/system/role/carrier/outbox.go
@@ -19,7 +19,7 @@
 // pendingRecord is an outcome that a store has to record, or the fact that a call-back for it was made.
 type pendingRecord struct {
 	unit    *unit
-	outcome message.End
+	outcome message.Outcome
 }
 
 // recordQueue holds a disk's pending records, which are sent in order.
@@ -147,7 +147,7 @@
 }
 
 // recordOutcome sends the outcome of a message of a unit to the disks that hold the message.
-func (s *storage) recordOutcome(u *unit, holders []string, outcome message.End) {
+func (s *storage) recordOutcome(u *unit, holders []string, outcome message.Outcome) {
 	for _, disk := range s.recipients(holders) {
 		s.enqueue(disk, &s.outbox(disk).outcomes, pendingRecord{unit: u, outcome: outcome})
 	}
@@ -184,7 +184,7 @@
 // recordCallback reports to the disks that hold a message that its call-back is done.
 func (s *storage) recordCallback(u *unit, holders []string, id string) {
 	for _, disk := range s.recipients(holders) {
-		s.enqueue(disk, &s.outbox(disk).callbacks, pendingRecord{unit: u, outcome: message.End{ID: id}})
+		s.enqueue(disk, &s.outbox(disk).callbacks, pendingRecord{unit: u, outcome: message.Outcome{ID: id}})
 	}
 }
 
--- a/internal/system/role/carrier/outbox_test.go
+++ b/internal/system/role/carrier/outbox_test.go
@@ -14,7 +14,7 @@
 	r.store("disk-1").unresponsive = true
 	u := r.core.own
 	for range maxOutbox + 1 {
-		r.core.stores.recordOutcome(u, []string{"disk-1", "disk-2"}, message.End{ID: "m", Phase: message.Succeeded})
+		r.core.stores.recordOutcome(u, []string{"disk-1", "disk-2"}, message.Outcome{ID: "m", Phase: message.Succeeded})
 	}
 	var dropped *DroppedError
 	for _, err := range r.reports {
--- a/internal/system/role/carrier/recent.go
+++ b/internal/system/role/carrier/recent.go
@@ -9,7 +9,7 @@
 // recentOutcomes remembers the latest outcomes, so that repeated messages are recognized and states are reported
 // without a query to the stores.
 type recentOutcomes struct {
-	outcomes map[string]message.End
+	outcomes map[string]message.Outcome
 	order    []recentOutcome
 	// forgottenUntil is when the newest of the discarded outcomes was added; 0 if none was discarded.
 	forgottenUntil time.Duration
@@ -23,9 +23,11 @@
 
 const maxRecentOutcomes = 20000
 
-func newRecentOutcomes() *recentOutcomes { return &recentOutcomes{outcomes: map[string]message.End{}} }
+func newRecentOutcomes() *recentOutcomes {
+	return &recentOutcomes{outcomes: map[string]message.Outcome{}}
+}
 
-func (r *recentOutcomes) add(now time.Duration, outcome message.End) {
+func (r *recentOutcomes) add(now time.Duration, outcome message.Outcome) {
 	if _, known := r.outcomes[outcome.ID]; !known {
 		r.order = append(r.order, recentOutcome{id: outcome.ID, at: now})
 	}
@@ -40,7 +42,7 @@
 	}
 }
 
-func (r *recentOutcomes) get(id string) (message.End, bool) {
+func (r *recentOutcomes) get(id string) (message.Outcome, bool) {
 	outcome, known := r.outcomes[id]
 	return outcome, known
 }
--- a/internal/system/role/carrier/recovery.go
+++ b/internal/system/role/carrier/recovery.go
@@ -33,7 +33,7 @@
 // listing is what one store has listed.
 type listing struct {
 	messages     []wire.ListedMessage
-	outcomes     []message.End
+	outcomes     []message.Outcome
 	complete     bool
 	done         bool
 	callInFlight bool
--- a/internal/system/role/carrier/recovery_merge.go
+++ b/internal/system/role/carrier/recovery_merge.go
@@ -13,7 +13,7 @@
 type recoveredMessage struct {
 	listed  wire.ListedMessage
 	holders []string
-	outcome *message.End
+	outcome *message.Outcome
 }
 
 func (r *recovery) finish() {
@@ -54,7 +54,7 @@
 
 func (r *recovery) merge() map[string]*recoveredMessage {
 	c := r.core
-	outcomes := map[string]message.End{}
+	outcomes := map[string]message.Outcome{}
 	for _, l := range ordered.Map(r.outcomeRound) {
 		for _, outcome := range l.outcomes {
 			if old, known := outcomes[outcome.ID]; !known || old.CallbackOwed {
--- a/internal/system/role/carrier/review.go
+++ b/internal/system/role/carrier/review.go
@@ -59,7 +59,7 @@
 }
 
 // completedElsewhere records the outcome of a message that its former carrier completed, and removes the message.
-func (c *Core) completedElsewhere(it *item, outcome message.End) {
+func (c *Core) completedElsewhere(it *item, outcome message.Outcome) {
 	if it.completed || it.inFlight || it.unit.dropped {
 		return
 	}
--- a/internal/system/role/carrier/rig_test.go
+++ b/internal/system/role/carrier/rig_test.go
@@ -45,9 +45,9 @@
 // storeStub is a store with the answers that a test sets.
 type storeStub struct {
 	listed         []wire.ListedMessage
-	outcomes       map[string]message.End
+	outcomes       map[string]message.Outcome
 	unresponsive   bool
-	outcomeQueries int // number of FindEnds calls
+	outcomeQueries int // number of FindOutcomes calls
 }
 
 func (r *fixture) Deliver(attempt Attempt, done func(Outcome)) {
@@ -89,7 +89,7 @@
 	r.table.Set(keeper.KeyConfiguration, []byte(document))
 	r.table.Set(keeper.KeyRoster, wire.Encode(uint64(1)))
 	for _, disk := range []string{"disk-1", "disk-2", "disk-3"} {
-		r.stores[diskAddress(disk)] = &storeStub{outcomes: map[string]message.End{}}
+		r.stores[diskAddress(disk)] = &storeStub{outcomes: map[string]message.Outcome{}}
 		r.Reachable[diskAddress(disk)] = true
 		r.setDisk(disk, true)
 	}
@@ -188,4 +188,4 @@
 	return wire.DeliverBody{Message: m, Holders: []string{"disk-1", "disk-2"}, Age: 300 * time.Millisecond}
 }
 
-var succeeded = message.End{ID: "m1", Phase: message.Succeeded, Stamp: "s"}
+var succeeded = message.Outcome{ID: "m1", Phase: message.Succeeded, Stamp: "s"}
--- a/internal/system/role/store/bench_test.go
+++ b/internal/system/role/store/bench_test.go
@@ -88,7 +88,7 @@
 }
 
 func (f *fixture) complete(id string, phase message.Phase) {
-	f.core.Ends([]message.End{{ID: id, Phase: phase, Stamp: "stamp"}}, func() {})
+	f.core.Ends([]message.Outcome{{ID: id, Phase: phase, Stamp: "stamp"}}, func() {})
 	f.flush()
 }
 
--- a/internal/system/role/store/clean.go
+++ b/internal/system/role/store/clean.go
@@ -69,7 +69,7 @@
 	case e.void:
 		c.append(record{Kind: recordVoid, ID: e.id, Unit: e.unit, At: e.completedAt}, nil)
 	case e.phase != message.Pending:
-		end := message.End{ID: e.id, Phase: e.phase, Stamp: e.stamp, CallbackOwed: e.callbackOwed}
+		end := message.Outcome{ID: e.id, Phase: e.phase, Stamp: e.stamp, CallbackOwed: e.callbackOwed}
 		c.append(record{Kind: recordEnd, ID: e.id, Unit: e.unit, End: &end, At: e.completedAt}, nil)
 	}
 	return nil
--- a/internal/system/role/store/copy.go
+++ b/internal/system/role/store/copy.go
@@ -27,7 +27,7 @@
 		c.storeCopy(e, copied)
 	}
 	if copied.End != nil {
-		c.Ends([]message.End{*copied.End}, func() {})
+		c.Ends([]message.Outcome{*copied.End}, func() {})
 	}
 }
 
--- a/internal/system/role/store/ends.go
+++ b/internal/system/role/store/ends.go
@@ -29,13 +29,13 @@
 	session     *member.Client
 	disk        string                        // of this store
 	longPending func(done func(ids []string)) // requests the ids of long-pending messages from the core
-	onOutcomes  func(ends []message.End)      // passes found outcomes to the core
+	onOutcomes  func(ends []message.Outcome)  // passes found outcomes to the core
 }
 
 // NewEndsAsker returns an EndsAsker, which does nothing until Start. longPending requests the ids of long-pending
 // messages from the core; onOutcomes passes the outcomes found to it.
 func NewEndsAsker(env EndsEnvironment, session *member.Client, disk string, longPending func(done func(ids []string)),
-	onOutcomes func(ends []message.End)) *EndsAsker {
+	onOutcomes func(ends []message.Outcome)) *EndsAsker {
 	return &EndsAsker{env: env, session: session, disk: disk, longPending: longPending, onOutcomes: onOutcomes}
 }
 
@@ -66,7 +66,7 @@
 
 // Ends records outcomes of messages. A message keeps its first outcome. done is called once all outcomes are
 // synced.
-func (c *Core) Ends(ends []message.End, done func()) {
+func (c *Core) Ends(ends []message.Outcome, done func()) {
 	for _, end := range ends {
 		e := c.index.get(end.ID)
 		if e == nil {
@@ -92,7 +92,7 @@
 func (c *Core) Repeats() Repeats { return c.repeats }
 
 // countRepeat counts an outcome that reports another successful run than the recorded one.
-func (c *Core) countRepeat(e *entry, end message.End) {
+func (c *Core) countRepeat(e *entry, end message.Outcome) {
 	if e.phase != message.Succeeded || end.Phase != message.Succeeded || e.stamp == end.Stamp {
 		return
 	}
@@ -100,7 +100,7 @@
 	c.repeats.Latest = e.id
 }
 
-func (c *Core) setOutcome(e *entry, end message.End, at time.Duration) {
+func (c *Core) setOutcome(e *entry, end message.Outcome, at time.Duration) {
 	if e.phase != message.Pending {
 		return
 	}
@@ -142,7 +142,7 @@
 			if count++; count > maxPerCall {
 				return
 			}
-			end := message.End{ID: e.id, Phase: message.DeadLetter, CallbackOwed: e.hasCallback}
+			end := message.Outcome{ID: e.id, Phase: message.DeadLetter, CallbackOwed: e.hasCallback}
 			c.setOutcome(e, end, c.now)
 			c.append(record{Kind: recordEnd, ID: e.id, Unit: e.unit, End: &end}, nil)
 		}
--- a/internal/system/role/store/held.go
+++ b/internal/system/role/store/held.go
@@ -73,7 +73,7 @@
 		return copied, nil
 	}
 	if e.phase != message.Pending {
-		copied.End = &message.End{ID: e.id, Phase: e.phase, Stamp: e.stamp, CallbackOwed: e.callbackOwed}
+		copied.End = &message.Outcome{ID: e.id, Phase: e.phase, Stamp: e.stamp, CallbackOwed: e.callbackOwed}
 	}
 	if e.needsBytes() {
 		e.shared = true
--- a/internal/system/role/store/index.go
+++ b/internal/system/role/store/index.go
@@ -140,7 +140,7 @@
 func (x *index) dropExpired(now, status time.Duration) {
 	count := 0
 	for count < len(x.expiry) && now-x.expiry[count].completedAt > status {
-		if e := x.expiry[count]; e.callbackOwed && now-e.completedAt < message.OwedTimes*status {
+		if e := x.expiry[count]; e.callbackOwed && now-e.completedAt < message.OwedCallbackFactor*status {
 			break // its callback is still being tried
 		}
 		x.drop(x.expiry[count])
--- a/internal/system/role/store/listed_test.go
+++ b/internal/system/role/store/listed_test.go
@@ -18,8 +18,8 @@
 // stores held the message and its outcome with the callback owed, but did not list it for the node that took over.
 func TestListsCopyThatArrivesAfterItsOutcome(t *testing.T) {
 	f := newFixture(t)
-	end := message.End{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
-	f.core.Ends([]message.End{end}, func() {})
+	end := message.Outcome{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
+	f.core.Ends([]message.Outcome{end}, func() {})
 	f.flush()
 	f.core.TakeCopy([]wire.CopiedMessage{{Message: *newMessage("m1"), End: &end}})
 	f.flush()
@@ -32,7 +32,7 @@
 	f := newFixture(t)
 	f.core.options.DiskBytes = 64 << 20
 	for _, id := range []string{"early1", "early2"} {
-		f.core.Ends([]message.End{{ID: id, Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}}, func() {})
+		f.core.Ends([]message.Outcome{{ID: id, Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}}, func() {})
 	}
 	ids := []string{"m1", "m2", "m3", "early1", "m4", "m5", "m6", "early2"}
 	for _, id := range ids {
@@ -119,12 +119,12 @@
 
 func unitOf(number int) string { return fmt.Sprintf("u%d", number%randomUnits) }
 
-func drawOutcome(t *rapid.T, id string) message.End {
+func drawOutcome(t *rapid.T, id string) message.Outcome {
 	phase := rapid.SampledFrom([]message.Phase{message.Succeeded, message.DeadLetter}).Draw(t, "phase")
-	return message.End{ID: id, Phase: phase, Stamp: "s", CallbackOwed: rapid.Bool().Draw(t, "owed")}
+	return message.Outcome{ID: id, Phase: phase, Stamp: "s", CallbackOwed: rapid.Bool().Draw(t, "owed")}
 }
 
-func (m *modelMessage) complete(end message.End) {
+func (m *modelMessage) complete(end message.Outcome) {
 	if m.phase == message.Pending {
 		m.phase, m.owed = end.Phase, end.CallbackOwed
 	}
@@ -144,7 +144,7 @@
 func (s *randomStore) putOutcome(t *rapid.T) {
 	m, known := s.drawMessage(t)
 	end := drawOutcome(t, m.ID)
-	s.fixture.core.Ends([]message.End{end}, func() {})
+	s.fixture.core.Ends([]message.Outcome{end}, func() {})
 	s.flush()
 	known.complete(end)
 }
--- a/internal/system/role/store/load.go
+++ b/internal/system/role/store/load.go
@@ -23,7 +23,7 @@
 	Unit       string
 	Callback   bool // the message has a callback URL
 	Retention  time.Duration
-	End        message.End
+	End        message.Outcome
 	At         time.Duration // on the log's clock
 }
 
--- a/internal/system/role/store/load_test.go
+++ b/internal/system/role/store/load_test.go
@@ -29,7 +29,7 @@
 		m.Headers = []message.Header{{Name: "Content-Type", Value: "text/plain"}}
 		withCallback := newMessage("m4")
 		withCallback.Callback = "http://10.8.0.1:80/done"
-		end := message.End{ID: "m2", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
+		end := message.Outcome{ID: "m2", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
 		l := newLoader()
 		for _, c := range []struct {
 			written record
--- a/internal/system/role/store/read.go
+++ b/internal/system/role/store/read.go
@@ -79,11 +79,11 @@
 }
 
 // FindEnds returns the outcomes of those of the given messages that have completed.
-func (c *Core) FindEnds(ids []string) []message.End {
-	var ends []message.End
+func (c *Core) FindEnds(ids []string) []message.Outcome {
+	var ends []message.Outcome
 	for _, id := range ids {
 		if e := c.index.get(id); e != nil && !e.void && e.phase != message.Pending {
-			ends = append(ends, message.End{ID: id, Phase: e.phase, Stamp: e.stamp, CallbackOwed: e.callbackOwed})
+			ends = append(ends, message.Outcome{ID: id, Phase: e.phase, Stamp: e.stamp, CallbackOwed: e.callbackOwed})
 		}
 	}
 	return ends
--- a/internal/system/role/store/record.go
+++ b/internal/system/role/store/record.go
@@ -5,7 +5,7 @@
 // It then passes calls to Handle, takes a batch of records with Take, writes and syncs it, and reports it with
 // Synced. Only then do the answers of the batch go out.
 //
-// Filler copies to a new disk what too few other disks hold. Emptier does the reverse for a disk that leaves the
+// Backfiller copies to a new disk what too few other disks hold. Drainer does the reverse for a disk that leaves the
 // roster. EndsAsker queries other stores for the outcomes of messages that have been pending for long. These three
 // run on an event loop and reach the core through RepairEnvironment or callbacks.
 package store
@@ -43,7 +43,7 @@
 	Message    *message.Message
 	ID         string
 	Unit       string
-	End        *message.End
+	End        *message.Outcome
 	// At is the log's time (see logClock) of the recorded event: the arrival, the completion, or the writing of
 	// the record.
 	At time.Duration
--- a/internal/system/role/store/seal_test.go
+++ b/internal/system/role/store/seal_test.go
@@ -18,7 +18,7 @@
 func TestSealedStoreRefusesOutcomes(t *testing.T) {
 	core := New(Options{}, nil, 0)
 	core.Start(true, "own")
-	ends := wire.Encode(&wire.EndsBody{Ends: []message.End{{ID: "m", Phase: message.Succeeded}}})
+	ends := wire.Encode(&wire.EndsBody{Ends: []message.Outcome{{ID: "m", Phase: message.Succeeded}}})
 	done := wire.Encode(&wire.CallbackDoneBody{IDs: []string{"m"}})
 	send := func(kind wire.Kind, payload []byte) *replyCounter {
 		answered := &replyCounter{}
--- a/internal/system/role/store/store_test.go
+++ b/internal/system/role/store/store_test.go
@@ -155,7 +155,7 @@
 		var refusal *wire.RefusalBody
 		recorded := false
 		f.core.Put(newMessage("b"), 0, func(r *wire.RefusalBody) { refusal = r })
-		f.core.Ends([]message.End{{ID: "a", Phase: message.Succeeded, Stamp: "s"}}, func() { recorded = true })
+		f.core.Ends([]message.Outcome{{ID: "a", Phase: message.Succeeded, Stamp: "s"}}, func() { recorded = true })
 		f.core.Full(f.core.Take())
 		Expect(refusal.Code).To(Equal(wire.Failed))
 		Expect(recorded).To(BeFalse())
--- a/internal/system/simulation/store_host.go
+++ b/internal/system/simulation/store_host.go
@@ -58,7 +58,7 @@
 	h.flush()
 	h.session.Start()
 	store.NewEmptier(h, h.session, h.core.Disk(), &s.Tolerance, s.RepairRate()).Start()
-	store.NewEndsAsker(h, h.session, h.core.Disk(), func(done func([]string)) { done(h.core.LongPending()) }, func(ends []message.End) {
+	store.NewEndsAsker(h, h.session, h.core.Disk(), func(done func([]string)) { done(h.core.LongPending()) }, func(ends []message.Outcome) {
 		h.updateCore()
 		h.core.Ends(ends, func() {})
 		h.flush()
--- a/internal/system/wire/messages.go
+++ b/internal/system/wire/messages.go
@@ -183,13 +183,13 @@
 // EndsBody records the outcomes of messages.
 type EndsBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	Ends     []message.End
+	Ends     []message.Outcome
 }
 
 // FoundEnds contains the outcomes that a store has of the messages in a FindEndsBody.
 type FoundEnds struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	Ends     []message.End
+	Ends     []message.Outcome
 	Complete bool // the store has all that a disk must have to count toward the write quorum: no outcome of the others
 }
 
@@ -286,11 +286,11 @@
 
 // CopiedMessage is the copy of what a store holds of one message.
 type CopiedMessage struct {
-	_msgpack struct{}        `msgpack:",as_array"`
-	Message  message.Message // only with ID and unit if the message itself is not needed any more, or was cancelled
-	End      *message.End    // the outcome; nil if there is none
-	Void     bool            // the message has been cancelled
-	Age      time.Duration   // since the store received it
+	_msgpack struct{}         `msgpack:",as_array"`
+	Message  message.Message  // only with ID and unit if the message itself is not needed any more, or was cancelled
+	End      *message.Outcome // the outcome; nil if there is none
+	Void     bool             // the message has been cancelled
+	Age      time.Duration    // since the store received it
 }
 
 // CopiesBody contains copies of messages: the answer to FetchCopies, which may cover only the first of the requested
