--- a/internal/system/agreement/disk/disk.go
+++ b/internal/system/agreement/disk/disk.go
@@ -4,7 +4,7 @@
 //
 // Open replays the log and yields a Member, whose Stored is the state to start a node with. Save makes the writes of
 // a Ready durable, Compact replaces the log by a snapshot, and Begin gives the disk to a new identity. If the disk is
-// full, these fail with an error for which segment.IsFull is true, and may be called again once there is space.
+// full, these fail with an error for which segment.IsDiskFull is true, and may be called again once there is space.
 // Errors of the file system are of package segment; contradictory or unreadable data is a CorruptError. A Member is
 // not safe for concurrent use.
 package disk
@@ -49,7 +49,7 @@
 
 // Member is the storage of one member of a group.
 type Member struct {
-	files              segment.Files
+	files              segment.Directory
 	log                *segment.Log
 	id                 string
 	bootstrap          []string
@@ -67,7 +67,7 @@
 
 // Open reads a member's disk. On an empty disk it starts the initial identity. The error is a CorruptError, or one of
 // package segment.
-func Open(files segment.Files, initial Identity) (*Member, error) {
+func Open(files segment.Directory, initial Identity) (*Member, error) {
 	log, err := segment.Open(files, segmentLength)
 	if err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 // removeObsolete removes the segments and snapshots that the last segment of the log makes obsolete.
 func (m *Member) removeObsolete() error {
 	for len(m.log.Segments()) > 1 {
-		if err := m.log.RemoveOldest(); err != nil {
+		if err := m.log.RemoveOldestSegment(); err != nil {
 			return err
 		}
 	}
@@ -293,7 +293,7 @@
 	if err := file.Sync(); err != nil {
 		return &segment.FileError{Operation: "sync", Name: name, Err: err}
 	}
-	if err := m.files.SyncFolder(); err != nil {
+	if err := m.files.SyncDir(); err != nil {
 		return &segment.FileError{Operation: "sync folder for", Name: name, Err: err}
 	}
 	return nil
--- a/internal/system/agreement/disk/disk_test.go
+++ b/internal/system/agreement/disk/disk_test.go
@@ -19,7 +19,7 @@
 	var path string
 
 	open := func(identity Identity) *Member {
-		folder, err := segment.OpenFolder(path)
+		folder, err := segment.OpenDirectory(path)
 		Expect(err).NotTo(HaveOccurred())
 		member, err := Open(folder, identity)
 		Expect(err).NotTo(HaveOccurred())
@@ -79,7 +79,7 @@
 		member := open(bootstrapMember)
 		Expect(member.Compact(agreement.Stored{Snapshot: agreement.Snapshot{Index: 2, Term: 1, Data: []byte("state")}})).To(Succeed())
 		Expect(os.WriteFile(filepath.Join(path, snapshotName(2)), []byte("other bytes"), 0o644)).To(Succeed())
-		folder, err := segment.OpenFolder(path)
+		folder, err := segment.OpenDirectory(path)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = Open(folder, bootstrapMember)
 		var corrupt *CorruptError
@@ -117,9 +117,9 @@
 		var disk *fullDisk
 
 		ginkgo.BeforeEach(func() {
-			folder, err := segment.OpenFolder(path)
+			folder, err := segment.OpenDirectory(path)
 			Expect(err).NotTo(HaveOccurred())
-			disk = &fullDisk{Files: folder}
+			disk = &fullDisk{Directory: folder}
 		})
 
 		ginkgo.It("can be read, accepts no writes, and continues once there is space", func() {
@@ -128,7 +128,7 @@
 			member, err := Open(disk, bootstrapMember)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(member.Stored().Entries).To(Equal([]agreement.Entry{entry(1, 1)}))
-			Expect(segment.IsFull(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(2, 1)}}))).To(BeTrue())
+			Expect(segment.IsDiskFull(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(2, 1)}}))).To(BeTrue())
 			disk.full = false
 			Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(2, 1)}})).To(Succeed())
 			Expect(open(bootstrapMember).Stored().Entries).To(Equal([]agreement.Entry{entry(1, 1), entry(2, 1)}))
@@ -137,7 +137,7 @@
 		ginkgo.It("starts no identity on an empty disk, and reports why", func() {
 			disk.full = true
 			_, err := Open(disk, bootstrapMember)
-			Expect(segment.IsFull(err)).To(BeTrue())
+			Expect(segment.IsDiskFull(err)).To(BeTrue())
 			disk.full = false
 			member, err := Open(disk, bootstrapMember)
 			Expect(err).NotTo(HaveOccurred())
@@ -147,16 +147,16 @@
 		ginkgo.It("keeps its log if there is no space for a snapshot, whichever write fails", func() {
 			for remaining := range 4 {
 				path = ginkgo.GinkgoT().TempDir()
-				folder, err := segment.OpenFolder(path)
+				folder, err := segment.OpenDirectory(path)
 				Expect(err).NotTo(HaveOccurred())
-				disk = &fullDisk{Files: folder}
+				disk = &fullDisk{Directory: folder}
 				member, err := Open(disk, bootstrapMember)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(1, 1), entry(2, 1)}})).To(Succeed())
 				disk.full, disk.remaining = true, remaining // remaining creations and writes that succeed
 				stored := agreement.Stored{Entries: []agreement.Entry{entry(2, 1)}, Snapshot: agreement.Snapshot{Index: 1, Term: 1,
 					Data: []byte("state"), Members: agreement.Membership{Voters: bootstrapMember.Founders}}}
-				Expect(segment.IsFull(member.Compact(stored))).To(BeTrue(), "%d writes succeed", remaining)
+				Expect(segment.IsDiskFull(member.Compact(stored))).To(BeTrue(), "%d writes succeed", remaining)
 				Expect(open(bootstrapMember).Stored().Entries).To(Equal([]agreement.Entry{entry(1, 1), entry(2, 1)}))
 				disk.full = false
 				Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(3, 1)}})).To(Succeed())
@@ -171,7 +171,7 @@
 // fullDisk is a folder in which, while it is full, creations and writes fail once the remaining ones are used up. A
 // failing write writes half of its data.
 type fullDisk struct {
-	segment.Files
+	segment.Directory
 	full      bool
 	remaining int
 }
@@ -188,7 +188,7 @@
 	if d.failsWrite() {
 		return nil, syscall.ENOSPC
 	}
-	file, err := d.Files.Create(name)
+	file, err := d.Directory.Create(name)
 	return &fullFile{File: file, disk: d}, err
 }
 
--- a/internal/system/command/people.go
+++ b/internal/system/command/people.go
@@ -99,8 +99,8 @@
 	return newVerbGroup("inspect", "Show the contents of a disk", "  granitewing inspect messages /data/store/messages", messages, control, roster)
 }
 
-// readOnlyFolder is a folder that is never modified: files that a log creates in it are discarded.
-type readOnlyFolder struct{ *segment.Folder }
+// readOnlyDirectory is a directory that is never modified: files that a log creates in it are discarded.
+type readOnlyFolder struct{ *segment.OSDirectory }
 
 // discardFile is a file that discards writes and has nothing to read.
 type discardFile struct{}
@@ -111,14 +111,14 @@
 func (discardFile) Sync() error                            { return nil }
 func (readOnlyFolder) Create(string) (segment.File, error) { return discardFile{}, nil }
 func (readOnlyFolder) Remove(string) error                 { return nil }
-func (readOnlyFolder) SyncFolder() error                   { return nil }
+func (readOnlyFolder) SyncDir() error                      { return nil }
 
 // openReadOnly opens an existing folder without modifying it.
-func openReadOnly(path string) (segment.Files, error) {
+func openReadOnly(path string) (segment.Directory, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, &segment.FileError{Operation: "open", Name: path, Err: err}
 	}
-	folder, err := segment.OpenFolder(path)
+	folder, err := segment.OpenDirectory(path)
 	return readOnlyFolder{folder}, err
 }
 
--- a/internal/system/node/full.go
+++ b/internal/system/node/full.go
@@ -21,7 +21,7 @@
 func retryWhileDiskFull(ctx context.Context, operation func() error) error {
 	for {
 		err := operation()
-		if !segment.IsFull(err) {
+		if !segment.IsDiskFull(err) {
 			return err
 		}
 		log.WithError(err).Error("disk is full, retrying")
--- a/internal/system/node/keeper_disk.go
+++ b/internal/system/node/keeper_disk.go
@@ -35,7 +35,7 @@
 
 // openDisk opens the log of a group. The identity is used only if the disk holds no state of the group.
 func (n *keeperNode) openDisk(group int, fresh disk.Identity) (*disk.Member, error) {
-	folder, err := segment.OpenFolder(filepath.Join(n.settings.DataDir, "control-"+strconv.Itoa(group)))
+	folder, err := segment.OpenDirectory(filepath.Join(n.settings.DataDir, "control-"+strconv.Itoa(group)))
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 		return err
 	}
 	err = n.disks[group].Compact(stored)
-	if !segment.IsFull(err) {
+	if !segment.IsDiskFull(err) {
 		return err
 	}
 	log.WithError(err).WithField("group", group).Warn("disk is full, log compaction postponed")
--- a/internal/system/node/store.go
+++ b/internal/system/node/store.go
@@ -112,7 +112,7 @@
 
 // openLog opens the message log, rebuilds the core from it and writes the records that a new disk starts with.
 func (n *storeNode) openLog() error {
-	folder, err := segment.OpenFolder(filepath.Join(n.settings.DataDir, "messages"))
+	folder, err := segment.OpenDirectory(filepath.Join(n.settings.DataDir, "messages"))
 	if err != nil {
 		return err
 	}
@@ -189,7 +189,7 @@
 	var positions []segment.Position
 	if len(batch.Payloads) > 0 {
 		var err error
-		var full *segment.FullError
+		var full *segment.DiskFullError
 		positions, err = n.log.Append(batch.Payloads...)
 		if errors.As(err, &full) {
 			n.nextWriteAt = n.Now() + diskFullRetryInterval
@@ -289,7 +289,7 @@
 		return err
 	}
 	for _, number := range n.core.Removable(n.log.Segments()) {
-		if err := n.log.RemoveOldest(); err != nil {
+		if err := n.log.RemoveOldestSegment(); err != nil {
 			return err
 		}
 		n.core.Removed(number)
--- a/internal/system/role/store/bench_test.go
+++ b/internal/system/role/store/bench_test.go
@@ -22,7 +22,7 @@
 }
 
 func (f *fixture) open(bootstrap bool) {
-	folder, err := segment.OpenFolder(f.path)
+	folder, err := segment.OpenDirectory(f.path)
 	Expect(err).NotTo(HaveOccurred())
 	f.log, err = segment.Open(folder, 8<<10)
 	Expect(err).NotTo(HaveOccurred())
@@ -57,7 +57,7 @@
 	f.flush()
 	removable := f.core.Removable(f.log.Segments())
 	for _, number := range removable {
-		Expect(f.log.RemoveOldest()).To(Succeed())
+		Expect(f.log.RemoveOldestSegment()).To(Succeed())
 		f.core.Removed(number)
 	}
 	return len(removable)
--- a/internal/system/segment/errors.go
+++ b/internal/system/segment/errors.go
@@ -17,38 +17,38 @@
 
 func (e *FileError) Unwrap() error { return e.Err }
 
-// BrokenError is returned by Append, Sync and Rotate after a write or a sync has failed. The content of the disk is
+// FailedError is returned by Append, Sync and Rotate after a write or a sync has failed. The content of the disk is
 // then unknown, and a later sync that succeeds would prove nothing, so the log accepts no more records.
-type BrokenError struct{ Cause error }
+type FailedError struct{ Cause error }
 
-func (e *BrokenError) Error() string {
+func (e *FailedError) Error() string {
 	return fmt.Sprintf("log accepts no more records: %v", e.Cause)
 }
 
-func (e *BrokenError) Unwrap() error { return e.Cause }
+func (e *FailedError) Unwrap() error { return e.Cause }
 
-// FullError reports that the disk has no space left, or that a quota is exhausted. The records of the failed call
+// DiskFullError reports that the disk has no space left, or that a quota is exhausted. The records of the failed call
 // do not count as written; a later call may succeed.
-type FullError struct{ Err error }
+type DiskFullError struct{ Err error }
 
-func (e *FullError) Error() string { return fmt.Sprintf("the disk is full: %v", e.Err) }
+func (e *DiskFullError) Error() string { return fmt.Sprintf("the disk is full: %v", e.Err) }
 
-func (e *FullError) Unwrap() error { return e.Err }
+func (e *DiskFullError) Unwrap() error { return e.Err }
 
-// IsFull reports whether an error means that the disk is full: a FullError, or ENOSPC or EDQUOT in its chain.
-func IsFull(err error) bool {
-	var full *FullError
+// IsDiskFull reports whether an error means that the disk is full: a DiskFullError, or ENOSPC or EDQUOT in its chain.
+func IsDiskFull(err error) bool {
+	var full *DiskFullError
 	return errors.As(asFullError(err), &full)
 }
 
-// asFullError wraps ENOSPC and EDQUOT in a FullError and returns other errors unchanged.
+// asFullError wraps ENOSPC and EDQUOT in a DiskFullError and returns other errors unchanged.
 func asFullError(err error) error {
-	var full *FullError
+	var full *DiskFullError
 	if errors.As(err, &full) {
 		return err
 	}
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
-		return &FullError{Err: err}
+		return &DiskFullError{Err: err}
 	}
 	return err
 }
--- a/internal/system/segment/files.go
+++ b/internal/system/segment/files.go
@@ -3,10 +3,10 @@
 // Open reads the list of segments in a directory, Log.Replay passes the stored records to the caller, and then
 // Log.Append and Log.Sync write records. A record is durable once Sync has returned. After a loss of power, records
 // that follow the last sync may be present, absent or torn; checksums detect a torn record, and replay of its
-// segment ends there. A log removes old data a whole segment at a time, with Log.RemoveOldest.
+// segment ends there. A log removes old data a whole segment at a time, with Log.RemoveOldestSegment.
 //
-// Files and File are the interface to the file system, so that tests can inject faults. Folder implements Files
-// with the operating system's files.
+// Directory and File are the interface to the file system, so that tests can inject faults. OSDirectory implements
+// Directory with the operating system's files.
 package segment
 
 import (
@@ -24,8 +24,8 @@
 	Sync() error
 }
 
-// Files is the directory that holds the segment files of a log. Names are relative to it.
-type Files interface {
+// Directory is the directory that holds the segment files of a log. Names are relative to it.
+type Directory interface {
 	// Create creates a file for reading and writing, or truncates an existing one.
 	Create(name string) (File, error)
 	// Open opens an existing file for reading and syncing.
@@ -36,36 +36,36 @@
 	List() ([]string, error)
 	// Remove deletes a file.
 	Remove(name string) error
-	// SyncFolder makes the creation and removal of files durable.
-	SyncFolder() error
+	// SyncDir makes the creation and removal of files durable.
+	SyncDir() error
 }
 
-// Folder implements Files with a directory of the operating system.
-type Folder struct{ path string }
+// OSDirectory implements Directory with a directory of the operating system.
+type OSDirectory struct{ path string }
 
-// OpenFolder returns the directory at path, which it creates if it does not exist. The error is a *FileError.
-func OpenFolder(path string) (*Folder, error) {
+// OpenDirectory returns the directory at path, which it creates if it does not exist. The error is a *FileError.
+func OpenDirectory(path string) (*OSDirectory, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, &FileError{Operation: "create directory", Name: path, Err: err}
 	}
-	return &Folder{path: path}, nil
+	return &OSDirectory{path: path}, nil
 }
 
-func (f *Folder) join(name string) string { return filepath.Join(f.path, name) }
+func (f *OSDirectory) join(name string) string { return filepath.Join(f.path, name) }
 
-// Create implements Files.
-func (f *Folder) Create(name string) (File, error) {
+// Create implements Directory.
+func (f *OSDirectory) Create(name string) (File, error) {
 	return os.OpenFile(f.join(name), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o644)
 }
 
-// Open implements Files.
-func (f *Folder) Open(name string) (File, error) { return os.OpenFile(f.join(name), os.O_RDWR, 0) }
+// Open implements Directory.
+func (f *OSDirectory) Open(name string) (File, error) { return os.OpenFile(f.join(name), os.O_RDWR, 0) }
 
-// ReadFile implements Files.
-func (f *Folder) ReadFile(name string) ([]byte, error) { return os.ReadFile(f.join(name)) }
+// ReadFile implements Directory.
+func (f *OSDirectory) ReadFile(name string) ([]byte, error) { return os.ReadFile(f.join(name)) }
 
-// List implements Files.
-func (f *Folder) List() ([]string, error) {
+// List implements Directory.
+func (f *OSDirectory) List() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
 		return nil, err
@@ -80,11 +80,11 @@
 	return names, nil
 }
 
-// Remove implements Files.
-func (f *Folder) Remove(name string) error { return os.Remove(f.join(name)) }
+// Remove implements Directory.
+func (f *OSDirectory) Remove(name string) error { return os.Remove(f.join(name)) }
 
-// SyncFolder implements Files.
-func (f *Folder) SyncFolder() error {
+// SyncDir implements Directory.
+func (f *OSDirectory) SyncDir() error {
 	folder, err := os.Open(f.path)
 	if err != nil {
 		return err
--- a/internal/system/segment/log.go
+++ b/internal/system/segment/log.go
@@ -27,7 +27,7 @@
 
 // Log is a write-ahead log in the segment files of one directory. It is not safe for concurrent use.
 type Log struct {
-	files         Files
+	files         Directory
 	segments      []uint64        // segment numbers, ascending; the last is written to
 	current       File            // newest segment; nil until Replay or Append has created one
 	offset        uint32          // end of the records in current
@@ -42,7 +42,7 @@
 // Open reads the list of segments. Records are appended to a new segment, so that the torn end of an older one is
 // never overwritten. A segment is closed for writes at segmentLength bytes; 0 means 8 MiB. Replay must be called
 // before the first Append. The error is a *FileError.
-func Open(files Files, segmentLength uint32) (*Log, error) {
+func Open(files Directory, segmentLength uint32) (*Log, error) {
 	if segmentLength == 0 {
 		segmentLength = defaultSegmentLength
 	}
@@ -69,11 +69,11 @@
 func (l *Log) Empty() bool { return len(l.segments) == 0 }
 
 // Append writes records to the end of the log in a single write and returns their positions. They are durable after
-// the next Sync. The error is a *FullError if the disk is full, a *BrokenError after a failed write or sync, or a
+// the next Sync. The error is a *DiskFullError if the disk is full, a *FailedError after a failed write or sync, or a
 // *FileError if no new segment could be created.
 func (l *Log) Append(payloads ...[]byte) ([]Position, error) {
 	if l.broken != nil {
-		return nil, &BrokenError{Cause: l.broken}
+		return nil, &FailedError{Cause: l.broken}
 	}
 	if l.needsSegment {
 		if err := l.rotate(); err != nil {
@@ -91,11 +91,11 @@
 	positions := make([]Position, len(payloads))
 	l.buffer = l.buffer[:0]
 	for i, payload := range payloads {
-		positions[i] = Position{Segment: l.Current(), Offset: l.offset + uint32(len(l.buffer))}
+		positions[i] = Position{Segment: l.CurrentSegment(), Offset: l.offset + uint32(len(l.buffer))}
 		l.buffer = encode(l.buffer, positions[i], payload)
 	}
 	if _, err := l.current.Write(l.buffer); err != nil {
-		var full *FullError
+		var full *DiskFullError
 		if err := asFullError(err); errors.As(err, &full) {
 			l.needsSegment = true
 			return nil, full
@@ -110,11 +110,11 @@
 	return positions, nil
 }
 
-// Sync makes all appended records durable. After a failure it returns a *BrokenError, and the log accepts no more
+// Sync makes all appended records durable. After a failure it returns a *FailedError, and the log accepts no more
 // records.
 func (l *Log) Sync() error {
 	if l.broken != nil {
-		return &BrokenError{Cause: l.broken}
+		return &FailedError{Cause: l.broken}
 	}
 	if l.current == nil {
 		return nil // nothing was written since Open
@@ -126,12 +126,12 @@
 }
 
 func (l *Log) fail(operation string, err error) error {
-	l.broken = &FileError{Operation: operation, Name: fileName(l.Current()), Err: err}
-	return &BrokenError{Cause: l.broken}
+	l.broken = &FileError{Operation: operation, Name: fileName(l.CurrentSegment()), Err: err}
+	return &FailedError{Cause: l.broken}
 }
 
-// Current returns the number of the newest segment, or 0 if there is none.
-func (l *Log) Current() uint64 {
+// CurrentSegment returns the number of the newest segment, or 0 if there is none.
+func (l *Log) CurrentSegment() uint64 {
 	if len(l.segments) == 0 {
 		return 0
 	}
@@ -144,7 +144,7 @@
 // Rotate syncs the current segment and begins a new one. Errors are those of Append and Sync.
 func (l *Log) Rotate() error {
 	if l.broken != nil {
-		return &BrokenError{Cause: l.broken}
+		return &FailedError{Cause: l.broken}
 	}
 	if err := l.Sync(); err != nil {
 		return err
@@ -154,12 +154,12 @@
 
 // rotate creates the next segment and makes its directory entry durable before anything is written to it.
 func (l *Log) rotate() error {
-	next := l.Current() + 1
+	next := l.CurrentSegment() + 1
 	file, err := l.files.Create(fileName(next))
 	if err != nil {
 		return &FileError{Operation: "create", Name: fileName(next), Err: err}
 	}
-	if err := l.files.SyncFolder(); err != nil {
+	if err := l.files.SyncDir(); err != nil {
 		file.Close()
 		return &FileError{Operation: "sync directory after creating", Name: fileName(next), Err: err}
 	}
@@ -183,9 +183,9 @@
 	}
 }
 
-// RemoveOldest removes the oldest segment, unless it is the only one. The removal is durable when it returns, so
+// RemoveOldestSegment removes the oldest segment, unless it is the only one. The removal is durable when it returns, so
 // that no later segment can disappear before it. The error is a *FileError.
-func (l *Log) RemoveOldest() error {
+func (l *Log) RemoveOldestSegment() error {
 	if len(l.segments) < 2 {
 		return nil
 	}
@@ -197,7 +197,7 @@
 	if err := l.files.Remove(fileName(oldest)); err != nil {
 		return &FileError{Operation: "remove", Name: fileName(oldest), Err: err}
 	}
-	if err := l.files.SyncFolder(); err != nil {
+	if err := l.files.SyncDir(); err != nil {
 		return &FileError{Operation: "sync directory after removing", Name: fileName(oldest), Err: err}
 	}
 	l.segments = l.segments[1:]
--- a/internal/system/segment/log_test.go
+++ b/internal/system/segment/log_test.go
@@ -11,24 +11,24 @@
 	. "github.com/onsi/gomega"
 )
 
-// faultyFolder is a directory in which the test makes the next write or sync fail, or each creation of a file.
-type faultyFolder struct {
-	*Folder
+// faultyDirectory is a directory in which the test makes the next write or sync fail, or each creation of a file.
+type faultyDirectory struct {
+	*OSDirectory
 	failWrite, failSync error
 	failCreate          error // until reset to nil
 }
 
-// faultyFile is a file of a faultyFolder. A failing write writes half of its data.
+// faultyFile is a file of a faultyDirectory. A failing write writes half of its data.
 type faultyFile struct {
 	File
-	folder *faultyFolder
+	folder *faultyDirectory
 }
 
-func (f *faultyFolder) Create(name string) (File, error) {
+func (f *faultyDirectory) Create(name string) (File, error) {
 	if f.failCreate != nil {
 		return nil, f.failCreate
 	}
-	file, err := f.Folder.Create(name)
+	file, err := f.OSDirectory.Create(name)
 	return &faultyFile{File: file, folder: f}, err
 }
 
@@ -50,7 +50,7 @@
 }
 
 // openLog opens and replays a log, and returns it with the payloads of its records.
-func openLog(files Files) (*Log, []string) {
+func openLog(files Directory) (*Log, []string) {
 	log, err := Open(files, 1<<10)
 	Expect(err).NotTo(HaveOccurred())
 	var read []string
@@ -63,13 +63,13 @@
 
 var _ = ginkgo.Describe("Log", func() {
 	var path string
-	var files *faultyFolder
+	var files *faultyDirectory
 
 	ginkgo.BeforeEach(func() {
 		path = ginkgo.GinkgoT().TempDir()
-		folder, err := OpenFolder(path)
+		folder, err := OpenDirectory(path)
 		Expect(err).NotTo(HaveOccurred())
-		files = &faultyFolder{Folder: folder}
+		files = &faultyDirectory{OSDirectory: folder}
 	})
 
 	write := func(log *Log, texts ...string) []Position {
@@ -102,7 +102,7 @@
 	ginkgo.It("stops at a torn record, and continues with the records of the next incarnation", func() {
 		log, _ := openLog(files)
 		write(log, "one", "two")
-		name := filepath.Join(path, fileName(log.Current()))
+		name := filepath.Join(path, fileName(log.CurrentSegment()))
 		data, err := os.ReadFile(name)
 		Expect(err).NotTo(HaveOccurred())
 		for cut := range data {
@@ -121,7 +121,7 @@
 	ginkgo.It("detects a gap, and ignores the records after it", func() {
 		log, _ := openLog(files)
 		positions := write(log, "one", "two", "three")
-		name := filepath.Join(path, fileName(log.Current()))
+		name := filepath.Join(path, fileName(log.CurrentSegment()))
 		data, err := os.ReadFile(name)
 		Expect(err).NotTo(HaveOccurred())
 		clear(data[positions[1].Offset:positions[2].Offset])
@@ -133,10 +133,10 @@
 	ginkgo.It("ignores records at another position than they were written to", func() {
 		log, _ := openLog(files)
 		write(log, "one", "two")
-		name := filepath.Join(path, fileName(log.Current()))
+		name := filepath.Join(path, fileName(log.CurrentSegment()))
 		data, err := os.ReadFile(name)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(os.WriteFile(filepath.Join(path, fileName(log.Current()+7)), data, 0o644)).To(Succeed())
+		Expect(os.WriteFile(filepath.Join(path, fileName(log.CurrentSegment()+7)), data, 0o644)).To(Succeed())
 		_, read := openLog(files)
 		Expect(read).To(Equal([]string{"one", "two"}))
 	})
@@ -146,7 +146,7 @@
 		_, err := log.Append([]byte("one"))
 		Expect(err).NotTo(HaveOccurred())
 		files.failSync = errors.New("input/output error")
-		var broken *BrokenError
+		var broken *FailedError
 		Expect(errors.As(log.Sync(), &broken)).To(BeTrue())
 		Expect(errors.As(log.Sync(), &broken)).To(BeTrue())
 		_, err = log.Append([]byte("two"))
@@ -158,7 +158,7 @@
 		write(log, "one")
 		files.failWrite = syscall.ENOSPC
 		_, err := log.Append([]byte("two, which is longer"))
-		var full *FullError
+		var full *DiskFullError
 		Expect(errors.As(err, &full)).To(BeTrue())
 		write(log, "three")
 		_, read := openLog(files)
@@ -172,8 +172,8 @@
 		log, read := openLog(files)
 		Expect(read).To(Equal([]string{"one"}))
 		_, err := log.Append([]byte("two"))
-		Expect(IsFull(err)).To(BeTrue())
-		Expect(IsFull(log.Rotate())).To(BeTrue())
+		Expect(IsDiskFull(err)).To(BeTrue())
+		Expect(IsDiskFull(log.Rotate())).To(BeTrue())
 		payload, err := log.Read(positions[0])
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(payload)).To(Equal("one"))
@@ -188,7 +188,7 @@
 		log, read := openLog(files)
 		Expect(read).To(BeEmpty())
 		_, err := log.Append([]byte("one"))
-		Expect(IsFull(err)).To(BeTrue())
+		Expect(IsDiskFull(err)).To(BeTrue())
 		files.failCreate = nil
 		write(log, "two")
 		_, read = openLog(files)
@@ -200,7 +200,7 @@
 		write(log, "one")
 		Expect(log.Rotate()).To(Succeed())
 		write(log, "two")
-		Expect(log.RemoveOldest()).To(Succeed())
+		Expect(log.RemoveOldestSegment()).To(Succeed())
 		_, read := openLog(files)
 		Expect(read).To(Equal([]string{"two"}))
 	})
--- a/internal/system/segment/read.go
+++ b/internal/system/segment/read.go
@@ -32,7 +32,7 @@
 // reader returns an open file of a segment. At most maxReaders older segments stay open; an arbitrary one is closed
 // to make room.
 func (l *Log) reader(segment uint64) (File, error) {
-	if segment == l.Current() && l.current != nil {
+	if segment == l.CurrentSegment() && l.current != nil {
 		return l.current, nil
 	}
 	if reader := l.readers[segment]; reader != nil {
--- a/internal/system/segment/replay.go
+++ b/internal/system/segment/replay.go
@@ -18,7 +18,7 @@
 	}
 	l.replayBuffer = nil
 	err := l.rotate()
-	if IsFull(err) {
+	if IsDiskFull(err) {
 		l.needsSegment = true
 		return nil
 	}
--- a/internal/system/simulation/day.go
+++ b/internal/system/simulation/day.go
@@ -140,7 +140,7 @@
 		return
 	}
 	keeperHost, err := startKeeper(sim.world, m, s, sim.platform)
-	if segment.IsFull(err) {
+	if segment.IsDiskFull(err) {
 		// An empty disk can't take an identity while it is full.
 		sim.kill(m, fullDiskRetryDelay)
 		return
--- a/internal/system/simulation/disk.go
+++ b/internal/system/simulation/disk.go
@@ -46,7 +46,7 @@
 	return &simulatedDisk{world: w, machine: m, files: map[string]*simulatedFile{}}
 }
 
-// Create implements segment.Files. It fails with ENOSPC on a full disk.
+// Create implements segment.Directory. It fails with ENOSPC on a full disk.
 func (d *simulatedDisk) Create(name string) (segment.File, error) {
 	if d.machine.diskFull {
 		return nil, syscall.ENOSPC
@@ -56,7 +56,7 @@
 	return file, nil
 }
 
-// Open implements segment.Files.
+// Open implements segment.Directory.
 func (d *simulatedDisk) Open(name string) (segment.File, error) {
 	file := d.files[name]
 	if file == nil {
@@ -65,7 +65,7 @@
 	return file, nil
 }
 
-// ReadFile implements segment.Files.
+// ReadFile implements segment.Directory.
 func (d *simulatedDisk) ReadFile(name string) ([]byte, error) {
 	file := d.files[name]
 	if file == nil {
@@ -74,7 +74,7 @@
 	return append([]byte(nil), file.data...), nil
 }
 
-// List implements segment.Files. The names are sorted.
+// List implements segment.Directory. The names are sorted.
 func (d *simulatedDisk) List() ([]string, error) {
 	names := make([]string, 0, len(d.files))
 	for name := range d.files {
@@ -84,15 +84,15 @@
 	return names, nil
 }
 
-// Remove implements segment.Files.
+// Remove implements segment.Directory.
 func (d *simulatedDisk) Remove(name string) error {
 	d.removed = append(d.removed, removal{name: name, file: d.files[name], earliest: max(d.world.now, d.syncedAt)})
 	delete(d.files, name)
 	return nil
 }
 
-// SyncFolder implements segment.Files.
-func (d *simulatedDisk) SyncFolder() error {
+// SyncDir implements segment.Directory.
+func (d *simulatedDisk) SyncDir() error {
 	finished := d.beginSync()
 	remaining := d.removed[:0]
 	for _, r := range d.removed {
--- a/internal/system/simulation/keeper_host.go
+++ b/internal/system/simulation/keeper_host.go
@@ -176,7 +176,7 @@
 // saveReady writes what a group has ready. If the disk is full, it tries again later.
 func (h *keeperHost) saveReady(group int, ready *agreement.Ready) {
 	err := h.disks[group].Save(ready)
-	if segment.IsFull(err) {
+	if segment.IsDiskFull(err) {
 		h.After(fullDiskRetryDelay, func() { h.saveReady(group, ready) })
 		return
 	}
@@ -199,7 +199,7 @@
 	if err == nil && compacted {
 		err = h.disks[group].Compact(stored)
 	}
-	if segment.IsFull(err) {
+	if segment.IsDiskFull(err) {
 		h.compactAfter[group] = h.Now() + compactionRetryDelay
 		return
 	}
@@ -229,7 +229,7 @@
 	h.pendingResets[group] = false
 	identity := disk.Identity{ID: keeper.FreshIdentity(h.address, member.NewIncarnation(h, h.machine.name))}
 	err := h.disks[group].Begin(identity)
-	if segment.IsFull(err) {
+	if segment.IsDiskFull(err) {
 		h.After(fullDiskRetryDelay, func() { h.Reset(group) })
 		return
 	}
--- a/internal/system/simulation/store_host.go
+++ b/internal/system/simulation/store_host.go
@@ -85,7 +85,7 @@
 	}
 	h.flush()
 	for _, number := range h.core.Removable(h.log.Segments()) {
-		if err := h.log.RemoveOldest(); err != nil {
+		if err := h.log.RemoveOldestSegment(); err != nil {
 			h.Report("cleaning", err)
 			return
 		}
@@ -160,7 +160,7 @@
 		return
 	}
 	positions, err := h.log.Append(batch.Payloads...)
-	if segment.IsFull(err) {
+	if segment.IsDiskFull(err) {
 		h.core.Full(batch)
 		h.flushing = true
 		h.After(fullDiskRetryDelay, h.resumeFlush)
