--- a/internal/system/role/carrier/core.go
+++ b/internal/system/role/carrier/core.go
@@ -268,7 +268,9 @@
 }
 
 // enough reports whether a message on the given disks survives every tolerated loss.
-func (c *Core) enough(disks []string) bool { return c.settings.Tolerance.Enough(c.stores.zones(disks)) }
+func (c *Core) enough(disks []string) bool {
+	return c.settings.Tolerance.SufficientReplicas(c.stores.zones(disks))
+}
 
 // Incarnation returns the incarnation of this carrier's session.
 func (c *Core) Incarnation() string { return c.session.Incarnation() }
--- a/internal/system/role/carrier/storage.go
+++ b/internal/system/role/carrier/storage.go
@@ -93,7 +93,7 @@
 func (s *storage) choose() []string {
 	ranked := s.ranked(nil)
 	var chosen []string
-	for _, pick := range s.core.settings.Tolerance.Choose(nil, s.zones(ranked)) {
+	for _, pick := range s.core.settings.Tolerance.ChooseReplicas(nil, s.zones(ranked)) {
 		chosen = append(chosen, ranked[pick])
 	}
 	return chosen
@@ -103,7 +103,7 @@
 // disk that the message still needs, and returns an empty string if there is no other disk.
 func (s *storage) another(attempted, holders []string) string {
 	ranked := s.ranked(attempted)
-	if picks := s.core.settings.Tolerance.Choose(s.zones(holders), s.zones(ranked)); len(picks) > 0 {
+	if picks := s.core.settings.Tolerance.ChooseReplicas(s.zones(holders), s.zones(ranked)); len(picks) > 0 {
 		return ranked[picks[0]]
 	}
 	if len(ranked) > 0 {
@@ -168,7 +168,7 @@
 		}
 	}
 	tolerance := &s.core.settings.Tolerance
-	return tolerance.Enough(counting) && tolerance.May(missing) && (all || late)
+	return tolerance.SufficientReplicas(counting) && tolerance.MayBeLost(missing) && (all || late)
 }
 
 func (s *storage) put(disk string, m *message.Message, done func(err error)) {
--- a/internal/system/role/keeper/groups.go
+++ b/internal/system/role/keeper/groups.go
@@ -118,7 +118,7 @@
 	if target == "" {
 		target = leaving
 	}
-	if target == "" && !c.options.Tolerance.Survives(c.zonesOf(group.Voters, "")) {
+	if target == "" && !c.options.Tolerance.MajoritySurvives(c.zonesOf(group.Voters, "")) {
 		target = c.redundantVoter(group.Voters)
 	}
 	if target == "" || target != unreachable && !c.safeWithout(node, target) {
@@ -170,7 +170,7 @@
 // string.
 func (c *Core) redundantVoter(voters []string) string {
 	for _, voter := range voters {
-		if c.options.Tolerance.Survives(c.zonesOf(voters, voter)) {
+		if c.options.Tolerance.MajoritySurvives(c.zonesOf(voters, voter)) {
 			return voter
 		}
 	}
@@ -198,7 +198,7 @@
 		if 2*len(liveMembers(node, with)) <= len(with) {
 			continue // with one more voter the group could commit nothing, not even this change
 		}
-		if c.options.Tolerance.Survives(c.zonesOf(with, "")) {
+		if c.options.Tolerance.MajoritySurvives(c.zonesOf(with, "")) {
 			return learner
 		}
 		fallback = learner
@@ -213,7 +213,7 @@
 	for _, voter := range c.replaceableVoters(group, unreachable, leaving) {
 		for _, learner := range c.promotableLearners(node, group) {
 			after := group.Replace(voter, learner, agreement.Out).Voters
-			fits := 2*len(liveMembers(node, after)) > len(after) && c.options.Tolerance.Survives(c.zonesOf(after, ""))
+			fits := 2*len(liveMembers(node, after)) > len(after) && c.options.Tolerance.MajoritySurvives(c.zonesOf(after, ""))
 			if fits && (voter == unreachable || c.safeWithVoters(node, after)) {
 				return voter, learner
 			}
@@ -230,7 +230,7 @@
 		return []string{unreachable}
 	case leaving != "":
 		return []string{leaving}
-	case !c.options.Tolerance.Survives(c.zonesOf(group.Voters, "")):
+	case !c.options.Tolerance.MajoritySurvives(c.zonesOf(group.Voters, "")):
 		return group.Voters
 	}
 	return nil
--- a/internal/system/role/keeper/whole.go
+++ b/internal/system/role/keeper/whole.go
@@ -27,7 +27,7 @@
 	if tolerance.Zones+tolerance.Regions > 0 && slices.Contains(zones, "") {
 		return false
 	}
-	return tolerance.SurvivesWith(zones, len(voters))
+	return tolerance.MajoritySurvivesWith(zones, len(voters))
 }
 
 // safeWithout reports whether a live member may leave a group. The remaining voters must keep a live majority
--- a/internal/system/role/store/census.go
+++ b/internal/system/role/store/census.go
@@ -170,7 +170,7 @@
 				candidate.holders = append(candidate.holders, x.disks[r.disk])
 			}
 		}
-		if !x.tolerance.Enough(candidate.holderZones(view)) {
+		if !x.tolerance.SufficientReplicas(candidate.holderZones(view)) {
 			found = append(found, candidate)
 		}
 	}
--- a/internal/system/role/store/empty.go
+++ b/internal/system/role/store/empty.go
@@ -73,7 +73,7 @@
 	// before the disk was marked as leaving.
 	ownCaughtUp := e.lists.readOwn(view.Epoch)
 	caughtUp, awaited, missingZones := e.lists.read(view, 0)
-	if !ownCaughtUp || caughtUp == 0 || awaited > 0 || !e.tolerance.May(missingZones) {
+	if !ownCaughtUp || caughtUp == 0 || awaited > 0 || !e.tolerance.MayBeLost(missingZones) {
 		return
 	}
 	held, outdated := e.underReplicated(view)
--- a/internal/system/role/store/fill.go
+++ b/internal/system/role/store/fill.go
@@ -87,7 +87,7 @@
 	ownCaughtUp := f.lists.readOwn(0)
 	caughtUp, awaited, missingZones := f.lists.read(view, f.epoch)
 	missingZones = append(missingZones, f.replacedZone...)
-	if !ownCaughtUp || caughtUp == 0 || awaited > 0 || !f.tolerance.May(missingZones) {
+	if !ownCaughtUp || caughtUp == 0 || awaited > 0 || !f.tolerance.MayBeLost(missingZones) {
 		return false
 	}
 	if f.plan == nil {
@@ -199,7 +199,7 @@
 	p := &fetchPlan{backfiller: f, startedAt: f.env.Now(), queues: map[string][]string{}, inFlight: map[string]bool{}}
 	for _, m := range f.lists.index.underReplicated(view) {
 		if f.lists.index.state(f.disk, m.id).Has(m.required) {
-			if !f.tolerance.Enough(f.zonesWithOwn(view, &m)) {
+			if !f.tolerance.SufficientReplicas(f.zonesWithOwn(view, &m)) {
 				p.local = append(p.local, m)
 			}
 			continue
--- a/internal/system/role/store/send.go
+++ b/internal/system/role/store/send.go
@@ -27,7 +27,7 @@
 		for _, disk := range targets {
 			zones = append(zones, view.Disks[disk].Member.Zone)
 		}
-		for _, pick := range s.lists.index.tolerance.Choose(m.holderZones(view), zones) {
+		for _, pick := range s.lists.index.tolerance.ChooseReplicas(m.holderZones(view), zones) {
 			if disk := targets[pick]; len(batches[disk]) < maxCopiesPerCall {
 				batches[disk] = append(batches[disk], m.id)
 			}
--- a/internal/system/session/spare.go
+++ b/internal/system/session/spare.go
@@ -138,7 +138,7 @@
 // reclaimed.
 func (s *State) reclaimDisks() {
 	working := s.zones(s.writableDisksWithout(""))
-	if s.tolerance.Enough(working) {
+	if s.tolerance.SufficientReplicas(working) {
 		return
 	}
 	var leaving, zones []string
@@ -151,10 +151,10 @@
 			}
 		}
 	}
-	if !s.tolerance.Enough(append(slices.Clone(working), zones...)) {
+	if !s.tolerance.SufficientReplicas(append(slices.Clone(working), zones...)) {
 		return
 	}
-	for _, pick := range s.tolerance.Choose(working, zones) {
+	for _, pick := range s.tolerance.ChooseReplicas(working, zones) {
 		s.reclaimDisk(leaving[pick])
 	}
 }
@@ -189,7 +189,7 @@
 // find enough disks even after the next loss.
 func (s *State) sufficient(disks []string) bool {
 	zones := s.zones(disks)
-	return len(zones) >= s.tolerance.Voters() && s.tolerance.Spread(zones)
+	return len(zones) >= s.tolerance.Voters() && s.tolerance.SufficientAfterLoss(zones)
 }
 
 // writableDisksWithout returns the disks that accept messages, except those of the given machine: counted disks with
--- a/internal/system/simulation/judge.go
+++ b/internal/system/simulation/judge.go
@@ -149,7 +149,7 @@
 		}
 	}
 	for _, r := range sim.checker.accepted() {
-		if zones := zonesOf[r.id]; !sim.tolerance.Enough(zones) {
+		if zones := zonesOf[r.id]; !sim.tolerance.SufficientReplicas(zones) {
 			sim.checker.reportViolation(sim.world.now, "COPIES", fmt.Sprintf("%s is on %d disks at the end, too few to survive every tolerated loss", r.id, len(zones)))
 		}
 	}
--- a/internal/system/simulation/judge_control.go
+++ b/internal/system/simulation/judge_control.go
@@ -22,7 +22,7 @@
 		voters := members.Voters
 		held := sim.checkMajority(group, voters)
 		whole, leads := leader.core.Whole(group)
-		if leads && whole && sim.checker.leadersInformed(sim.world.now) && !sim.tolerance.SurvivesWith(sim.zonesOf(sim.runningIdentities(held)), len(voters)) {
+		if leads && whole && sim.checker.leadersInformed(sim.world.now) && !sim.tolerance.MajoritySurvivesWith(sim.zonesOf(sim.runningIdentities(held)), len(voters)) {
 			sim.checker.reportViolation(sim.world.now, "CONTROL", fmt.Sprintf("%s reports that it survives every tolerated loss, but of its voters %v only %v run", groupNames[group], voters, sim.runningIdentities(held)))
 		}
 	}
--- a/internal/system/tolerance/tolerance.go
+++ b/internal/system/tolerance/tolerance.go
@@ -1,12 +1,13 @@
 // Package tolerance computes with the fault tolerance of a deployment: how many machines, zones or regions may be
-// lost at the same time. From this follow the disks that must hold the replicas of a message (Enough, Choose), the
-// disks that may be unreachable while a reader needs all messages (May), and whether a set of voters keeps its
-// majority (Survives).
+// lost at the same time. From this follow the disks that must hold the replicas of a message (SufficientReplicas,
+// ChooseReplicas), the disks that may be unreachable while a reader needs all messages (MayBeLost), and whether a set
+// of voters keeps its majority (MajoritySurvives).
 //
 // Replicas and disks are given by the names of their zones, one name per disk.
 //
-// Enough and May fit together: a set of disks that is Enough is never a subset of one that May be lost. So a reader
-// that has reached all disks but a set that may be lost has reached at least one replica of each message.
+// SufficientReplicas and MayBeLost fit together: a set of disks that suffices is never a subset of one that may be
+// lost. So a reader that has reached all disks but a set that may be lost has reached at least one replica of each
+// message.
 package tolerance
 
 import "slices"
@@ -21,8 +22,8 @@
 	RegionOf map[string]string
 }
 
-// Copies returns the minimum number of replicas of a message, each on a disk of its own.
-func (t *Tolerance) Copies() int { return max(t.Machines, t.Zones, t.Regions) + 1 }
+// MinReplicas returns the minimum number of replicas of a message, each on a disk of its own.
+func (t *Tolerance) MinReplicas() int { return max(t.Machines, t.Zones, t.Regions) + 1 }
 
 // Voters returns the number of voters that a control group (a Raft group of keepers) should have.
 func (t *Tolerance) Voters() int { return 2*max(t.Machines, t.Zones, t.Regions) + 1 }
@@ -45,28 +46,31 @@
 	return countDistinct(regions)
 }
 
-// Enough reports whether at least one of the disks in these zones remains after every tolerated loss.
-func (t *Tolerance) Enough(zones []string) bool {
+// SufficientReplicas reports whether at least one of the disks in these zones remains after every tolerated loss.
+func (t *Tolerance) SufficientReplicas(zones []string) bool {
 	return len(zones) > t.Machines && countDistinct(zones) > t.Zones && t.countRegions(zones) > t.Regions
 }
 
-// May reports whether all of the disks in these zones may be lost at the same time.
-func (t *Tolerance) May(zones []string) bool {
+// MayBeLost reports whether all of the disks in these zones may be lost at the same time.
+func (t *Tolerance) MayBeLost(zones []string) bool {
 	return len(zones) <= t.Machines || t.Zones > 0 && countDistinct(zones) <= t.Zones || t.Regions > 0 && t.countRegions(zones) <= t.Regions
 }
 
-// Spread reports whether the disks in these zones cover so many zones and regions that, after every tolerated loss of
-// zones or regions, the rest still covers as many as Enough requires. It ignores the number of disks.
-func (t *Tolerance) Spread(zones []string) bool {
+// SufficientAfterLoss reports whether the disks in these zones cover so many zones and regions that, after every
+// tolerated loss of zones or regions, the rest still covers as many as SufficientReplicas requires. It ignores the
+// number of disks.
+func (t *Tolerance) SufficientAfterLoss(zones []string) bool {
 	return countDistinct(zones) > 2*t.Zones && t.countRegions(zones) > 2*t.Regions
 }
 
-// Survives reports whether the voters in these zones keep a majority after every tolerated loss.
-func (t *Tolerance) Survives(zones []string) bool { return t.SurvivesWith(zones, len(zones)) }
+// MajoritySurvives reports whether the voters in these zones keep a majority after every tolerated loss.
+func (t *Tolerance) MajoritySurvives(zones []string) bool {
+	return t.MajoritySurvivesWith(zones, len(zones))
+}
 
-// SurvivesWith reports whether the live voters in these zones still are a majority of all voters, live or not, after
-// every tolerated loss. voters is the number of all voters.
-func (t *Tolerance) SurvivesWith(live []string, voters int) bool {
+// MajoritySurvivesWith reports whether the live voters in these zones still are a majority of all voters, live or not,
+// after every tolerated loss. voters is the number of all voters.
+func (t *Tolerance) MajoritySurvivesWith(live []string, voters int) bool {
 	regions := make([]string, 0, len(live))
 	for _, zone := range live {
 		regions = append(regions, t.RegionOf[zone])
@@ -93,26 +97,27 @@
 	return sum
 }
 
-// Lacking returns the minimum number of disks that must be added to the disks in these zones until they are Enough.
-func (t *Tolerance) Lacking(zones []string) int {
+// MissingReplicas returns the minimum number of disks that must be added to the disks in these zones until they
+// suffice.
+func (t *Tolerance) MissingReplicas(zones []string) int {
 	return max(0, t.Machines+1-len(zones), t.Zones+1-countDistinct(zones), t.Regions+1-t.countRegions(zones))
 }
 
-// Choose picks disks for new replicas so that, with the existing replicas, they are Enough, and no more than that
+// ChooseReplicas picks disks for new replicas so that, with the existing replicas, they suffice, and no more than that
 // takes. existing and candidates are zones; the best candidates come first. It returns the indexes of the picked
 // candidates. If the candidates do not suffice, it returns all that reduce the number of lacking disks.
-func (t *Tolerance) Choose(existing, candidates []string) []int {
+func (t *Tolerance) ChooseReplicas(existing, candidates []string) []int {
 	chosen := append([]string(nil), existing...)
 	var picks []int
 	used := make([]bool, len(candidates))
 	for {
-		lacking := t.Lacking(chosen)
+		lacking := t.MissingReplicas(chosen)
 		if lacking == 0 {
 			return picks
 		}
 		pick := -1
 		for i, zone := range candidates {
-			if !used[i] && t.Lacking(append(chosen, zone)) < lacking {
+			if !used[i] && t.MissingReplicas(append(chosen, zone)) < lacking {
 				pick = i
 				break
 			}
--- a/internal/system/tolerance/tolerance_suite_test.go
+++ b/internal/system/tolerance/tolerance_suite_test.go
@@ -38,8 +38,8 @@
 				for regions := range 2 {
 					t := &Tolerance{Machines: machines, Zones: zones, Regions: regions, RegionOf: regionOf}
 					subsets(places, func(in, _ []string) {
-						if len(in) > 0 && t.Enough(in) {
-							Expect(t.May(in)).To(BeFalse(), "%+v %v", t, in)
+						if len(in) > 0 && t.SufficientReplicas(in) {
+							Expect(t.MayBeLost(in)).To(BeFalse(), "%+v %v", t, in)
 						}
 					})
 				}
@@ -53,40 +53,40 @@
 				t := &Tolerance{Machines: machines, Zones: zones, RegionOf: regionOf}
 				subsets(places, func(existing, candidates []string) {
 					chosen := append([]string(nil), existing...)
-					for _, pick := range t.Choose(existing, candidates) {
+					for _, pick := range t.ChooseReplicas(existing, candidates) {
 						chosen = append(chosen, candidates[pick])
 					}
-					Expect(t.Enough(chosen)).To(BeTrue(), "%+v %v", t, existing)
-					Expect(len(chosen)).To(BeNumerically("<=", max(len(existing)+t.Copies(), t.Copies())))
+					Expect(t.SufficientReplicas(chosen)).To(BeTrue(), "%+v %v", t, existing)
+					Expect(len(chosen)).To(BeNumerically("<=", max(len(existing)+t.MinReplicas(), t.MinReplicas())))
 				})
 			}
 		}
 		machinesOnly := &Tolerance{Machines: 2, RegionOf: regionOf}
-		Expect(machinesOnly.Choose(nil, []string{"a", "a", "a", "b"})).To(Equal([]int{0, 1, 2}))
+		Expect(machinesOnly.ChooseReplicas(nil, []string{"a", "a", "a", "b"})).To(Equal([]int{0, 1, 2}))
 		machinesAndZone := &Tolerance{Machines: 2, Zones: 1, RegionOf: regionOf}
-		Expect(machinesAndZone.Choose(nil, []string{"a", "a", "a", "b"})).To(Equal([]int{0, 1, 3}))
-		Expect(machinesAndZone.Choose([]string{"b"}, []string{"a", "a"})).To(Equal([]int{0, 1}))
-		Expect(machinesAndZone.Choose(nil, []string{"a"})).To(Equal([]int{0}))
+		Expect(machinesAndZone.ChooseReplicas(nil, []string{"a", "a", "a", "b"})).To(Equal([]int{0, 1, 3}))
+		Expect(machinesAndZone.ChooseReplicas([]string{"b"}, []string{"a", "a"})).To(Equal([]int{0, 1}))
+		Expect(machinesAndZone.ChooseReplicas(nil, []string{"a"})).To(Equal([]int{0}))
 	})
 
 	It("reports whether voters keep a majority", func() {
 		three := &Tolerance{Machines: 1, Zones: 1}
-		Expect(three.Survives([]string{"a", "b", "c"})).To(BeTrue())
-		Expect(three.Survives([]string{"a", "b", "b"})).To(BeFalse())
-		Expect((&Tolerance{Machines: 1}).Survives([]string{"a", "b", "b"})).To(BeTrue())
-		Expect((&Tolerance{Machines: 2}).Survives([]string{"a", "b", "b", "c"})).To(BeFalse())
+		Expect(three.MajoritySurvives([]string{"a", "b", "c"})).To(BeTrue())
+		Expect(three.MajoritySurvives([]string{"a", "b", "b"})).To(BeFalse())
+		Expect((&Tolerance{Machines: 1}).MajoritySurvives([]string{"a", "b", "b"})).To(BeTrue())
+		Expect((&Tolerance{Machines: 2}).MajoritySurvives([]string{"a", "b", "b", "c"})).To(BeFalse())
 		five := &Tolerance{Machines: 2, Zones: 1}
-		Expect(five.Survives([]string{"a", "a", "b", "b", "c"})).To(BeTrue())
-		Expect(five.Survives([]string{"a", "a", "a", "b", "c"})).To(BeFalse())
+		Expect(five.MajoritySurvives([]string{"a", "a", "b", "b", "c"})).To(BeTrue())
+		Expect(five.MajoritySurvives([]string{"a", "a", "a", "b", "c"})).To(BeFalse())
 		regional := &Tolerance{Regions: 1, RegionOf: regionOf}
-		Expect(regional.Survives([]string{"a", "c", "d"})).To(BeTrue())
-		Expect(regional.Survives([]string{"a", "b", "c"})).To(BeFalse())
+		Expect(regional.MajoritySurvives([]string{"a", "c", "d"})).To(BeTrue())
+		Expect(regional.MajoritySurvives([]string{"a", "b", "c"})).To(BeFalse())
 	})
 
 	It("requires as many copies and voters as the largest loss needs", func() {
 		t := &Tolerance{Machines: 1, Zones: 2}
-		Expect(t.Copies()).To(Equal(3))
+		Expect(t.MinReplicas()).To(Equal(3))
 		Expect(t.Voters()).To(Equal(5))
-		Expect((&Tolerance{}).Copies()).To(Equal(1))
+		Expect((&Tolerance{}).MinReplicas()).To(Equal(1))
 	})
 })
