--- a/internal/system/ownership/balance.go
+++ b/internal/system/ownership/balance.go
@@ -113,14 +113,14 @@
 	for _, unit := range units {
 		owner := s.owners[unit]
 		switch {
-		case owner.Next == "":
+		case owner.OfferedTo == "":
 			load.add(unit, owner.Incarnation, 1)
-		case !live[owner.Next] || fleet.Stopping[owner.Next]:
+		case !live[owner.OfferedTo] || fleet.Stopping[owner.OfferedTo]:
 			changes = append(changes, s.offerChange(unit, ""))
 			load.add(unit, owner.Incarnation, 1)
 		default:
 			openOffers++
-			load.add(unit, owner.Next, 1)
+			load.add(unit, owner.OfferedTo, 1)
 		}
 	}
 	for _, unit := range units {
@@ -128,7 +128,7 @@
 		if openOffers >= maxOpenOffers {
 			break
 		}
-		if owner.Next != "" || !live[owner.Incarnation] {
+		if owner.OfferedTo != "" || !live[owner.Incarnation] {
 			continue
 		}
 		candidate := load.leastLoaded(unit, candidates)
@@ -150,11 +150,11 @@
 	return Change{Kind: Offer, Unit: unit, Incarnation: next, Token: owner.Token, Offer: owner.Offer}
 }
 
-// Withdraw returns the changes that withdraw all open offers of the given units.
-func (s *State) Withdraw(units []string) []Change {
+// WithdrawOffers returns the changes that withdraw all open offers of the given units.
+func (s *State) WithdrawOffers(units []string) []Change {
 	var changes []Change
 	for _, unit := range units {
-		if s.owners[unit].Next != "" {
+		if s.owners[unit].OfferedTo != "" {
 			changes = append(changes, s.offerChange(unit, ""))
 		}
 	}
--- a/internal/system/ownership/state.go
+++ b/internal/system/ownership/state.go
@@ -2,9 +2,9 @@
 // one carrier at a time orders or rate-limits. Its owner acts under a fencing token, which rises with every change of
 // owner.
 //
-// State is the table of one shard. The shard's leader computes changes with Assign, Balance and Withdraw, replicates
-// them, and every replica carries them out with Apply. A unit moves from a live owner in two steps: an Offer names
-// the next owner, and the Release of the current owner makes it the owner.
+// State is the table of one shard. The shard's leader computes changes with Assign, Balance and WithdrawOffers,
+// replicates them, and every replica carries them out with Apply. A unit moves from a live owner in two steps: an Offer
+// names the next owner, and the Release of the current owner makes it the owner.
 //
 // Ordering keys map to units by the key alone, regardless of route and service: messages of a key keep their order on
 // whatever route they arrive and whichever service runs them, and a configuration change may assign a route to another
@@ -29,8 +29,8 @@
 	_msgpack    struct{} `msgpack:",as_array"`
 	Incarnation string
 	Token       uint64
-	// Next is the incarnation to which the owner is asked to hand over the unit; empty if there is no offer.
-	Next string
+	// OfferedTo is the incarnation to which the owner is asked to hand over the unit; empty if there is no offer.
+	OfferedTo string
 	// Offer is a number that rises whenever an offer is made or withdrawn.
 	Offer uint64
 }
@@ -121,17 +121,17 @@
 		}
 	case Offer:
 		if owner.Token == change.Token && owner.Offer == change.Offer {
-			owner.Next, owner.Offer = change.Incarnation, owner.Offer+1
+			owner.OfferedTo, owner.Offer = change.Incarnation, owner.Offer+1
 			s.owners[change.Unit] = owner
 		}
 	case Release:
 		switch {
 		case owner.Token > change.Token:
 			return nil // the unit was released or reassigned before
-		case owner.Token < change.Token || owner.Offer != change.Offer || owner.Next == "":
+		case owner.Token < change.Token || owner.Offer != change.Offer || owner.OfferedTo == "":
 			return &StaleOfferError{Unit: change.Unit}
 		}
-		s.owners[change.Unit] = Owner{Incarnation: owner.Next, Token: owner.Token + 1}
+		s.owners[change.Unit] = Owner{Incarnation: owner.OfferedTo, Token: owner.Token + 1}
 	}
 	return nil
 }
@@ -176,7 +176,7 @@
 
 // Shard returns the shard of a unit, in [0, shards), or -1 if unit is not the name of a unit that can have an owner.
 func Shard(unit string, shards int) int {
-	if service, paced := PacedService(unit); paced {
+	if service, paced := ServiceOfUnit(unit); paced {
 		return int(hash(service) % uint32(shards))
 	}
 	text, keyed := strings.CutPrefix(unit, keyPrefix)
@@ -205,12 +205,12 @@
 	return units
 }
 
-// PacedUnit returns the single unit of a service that is rate-limited or has a single endpoint. It holds the service's
-// messages without an ordering key.
-func PacedUnit(service string) string { return pacedPrefix + service }
+// ServiceUnit returns the single unit of a service that is rate-limited or has a single endpoint. It holds the
+// service's messages without an ordering key.
+func ServiceUnit(service string) string { return pacedPrefix + service }
 
-// PacedService returns the service whose PacedUnit this is, and false for any other name.
-func PacedService(unit string) (service string, paced bool) {
+// ServiceOfUnit returns the service whose ServiceUnit this is, and false for any other name.
+func ServiceOfUnit(unit string) (service string, paced bool) {
 	service, paced = strings.CutPrefix(unit, pacedPrefix)
 	return service, paced && service != ""
 }
--- a/internal/system/ownership/state_test.go
+++ b/internal/system/ownership/state_test.go
@@ -20,7 +20,7 @@
 var _ = ginkgo.Describe("The ownership table", func() {
 	ginkgo.It("assigns owners evenly, and moves a unit only when its owner is gone, under a higher token", func() {
 		state := NewState()
-		units := append(KeyUnits(), PacedUnit("p1"), PacedUnit("p2"))
+		units := append(KeyUnits(), ServiceUnit("p1"), ServiceUnit("p2"))
 		Expect(state.Apply(state.Assign(units, live("a", "b")))).To(Succeed())
 		load := map[string]int{}
 		for _, owner := range state.Owners() {
@@ -43,7 +43,7 @@
 
 	ginkgo.It("balances each group when carriers join, a few units at a time, and then stops", func() {
 		state := NewState()
-		units := append(KeyUnits(), PacedUnit("p1"), PacedUnit("p2"), PacedUnit("p3"))
+		units := append(KeyUnits(), ServiceUnit("p1"), ServiceUnit("p2"), ServiceUnit("p3"))
 		Expect(state.Apply(state.Assign(units, live("a")))).To(Succeed())
 		fleet := live("a", "b", "c")
 		for range 20 {
@@ -108,12 +108,12 @@
 		offer := Change{Kind: Offer, Unit: "u", Incarnation: "b", Token: 1}
 		Expect(state.Apply([]Change{offer})).To(Succeed())
 		first := Change{Kind: Release, Unit: "u", Token: 1, Offer: 1}
-		Expect(state.Apply(state.Withdraw([]string{"u"}))).To(Succeed())
+		Expect(state.Apply(state.WithdrawOffers([]string{"u"}))).To(Succeed())
 		var stale *StaleOfferError
 		Expect(errors.As(state.Apply([]Change{first}), &stale)).To(BeTrue())
 		Expect(state.Apply([]Change{{Kind: Offer, Unit: "u", Incarnation: "c", Token: 1, Offer: 2}})).To(Succeed())
 		Expect(errors.As(state.Apply([]Change{first}), &stale)).To(BeTrue())
-		Expect(state.Owners()["u"]).To(Equal(Owner{Incarnation: "a", Token: 1, Next: "c", Offer: 3}))
+		Expect(state.Owners()["u"]).To(Equal(Owner{Incarnation: "a", Token: 1, OfferedTo: "c", Offer: 3}))
 		Expect(release(state, "u")).To(Succeed())
 		Expect(state.Owners()["u"]).To(Equal(Owner{Incarnation: "c", Token: 2}))
 		// A repeated release of an earlier owner is acknowledged again, and an offer under an earlier token has no effect.
@@ -123,11 +123,11 @@
 	})
 
 	ginkgo.It("returns the service of a paced unit, and the shard of each unit that can have an owner", func() {
-		service, paced := PacedService(PacedUnit("a/b"))
+		service, paced := ServiceOfUnit(ServiceUnit("a/b"))
 		Expect(service).To(Equal("a/b"))
 		Expect(paced).To(BeTrue())
 		for _, other := range append(KeyUnits(), CarrierUnit("c"), "key/", "paced/", "") {
-			_, paced := PacedService(other)
+			_, paced := ServiceOfUnit(other)
 			Expect(paced).To(BeFalse(), other)
 		}
 		for _, unit := range KeyUnits() {
@@ -136,7 +136,7 @@
 		for _, unit := range []string{CarrierUnit("c"), "key/", "key/x", "key/-1", "key/16", "paced/", ""} {
 			Expect(Shard(unit, 2)).To(Equal(-1), unit)
 		}
-		Expect(Shard("key/a service/3", 2)).To(Equal(Shard(PacedUnit("a service"), 2)), "unit name of an earlier build")
+		Expect(Shard("key/a service/3", 2)).To(Equal(Shard(ServiceUnit("a service"), 2)), "unit name of an earlier build")
 	})
 
 	ginkgo.It("creates a removed unit again only under a higher token", func() {
@@ -166,7 +166,7 @@
 		units, shards := map[string]int{}, map[int]int{}
 		for i := range 400 {
 			units[KeyUnit(fmt.Sprintf("key-%d", i))]++
-			shards[Shard(PacedUnit(fmt.Sprintf("service-%d", i)), 2)]++
+			shards[Shard(ServiceUnit(fmt.Sprintf("service-%d", i)), 2)]++
 		}
 		Expect(units).To(HaveLen(KeyBuckets))
 		for _, count := range units {
--- a/internal/system/role/carrier/accept.go
+++ b/internal/system/role/carrier/accept.go
@@ -143,7 +143,7 @@
 	case ordered:
 		m.Unit = ownership.KeyUnit(m.Key)
 	case service.Rate > 0 || service.Static != "":
-		m.Unit = ownership.PacedUnit(service.Name)
+		m.Unit = ownership.ServiceUnit(service.Name)
 		m.Token = a.core.session.View().Owners[m.Unit].Token
 	default:
 		m.Unit = a.core.own.name
--- a/internal/system/role/carrier/admission.go
+++ b/internal/system/role/carrier/admission.go
@@ -129,7 +129,7 @@
 // of the service's paced unit. Owners of ordered units report theirs when a sequence number is requested.
 func (c *Core) serviceRetryAfter(service *configuration.Service, route *configuration.Route) time.Duration {
 	now := c.env.Now()
-	if until := c.ownerBusyUntil[ownership.PacedUnit(service.Name)]; until > now {
+	if until := c.ownerBusyUntil[ownership.ServiceUnit(service.Name)]; until > now {
 		return until - now
 	}
 	if route.Ordered || service.Rate > 0 || service.Static != "" {
--- a/internal/system/role/carrier/handover.go
+++ b/internal/system/role/carrier/handover.go
@@ -35,10 +35,10 @@
 	if u.handover != nil && owner.Offer > u.handover.offer {
 		c.keepUnit(u)
 	}
-	if owner.Next == "" || owner.Offer <= u.declinedOffer || u.handover != nil {
+	if owner.OfferedTo == "" || owner.Offer <= u.declinedOffer || u.handover != nil {
 		return
 	}
-	u.handover = &handover{offer: owner.Offer, nextOwner: owner.Next, deadline: c.env.Now() + handoverTimeout}
+	u.handover = &handover{offer: owner.Offer, nextOwner: owner.OfferedTo, deadline: c.env.Now() + handoverTimeout}
 	for _, it := range u.items {
 		if it.attempts == 0 {
 			it.queued = false
--- a/internal/system/role/carrier/turn.go
+++ b/internal/system/role/carrier/turn.go
@@ -31,7 +31,7 @@
 
 // ownsRate reports whether this carrier limits the rate of a service and may act on it.
 func (c *Core) ownsRate(service string) bool {
-	u := c.units[ownership.PacedUnit(service)]
+	u := c.units[ownership.ServiceUnit(service)]
 	return u != nil && u.active && !u.released() && c.session.Holds()
 }
 
@@ -78,7 +78,7 @@
 		return
 	}
 	view := c.session.View()
-	unit := ownership.PacedUnit(q.service)
+	unit := ownership.ServiceUnit(q.service)
 	owner := view.Owners[unit]
 	address := view.Members[owner.Incarnation].Address
 	if owner.Incarnation == c.session.Incarnation() || address == "" || !c.env.Up(address) {
@@ -109,7 +109,7 @@
 // only shortly after that loss.
 func (c *Core) Turn(body wire.TakeTurnBody) (wire.TakeTurnAnswer, *wire.RefusalBody) {
 	if !c.ownsRate(body.Service) || c.paused {
-		return wire.TakeTurnAnswer{}, &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + ownership.PacedUnit(body.Service)}
+		return wire.TakeTurnAnswer{}, &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + ownership.ServiceUnit(body.Service)}
 	}
 	now := c.env.Now()
 	q := c.queue(body.Service)
--- a/internal/system/role/carrier/unit.go
+++ b/internal/system/role/carrier/unit.go
@@ -82,7 +82,7 @@
 	u := newUnit(name)
 	u.token = token
 	c.units[name] = u
-	if service, paced := strings.CutPrefix(name, ownership.PacedUnit("")); paced {
+	if service, paced := strings.CutPrefix(name, ownership.ServiceUnit("")); paced {
 		// A message that the former owner sent last may still be in transit.
 		c.queue(service).pace.Hold(c.env.Now() + rateHoldAfterTakeover)
 	}
@@ -241,7 +241,7 @@
 	c.env.After(relistDelay, func() {
 		c.relistScheduled = false
 		for name, u := range ordered.Map(c.units) {
-			if strings.HasPrefix(name, ownership.PacedUnit("")) && u.active && !u.recovering {
+			if strings.HasPrefix(name, ownership.ServiceUnit("")) && u.active && !u.recovering {
 				c.recover(u)
 			}
 		}
--- a/internal/system/role/keeper/keeper_suite_test.go
+++ b/internal/system/role/keeper/keeper_suite_test.go
@@ -105,8 +105,8 @@
 	for _, unit := range ownership.KeyUnits() {
 		owner := l.core.Owner(unit)
 		owned[owner.Incarnation]++
-		if owner.Next != "" {
-			offered[owner.Next]++
+		if owner.OfferedTo != "" {
+			offered[owner.OfferedTo]++
 		}
 	}
 	return owned, offered
@@ -125,7 +125,7 @@
 func (l *singleKeeper) releaseAll(members ...string) {
 	for range 20 {
 		for _, unit := range ownership.KeyUnits() {
-			if l.core.Owner(unit).Next != "" {
+			if l.core.Owner(unit).OfferedTo != "" {
 				Expect(l.release(unit)).To(Succeed())
 			}
 		}
@@ -179,7 +179,7 @@
 		var withdrawn ownership.Owner
 		unit := ""
 		for _, name := range ownership.KeyUnits() {
-			if owner := l.core.Owner(name); owner.Next != "" {
+			if owner := l.core.Owner(name); owner.OfferedTo != "" {
 				unit, withdrawn = name, owner
 			}
 		}
--- a/internal/system/role/keeper/owners.go
+++ b/internal/system/role/keeper/owners.go
@@ -77,7 +77,7 @@
 	state, memory := c.owners[shard], &c.handovers[shard]
 	if expired := memory.expiredOffers(c.now, state, units); len(expired) > 0 {
 		memory.pausedUntil = c.now + pauseAfterWithdrawal
-		return state.Withdraw(expired)
+		return state.WithdrawOffers(expired)
 	}
 	limit := maxOffers
 	if len(fleet.Stopping) > 0 {
@@ -99,7 +99,7 @@
 	var expired []string
 	for _, unit := range units {
 		owner := state.Owners()[unit]
-		if owner.Next == "" {
+		if owner.OfferedTo == "" {
 			delete(m.since, unit)
 			continue
 		}
--- a/internal/system/role/keeper/status.go
+++ b/internal/system/role/keeper/status.go
@@ -166,7 +166,7 @@
 	var units []UnitStatus
 	for _, shard := range c.owners {
 		for unit, owner := range shard.Owners() {
-			units = append(units, UnitStatus{Unit: unit, Owner: owner.Incarnation, Token: owner.Token, Next: owner.Next})
+			units = append(units, UnitStatus{Unit: unit, Owner: owner.Incarnation, Token: owner.Token, Next: owner.OfferedTo})
 		}
 	}
 	sort.Slice(units, func(i, j int) bool { return units[i].Unit < units[j].Unit })
--- a/internal/system/role/keeper/units.go
+++ b/internal/system/role/keeper/units.go
@@ -100,7 +100,7 @@
 	}
 	for name, service := range document.Services {
 		if service.Rate > 0 || service.Static != "" {
-			needed[ownership.PacedUnit(name)] = true
+			needed[ownership.ServiceUnit(name)] = true
 		}
 	}
 	return needed
--- a/internal/system/role/keeper/units_test.go
+++ b/internal/system/role/keeper/units_test.go
@@ -24,7 +24,7 @@
 }
 
 var _ = Describe("Units that the configuration no longer needs", func() {
-	paced := ownership.PacedUnit("p")
+	paced := ownership.ServiceUnit("p")
 	shard := ownership.Shard(paced, OwnershipShards)
 
 	It("get another owner when theirs is lost, and stay in the table while messages may wait in them", func() {
