--- a/internal/system/feed/feed.go
+++ b/internal/system/feed/feed.go
@@ -32,7 +32,7 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Position Position // after the update
 	Base     Position // before the first change; unset in a snapshot
-	Whole    bool     // the update is a snapshot: keys that are not among the changes no longer exist
+	Snapshot bool     // the update is a snapshot: keys that are not among the changes no longer exist
 	Changes  []Change
 }
 
@@ -40,7 +40,7 @@
 // it is. The changes may begin before the position: each one sets or deletes a key, so that applying some of them again
 // yields the same table, as long as the update also contains every later change up to the position.
 func (u *Update) AppliesAt(position Position) bool {
-	if u.Whole {
+	if u.Snapshot {
 		return true
 	}
 	return u.Base.Epoch == position.Epoch && u.Base.Offset <= position.Offset && position.Offset <= u.Position.Offset
@@ -99,24 +99,24 @@
 // Offset returns the offset of the latest change, 0 before the first one.
 func (t *Table) Offset() uint64 { return t.offset }
 
-// Reaches reports whether the log still has all changes after a position. A subscriber at any other position needs a
+// CanResume reports whether the log still has all changes after a position. A subscriber at any other position needs a
 // snapshot.
-func (t *Table) Reaches(position Position) bool {
+func (t *Table) CanResume(position Position) bool {
 	oldest := t.offset - uint64(len(t.changes))
 	return position.Epoch == t.epoch && position.Offset >= oldest && position.Offset <= t.offset
 }
 
-// Since returns the update that brings a subscriber at a position to the latest one: the changes after its position, or
-// a snapshot if the log does not reach back to it.
-func (t *Table) Since(position Position) Update {
+// UpdateSince returns the update that brings a subscriber at a position to the latest one: the changes after its
+// position, or a snapshot if the log does not reach back to it.
+func (t *Table) UpdateSince(position Position) Update {
 	update := Update{Position: Position{Epoch: t.epoch, Offset: t.offset}}
 	oldest := t.offset - uint64(len(t.changes))
-	if t.Reaches(position) {
+	if t.CanResume(position) {
 		update.Base = position
 		update.Changes = append(update.Changes, t.changes[position.Offset-oldest:]...)
 		return update
 	}
-	update.Whole = true
+	update.Snapshot = true
 	t.values.Root().Walk(func(key []byte, value []byte) bool {
 		update.Changes = append(update.Changes, Change{Key: string(key), Value: value})
 		return false
--- a/internal/system/feed/feed_test.go
+++ b/internal/system/feed/feed_test.go
@@ -9,7 +9,7 @@
 
 // apply returns a subscriber's copy of the table after an update.
 func apply(copy map[string]string, update Update) map[string]string {
-	if update.Whole {
+	if update.Snapshot {
 		copy = map[string]string{}
 	}
 	for _, change := range update.Changes {
@@ -26,13 +26,13 @@
 	ginkgo.It("bootstraps from a snapshot and follows the changes", func() {
 		table := NewTable("epoch")
 		table.Set("a", []byte("1"))
-		first := table.Since(Position{})
-		Expect(first.Whole).To(BeTrue())
+		first := table.UpdateSince(Position{})
+		Expect(first.Snapshot).To(BeTrue())
 		copied := apply(nil, first)
 		table.Set("b", []byte("2"))
 		table.Delete("a")
-		second := table.Since(first.Position)
-		Expect(second.Whole).To(BeFalse())
+		second := table.UpdateSince(first.Position)
+		Expect(second.Snapshot).To(BeFalse())
 		Expect(second.Changes).To(HaveLen(2))
 		Expect(apply(copied, second)).To(Equal(map[string]string{"b": "2"}))
 	})
@@ -49,14 +49,14 @@
 	ginkgo.It("sends a new snapshot after a gap, and to a subscriber of another epoch", func() {
 		table := NewTable("epoch")
 		table.Set("a", []byte("1"))
-		position := table.Since(Position{}).Position
+		position := table.UpdateSince(Position{}).Position
 		for i := range 3 * maxChanges {
 			table.Set("b", fmt.Appendf(nil, "%d", i))
 		}
-		update := table.Since(position)
-		Expect(update.Whole).To(BeTrue())
+		update := table.UpdateSince(position)
+		Expect(update.Snapshot).To(BeTrue())
 		Expect(update.Changes).To(HaveLen(2))
-		Expect(table.Since(Position{Epoch: "other", Offset: table.Offset()}).Whole).To(BeTrue())
-		Expect(table.Since(Position{Epoch: "epoch", Offset: table.Offset() + 5}).Whole).To(BeTrue())
+		Expect(table.UpdateSince(Position{Epoch: "other", Offset: table.Offset()}).Snapshot).To(BeTrue())
+		Expect(table.UpdateSince(Position{Epoch: "epoch", Offset: table.Offset() + 5}).Snapshot).To(BeTrue())
 	})
 })
--- a/internal/system/member/client_test.go
+++ b/internal/system/member/client_test.go
@@ -94,7 +94,7 @@
 	ginkgo.Context("with a feed", func() {
 		var table *feed.Table
 		push := func(position feed.Position) {
-			update := table.Since(position)
+			update := table.UpdateSince(position)
 			client.Push(client.Keeper(), wire.EncodeUpdate(&update))
 		}
 		owner := func(token uint64) []byte {
@@ -131,7 +131,7 @@
 			push(feed.Position{})
 			reported := client.position
 			table.Set(keeper.PrefixOwner+"paced/s", owner(4))
-			early := table.Since(reported)
+			early := table.UpdateSince(reported)
 			push(reported)
 			table.Set(keeper.PrefixOwner+"paced/s", owner(5))
 			table.Set(keeper.PrefixMember+"gone", wire.Encode(&session.Member{Incarnation: "gone"}))
@@ -149,11 +149,11 @@
 			push(feed.Position{})
 			before := client.View()
 			table.Set(keeper.PrefixOwner+"paced/s", owner(4))
-			lost := table.Since(client.position).Position
+			lost := table.UpdateSince(client.position).Position
 			table.Set(keeper.PrefixOwner+"paced/s", owner(5))
 			push(lost)
 			Expect(client.View()).To(BeIdenticalTo(before))
-			update := table.Since(client.position)
+			update := table.UpdateSince(client.position)
 			update.Base.Epoch, update.Position.Epoch = "epoch-2", "epoch-2"
 			client.Push(client.Keeper(), wire.EncodeUpdate(&update))
 			Expect(client.View()).To(BeIdenticalTo(before))
@@ -180,7 +180,7 @@
 		ginkgo.It("ignores updates from other keepers, and reports updates that it cannot decode", func() {
 			before := client.View()
 			table.Set(keeper.PrefixKeeper+secondKeeper, []byte{1})
-			update := table.Since(feed.Position{})
+			update := table.UpdateSince(feed.Position{})
 			other := firstKeeper
 			if client.Keeper() == firstKeeper {
 				other = secondKeeper
--- a/internal/system/member/view.go
+++ b/internal/system/member/view.go
@@ -63,7 +63,7 @@
 func (v *View) withUpdate(update feed.Update) (*View, error) {
 	updated := *v
 	var copied copiedTables
-	if update.Whole {
+	if update.Snapshot {
 		empty := emptyView()
 		updated.Members, updated.Disks, updated.Departed = empty.Members, empty.Disks, empty.Departed
 		updated.Keepers = empty.Keepers
--- a/internal/system/member/view_test.go
+++ b/internal/system/member/view_test.go
@@ -17,7 +17,7 @@
 		return feed.Change{Key: keeper.PrefixOwner + unit, Value: wire.Encode(&owner)}
 	}
 	follow := func(view *View, whole bool, changes ...feed.Change) *View {
-		next, err := view.withUpdate(feed.Update{Whole: whole, Changes: changes})
+		next, err := view.withUpdate(feed.Update{Snapshot: whole, Changes: changes})
 		Expect(err).NotTo(HaveOccurred())
 		return next
 	}
--- a/internal/system/role/carrier/rig_test.go
+++ b/internal/system/role/carrier/rig_test.go
@@ -107,7 +107,7 @@
 }
 
 func (r *fixture) push() {
-	update := r.table.Since(feed.Position{})
+	update := r.table.UpdateSince(feed.Position{})
 	r.core.FeedUpdate(keeperAddress, wire.EncodeUpdate(&update))
 }
 
--- a/internal/system/role/keeper/subscribers.go
+++ b/internal/system/role/keeper/subscribers.go
@@ -65,12 +65,12 @@
 		if position == latest {
 			continue
 		}
-		if !c.feed.Reaches(position) {
+		if !c.feed.CanResume(position) {
 			position = feed.Position{}
 		}
 		payload, known := encoded[position]
 		if !known {
-			update := c.feed.Since(position)
+			update := c.feed.UpdateSince(position)
 			payload = wire.EncodeUpdate(&update)
 			encoded[position] = payload
 		}
--- a/internal/system/wire/update_test.go
+++ b/internal/system/wire/update_test.go
@@ -18,7 +18,7 @@
 
 // workerTable returns a snapshot update with the given number of workers.
 func workerTable(workers int) feed.Update {
-	update := feed.Update{Position: feed.Position{Epoch: "e", Offset: uint64(workers)}, Whole: true}
+	update := feed.Update{Position: feed.Position{Epoch: "e", Offset: uint64(workers)}, Snapshot: true}
 	for i := range workers {
 		instance := catalog.Instance{ID: fmt.Sprintf("i-%016x", uint64(i)*0x9e3779b97f4a7c15), Service: "archive",
 			Address: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250), Zone: "hann", Version: "v1", Capacity: 6}
