--- a/internal/system/catalog/catalog.go
+++ b/internal/system/catalog/catalog.go
@@ -30,10 +30,10 @@
 	Next      string // token of the next page, empty on the last
 }
 
-// UnreadableError is the error for a malformed page.
-type UnreadableError struct{ Reason string }
+// MalformedPageError is the error for a malformed page.
+type MalformedPageError struct{ Reason string }
 
-func (e *UnreadableError) Error() string { return "malformed list of workers: " + e.Reason }
+func (e *MalformedPageError) Error() string { return "malformed list of workers: " + e.Reason }
 
 type instanceJSON struct {
 	ID       string  `json:"id"`
@@ -57,14 +57,14 @@
 	phaseDraining = "draining"
 )
 
-// ParsePage decodes and validates one page, in JSON. Its errors are of type *UnreadableError.
+// ParsePage decodes and validates one page, in JSON. Its errors are of type *MalformedPageError.
 func ParsePage(body []byte) (Page, error) {
 	var parsed pageJSON
 	if err := json.Unmarshal(body, &parsed); err != nil {
-		return Page{}, &UnreadableError{Reason: err.Error()}
+		return Page{}, &MalformedPageError{Reason: err.Error()}
 	}
 	if parsed.Instances == nil {
-		return Page{}, &UnreadableError{Reason: "instances are missing"}
+		return Page{}, &MalformedPageError{Reason: "instances are missing"}
 	}
 	page := Page{}
 	if parsed.Next != nil {
@@ -72,10 +72,10 @@
 	}
 	for i, entry := range *parsed.Instances {
 		if entry.ID == "" || entry.Backend == "" || entry.Address == "" {
-			return Page{}, &UnreadableError{Reason: fmt.Sprintf("instances[%d] has no id, backend or address", i)}
+			return Page{}, &MalformedPageError{Reason: fmt.Sprintf("instances[%d] has no id, backend or address", i)}
 		}
 		if entry.Phase != phaseReady && entry.Phase != phaseDraining {
-			return Page{}, &UnreadableError{Reason: fmt.Sprintf("instances[%d] has unknown phase %q", i, entry.Phase)}
+			return Page{}, &MalformedPageError{Reason: fmt.Sprintf("instances[%d] has unknown phase %q", i, entry.Phase)}
 		}
 		page.Instances = append(page.Instances, Instance{ID: entry.ID, Service: entry.Backend, Address: entry.Address,
 			Zone: entry.Zone, Version: entry.Version, Capacity: entry.Capacity, Draining: entry.Phase == phaseDraining,
--- a/internal/system/catalog/catalog_test.go
+++ b/internal/system/catalog/catalog_test.go
@@ -22,7 +22,7 @@
 
 	ginkgo.DescribeTable("is rejected if it is malformed", func(body string) {
 		_, err := ParsePage([]byte(body))
-		var unreadable *UnreadableError
+		var unreadable *MalformedPageError
 		Expect(errors.As(err, &unreadable)).To(BeTrue())
 	},
 		ginkgo.Entry("truncated", `{"instances":[{"id":"i-1"`),
--- a/internal/system/node/http.go
+++ b/internal/system/node/http.go
@@ -115,7 +115,7 @@
 		}
 		token = page.Next
 	}
-	return nil, &catalog.UnreadableError{Reason: "it has too many pages"}
+	return nil, &catalog.MalformedPageError{Reason: "it has too many pages"}
 }
 
 func (r *catalogReader) readPage(token string) (catalog.Page, error) {
--- a/internal/system/node/http_test.go
+++ b/internal/system/node/http_test.go
@@ -70,7 +70,7 @@
 	ginkgo.It("reports an invalid list", func() {
 		answer = func(int) (int, string) { return http.StatusOK, `{"instances":[{"id":""}]}` }
 		_, err := read()
-		var unreadable *catalog.UnreadableError
+		var unreadable *catalog.MalformedPageError
 		Expect(errors.As(err, &unreadable)).To(BeTrue())
 	})
 })
