--- a/internal/system/configuration/configuration_test.go
+++ b/internal/system/configuration/configuration_test.go
@@ -70,7 +70,7 @@
 		Expect(state.Apply(order(0, documentText(3, "5")))).To(Succeed())
 		Expect(state.Apply(order(3, documentText(5, "6")))).To(Succeed())
 		for _, again := range []Order{order(0, documentText(3, "5")), order(3, documentText(5, "6"))} {
-			known, err := state.Check(again)
+			known, err := state.Validate(again)
 			Expect(known, err).To(BeTrue())
 			Expect(state.Apply(again)).To(Succeed())
 		}
@@ -101,7 +101,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		restored := NewState()
 		Expect(restored.Restore(data)).To(Succeed())
-		known, err := restored.Check(order(0, documentText(3, "5")))
+		known, err := restored.Validate(order(0, documentText(3, "5")))
 		Expect(known, err).To(BeTrue())
 		Expect(restored.Current().Raw).To(Equal([]byte(documentText(3, "5"))))
 	})
--- a/internal/system/configuration/state.go
+++ b/internal/system/configuration/state.go
@@ -51,9 +51,9 @@
 	return s.current.Version
 }
 
-// Check validates an order against the state without changing it. It returns true if an order with the same text was
+// Validate validates an order against the state without changing it. It returns true if an order with the same text was
 // accepted before, false and no error if the order can be accepted, and otherwise an *InvalidError or a *ConflictError.
-func (s *State) Check(order Order) (known bool, err error) {
+func (s *State) Validate(order Order) (known bool, err error) {
 	if _, known := s.hashes[sha256.Sum256(order.Raw)]; known {
 		return true, nil
 	}
@@ -72,9 +72,9 @@
 }
 
 // Apply applies a committed order. It returns nil if the order is accepted now or was accepted before, and otherwise
-// the error of Check.
+// the error of Validate.
 func (s *State) Apply(order Order) error {
-	known, err := s.Check(order)
+	known, err := s.Validate(order)
 	if known || err != nil {
 		return err
 	}
--- a/internal/system/role/keeper/orders.go
+++ b/internal/system/role/keeper/orders.go
@@ -18,7 +18,7 @@
 		done(c.notLeader(ConfigurationGroup))
 		return
 	}
-	known, err := c.configuration.Check(order)
+	known, err := c.configuration.Validate(order)
 	if err != nil {
 		c.confirm(ConfigurationGroup, func(confirmation error) { done(firstError(confirmation, c.recheckOrder(order))) })
 		return
@@ -38,7 +38,7 @@
 // recheckOrder checks an order against the state of a leader that a majority has confirmed. It returns nil for an
 // order that was taken before.
 func (c *Core) recheckOrder(order configuration.Order) error {
-	known, err := c.configuration.Check(order)
+	known, err := c.configuration.Validate(order)
 	if known {
 		return nil
 	}
