--- a/internal/system/demo/standins.go
+++ b/internal/system/demo/standins.go
@@ -81,7 +81,7 @@
 		listed = append(listed, loopback.Worker{ID: w.id, Backend: service, Address: w.listener.Addr().String(),
 			Zone: zoneOf(i), Version: "1", Capacity: 4, Phase: "ready"})
 	}
-	body, err := loopback.ListOfWorkers(listed)
+	body, err := loopback.EncodeWorkerList(listed)
 	if err != nil {
 		return nil, &StandInError{Name: "list of workers", Err: err}
 	}
--- a/internal/system/loopback/layout.go
+++ b/internal/system/loopback/layout.go
@@ -1,6 +1,6 @@
 // Package loopback prepares runs of the real program as a system of several machines on one host, where each Machine has
 // its own loopback address. FreePorts finds a port range, a Layout derives addresses and settings files from it, and
-// ListOfWorkers encodes the platform's list of workers.
+// EncodeWorkerList encodes the platform's list of workers.
 package loopback
 
 import (
@@ -13,12 +13,12 @@
 	"text/template"
 )
 
-// PortsOfRange is the number of ports in the range for connections between roles.
-const PortsOfRange = 16
+// InternalPorts is the number of ports in the range for connections between roles.
+const InternalPorts = 16
 
-// PortsOfMachine is the number of consecutive ports that a machine needs: PortsOfRange and the three ports for clients,
-// readiness checks and operators.
-const PortsOfMachine = PortsOfRange + 3
+// PortsPerMachine is the number of consecutive ports that a machine needs: InternalPorts and the three ports for
+// clients, readiness checks and operators.
+const PortsPerMachine = InternalPorts + 3
 
 // Machine is a simulated machine with its own loopback address.
 type Machine struct {
@@ -40,13 +40,13 @@
 }
 
 // Front returns the address where a machine's carrier serves clients.
-func (l *Layout) Front(m *Machine) string { return l.at(m, PortsOfRange) }
+func (l *Layout) Front(m *Machine) string { return l.at(m, InternalPorts) }
 
 // Ready returns the address of a carrier's readiness check.
-func (l *Layout) Ready(m *Machine) string { return l.at(m, PortsOfRange+1) }
+func (l *Layout) Ready(m *Machine) string { return l.at(m, InternalPorts+1) }
 
 // Control returns the address where a machine's keeper serves operators.
-func (l *Layout) Control(m *Machine) string { return l.at(m, PortsOfRange+2) }
+func (l *Layout) Control(m *Machine) string { return l.at(m, InternalPorts+2) }
 
 func (l *Layout) at(m *Machine, offset int) string {
 	return fmt.Sprintf("%s:%d", m.IP, l.FirstPort+offset)
@@ -103,7 +103,7 @@
 	if err := os.MkdirAll(data, 0o755); err != nil {
 		return "", err
 	}
-	form := settingsData{Layout: l, Machine: m, Role: role, LastPort: l.FirstPort + PortsOfRange - 1, Seeds: strings.Join(quoted, ", "),
+	form := settingsData{Layout: l, Machine: m, Role: role, LastPort: l.FirstPort + InternalPorts - 1, Seeds: strings.Join(quoted, ", "),
 		Data: data, Bootstrap: bootstrap}
 	var text bytes.Buffer
 	if err := settingsTemplate.Execute(&text, &form); err != nil {
@@ -129,8 +129,8 @@
 	Phase    string `json:"phase"`
 }
 
-// ListOfWorkers encodes the response of the platform's discovery API with all workers on one page.
-func ListOfWorkers(workers []Worker) ([]byte, error) {
+// EncodeWorkerList encodes the response of the platform's discovery API with all workers on one page.
+func EncodeWorkerList(workers []Worker) ([]byte, error) {
 	return json.Marshal(struct {
 		Instances []Worker `json:"instances"`
 		Next      *string  `json:"next-page-token"`
--- a/internal/system/loopback/loopback_test.go
+++ b/internal/system/loopback/loopback_test.go
@@ -20,10 +20,10 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	if portsFree([]string{other, taken}, from, PortsOfMachine) {
+	if portsFree([]string{other, taken}, from, PortsPerMachine) {
 		t.Error("the range is reported free although a port is taken at one address")
 	}
-	if !portsFree([]string{other}, from, PortsOfMachine) {
+	if !portsFree([]string{other}, from, PortsPerMachine) {
 		t.Error("the range is reported taken although it is free at the other address")
 	}
 }
@@ -46,7 +46,7 @@
 }
 
 func TestListOfWorkersIsRead(t *testing.T) {
-	body, err := ListOfWorkers([]Worker{{ID: "i-1", Backend: "s", Address: "127.0.0.1:80", Zone: "z", Version: "1", Capacity: 3, Phase: "ready"}})
+	body, err := EncodeWorkerList([]Worker{{ID: "i-1", Backend: "s", Address: "127.0.0.1:80", Zone: "z", Version: "1", Capacity: 3, Phase: "ready"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/soak/workers_test.go
+++ b/internal/system/soak/workers_test.go
@@ -186,7 +186,7 @@
 		listed = append(listed, loopback.Worker{ID: w.id, Backend: w.service, Address: w.listener.Addr().String(), Zone: w.zone, Version: "1",
 			Capacity: slots, Phase: "ready"})
 	}
-	body, err := loopback.ListOfWorkers(listed)
+	body, err := loopback.EncodeWorkerList(listed)
 	if err != nil {
 		return err
 	}
