--- a/internal/system/demo/demo.go
+++ b/internal/system/demo/demo.go
@@ -35,10 +35,10 @@
 	`"ordered":true,"retention-s":60,"callback-url":false,"target-start-ms":1000}],` +
 	`"services":[{"name":"` + service + `","max-connections":32,"rate-per-s":0,"static":null}],"limits":{}}`
 
-// LateError reports that a step did not succeed within its timeout. What describes the awaited condition.
-type LateError struct{ What string }
+// TimeoutError reports that a step did not succeed within its timeout. What describes the awaited condition.
+type TimeoutError struct{ What string }
 
-func (e *LateError) Error() string { return "timed out waiting for " + e.What }
+func (e *TimeoutError) Error() string { return "timed out waiting for " + e.What }
 
 // demo is the state of a run.
 type demo struct {
@@ -51,7 +51,7 @@
 }
 
 // Run starts the system, sends a message and reads its state back, does the same after stopping one machine, and stops the
-// system. It takes at most one minute and returns LateError if a step takes too long.
+// system. It takes at most one minute and returns TimeoutError if a step takes too long.
 func Run(ctx context.Context, options Options) error {
 	d := &demo{options: options, client: &http.Client{Timeout: requestTimeout}}
 	defer d.stop()
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// waitUntil polls a condition until it holds. It returns LateError after stepTimeout.
+// waitUntil polls a condition until it holds. It returns TimeoutError after stepTimeout.
 func waitUntil(ctx context.Context, awaited string, condition func() bool) error {
 	for deadline := time.Now().Add(stepTimeout); time.Now().Before(deadline); {
 		if condition() {
@@ -147,7 +147,7 @@
 		case <-time.After(pollInterval):
 		}
 	}
-	return &LateError{What: awaited}
+	return &TimeoutError{What: awaited}
 }
 
 // doRequest sends a request and reads the response. Status 0 means that there was no complete response.
