--- a/internal/system/loop/loop.go
+++ b/internal/system/loop/loop.go
@@ -14,8 +14,8 @@
 type Loop interface {
 	// Now returns the monotonic time.
 	Now() time.Duration
-	// Wall returns the time of day in milliseconds since 1970.
-	Wall() int64
+	// WallMillis returns the time of day in milliseconds since 1970.
+	WallMillis() int64
 	// After calls do once, after a duration.
 	After(wait time.Duration, do func())
 	// Random returns a random number in [0, n).
@@ -27,10 +27,10 @@
 	// Call calls a peer. done is called exactly once, and never before Call returns. It gets the answer or an error: a
 	// *TimeoutError if there was no answer within timeout.
 	Call(address string, kind wire.Kind, payload []byte, timeout time.Duration, done func(payload []byte, err error))
-	// Up reports whether there is a connection to a peer.
-	Up(address string) bool
-	// Break drops the current connection to a peer that does not respond; a new connection is tried at once.
-	Break(address string)
+	// Connected reports whether there is a connection to a peer.
+	Connected(address string) bool
+	// Disconnect drops the current connection to a peer that does not respond; a new connection is tried at once.
+	Disconnect(address string)
 	// Connect sets the peers to keep connections to. Connections to other peers are dropped.
 	Connect(addresses []string)
 }
--- a/internal/system/loop/simulated/loop.go
+++ b/internal/system/loop/simulated/loop.go
@@ -22,7 +22,7 @@
 
 // Loop implements loop.Loop and loop.Peers. It must be used by one goroutine only.
 type Loop struct {
-	// Reachable holds the addresses that Up reports as connected.
+	// Reachable holds the addresses that Connected reports as connected.
 	Reachable map[string]bool
 	// Answer answers a call. If it returns neither a payload nor an error, the call times out.
 	Answer func(address string, kind wire.Kind, payload []byte) ([]byte, error)
@@ -57,8 +57,8 @@
 // Now implements loop.Loop.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// Wall implements loop.Loop.
-func (l *Loop) Wall() int64 { return l.now.Milliseconds() }
+// WallMillis implements loop.Loop.
+func (l *Loop) WallMillis() int64 { return l.now.Milliseconds() }
 
 // After implements loop.Loop.
 func (l *Loop) After(wait time.Duration, do func()) {
@@ -69,11 +69,11 @@
 // Random implements loop.Loop.
 func (l *Loop) Random(n int64) int64 { return n / 2 }
 
-// Up implements loop.Peers.
-func (l *Loop) Up(address string) bool { return l.Reachable[address] }
+// Connected implements loop.Peers.
+func (l *Loop) Connected(address string) bool { return l.Reachable[address] }
 
-// Break implements loop.Peers.
-func (l *Loop) Break(string) {}
+// Disconnect implements loop.Peers.
+func (l *Loop) Disconnect(string) {}
 
 // Connect implements loop.Peers.
 func (l *Loop) Connect([]string) {}
--- a/internal/system/member/client.go
+++ b/internal/system/member/client.go
@@ -106,7 +106,7 @@
 	c.generation++
 	generation := c.generation
 	address := c.keepers[c.keeperIndex]
-	if !c.peers.Up(address) {
+	if !c.peers.Connected(address) {
 		c.opening = false
 		c.switchKeeper("")
 		return
--- a/internal/system/member/orders.go
+++ b/internal/system/member/orders.go
@@ -30,7 +30,7 @@
 // error the outcome is unknown and the caller must repeat the call.
 func (c *Client) Release(unit string, token, offer uint64, done func(err error)) {
 	address := c.ownershipLeader
-	if address == "" || !c.peers.Up(address) {
+	if address == "" || !c.peers.Connected(address) {
 		address = c.keepers[c.loop.Random(int64(len(c.keepers)))]
 	}
 	body := wire.ReleaseUnitBody{Unit: unit, Token: token, Offer: offer}
--- a/internal/system/node/front.go
+++ b/internal/system/node/front.go
@@ -59,7 +59,7 @@
 	submission := newSubmission(request, id, body)
 	answers := make(chan carrier.Answer, 1)
 	n.withLock(func() {
-		submission.Message.Accepted = n.Wall()
+		submission.Message.Accepted = n.WallMillis()
 		n.core.Submit(submission, func(answer carrier.Answer) { answers <- answer })
 	})
 	return n.writeAnswer(c, <-answers)
--- a/internal/system/node/loop.go
+++ b/internal/system/node/loop.go
@@ -94,8 +94,8 @@
 // Now implements loop.Loop.
 func (l *eventLoop) Now() time.Duration { return time.Since(l.start) }
 
-// Wall implements loop.Loop.
-func (l *eventLoop) Wall() int64 { return time.Now().UnixMilli() }
+// WallMillis implements loop.Loop.
+func (l *eventLoop) WallMillis() int64 { return time.Now().UnixMilli() }
 
 // Random implements loop.Loop.
 func (l *eventLoop) Random(n int64) int64 {
@@ -143,14 +143,14 @@
 	l.scheduleWakeup()
 }
 
-// Up implements loop.Peers. It must be called under the mutex.
-func (l *eventLoop) Up(address string) bool {
+// Connected implements loop.Peers. It must be called under the mutex.
+func (l *eventLoop) Connected(address string) bool {
 	peer := l.clients[address]
 	return peer != nil && peer.up
 }
 
-// Break implements loop.Peers. It must be called under the mutex.
-func (l *eventLoop) Break(address string) {
+// Disconnect implements loop.Peers. It must be called under the mutex.
+func (l *eventLoop) Disconnect(address string) {
 	if peer := l.clients[address]; peer != nil {
 		go peer.client.Break()
 	}
--- a/internal/system/role/carrier/owner.go
+++ b/internal/system/role/carrier/owner.go
@@ -21,7 +21,7 @@
 		return
 	}
 	address := c.session.View().Members[owner.Incarnation].Address
-	if address == "" || !c.env.Up(address) {
+	if address == "" || !c.env.Connected(address) {
 		done(wire.ReserveAnswer{}, &link.ClosedError{Peer: address})
 		return
 	}
@@ -149,7 +149,7 @@
 		return
 	}
 	address := c.session.View().Members[owner.Incarnation].Address
-	if address == "" || !c.env.Up(address) {
+	if address == "" || !c.env.Connected(address) {
 		f.retry()
 		return
 	}
--- a/internal/system/role/carrier/storage.go
+++ b/internal/system/role/carrier/storage.go
@@ -44,7 +44,7 @@
 
 func (s *storage) isUp(disk string) bool {
 	address := s.address(disk)
-	return address != "" && s.core.env.Up(address)
+	return address != "" && s.core.env.Connected(address)
 }
 
 func (s *storage) putState(disk string) *putState {
@@ -193,7 +193,7 @@
 func (s *storage) reconnectUnresponsive() {
 	for disk := range ordered.Map(s.putStates) {
 		if s.unansweredFor(disk) > reconnectTimeout && s.isUp(disk) {
-			s.core.env.Break(s.address(disk))
+			s.core.env.Disconnect(s.address(disk))
 		}
 	}
 }
--- a/internal/system/role/carrier/turn.go
+++ b/internal/system/role/carrier/turn.go
@@ -81,7 +81,7 @@
 	unit := ownership.ServiceUnit(q.service)
 	owner := view.Owners[unit]
 	address := view.Members[owner.Incarnation].Address
-	if owner.Incarnation == c.session.Incarnation() || address == "" || !c.env.Up(address) {
+	if owner.Incarnation == c.session.Incarnation() || address == "" || !c.env.Connected(address) {
 		c.wake(q, c.env.Now()+permitRetry)
 		return
 	}
--- a/internal/system/role/keeper/joiner.go
+++ b/internal/system/role/keeper/joiner.go
@@ -56,7 +56,7 @@
 		switch {
 		case self:
 			j.core.GroupLeft(j.env.Now(), departure.Node, departure.Group, func(error) {})
-		case j.env.Up(leader):
+		case j.env.Connected(leader):
 			body := wire.GroupLeftBody{Node: departure.Node, Group: departure.Group}
 			j.env.Call(leader, wire.GroupLeft, wire.Encode(&body), joinInterval, func([]byte, error) {})
 		}
@@ -67,7 +67,7 @@
 func (j *Joiner) requestJoin(group int, id string, knows bool) {
 	body := wire.Encode(&wire.JoinGroupBody{Group: group, Member: id, Knows: knows})
 	for _, address := range j.env.Others() {
-		if j.env.Up(address) {
+		if j.env.Connected(address) {
 			j.env.Call(address, wire.JoinGroup, body, joinTimeout, func(_ []byte, err error) { j.handleJoinAnswer(group, id, err) })
 		}
 	}
--- a/internal/system/role/store/ends.go
+++ b/internal/system/role/store/ends.go
@@ -48,7 +48,7 @@
 		}
 		body := wire.Encode(&wire.FindEndsBody{IDs: ids})
 		for id, other := range ordered.Map(a.session.View().Disks) {
-			if id != a.disk && a.env.Up(other.Member.Address) {
+			if id != a.disk && a.env.Connected(other.Member.Address) {
 				a.query(other.Member.Address, body)
 			}
 		}
--- a/internal/system/role/store/fill.go
+++ b/internal/system/role/store/fill.go
@@ -218,7 +218,7 @@
 	best, bestCost := "", 0
 	for _, disk := range holders {
 		other := view.Disks[disk].Member
-		if disk == p.backfiller.disk || !p.backfiller.env.Up(other.Address) {
+		if disk == p.backfiller.disk || !p.backfiller.env.Connected(other.Address) {
 			continue
 		}
 		const otherZoneCost = 1 << 30
@@ -241,7 +241,7 @@
 			continue
 		}
 		address := view.Disks[disk].Member.Address
-		if !p.inFlight[disk] && !p.backfiller.env.Up(address) {
+		if !p.inFlight[disk] && !p.backfiller.env.Connected(address) {
 			p.queues[disk], p.failed = nil, true
 			continue
 		}
--- a/internal/system/role/store/repair.go
+++ b/internal/system/role/store/repair.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		missingZones = append(missingZones, other.Member.Zone)
-		if !progress.wrongDisk && l.env.Up(other.Member.Address) {
+		if !progress.wrongDisk && l.env.Connected(other.Member.Address) {
 			awaited++
 			l.requestPart(id, other, progress)
 		}
--- a/internal/system/role/store/send.go
+++ b/internal/system/role/store/send.go
@@ -44,7 +44,7 @@
 	zone := view.Disks[s.lists.disk].Member.Zone
 	var disks []string
 	for id, other := range view.Disks {
-		if id != s.lists.disk && countsAsHolder(other) && s.lists.env.Up(other.Member.Address) {
+		if id != s.lists.disk && countsAsHolder(other) && s.lists.env.Connected(other.Member.Address) {
 			disks = append(disks, id)
 		}
 	}
--- a/internal/system/simulation/clients.go
+++ b/internal/system/simulation/clients.go
@@ -71,7 +71,7 @@
 		if !target.alive || target.closedToClients || target.machine.poweredOff || target.machine.frozen {
 			return
 		}
-		m.Accepted = target.Wall()
+		m.Accepted = target.WallMillis()
 		submission := &carrier.Submission{Message: m, Path: "/in/1", Left: clientTimeout}
 		target.core.Submit(submission, func(answer carrier.Answer) { sim.deliverAnswer(target, r, answer) })
 	})
--- a/internal/system/simulation/keeper_host.go
+++ b/internal/system/simulation/keeper_host.go
@@ -148,7 +148,7 @@
 		h.processReady(group)
 	}
 	for _, push := range h.core.Pushes() {
-		if to := h.members[push.To]; to != nil && to.Up(h.address) {
+		if to := h.members[push.To]; to != nil && to.Connected(h.address) {
 			h.pushTo(to, wire.FeedUpdate, push.Payload)
 		}
 	}
@@ -212,7 +212,7 @@
 func (h *keeperHost) completeReady(group int, ready *agreement.Ready) {
 	for _, message := range ready.Messages {
 		address := keeper.AddressOf(message.To)
-		if target := h.world.listeners[address]; target != nil && h.Up(address) {
+		if target := h.world.listeners[address]; target != nil && h.Connected(address) {
 			body := wire.AgreementBody{Group: group, Messages: []agreement.Message{message}}
 			h.pushTo(target, wire.AgreementMessages, wire.Encode(&body))
 		}
--- a/internal/system/simulation/network.go
+++ b/internal/system/simulation/network.go
@@ -10,14 +10,14 @@
 	"granitewing/internal/system/wire"
 )
 
-// Up implements loop.Peers.
-func (p *process) Up(address string) bool {
+// Connected implements loop.Peers.
+func (p *process) Connected(address string) bool {
 	c := p.connections[address]
 	return c != nil && c.peer != nil
 }
 
-// Break implements loop.Peers.
-func (p *process) Break(address string) {
+// Disconnect implements loop.Peers.
+func (p *process) Disconnect(address string) {
 	p.After(0, func() {
 		if c := p.connections[address]; c != nil && c.peer != nil {
 			p.breakConnection(address, c)
--- a/internal/system/simulation/world.go
+++ b/internal/system/simulation/world.go
@@ -239,8 +239,8 @@
 // Now implements loop.Loop. It starts at 0 with the process.
 func (p *process) Now() time.Duration { return p.world.now - p.started }
 
-// Wall implements loop.Loop. It adds the clock error of the machine.
-func (p *process) Wall() int64 {
+// WallMillis implements loop.Loop. It adds the clock error of the machine.
+func (p *process) WallMillis() int64 {
 	return p.world.wallBase + p.world.now.Milliseconds() + p.machine.wallSkew
 }
 
