--- a/internal/system/loop/simulated/loop.go
+++ b/internal/system/loop/simulated/loop.go
@@ -1,5 +1,5 @@
 // Package simulated implements a role's loop on simulated time for tests. Loop answers the role's calls to peers
-// through its Answer function, and its clock moves only when a test calls Pass. Only tests import it.
+// through its Answer function, and its clock moves only when a test calls Advance. Only tests import it.
 package simulated
 
 import (
@@ -89,8 +89,8 @@
 	l.After(answerLatency, func() { done(answer, err) })
 }
 
-// Pass advances the clock and runs the timers that become due.
-func (l *Loop) Pass(span time.Duration) {
+// Advance advances the clock and runs the timers that become due.
+func (l *Loop) Advance(span time.Duration) {
 	until := l.now + span
 	for l.timers.Len() > 0 && l.timers[0].at <= until {
 		next := heap.Pop(&l.timers).(timer)
@@ -100,8 +100,8 @@
 	l.now = until
 }
 
-// Last returns the latest call of a kind, or the zero Call if there is none.
-func (l *Loop) Last(kind wire.Kind) Call {
+// LastCall returns the latest call of a kind, or the zero Call if there is none.
+func (l *Loop) LastCall(kind wire.Kind) Call {
 	for i := len(l.Calls) - 1; i >= 0; i-- {
 		if l.Calls[i].Kind == kind {
 			return l.Calls[i]
--- a/internal/system/member/client_test.go
+++ b/internal/system/member/client_test.go
@@ -46,10 +46,10 @@
 
 	ginkgo.It("holds its session while heartbeats are answered, and at most one lease longer", func() {
 		client.Start()
-		peers.Pass(10 * time.Second)
+		peers.Advance(10 * time.Second)
 		Expect(client.Holds()).To(BeTrue())
 		peers.Answer = func(string, wire.Kind, []byte) ([]byte, error) { return nil, nil }
-		peers.Pass(keeper.MemberLease + heartbeatInterval)
+		peers.Advance(keeper.MemberLease + heartbeatInterval)
 		Expect(client.Holds()).To(BeFalse())
 		Expect(client.Joined()).To(BeTrue())
 		Expect(lost).To(BeZero(), "no keeper has reported that the session ended")
@@ -65,14 +65,14 @@
 			return acceptAll(address, kind, payload)
 		}
 		client.Start()
-		peers.Pass(time.Second)
+		peers.Advance(time.Second)
 		Expect(client.Keeper()).To(Equal(thirdKeeper))
 		Expect(client.Holds()).To(BeTrue())
 	})
 
 	ginkgo.It("opens a session under a new incarnation that names the old one, after its session has ended", func() {
 		client.Start()
-		peers.Pass(time.Second)
+		peers.Advance(time.Second)
 		refuse := true
 		peers.Answer = func(address string, kind wire.Kind, payload []byte) ([]byte, error) {
 			if refuse {
@@ -81,11 +81,11 @@
 			}
 			return acceptAll(address, kind, payload)
 		}
-		peers.Pass(2 * time.Second)
+		peers.Advance(2 * time.Second)
 		Expect(lost).To(Equal(1))
 		Expect(client.Incarnation()).NotTo(Equal("edge-1+a"))
 		var opened wire.OpenSessionBody
-		Expect(wire.Decode(wire.OpenSession, peers.Last(wire.OpenSession).Payload, &opened)).To(Succeed())
+		Expect(wire.Decode(wire.OpenSession, peers.LastCall(wire.OpenSession).Payload, &opened)).To(Succeed())
 		Expect(opened.Member.Replaces).To(Equal("edge-1+a"))
 		Expect(opened.Renew).To(BeFalse())
 		Expect(client.Holds()).To(BeTrue())
@@ -104,7 +104,7 @@
 		ginkgo.BeforeEach(func() {
 			table = feed.NewTable("epoch-1")
 			client.Start()
-			peers.Pass(100 * time.Millisecond)
+			peers.Advance(100 * time.Millisecond)
 		})
 
 		ginkgo.It("bootstraps from a snapshot, then applies changes, and reports its position with each heartbeat", func() {
@@ -115,9 +115,9 @@
 			table.Set(keeper.PrefixOwner+"paced/s", owner(4))
 			push(client.position)
 			Expect(client.View().Owners["paced/s"].Token).To(BeEquivalentTo(4))
-			peers.Pass(time.Second)
+			peers.Advance(time.Second)
 			var heartbeat wire.HeartbeatBody
-			Expect(wire.Decode(wire.Heartbeat, peers.Last(wire.Heartbeat).Payload, &heartbeat)).To(Succeed())
+			Expect(wire.Decode(wire.Heartbeat, peers.LastCall(wire.Heartbeat).Payload, &heartbeat)).To(Succeed())
 			Expect(heartbeat.Position).To(Equal(feed.Position{Epoch: "epoch-1", Offset: table.Offset()}))
 		})
 
--- a/internal/system/role/carrier/callback_test.go
+++ b/internal/system/role/carrier/callback_test.go
@@ -25,7 +25,7 @@
 		if refusal := r.core.Deliver(deliverBodyWithCallback(id, ownedToken)); refusal != nil {
 			t.Fatal(refusal.Reason)
 		}
-		r.Pass(100 * time.Millisecond)
+		r.Advance(100 * time.Millisecond)
 		r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
 	}
 }
@@ -37,7 +37,7 @@
 	r.receive = func(string) int { return http.StatusOK }
 	r.store("disk-2").outcomes["m1"] = message.Outcome{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
 	r.core.Deliver(deliverBodyWithCallback("m1", ownedToken-1))
-	r.Pass(time.Second)
+	r.Advance(time.Second)
 	if !slices.Equal(r.calledBack, []string{"m1"}) || len(r.sent) > 0 {
 		t.Errorf("call-backs made for %v, messages sent %v", r.calledBack, r.sent)
 	}
@@ -57,7 +57,7 @@
 		others = append(others, fmt.Sprintf("m%d", number))
 	}
 	r.runMessages(t, append([]string{"m0"}, others...)...)
-	r.Pass(5 * time.Second)
+	r.Advance(5 * time.Second)
 	slices.Sort(r.calledBack)
 	slices.Sort(others)
 	if !slices.Equal(r.calledBack, others) {
@@ -77,7 +77,7 @@
 		return http.StatusOK
 	}
 	r.runMessages(t, "m1", "m2", "m3")
-	r.Pass(r.core.settings.Bounds.Status + 10*time.Second)
+	r.Advance(r.core.settings.Bounds.Status + 10*time.Second)
 	slices.Sort(r.calledBack)
 	if !slices.Equal(r.calledBack, []string{"m1", "m2", "m3"}) {
 		t.Errorf("call-backs made for %v, reported %v", r.calledBack, r.reports)
@@ -90,7 +90,7 @@
 	r := newFixture()
 	r.receive = func(string) int { return http.StatusServiceUnavailable }
 	r.runMessages(t, "m1")
-	r.Pass(3 * r.core.settings.Bounds.Status)
+	r.Advance(3 * r.core.settings.Bounds.Status)
 	if r.core.hasCallbacks() || len(r.reports) != 1 {
 		t.Errorf("reported %v, call-backs pending: %t", r.reports, r.core.hasCallbacks())
 	}
@@ -111,7 +111,7 @@
 	stopped := false
 	r.core.Drain(r.Now(), func() { stopped = true })
 	for !stopped {
-		r.Pass(50 * time.Millisecond)
+		r.Advance(50 * time.Millisecond)
 	}
 	if len(r.calledBack) != 4 {
 		t.Errorf("call-backs made for %v when the carrier had stopped", r.calledBack)
@@ -134,7 +134,7 @@
 	if pending := r.core.waitingBytes - before; pending < 3*256 {
 		t.Errorf("three pending call-backs count as %d bytes", pending)
 	}
-	r.Pass(30 * time.Second)
+	r.Advance(30 * time.Second)
 	if r.core.waitingBytes != before {
 		t.Errorf("%d bytes still counted after all call-backs were made", r.core.waitingBytes-before)
 	}
@@ -156,13 +156,13 @@
 	r.store("disk-1").listed, r.store("disk-1").outcomes["m1"] = []wire.ListedMessage{listed}, end
 	for step := range uint64(5) {
 		r.own(ownedToken + 1 + step)
-		r.Pass(time.Second)
+		r.Advance(time.Second)
 	}
 	if u := r.core.units[pacedUnit]; u.unrecorded != 1 {
 		t.Errorf("the unit counts %d unrecorded", u.unrecorded)
 	}
 	failing = false
-	r.Pass(5 * time.Second)
+	r.Advance(5 * time.Second)
 	if !slices.Equal(r.calledBack, []string{"m1"}) || r.core.hasCallbacks() || r.core.units[pacedUnit].unrecorded != 0 {
 		t.Errorf("call-backs made for %v, pending: %t, unrecorded: %d", r.calledBack, r.core.hasCallbacks(), r.core.units[pacedUnit].unrecorded)
 	}
--- a/internal/system/role/carrier/ends_test.go
+++ b/internal/system/role/carrier/ends_test.go
@@ -19,12 +19,12 @@
 	r := newFixture()
 	r.store("disk-1").listed = []wire.ListedMessage{{Message: deliverBody("m1", pacedUnit, 1).Message, Phase: message.Pending}}
 	r.own(ownedToken + 1)
-	r.Pass(time.Second)
+	r.Advance(time.Second)
 	if len(r.sent) != 1 {
 		t.Fatalf("sent %v", r.sent)
 	}
 	r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
-	r.Pass(time.Second)
+	r.Advance(time.Second)
 	recorded := r.storesWithOutcomes()
 	if len(recorded) != len(r.stores) {
 		t.Errorf("the outcome of a message found on one disk was recorded on %v, not on all counting disks", recorded)
@@ -71,7 +71,7 @@
 	stopped := false
 	r.core.Drain(r.Now(), func() { stopped = true })
 	for !stopped {
-		r.Pass(50 * time.Millisecond)
+		r.Advance(50 * time.Millisecond)
 	}
 	if recorded := r.storesWithOutcomes(); !recorded[diskAddress("disk-3")] {
 		t.Errorf("the outcome was recorded on %v when the carrier had stopped", recorded)
@@ -86,7 +86,7 @@
 	if refusal := r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken)); refusal != nil {
 		t.Fatal(refusal.Reason)
 	}
-	r.Pass(time.Second)
+	r.Advance(time.Second)
 	return r
 }
 
@@ -94,7 +94,7 @@
 func (r *fixture) expectOutcomeAt(t *testing.T, disks ...string) {
 	t.Helper()
 	r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
-	r.Pass(time.Second)
+	r.Advance(time.Second)
 	recorded := r.storesWithOutcomes()
 	for _, disk := range disks {
 		if !recorded[diskAddress(disk)] {
--- a/internal/system/role/carrier/handed_test.go
+++ b/internal/system/role/carrier/handed_test.go
@@ -27,9 +27,9 @@
 			refusal := r.core.Deliver(deliverBody("m1", unit, ownedToken-1))
 			Expect(refusal).NotTo(BeNil(), "the outcome is not known yet")
 			Expect(refusal.Code).To(Equal(wire.NotReady))
-			r.Pass(50 * time.Millisecond)
+			r.Advance(50 * time.Millisecond)
 			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).To(BeNil(), "the message has completed")
-			r.Pass(3 * time.Second)
+			r.Advance(3 * time.Second)
 			Expect(r.sent).To(BeEmpty())
 			Expect(r.core.Figures().EndedBefore).To(BeEquivalentTo(1))
 			Expect(r.logged).To(ContainElement(ContainSubstring("had completed under a former owner")))
@@ -38,16 +38,16 @@
 		ginkgo.It("runs it once the stores that hold it report no outcome: "+unit, func() {
 			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).NotTo(BeNil())
 			Expect(r.sent).To(BeEmpty())
-			r.Pass(50 * time.Millisecond)
+			r.Advance(50 * time.Millisecond)
 			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).To(BeNil())
-			r.Pass(time.Second)
+			r.Advance(time.Second)
 			Expect(r.sent).To(Equal([]string{"m1"}))
 		})
 
 		ginkgo.It("queries no store if it was accepted under this owner: "+unit, func() {
 			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken))).To(BeNil())
 			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken))).To(BeNil())
-			r.Pass(time.Second)
+			r.Advance(time.Second)
 			Expect(r.sent).To(Equal([]string{"m1"}))
 			Expect(r.store("disk-1").outcomeQueries).To(BeZero())
 		})
@@ -56,7 +56,7 @@
 			refusal := r.core.Deliver(deliverBody("m1", unit, ownedToken+1))
 			Expect(refusal).NotTo(BeNil())
 			Expect(refusal.Code).To(Equal(wire.NotOwner))
-			r.Pass(time.Second)
+			r.Advance(time.Second)
 			Expect(r.sent).To(BeEmpty())
 		})
 	}
@@ -64,19 +64,19 @@
 	ginkgo.It("waits for an unresponsive store, but only for as long as for one that may be lost", func() {
 		r.store("disk-1").unresponsive = true
 		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
-		r.Pass(listAllPeriod - 100*time.Millisecond)
+		r.Advance(listAllPeriod - 100*time.Millisecond)
 		Expect(r.sent).To(BeEmpty())
-		r.Pass(300 * time.Millisecond)
+		r.Advance(300 * time.Millisecond)
 		Expect(r.sent).To(Equal([]string{"m1"}))
 	})
 
 	ginkgo.It("does not run it while no store that holds it answers", func() {
 		r.store("disk-1").unresponsive, r.store("disk-2").unresponsive = true, true
 		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
-		r.Pass(5 * time.Second)
+		r.Advance(5 * time.Second)
 		Expect(r.sent).To(BeEmpty())
 		r.store("disk-1").unresponsive, r.store("disk-2").unresponsive = false, false
-		r.Pass(2 * time.Second)
+		r.Advance(2 * time.Second)
 		Expect(r.sent).To(Equal([]string{"m1"}))
 	})
 
@@ -84,10 +84,10 @@
 		r.store("disk-3").outcomes["m1"] = succeeded
 		r.Reachable["10.0.0.2:703"] = false
 		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
-		r.Pass(200 * time.Millisecond)
+		r.Advance(200 * time.Millisecond)
 		Expect(r.sent).To(BeEmpty())
 		r.Reachable["10.0.0.2:703"] = true
-		r.Pass(3 * time.Second)
+		r.Advance(3 * time.Second)
 		Expect(r.sent).To(BeEmpty())
 		Expect(r.core.Figures().EndedBefore).To(BeEquivalentTo(1))
 	})
@@ -98,7 +98,7 @@
 		}
 		r.store("disk-1").outcomes["m1"] = succeeded
 		Expect(r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken))).NotTo(BeNil())
-		r.Pass(time.Second)
+		r.Advance(time.Second)
 		Expect(r.sent).To(BeEmpty())
 	})
 
@@ -109,7 +109,7 @@
 		Expect(waiting).To(BeNumerically(">", 0))
 		r.table.Set(keeper.PrefixOwner+pacedUnit, wire.Encode(&ownership.Owner{Incarnation: "edge-2+x", Token: ownedToken + 1}))
 		r.push()
-		r.Pass(3 * time.Second)
+		r.Advance(3 * time.Second)
 		Expect(r.sent).To(BeEmpty())
 		Expect(r.core.waitingBytes).To(BeZero())
 	})
@@ -142,11 +142,11 @@
 		r.own(ownedToken + 1)
 		u := r.core.units[pacedUnit]
 		for tries := 0; u.recovery.outcomeRound == nil && tries < 3000; tries++ {
-			r.Pass(time.Millisecond) // until the lists of the other two are enough
+			r.Advance(time.Millisecond) // until the lists of the other two are enough
 		}
 		Expect(u.recovery.finished).To(BeFalse(), "their outcomes are being queried")
 		*u.recovery.listed["disk-3"] = listing{messages: late.listed, complete: true, done: true, epoch: 1}
-		r.Pass(time.Second)
+		r.Advance(time.Second)
 		Expect(u.recovery.finished).To(BeTrue())
 		Expect(r.sent).To(Equal([]string{"m2"}))
 	})
@@ -156,7 +156,7 @@
 		r.store("disk-1").listed = []wire.ListedMessage{listed("m1")}
 		r.Reachable["10.0.0.2:702"] = false
 		r.own(ownedToken + 1)
-		r.Pass(2 * time.Second)
+		r.Advance(2 * time.Second)
 		Expect(r.sent).To(Equal([]string{"m1"}))
 		Expect(r.core.units[pacedUnit].items["m1"].holders).To(Equal([]string{"disk-1", "disk-2"}))
 	})
@@ -168,10 +168,10 @@
 		var stored wire.PutBody
 		var answered Answer
 		r.core.Submit(&Submission{Message: message.Message{ID: "m1", Host: "h", Method: "POST", Target: "/x"}, Path: "/x"}, func(a Answer) { answered = a })
-		Expect(wire.Decode(wire.PutMessage, r.Last(wire.PutMessage).Payload, &stored)).To(Succeed())
+		Expect(wire.Decode(wire.PutMessage, r.LastCall(wire.PutMessage).Payload, &stored)).To(Succeed())
 		Expect(stored.Message.Unit).To(Equal(pacedUnit))
 		Expect(stored.Message.Token).To(BeEquivalentTo(ownedToken))
-		r.Pass(time.Second)
+		r.Advance(time.Second)
 		Expect(answered.Verdict).To(Equal(Accepted))
 		Expect(r.sent).To(Equal([]string{"m1"}))
 	})
@@ -194,7 +194,7 @@
 		r.table.Set(keeper.PrefixOwner+pacedUnit, wire.Encode(&ownership.Owner{Incarnation: "edge-2+x", Token: ownedToken + 1}))
 		r.push()
 		r.core.Submit(&Submission{Message: message.Message{ID: "m1", Host: "h", Method: "POST", Target: "/x"}, Path: "/x"}, func(Answer) {})
-		r.Pass(2 * time.Second)
+		r.Advance(2 * time.Second)
 		Expect(refusals).To(Equal(-1))
 		Expect(r.core.waitingBytes).To(BeZero())
 	})
--- a/internal/system/role/carrier/rig_test.go
+++ b/internal/system/role/carrier/rig_test.go
@@ -85,7 +85,7 @@
 	r.core = New(r, &settings.Settings{NodeName: "edge-1", IP: "10.0.1.1", Zone: "a", FirstPort: 7000, LastPort: 7015, Seeds: []string{keeperAddress},
 		Tolerance: tolerance.Tolerance{Machines: 1}, Limits: settings.Limits{MemoryMB: 284}, Bounds: settings.Bounds{Grace: 6 * time.Second, Status: 120 * time.Second}})
 	r.core.Start()
-	r.Pass(100 * time.Millisecond)
+	r.Advance(100 * time.Millisecond)
 	r.table.Set(keeper.KeyConfiguration, []byte(document))
 	r.table.Set(keeper.KeyRoster, wire.Encode(uint64(1)))
 	for _, disk := range []string{"disk-1", "disk-2", "disk-3"} {
@@ -94,7 +94,7 @@
 		r.setDisk(disk, true)
 	}
 	r.own(ownedToken)
-	r.Pass(100 * time.Millisecond)
+	r.Advance(100 * time.Millisecond)
 	return r
 }
 
--- a/internal/system/role/carrier/sendable_test.go
+++ b/internal/system/role/carrier/sendable_test.go
@@ -44,7 +44,7 @@
 				t.Fatal(refusal.Reason)
 			}
 			it := r.core.units[test.unit].items["m1"]
-			r.Pass(100 * time.Millisecond)
+			r.Advance(100 * time.Millisecond)
 			r.finish(Outcome{Kind: NotSent})
 			it.attempts = 0
 			sent := len(r.sent)
@@ -53,7 +53,7 @@
 				t.Errorf("block %d instead of %d", found, test.block)
 			}
 			r.core.ready(it)
-			r.Pass(10 * time.Millisecond)
+			r.Advance(10 * time.Millisecond)
 			if went := len(r.sent) > sent; went != (test.block == mayBeSent) {
 				t.Errorf("block %d, but sent: %t", test.block, went)
 			}
