--- a/internal/system/link/client.go
+++ b/internal/system/link/client.go
@@ -14,12 +14,12 @@
 
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
 
-// Events are the callbacks of a client; each may be nil. The client's goroutines call them, and they must not block.
-type Events struct {
-	// Up is called when a connection is up, after the peer's greeting.
-	Up func()
-	// Down is called when that connection has ended, after its calls have failed.
-	Down func()
+// Callbacks are the callbacks of a client; each may be nil. The client's goroutines call them, and they must not block.
+type Callbacks struct {
+	// Connected is called when a connection is up, after the peer's greeting.
+	Connected func()
+	// Disconnected is called when that connection has ended, after its calls have failed.
+	Disconnected func()
 	// Push is called for each frame of the peer that is neither an answer nor a refusal.
 	Push func(frame wire.Frame)
 	// Peers returns the number of peers that the process keeps connections to; the reconnection pause grows with
@@ -30,7 +30,7 @@
 // Client keeps a connection to one peer until Close, and reconnects when it fails. It is safe for concurrent use.
 type Client struct {
 	address   string
-	events    Events
+	events    Callbacks
 	stop      chan struct{}
 	retryNow  chan struct{} // has an element if the next pause or the current dial is to be cut short
 	closeOnce sync.Once
@@ -43,7 +43,7 @@
 }
 
 // NewClient returns a client that connects to a TCP address, as host:port, in the background.
-func NewClient(address string, events Events) *Client {
+func NewClient(address string, events Callbacks) *Client {
 	client := &Client{address: address, events: events, stop: make(chan struct{}), retryNow: make(chan struct{}, 1),
 		calls: map[uint64]func([]byte, error){}}
 	go client.run()
@@ -81,8 +81,8 @@
 	return current != nil && current.send(wire.Frame{Kind: kind, Payload: payload})
 }
 
-// Break closes the current connection, if there is one. The client then reconnects.
-func (c *Client) Break() {
+// CloseConnection closes the current connection, if there is one. The client then reconnects.
+func (c *Client) CloseConnection() {
 	c.mutex.Lock()
 	current := c.writer
 	c.mutex.Unlock()
@@ -91,9 +91,9 @@
 	}
 }
 
-// Hurry makes the client reconnect at once if the connection is down. It is called when the peer is known to be
+// RetryNow makes the client reconnect at once if the connection is down. It is called when the peer is known to be
 // running.
-func (c *Client) Hurry() {
+func (c *Client) RetryNow() {
 	c.mutex.Lock()
 	broken := c.writer == nil
 	c.mutex.Unlock()
@@ -217,14 +217,14 @@
 	c.writer = current
 	c.mutex.Unlock()
 	go current.run()
-	if c.events.Up != nil {
-		c.events.Up()
+	if c.events.Connected != nil {
+		c.events.Connected()
 	}
 	c.readFrames(reader)
 	current.close()
 	c.failPendingCalls()
-	if c.events.Down != nil {
-		c.events.Down()
+	if c.events.Disconnected != nil {
+		c.events.Disconnected()
 	}
 	return true
 }
--- a/internal/system/link/link.go
+++ b/internal/system/link/link.go
@@ -178,8 +178,8 @@
 // Close closes the connection.
 func (p *Peer) Close() { p.writer.close() }
 
-// Remote returns the remote address of the connection, as host:port.
-func (p *Peer) Remote() string { return p.remote }
+// RemoteAddr returns the remote address of the connection, as host:port.
+func (p *Peer) RemoteAddr() string { return p.remote }
 
 // Listen listens on a TCP address and serves connections until Close. Connections beyond maxPeers are closed at
 // once. handle is called for each frame, and closed, unless it is nil, after a connection has ended. The error is a
--- a/internal/system/link/link_test.go
+++ b/internal/system/link/link_test.go
@@ -23,7 +23,7 @@
 		return server, server.listener.Addr().String()
 	}
 	echo := func(peer *Peer, frame wire.Frame) { peer.Answer(frame.Call, &wire.FindBody{ID: "answer"}) }
-	connect := func(address string, events Events) *Client {
+	connect := func(address string, events Callbacks) *Client {
 		client := NewClient(address, events)
 		ginkgo.DeferCleanup(client.Close)
 		return client
@@ -39,7 +39,7 @@
 			echo(peer, frame)
 		})
 		up, pushed := make(chan bool, 1), make(chan wire.Frame, 1)
-		client := connect(address, Events{Up: func() { up <- true }, Push: func(frame wire.Frame) { pushed <- frame }})
+		client := connect(address, Callbacks{Connected: func() { up <- true }, Push: func(frame wire.Frame) { pushed <- frame }})
 		Eventually(up, waitTimeout).Should(Receive())
 		answers := make(chan error, 1)
 		client.Call(wire.FindMessage, nil, func(payload []byte, err error) {
@@ -68,11 +68,11 @@
 			}
 		})
 		up, down := make(chan bool, 8), make(chan bool, 8)
-		client := connect(address, Events{Up: func() { up <- true }, Down: func() { down <- true }})
+		client := connect(address, Callbacks{Connected: func() { up <- true }, Disconnected: func() { down <- true }})
 		Eventually(up, waitTimeout).Should(Receive())
 		answers := make(chan error, 1)
 		client.Call(wire.FindMessage, nil, func(_ []byte, err error) { answers <- err })
-		client.Break()
+		client.CloseConnection()
 		var broken error
 		Eventually(answers, waitTimeout).Should(Receive(&broken))
 		var closed *ClosedError
@@ -107,7 +107,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
 		var up atomic.Bool
-		client := connect(listener.Addr().String(), Events{Up: func() { up.Store(true) }})
+		client := connect(listener.Addr().String(), Callbacks{Connected: func() { up.Store(true) }})
 		connection, err := listener.Accept()
 		Expect(err).NotTo(HaveOccurred())
 		defer connection.Close()
--- a/internal/system/node/carrier.go
+++ b/internal/system/node/carrier.go
@@ -113,7 +113,7 @@
 	var err error
 	n.withLock(func() { err = n.core.Handle(frame.Kind, frame.Payload, peer.Answerer(frame.Call)) })
 	if err != nil {
-		log.WithError(err).WithField("peer", peer.Remote()).Warn("cannot decode frame from peer")
+		log.WithError(err).WithField("peer", peer.RemoteAddr()).Warn("cannot decode frame from peer")
 		peer.Close()
 	}
 }
--- a/internal/system/node/keeper_peers.go
+++ b/internal/system/node/keeper_peers.go
@@ -32,7 +32,7 @@
 			peer.client.Push(wire.AgreementMessages, wire.Encode(&wire.AgreementBody{Group: group, Messages: batch}))
 		case containsAnswer(batch):
 			n.queueForPeer(address, queuedMessages{group: group, messages: batch, expiresAt: n.Now() + queuedAnswerTTL})
-			peer.client.Hurry()
+			peer.client.RetryNow()
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	defer n.mutex.Unlock()
 	err := n.core.Handle(n.Now(), n.subscriberFor(peer), frame.Kind, frame.Payload, peer.Answerer(frame.Call))
 	if err != nil {
-		log.WithError(err).WithField("peer", peer.Remote()).Warn("cannot decode frame from peer")
+		log.WithError(err).WithField("peer", peer.RemoteAddr()).Warn("cannot decode frame from peer")
 		go peer.Close()
 	}
 	n.dispatchReady()
--- a/internal/system/node/loop.go
+++ b/internal/system/node/loop.go
@@ -152,7 +152,7 @@
 // Disconnect implements loop.Peers. It must be called under the mutex.
 func (l *eventLoop) Disconnect(address string) {
 	if peer := l.clients[address]; peer != nil {
-		go peer.client.Break()
+		go peer.client.CloseConnection()
 	}
 }
 
@@ -184,12 +184,12 @@
 			}
 		})
 	}
-	peer.client = link.NewClient(address, link.Events{
+	peer.client = link.NewClient(address, link.Callbacks{
 		Peers: func() (count int) {
 			l.withLock(func() { count = len(l.clients) })
 			return count
 		},
-		Up: func() {
+		Connected: func() {
 			whileCurrent(func() {
 				peer.up = true
 				if l.events.up != nil {
@@ -197,7 +197,7 @@
 				}
 			})
 		},
-		Down: func() {
+		Disconnected: func() {
 			whileCurrent(func() {
 				peer.up = false
 				if l.events.down != nil {
--- a/internal/system/node/store.go
+++ b/internal/system/node/store.go
@@ -302,7 +302,7 @@
 func (n *storeNode) handleCall(call storeCall) {
 	answerer := call.peer.Answerer(call.frame.Call)
 	if err := n.core.Handle(call.frame.Kind, call.frame.Payload, answerer); err != nil {
-		log.WithError(err).WithField("peer", call.peer.Remote()).Warn("call failed")
+		log.WithError(err).WithField("peer", call.peer.RemoteAddr()).Warn("call failed")
 		answerer.Refuse(wire.RefusalBody{Code: wire.Failed, Reason: err.Error()})
 	}
 }
