--- a/internal/system/agreement/cluster_test.go
+++ b/internal/system/agreement/cluster_test.go
@@ -13,7 +13,7 @@
 // member is a group member on simulated time. Its disk holds only what was synced.
 type member struct {
 	node    *Node
-	disk    Stored
+	disk    PersistentState
 	running bool
 	applied []Entry // returned as committed, in this incarnation or an earlier one, by index
 }
@@ -146,7 +146,7 @@
 // leader returns the first member that is ready as leader, empty if none.
 func (c *cluster) leader() string {
 	for _, name := range c.names {
-		if m := c.members[name]; m.running && m.node.Leading() {
+		if m := c.members[name]; m.running && m.node.LeaderReady() {
 			return name
 		}
 	}
@@ -203,24 +203,24 @@
 		ready := newMember.Ready()
 		Expect(ready.Messages).To(HaveLen(1))
 		Expect(ready.Messages[0].Reject).To(BeTrue())
-		group := c.members[leader].node.Group()
-		Expect(c.members[leader].node.ProposeGroup(c.now, group.With("new", AsLearner))).To(Succeed())
+		group := c.members[leader].node.Membership()
+		Expect(c.members[leader].node.ProposeMembership(c.now, group.With("new", Learner))).To(Succeed())
 		c.processReady(leader, false)
 		for range 2000 {
 			c.step()
 		}
 		leader = c.leader()
-		_, caughtUp := c.members[leader].node.Silence("new")
+		_, caughtUp := c.members[leader].node.FollowerStatus("new")
 		Expect(caughtUp).To(BeTrue())
-		Expect(newMember.Member()).To(BeTrue())
+		Expect(newMember.IsMember()).To(BeTrue())
 	})
 
 	ginkgo.It("accepts no second membership change before the first is committed", func() {
 		c := newCluster(5, 3)
 		leader := c.heal()
 		node := c.members[leader].node
-		Expect(node.ProposeGroup(c.now, node.Group().With("a", AsLearner))).To(Succeed())
-		Expect(node.ProposeGroup(c.now, node.Group().With("b", AsLearner))).To(MatchError(&ChangePendingError{}))
+		Expect(node.ProposeMembership(c.now, node.Membership().With("a", Learner))).To(Succeed())
+		Expect(node.ProposeMembership(c.now, node.Membership().With("b", Learner))).To(MatchError(&ChangePendingError{}))
 	})
 
 	ginkgo.It("makes a leader step down if no majority has answered it for an election timeout", func() {
@@ -241,7 +241,7 @@
 		c := newCluster(8, 3)
 		leader := c.heal()
 		term, began := c.members[leader].node.Term(), c.now
-		Expect(c.members[leader].node.HandOver(c.now, avoidNone)).To(BeTrue())
+		Expect(c.members[leader].node.TransferLeadership(c.now, avoidNone)).To(BeTrue())
 		c.processReady(leader, false)
 		for c.now < began+testElection/2 {
 			c.step()
@@ -257,9 +257,9 @@
 		follower := without(c.names, leader)[0]
 		nonLeader := without(without(c.names, leader), follower)[0]
 		node := c.members[follower].node
-		node.Step(c.now, Message{Kind: StandForElection, From: nonLeader, To: follower, Term: node.Term()})
+		node.Step(c.now, Message{Kind: TimeoutNow, From: nonLeader, To: follower, Term: node.Term()})
 		Expect(node.Role()).To(Equal(Follower))
-		Expect(node.HandOver(c.now, avoidNone)).To(BeFalse())
+		Expect(node.TransferLeadership(c.now, avoidNone)).To(BeFalse())
 		for _, name := range c.names {
 			c.blocked[[2]string{name, leader}] = true
 		}
@@ -272,7 +272,7 @@
 		for began := c.now; c.now < began+2*testElection; {
 			c.step()
 		}
-		Expect(c.members[leader].node.HandOver(c.now, avoidNone)).To(BeFalse())
+		Expect(c.members[leader].node.TransferLeadership(c.now, avoidNone)).To(BeFalse())
 	})
 
 	ginkgo.It("keeps its leader when a partitioned member comes back", func() {
@@ -312,7 +312,7 @@
 		switch c.random.IntN(9) {
 		case 8:
 			if leader != "" {
-				c.members[leader].node.HandOver(c.now, avoidNone)
+				c.members[leader].node.TransferLeadership(c.now, avoidNone)
 				c.processReady(leader, false)
 			}
 		case 0:
@@ -346,25 +346,25 @@
 		return
 	}
 	node := c.members[leader].node
-	group := node.Group()
+	group := node.Membership()
 	if group.Joint() {
-		_ = node.EndReplacement(c.now, c.random.IntN(2) == 0)
+		_ = node.LeaveJoint(c.now, c.random.IntN(2) == 0)
 	} else if len(group.Learners) > 0 {
 		learner := group.Learners[0]
-		if _, caughtUp := node.Silence(learner); caughtUp {
-			_ = node.ProposeGroup(c.now, c.promoteLearner(group, learner))
+		if _, caughtUp := node.FollowerStatus(learner); caughtUp {
+			_ = node.ProposeMembership(c.now, c.promoteLearner(group, learner))
 		}
 	} else if len(group.Voters) > 4 {
 		for _, voter := range group.Voters {
-			if silence, _ := node.Silence(voter); silence > testElection {
-				_ = node.ProposeGroup(c.now, group.With(voter, Out))
+			if silence, _ := node.FollowerStatus(voter); silence > testElection {
+				_ = node.ProposeMembership(c.now, group.With(voter, NotMember))
 				break
 			}
 		}
 	} else {
 		name := fmt.Sprintf("n%d", round)
 		c.add(name)
-		_ = node.ProposeGroup(c.now, group.With(name, AsLearner))
+		_ = node.ProposeMembership(c.now, group.With(name, Learner))
 	}
 	c.processReady(leader, false)
 }
@@ -376,6 +376,6 @@
 		return
 	}
 	if _, done := m.node.Compact(m.node.Applied(), []byte("state")); done {
-		m.disk = m.node.Stored()
+		m.disk = m.node.PersistentState()
 	}
 }
--- a/internal/system/agreement/disk/disk.go
+++ b/internal/system/agreement/disk/disk.go
@@ -53,7 +53,7 @@
 	log                *segment.Log
 	id                 string
 	bootstrap          []string
-	stored             agreement.Stored
+	stored             agreement.PersistentState
 	snapshots          []uint64 // indexes of the existing snapshot files
 	referencedSnapshot uint64   // index of the snapshot that the log refers to: its file is never overwritten
 }
@@ -147,7 +147,7 @@
 }
 
 // Stored returns the state that was read from the disk, with which the member starts.
-func (m *Member) Stored() agreement.Stored { return m.stored }
+func (m *Member) Stored() agreement.PersistentState { return m.stored }
 
 // ID returns the member's identity.
 func (m *Member) ID() string { return m.id }
@@ -156,7 +156,7 @@
 func (m *Member) apply(rec *record) error {
 	if rec.Started {
 		m.id, m.bootstrap = rec.ID, rec.Founders
-		m.stored = agreement.Stored{}
+		m.stored = agreement.PersistentState{}
 		m.referencedSnapshot = 0
 		m.stored.Snapshot.Members.Voters = rec.Founders
 	}
@@ -233,7 +233,7 @@
 
 // Compact replaces the log by the snapshot of stored and the entries after it. If the disk is full, everything that was
 // stored stays valid and the member can continue.
-func (m *Member) Compact(stored agreement.Stored) error {
+func (m *Member) Compact(stored agreement.PersistentState) error {
 	if err := m.writeSnapshot(&stored.Snapshot); err != nil {
 		return err
 	}
--- a/internal/system/agreement/disk/disk_test.go
+++ b/internal/system/agreement/disk/disk_test.go
@@ -55,7 +55,7 @@
 	ginkgo.It("replaces its log by a snapshot, and ignores an incomplete snapshot file", func() {
 		member := open(bootstrapMember)
 		Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}})).To(Succeed())
-		stored := agreement.Stored{HardState: agreement.HardState{Term: 1}, Entries: []agreement.Entry{entry(3, 1)},
+		stored := agreement.PersistentState{HardState: agreement.HardState{Term: 1}, Entries: []agreement.Entry{entry(3, 1)},
 			Snapshot: agreement.Snapshot{Index: 2, Term: 1, Data: []byte("state"), Members: agreement.Membership{Voters: bootstrapMember.Founders}}}
 		Expect(member.Compact(stored)).To(Succeed())
 		Expect(os.WriteFile(filepath.Join(path, snapshotName(9)), []byte("torn"), 0o644)).To(Succeed())
@@ -77,7 +77,7 @@
 
 	ginkgo.It("reports a corrupt snapshot that the log refers to", func() {
 		member := open(bootstrapMember)
-		Expect(member.Compact(agreement.Stored{Snapshot: agreement.Snapshot{Index: 2, Term: 1, Data: []byte("state")}})).To(Succeed())
+		Expect(member.Compact(agreement.PersistentState{Snapshot: agreement.Snapshot{Index: 2, Term: 1, Data: []byte("state")}})).To(Succeed())
 		Expect(os.WriteFile(filepath.Join(path, snapshotName(2)), []byte("other bytes"), 0o644)).To(Succeed())
 		folder, err := segment.OpenDirectory(path)
 		Expect(err).NotTo(HaveOccurred())
@@ -89,17 +89,17 @@
 	ginkgo.It("can be read after a new identity was started, despite snapshots of the earlier identity", func() {
 		member := open(bootstrapMember)
 		Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(1, 1), entry(2, 1)}})).To(Succeed())
-		Expect(member.Compact(agreement.Stored{Snapshot: agreement.Snapshot{Index: 2, Term: 1, Data: []byte("state")}})).To(Succeed())
+		Expect(member.Compact(agreement.PersistentState{Snapshot: agreement.Snapshot{Index: 2, Term: 1, Data: []byte("state")}})).To(Succeed())
 		member = open(bootstrapMember)
 		Expect(member.Begin(Identity{ID: "a#new"})).To(Succeed())
 		again := open(bootstrapMember)
 		Expect(again.ID()).To(Equal("a#new"))
-		Expect(again.Stored()).To(Equal(agreement.Stored{}))
+		Expect(again.Stored()).To(Equal(agreement.PersistentState{}))
 	})
 
 	ginkgo.It("never overwrites the snapshot that its log refers to", func() {
 		member := open(bootstrapMember)
-		stored := agreement.Stored{Snapshot: agreement.Snapshot{Index: 2, Term: 1, Data: []byte("state")}}
+		stored := agreement.PersistentState{Snapshot: agreement.Snapshot{Index: 2, Term: 1, Data: []byte("state")}}
 		Expect(member.Compact(stored)).To(Succeed())
 		member = open(bootstrapMember)
 		file := filepath.Join(path, snapshotName(2))
@@ -154,7 +154,7 @@
 				Expect(err).NotTo(HaveOccurred())
 				Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(1, 1), entry(2, 1)}})).To(Succeed())
 				disk.full, disk.remaining = true, remaining // remaining creations and writes that succeed
-				stored := agreement.Stored{Entries: []agreement.Entry{entry(2, 1)}, Snapshot: agreement.Snapshot{Index: 1, Term: 1,
+				stored := agreement.PersistentState{Entries: []agreement.Entry{entry(2, 1)}, Snapshot: agreement.Snapshot{Index: 1, Term: 1,
 					Data: []byte("state"), Members: agreement.Membership{Voters: bootstrapMember.Founders}}}
 				Expect(segment.IsDiskFull(member.Compact(stored))).To(BeTrue(), "%d writes succeed", remaining)
 				Expect(open(bootstrapMember).Stored().Entries).To(Equal([]agreement.Entry{entry(1, 1), entry(2, 1)}))
--- a/internal/system/agreement/election.go
+++ b/internal/system/agreement/election.go
@@ -28,8 +28,8 @@
 	// If another candidate has got this member's vote within a heartbeat interval, it probably becomes leader in a moment:
 	// a second candidate would only depose it.
 	votedForOther := n.vote != "" && n.vote != message.From && n.votedAt > 0 && n.now-n.votedAt < n.options.HeartbeatInterval
-	grant := n.Member() && message.Term > n.term && n.candidateLogUpToDate(message) && !n.hasActiveLeader() && !votedForOther
-	response := Message{Kind: PreVoteAnswer, To: message.From, Reject: !grant}
+	grant := n.IsMember() && message.Term > n.term && n.candidateLogUpToDate(message) && !n.hasActiveLeader() && !votedForOther
+	response := Message{Kind: PreVoteResponse, To: message.From, Reject: !grant}
 	n.send(response)
 	if grant {
 		n.messages[len(n.messages)-1].Term = message.Term
@@ -42,7 +42,7 @@
 // count its vote.
 func (n *Node) handleVote(message Message) {
 	free := n.vote == "" && n.leader == "" || n.vote == message.From
-	grant := n.Member() && free && n.candidateLogUpToDate(message)
+	grant := n.IsMember() && free && n.candidateLogUpToDate(message)
 	if grant {
 		n.electionTimerStart = n.now
 		n.votedAt = n.now
@@ -51,7 +51,7 @@
 			n.hardStateChanged = true
 		}
 	}
-	n.send(Message{Kind: VoteAnswer, To: message.From, Reject: !grant})
+	n.send(Message{Kind: VoteResponse, To: message.From, Reject: !grant})
 }
 
 // maxCampaignDoublings is how often the minimum pause between campaigns doubles, starting at half a heartbeat interval.
@@ -77,7 +77,7 @@
 		n.term++
 		n.vote = n.options.Self
 		n.hardStateChanged = true
-		request = Message{Kind: Vote, Term: n.term, Handover: n.leadershipTransfer}
+		request = Message{Kind: Vote, Term: n.term, LeadershipTransfer: n.leadershipTransfer}
 	}
 	request.Index, request.LogTerm = n.log.lastIndex(), n.log.lastTerm()
 	for _, peer := range n.peers() {
@@ -91,8 +91,8 @@
 
 // handleVoteResponse counts a granted vote or pre-vote of the current campaign.
 func (n *Node) handleVoteResponse(message Message) {
-	expected := message.Kind == PreVoteAnswer && n.role == PreCandidate && message.Term == n.term+1 ||
-		message.Kind == VoteAnswer && n.role == Candidate && message.Term == n.term
+	expected := message.Kind == PreVoteResponse && n.role == PreCandidate && message.Term == n.term+1 ||
+		message.Kind == VoteResponse && n.role == Candidate && message.Term == n.term
 	if !expected || message.Reject || !n.hasVote(message.From) {
 		return
 	}
@@ -154,17 +154,17 @@
 	n.broadcast()
 }
 
-// HandOver transfers leadership: it asks another voter, whose log holds all committed entries, to campaign at once
-// instead of waiting for its election timeout. This member stays leader until the other is elected. A voter for which
-// avoided returns true is chosen only if there is no other. HandOver returns false if this member is not the leader or
-// no voter qualifies.
-func (n *Node) HandOver(now time.Duration, avoided func(id string) bool) bool {
+// TransferLeadership transfers leadership: it asks another voter, whose log holds all committed entries, to campaign at
+// once instead of waiting for its election timeout. This member stays leader until the other is elected. A voter for
+// which avoided returns true is chosen only if there is no other. TransferLeadership returns false if this member is
+// not the leader or no voter qualifies.
+func (n *Node) TransferLeadership(now time.Duration, avoided func(id string) bool) bool {
 	n.now = now
 	target := n.transferTarget(avoided)
 	if target == "" {
 		return false
 	}
-	n.send(Message{Kind: StandForElection, To: target, Index: n.log.lastIndex()})
+	n.send(Message{Kind: TimeoutNow, To: target, Index: n.log.lastIndex()})
 	return true
 }
 
@@ -220,9 +220,9 @@
 	}
 }
 
-// Hasten shortens the election timeout of a member that knows of no leader, to less than half a heartbeat interval from
-// now. To be called when another member has become reachable, which may grant its vote.
-func (n *Node) Hasten(now time.Duration) {
+// CampaignSoon shortens the election timeout of a member that knows of no leader, to less than half a heartbeat
+// interval from now. To be called when another member has become reachable, which may grant its vote.
+func (n *Node) CampaignSoon(now time.Duration) {
 	n.now = now
 	if n.role == Leader || n.role == Candidate || n.leader != "" {
 		return
--- a/internal/system/agreement/handover_test.go
+++ b/internal/system/agreement/handover_test.go
@@ -15,7 +15,7 @@
 	for range 40 {
 		leader := c.heal()
 		led[leader] = true
-		c.members[leader].node.HandOver(c.now, avoidNone)
+		c.members[leader].node.TransferLeadership(c.now, avoidNone)
 		c.processReady(leader, false)
 		for began := c.now; c.now < began+testElection/2; {
 			c.step()
--- a/internal/system/agreement/membership.go
+++ b/internal/system/agreement/membership.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Group returns the latest membership in the member's log, committed or not.
-func (n *Node) Group() Membership { return n.membership }
+// Membership returns the latest membership in the member's log, committed or not.
+func (n *Node) Membership() Membership { return n.membership }
 
-// Member reports whether this member is in the latest membership of its log. A new member is not until it has received
-// the entry that adds it.
-func (n *Node) Member() bool { return n.membership.Has(n.options.Self) }
+// IsMember reports whether this member is in the latest membership of its log. A new member is not until it has
+// received the entry that adds it.
+func (n *Node) IsMember() bool { return n.membership.Has(n.options.Self) }
 
 // hasVote reports whether id is a voter in the latest membership of the log.
 func (n *Node) hasVote(id string) bool { return n.membership.HasVote(id) }
@@ -38,16 +38,16 @@
 // peers returns all members but this one.
 func (n *Node) peers() []string { return without(n.membership.members(), n.options.Self) }
 
-// ProposeGroup proposes a membership change on the leader. The new membership must differ by one member, so that any
-// majority before the change overlaps any majority after it, or be the joint one of Membership.Replace, which
-// EndReplacement ends later. The error is a NotLeaderError, also while a new leader has not applied the entries of
+// ProposeMembership proposes a membership change on the leader. The new membership must differ by one member, so that
+// any majority before the change overlaps any majority after it, or be the joint one of Membership.Replace, which
+// LeaveJoint ends later. The error is a NotLeaderError, also while a new leader has not applied the entries of
 // earlier leaders, or a ChangePendingError while an earlier change is not committed or still joint.
-func (n *Node) ProposeGroup(now time.Duration, group Membership) error {
+func (n *Node) ProposeMembership(now time.Duration, group Membership) error {
 	n.now = now
-	if !n.Leading() {
+	if !n.LeaderReady() {
 		return &NotLeaderError{Leader: n.leader}
 	}
-	if !n.GroupSettled() {
+	if !n.MembershipStable() {
 		return &ChangePendingError{}
 	}
 	n.appendMembership(group)
@@ -62,13 +62,13 @@
 	n.broadcast()
 }
 
-// EndReplacement ends a replacement whose joint membership is committed. From then on the new voters decide alone, or
+// LeaveJoint ends a replacement whose joint membership is committed. From then on the new voters decide alone, or
 // the previous ones if it is cancelled. Without a replacement in progress it does nothing. The error is a
 // NotLeaderError, or a ChangePendingError while the latest membership is not committed.
-func (n *Node) EndReplacement(now time.Duration, cancelled bool) error {
+func (n *Node) LeaveJoint(now time.Duration, cancelled bool) error {
 	n.now = now
 	switch {
-	case !n.Leading():
+	case !n.LeaderReady():
 		return &NotLeaderError{Leader: n.leader}
 	case n.membershipIndex > n.log.committed:
 		return &ChangePendingError{}
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// GroupSettled reports whether the latest membership in the log is committed and not joint.
-func (n *Node) GroupSettled() bool {
+// MembershipStable reports whether the latest membership in the log is committed and not joint.
+func (n *Node) MembershipStable() bool {
 	return n.membershipIndex <= n.log.committed && !n.membership.Joint()
 }
 
--- a/internal/system/agreement/node.go
+++ b/internal/system/agreement/node.go
@@ -55,7 +55,7 @@
 }
 
 // New returns a follower with the persistent state of its disk.
-func New(options Options, stored Stored, now time.Duration) *Node {
+func New(options Options, stored PersistentState, now time.Duration) *Node {
 	n := &Node{options: options, term: stored.HardState.Term, vote: stored.HardState.Vote, now: now}
 	n.log.restore(&stored.Snapshot)
 	n.log.entries = append(n.log.entries, stored.Entries...)
@@ -69,8 +69,8 @@
 	return n
 }
 
-// Leading reports whether the member is the leader and has applied all entries that earlier leaders committed.
-func (n *Node) Leading() bool { return n.role == Leader && n.log.applied >= n.termStartIndex }
+// LeaderReady reports whether the member is the leader and has applied all entries that earlier leaders committed.
+func (n *Node) LeaderReady() bool { return n.role == Leader && n.log.applied >= n.termStartIndex }
 
 // Role returns the member's role.
 func (n *Node) Role() Role { return n.role }
@@ -87,10 +87,10 @@
 // LogLength returns the number of entries after the snapshot.
 func (n *Node) LogLength() int { return len(n.log.entries) }
 
-// Silence returns, on the leader, the time since it sent the latest message that member id answered, and whether that
-// member's log holds all committed entries. For itself it returns 0 and true, and for an unknown id or if this
+// FollowerStatus returns, on the leader, the time since it sent the latest message that member id answered, and whether
+// that member's log holds all committed entries. For itself it returns 0 and true, and for an unknown id or if this
 // member is not the leader, 0 and false.
-func (n *Node) Silence(id string) (silence time.Duration, caughtUp bool) {
+func (n *Node) FollowerStatus(id string) (silence time.Duration, caughtUp bool) {
 	if id == n.options.Self {
 		return 0, true
 	}
@@ -130,9 +130,9 @@
 	return n.log.snapshot(), done
 }
 
-// Stored returns the persistent state that the member's disk should hold now.
-func (n *Node) Stored() Stored {
-	return Stored{
+// PersistentState returns the persistent state that the member's disk should hold now.
+func (n *Node) PersistentState() PersistentState {
+	return PersistentState{
 		HardState: HardState{Term: n.term, Vote: n.vote},
 		Snapshot:  n.log.snapshot(),
 		Entries:   append([]Entry(nil), n.log.entries...),
@@ -177,8 +177,9 @@
 	})
 }
 
-// Followed reports whether the member is the leader and a majority is known to have followed it within the given time.
-func (n *Node) Followed(within time.Duration) bool {
+// QuorumActive reports whether the member is the leader and a majority is known to have followed it within the given
+// time.
+func (n *Node) QuorumActive(within time.Duration) bool {
 	return n.role == Leader && n.quorumContactTime() >= n.now-within
 }
 
@@ -202,15 +203,15 @@
 		n.handlePreVote(message)
 	case Vote:
 		n.handleVote(message)
-	case PreVoteAnswer, VoteAnswer:
+	case PreVoteResponse, VoteResponse:
 		n.handleVoteResponse(message)
 	case Append:
 		n.handleAppend(message)
 	case InstallSnapshot:
 		n.handleInstallSnapshot(message)
-	case AppendAnswer:
+	case AppendResponse:
 		n.handleAppendResponse(message)
-	case StandForElection:
+	case TimeoutNow:
 		n.handleLeadershipTransfer(message)
 	}
 }
@@ -222,13 +223,13 @@
 	case PreVote:
 		n.handlePreVote(message)
 		return false
-	case PreVoteAnswer:
+	case PreVoteResponse:
 		if !message.Reject {
 			n.handleVoteResponse(message)
 			return false
 		}
 	case Vote:
-		if n.hasActiveLeader() && !message.Handover {
+		if n.hasActiveLeader() && !message.LeadershipTransfer {
 			return false
 		}
 	}
@@ -245,9 +246,9 @@
 func (n *Node) rejectStaleTerm(message Message) {
 	switch message.Kind {
 	case Append, InstallSnapshot:
-		n.send(Message{Kind: AppendAnswer, To: message.From, Reject: true, Index: n.log.lastIndex()})
+		n.send(Message{Kind: AppendResponse, To: message.From, Reject: true, Index: n.log.lastIndex()})
 	case PreVote:
-		n.send(Message{Kind: PreVoteAnswer, To: message.From, Reject: true})
+		n.send(Message{Kind: PreVoteResponse, To: message.From, Reject: true})
 	}
 }
 
--- a/internal/system/agreement/replacement_test.go
+++ b/internal/system/agreement/replacement_test.go
@@ -15,7 +15,7 @@
 			leader := c.heal()
 			c.add("new")
 			node := c.members[leader].node
-			Expect(node.ProposeGroup(c.now, node.Group().With("new", AsLearner))).To(Succeed())
+			Expect(node.ProposeMembership(c.now, node.Membership().With("new", Learner))).To(Succeed())
 			c.processReady(leader, false)
 			for range 2000 {
 				c.step()
@@ -23,25 +23,25 @@
 			Expect(c.leader()).To(Equal(leader))
 			replaced := without(c.names[:3], leader)[0]
 			c.members[replaced].running = false
-			Expect(node.ProposeGroup(c.now, node.Group().Replace(replaced, "new", Out))).To(Succeed())
-			Expect(node.Group().Outgoing).To(ConsistOf("m1", "m2", "m3"))
-			Expect(node.ProposeGroup(c.now, node.Group().With("other", AsLearner))).To(MatchError(&ChangePendingError{}))
+			Expect(node.ProposeMembership(c.now, node.Membership().Replace(replaced, "new", NotMember))).To(Succeed())
+			Expect(node.Membership().Outgoing).To(ConsistOf("m1", "m2", "m3"))
+			Expect(node.ProposeMembership(c.now, node.Membership().With("other", Learner))).To(MatchError(&ChangePendingError{}))
 			c.processReady(leader, false)
 			for range 2000 {
 				c.step()
 			}
-			Expect(node.GroupSettled()).To(BeFalse())
-			Expect(node.EndReplacement(c.now, cancelled)).To(Succeed())
+			Expect(node.MembershipStable()).To(BeFalse())
+			Expect(node.LeaveJoint(c.now, cancelled)).To(Succeed())
 			c.processReady(leader, false)
 			for range 2000 {
 				c.step()
 			}
-			Expect(node.GroupSettled()).To(BeTrue())
+			Expect(node.MembershipStable()).To(BeTrue())
 			wanted := Membership{Voters: slices.Sorted(slices.Values(append(without(c.names[:3], replaced), "new")))}
 			if cancelled {
 				wanted = Membership{Voters: c.names[:3], Learners: []string{"new"}}
 			}
-			Expect(node.Group()).To(Equal(wanted))
+			Expect(node.Membership()).To(Equal(wanted))
 			Expect(c.violations).To(BeEmpty())
 		})
 	}
@@ -55,26 +55,26 @@
 			group := Membership{Voters: []string{leader, "n1", "n2"}, Outgoing: slices.Clone(c.names)}
 			c.add("n1")
 			c.add("n2")
-			Expect(node.ProposeGroup(c.now, group)).To(Succeed())
+			Expect(node.ProposeMembership(c.now, group)).To(Succeed())
 			committed := node.log.committed
 			responding := []string{"n1", "n2"}
 			if unreachable == "after" {
 				responding = others
 			}
 			for _, name := range responding {
-				node.handleAppendResponse(Message{Kind: AppendAnswer, From: name, Term: node.Term(), Index: node.log.lastIndex(), Sent: c.now})
+				node.handleAppendResponse(Message{Kind: AppendResponse, From: name, Term: node.Term(), Index: node.log.lastIndex(), SentAt: c.now})
 			}
 			ready := node.Ready()
 			node.Persisted(&ready)
 			Expect(node.log.committed).To(Equal(committed))
 			node.now += testElection + testHeartbeat
-			Expect(node.Followed(testHeartbeat)).To(BeFalse())
+			Expect(node.QuorumActive(testHeartbeat)).To(BeFalse())
 			for _, name := range append(others, "n1", "n2") {
-				node.handleAppendResponse(Message{Kind: AppendAnswer, From: name, Term: node.Term(), Index: node.log.lastIndex(), Sent: node.now})
+				node.handleAppendResponse(Message{Kind: AppendResponse, From: name, Term: node.Term(), Index: node.log.lastIndex(), SentAt: node.now})
 			}
 			Expect(node.log.committed).To(BeNumerically(">", committed))
-			Expect(node.EndReplacement(node.now, false)).To(Succeed())
-			Expect(node.Group().Joint()).To(BeFalse())
+			Expect(node.LeaveJoint(node.now, false)).To(Succeed())
+			Expect(node.Membership().Joint()).To(BeFalse())
 		})
 	}
 })
@@ -82,8 +82,8 @@
 // promoteLearner returns a membership in which the learner is a voter, in half of the cases in place of another voter.
 func (c *cluster) promoteLearner(group Membership, learner string) Membership {
 	if c.random.IntN(2) == 0 {
-		return group.With(learner, AsVoter)
+		return group.With(learner, Voter)
 	}
 	replaced := group.Voters[c.random.IntN(len(group.Voters))]
-	return group.Replace(replaced, learner, []Place{Out, AsLearner}[c.random.IntN(2)])
+	return group.Replace(replaced, learner, []MemberRole{NotMember, Learner}[c.random.IntN(2)])
 }
--- a/internal/system/agreement/replicate.go
+++ b/internal/system/agreement/replicate.go
@@ -48,26 +48,26 @@
 	entries := n.log.entriesFrom(follower.next, maxEntriesInMessage)
 	follower.next += uint64(len(entries))
 	n.send(Message{Kind: Append, To: peer, Index: prevIndex, LogTerm: term, Entries: entries, Commit: n.log.committed,
-		Sent: n.now})
+		SentAt: n.now})
 }
 
 // sendSnapshot sends the snapshot, but only once in an election timeout.
 func (n *Node) sendSnapshot(peer string, follower *progress) {
 	if follower.snapshotSentAt != 0 && n.now-follower.snapshotSentAt < n.options.ElectionTimeout {
 		// A heartbeat without entries keeps the follower from campaigning while the snapshot is on its way.
-		n.send(Message{Kind: Append, To: peer, Index: n.log.snapshotIndex, LogTerm: n.log.snapshotTerm, Sent: n.now})
+		n.send(Message{Kind: Append, To: peer, Index: n.log.snapshotIndex, LogTerm: n.log.snapshotTerm, SentAt: n.now})
 		return
 	}
 	follower.snapshotSentAt = n.now
 	snapshot := n.log.snapshot()
-	n.send(Message{Kind: InstallSnapshot, To: peer, Snapshot: &snapshot, Commit: n.log.committed, Sent: n.now})
+	n.send(Message{Kind: InstallSnapshot, To: peer, Snapshot: &snapshot, Commit: n.log.committed, SentAt: n.now})
 }
 
 // handleAppend appends the leader's entries if the entry before them matches, and responds with the last matching
 // index. Otherwise it rejects them with the index after which the leader should try next.
 func (n *Node) handleAppend(message Message) {
 	n.followLeader(message.From)
-	response := Message{Kind: AppendAnswer, To: message.From, Sent: message.Sent}
+	response := Message{Kind: AppendResponse, To: message.From, SentAt: message.SentAt}
 	if message.Index < n.log.snapshotIndex {
 		// Entries that the snapshot covers are committed and so match the leader's.
 		response.Index = n.log.committed
@@ -107,7 +107,7 @@
 		n.installedSnapshot = snapshot
 		n.hardStateChanged = true
 	}
-	n.send(Message{Kind: AppendAnswer, To: message.From, Index: n.log.committed, Sent: message.Sent})
+	n.send(Message{Kind: AppendResponse, To: message.From, Index: n.log.committed, SentAt: message.SentAt})
 }
 
 // followLeader becomes a follower of leader in the current term, if it is not yet, and restarts the election timer.
@@ -125,10 +125,10 @@
 	if n.role != Leader || follower == nil {
 		return
 	}
-	if message.Reject && message.Sent < follower.ackedSendTime {
+	if message.Reject && message.SentAt < follower.ackedSendTime {
 		return // delayed: the follower has already answered a later message
 	}
-	follower.ackedSendTime = max(follower.ackedSendTime, message.Sent)
+	follower.ackedSendTime = max(follower.ackedSendTime, message.SentAt)
 	if message.Reject {
 		follower.next = max(min(message.Index, follower.next-1)+1, 1)
 		if message.Index < follower.match {
--- a/internal/system/agreement/types.go
+++ b/internal/system/agreement/types.go
@@ -3,7 +3,7 @@
 // time or by joint consensus.
 //
 // Node is a deterministic state machine without I/O, goroutines or clocks. A driver passes in messages (Step),
-// proposals (Propose, ProposeGroup) and the time (Tick, at the latest at NextWake). It then takes the outputs from
+// proposals (Propose, ProposeMembership) and the time (Tick, at the latest at NextWake). It then takes the outputs from
 // Ready: it writes and syncs the hard state, snapshot and entries, calls Persisted, sends the messages and applies
 // the committed entries. No message may leave before the writes of its Ready are synced. All times are durations on
 // one monotonic clock of the driver's choice; a Node is not safe for concurrent use. Package disk stores what a Ready
@@ -51,9 +51,9 @@
 }
 
 // Replace returns the joint membership in which the learner becomes a voter in place of voter, and voter moves to the
-// given place: Out or AsLearner.
-func (m Membership) Replace(voter, learner string, place Place) Membership {
-	next := m.With(learner, AsVoter).With(voter, place)
+// given place: NotMember or Learner.
+func (m Membership) Replace(voter, learner string, place MemberRole) Membership {
+	next := m.With(learner, Voter).With(voter, place)
 	next.Outgoing = slices.Clone(m.Voters)
 	return next
 }
@@ -78,12 +78,12 @@
 }
 
 // With returns a copy of the membership in which id has the given place. The copy is never joint.
-func (m Membership) With(id string, place Place) Membership {
+func (m Membership) With(id string, place MemberRole) Membership {
 	next := Membership{Voters: without(m.Voters, id), Learners: without(m.Learners, id)}
 	switch place {
-	case AsVoter:
+	case Voter:
 		next.Voters = append(next.Voters, id)
-	case AsLearner:
+	case Learner:
 		next.Learners = append(next.Learners, id)
 	}
 	slices.Sort(next.Voters)
@@ -102,14 +102,14 @@
 	return kept
 }
 
-// Place is the standing of a member in a group.
-type Place uint8
+// MemberRole is the standing of a member in a group.
+type MemberRole uint8
 
 // The places of a member.
 const (
-	Out       Place = iota // not in the group
-	AsLearner              // replicates the log, has no vote
-	AsVoter                // votes and counts toward commits
+	NotMember MemberRole = iota // not in the group
+	Learner                     // replicates the log, has no vote
+	Voter                       // votes and counts toward commits
 )
 
 // Entry is one record of the log.
@@ -137,46 +137,49 @@
 	Members Membership
 }
 
-// Kind is the type of a message.
-type Kind uint8
+// MessageKind is the type of a message.
+type MessageKind uint8
 
 // The kinds of messages between members.
 const (
-	PreVote          Kind = iota + 1 // asks whether a vote would be granted; changes no state of the receiver
-	PreVoteAnswer                    // response to PreVote
-	Vote                             // requests a vote
-	VoteAnswer                       // response to Vote
-	Append                           // replicates entries; a heartbeat if it has none
-	AppendAnswer                     // response to Append and InstallSnapshot
-	InstallSnapshot                  // replaces the log of a follower that lacks compacted entries
-	StandForElection                 // leadership transfer: asks the receiver to campaign at once (Raft's TimeoutNow)
+	PreVote         MessageKind = iota + 1 // asks whether a vote would be granted; changes no state of the receiver
+	PreVoteResponse                        // response to PreVote
+	Vote                                   // requests a vote
+	VoteResponse                           // response to Vote
+	Append                                 // replicates entries; a heartbeat if it has none
+	AppendResponse                         // response to Append and InstallSnapshot
+	InstallSnapshot                        // replaces the log of a follower that lacks compacted entries
+	TimeoutNow                             // leadership transfer: asks the receiver to campaign at once (Raft's TimeoutNow)
 )
 
-// IsAnswer reports whether messages of this kind are responses: they go to a member from which a request
+// IsResponse reports whether messages of this kind are responses: they go to a member from which a request
 // has just been received.
-func (k Kind) IsAnswer() bool { return k == PreVoteAnswer || k == VoteAnswer || k == AppendAnswer }
+func (k MessageKind) IsResponse() bool {
+	return k == PreVoteResponse || k == VoteResponse || k == AppendResponse
+}
 
 // Message is sent from one member to another.
 type Message struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	Kind     Kind
+	Kind     MessageKind
 	From     string
 	To       string
 	Term     uint64
-	// Index is, by Kind: of an Append, the index of the entry before Entries; of a vote request or a StandForElection, the
-	// last index of the sender's log; of an AppendAnswer, the last index known to match the leader's log or, with Reject,
-	// the index after which the leader should try next.
+	// Index is, by Kind: of an Append, the index of the entry before Entries; of a vote request or a TimeoutNow, the
+	// last index of the sender's log; of an AppendResponse, the last index known to match the leader's log or, with
+	// Reject, the index after which the leader should try next.
 	Index    uint64
 	LogTerm  uint64 // term of the entry at Index
 	Commit   uint64
 	Entries  []Entry
 	Snapshot *Snapshot
 	Reject   bool
-	// Sent is the leader's time when it sent the request. The response returns it, and the leader's check-quorum measures
-	// from it.
-	Sent time.Duration
-	// Handover marks a vote request of a leadership transfer: it is considered although the current leader is active.
-	Handover bool
+	// SentAt is the leader's time when it sent the request. The response returns it, and the leader's check-quorum
+	// measures from it.
+	SentAt time.Duration
+	// LeadershipTransfer marks a vote request of a leadership transfer: it is considered although the current leader is
+	// active.
+	LeadershipTransfer bool
 }
 
 // Options configures a Node. All members of a group must have the same timeouts.
@@ -193,9 +196,9 @@
 	Random func(n int64) int64
 }
 
-// Stored is the persistent state of a member. On a new disk the snapshot has index 0: its membership lists the
+// PersistentState is the persistent state of a member. On a new disk the snapshot has index 0: its membership lists the
 // bootstrap members if this is one of them, and is empty for a member that joins later.
-type Stored struct {
+type PersistentState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
--- a/internal/system/node/keeper.go
+++ b/internal/system/node/keeper.go
@@ -143,7 +143,7 @@
 
 // openState reads the state of all groups from the disk and creates the core from it.
 func (n *keeperNode) openState() error {
-	var stored [keeper.Groups]agreement.Stored
+	var stored [keeper.Groups]agreement.PersistentState
 	options := keeper.Options{Address: n.address(), Tolerance: &n.settings.Tolerance, Random: n.Random,
 		FeedEpoch: member.NewIncarnation(n, n.settings.NodeName)}
 	if err := n.openDisks(n.ctx); err != nil {
--- a/internal/system/node/keeper_disk.go
+++ b/internal/system/node/keeper_disk.go
@@ -113,7 +113,7 @@
 	if n.Now() < n.nextCompaction[group] {
 		return nil
 	}
-	var stored agreement.Stored
+	var stored agreement.PersistentState
 	var compacted bool
 	var err error
 	n.withLock(func() {
--- a/internal/system/node/keeper_peers.go
+++ b/internal/system/node/keeper_peers.go
@@ -64,7 +64,7 @@
 // must be reachable.
 func containsAnswer(messages []agreement.Message) bool {
 	for _, message := range messages {
-		if message.Kind.IsAnswer() {
+		if message.Kind.IsResponse() {
 			return true
 		}
 	}
--- a/internal/system/role/keeper/core.go
+++ b/internal/system/role/keeper/core.go
@@ -125,7 +125,7 @@
 
 // New creates a keeper from the state that its disk holds for each group. It returns an error if a snapshot can't be
 // decoded.
-func New(options Options, stored [Groups]agreement.Stored, now time.Duration) (*Core, error) {
+func New(options Options, stored [Groups]agreement.PersistentState, now time.Duration) (*Core, error) {
 	core := &Core{
 		options: options, now: now, configuration: configuration.NewState(), sessions: session.NewState(),
 		feed: feed.NewTable(options.FeedEpoch), subscribers: map[Subscriber]*subscription{},
@@ -149,7 +149,7 @@
 }
 
 // newGroup creates this keeper's member of a group and connects the group's log to the state that it replicates.
-func (c *Core) newGroup(id int, stored agreement.Stored) *group {
+func (c *Core) newGroup(id int, stored agreement.PersistentState) *group {
 	node := agreement.New(agreement.Options{
 		Self: c.options.IDs[id], ElectionTimeout: ElectionTimeout, HeartbeatInterval: HeartbeatInterval,
 		Random: c.options.Random,
@@ -227,7 +227,7 @@
 // the session timers; a former leader of any group fails its waiters.
 func (c *Core) checkLeadership() {
 	for id, g := range c.groups {
-		leading := g.node.Leading()
+		leading := g.node.LeaderReady()
 		if leading && !g.leading && id == SessionGroup {
 			c.resetSessionTimers()
 		}
@@ -263,7 +263,7 @@
 func (c *Core) PeerUp(now time.Duration) {
 	c.now = now
 	for _, g := range c.groups {
-		g.node.Hasten(now)
+		g.node.CampaignSoon(now)
 	}
 }
 
@@ -311,20 +311,20 @@
 
 // Compact replaces a group's applied log entries by a snapshot and returns the state to store on disk. It returns
 // false if the log can't be compacted now, and an error if the state can't be encoded.
-func (c *Core) Compact(id int) (agreement.Stored, bool, error) {
+func (c *Core) Compact(id int) (agreement.PersistentState, bool, error) {
 	g := c.groups[id]
 	data, err := g.snapshot()
 	if err != nil {
-		return agreement.Stored{}, false, err
+		return agreement.PersistentState{}, false, err
 	}
 	if _, done := g.node.Compact(g.node.Applied(), data); !done {
-		return agreement.Stored{}, false, nil
+		return agreement.PersistentState{}, false, nil
 	}
-	return g.node.Stored(), true, nil
+	return g.node.PersistentState(), true, nil
 }
 
 // Members returns the membership of a group as this keeper knows it.
-func (c *Core) Members(id int) agreement.Membership { return c.groups[id].node.Group() }
+func (c *Core) Members(id int) agreement.Membership { return c.groups[id].node.Membership() }
 
 // Term returns this keeper's term in a group.
 func (c *Core) Term(id int) uint64 { return c.groups[id].node.Term() }
@@ -336,7 +336,7 @@
 // ready to serve.
 func (c *Core) Leader(id int) (address string, self bool) {
 	g := c.groups[id]
-	return AddressOf(g.node.Leader()), g.node.Leading()
+	return AddressOf(g.node.Leader()), g.node.LeaderReady()
 }
 
 // notLeader returns the error for a call that only the leader of the group can answer. It names the leader if known.
--- a/internal/system/role/keeper/groups.go
+++ b/internal/system/role/keeper/groups.go
@@ -21,7 +21,7 @@
 // whose zone has too many voters.
 func (c *Core) reconcileGroups() {
 	for id, g := range c.groups {
-		if g.node.Leading() {
+		if g.node.LeaderReady() {
 			c.reconcileGroup(id, g.node)
 		}
 	}
@@ -31,12 +31,12 @@
 // lacksSessions reports whether this keeper has no session table: the session group removed it, or it has not caught
 // up yet. Without the table it can't tell which machines are being drained, in which zone a machine is, or which
 // members are live, so it must not change group membership or assign owners.
-func (c *Core) lacksSessions() bool { return c.groups[SessionGroup].node.Group().Empty() }
+func (c *Core) lacksSessions() bool { return c.groups[SessionGroup].node.Membership().Empty() }
 
 // lacksGroup reports whether this keeper has no state of some group, so that the feed that it would give to members
 // is incomplete.
 func (c *Core) lacksGroup() bool {
-	return slices.ContainsFunc(c.groups[:], func(g *group) bool { return g.node.Group().Empty() })
+	return slices.ContainsFunc(c.groups[:], func(g *group) bool { return g.node.Membership().Empty() })
 }
 
 // reconcileGroup changes the membership of a group that this keeper leads. It transfers leadership if this keeper
@@ -45,25 +45,25 @@
 // part.
 func (c *Core) reconcileGroup(id int, node *agreement.Node) {
 	if c.lacksSessions() {
-		node.HandOver(c.now, c.isLeaving)
+		node.TransferLeadership(c.now, c.isLeaving)
 		return
 	}
-	if node.Group().Joint() {
+	if node.Membership().Joint() {
 		c.finishReplacement(id, node)
 		return
 	}
-	if node.GroupSettled() && c.changeMembership(id, node) {
+	if node.MembershipStable() && c.changeMembership(id, node) {
 		return
 	}
-	if id == SessionGroup && c.lacksGroup() && node.GroupSettled() {
-		node.HandOver(c.now, c.isLeaving)
+	if id == SessionGroup && c.lacksGroup() && node.MembershipStable() {
+		node.TransferLeadership(c.now, c.isLeaving)
 	}
 }
 
 // changeMembership makes the most urgent membership change of a group. It returns false if no change is needed or
 // possible now.
 func (c *Core) changeMembership(id int, node *agreement.Node) bool {
-	group := node.Group()
+	group := node.Membership()
 	silentVoter, silence := longestSilence(node, group)
 	unreachable := ""
 	if silence > voterRemovalTimeout {
@@ -75,14 +75,14 @@
 	}
 	if len(group.Voters) < c.options.Tolerance.Voters() {
 		if learner := c.learnerToPromote(node, group); learner != "" {
-			return c.changeGroup(id, group.With(learner, agreement.AsVoter))
+			return c.changeGroup(id, group.With(learner, agreement.Voter))
 		}
 	} else if voter, learner := c.chooseReplacement(node, group, unreachable, leaving); learner != "" {
 		return c.replaceVoter(id, voter, learner, unreachable)
 	}
 	for _, learner := range group.Learners {
-		if elapsed, _ := node.Silence(learner); elapsed > learnerRemovalTimeout || c.isLeaving(learner) && !c.leavesAfterOtherGroups(id, learner) {
-			return c.changeGroup(id, group.With(learner, agreement.Out))
+		if elapsed, _ := node.FollowerStatus(learner); elapsed > learnerRemovalTimeout || c.isLeaving(learner) && !c.leavesAfterOtherGroups(id, learner) {
+			return c.changeGroup(id, group.With(learner, agreement.NotMember))
 		}
 	}
 	return false
@@ -113,7 +113,7 @@
 // could use, so it can always be removed. A live one stays until the others are live and caught up without it. The
 // result reports whether a change was started.
 func (c *Core) removeSurplusVoter(id int, node *agreement.Node, unreachable, leaving string) bool {
-	group := node.Group()
+	group := node.Membership()
 	target := unreachable
 	if target == "" {
 		target = leaving
@@ -125,7 +125,7 @@
 		return false
 	}
 	if target == c.options.IDs[id] {
-		return node.HandOver(c.now, c.isLeaving) // the new leader removes this keeper
+		return node.TransferLeadership(c.now, c.isLeaving) // the new leader removes this keeper
 	}
 	return c.changeGroup(id, group.With(target, c.roleAfterRemoval(id, target, unreachable)))
 }
@@ -135,35 +135,35 @@
 func (c *Core) replaceVoter(id int, replaced, learner, unreachable string) bool {
 	node := c.groups[id].node
 	if replaced == c.options.IDs[id] {
-		return node.HandOver(c.now, c.isLeaving) // the new leader replaces this keeper
+		return node.TransferLeadership(c.now, c.isLeaving) // the new leader replaces this keeper
 	}
-	return c.changeGroup(id, node.Group().Replace(replaced, learner, c.roleAfterRemoval(id, replaced, unreachable)))
+	return c.changeGroup(id, node.Membership().Replace(replaced, learner, c.roleAfterRemoval(id, replaced, unreachable)))
 }
 
 // finishReplacement completes a joint change once the new set of voters is safe, or the replaced voter is no longer
 // live. It cancels the change if one of the other voters was lost meanwhile.
 func (c *Core) finishReplacement(id int, node *agreement.Node) {
-	group := node.Group()
-	if !slices.Contains(group.Voters, c.options.IDs[id]) && node.HandOver(c.now, c.isLeaving) {
+	group := node.Membership()
+	if !slices.Contains(group.Voters, c.options.IDs[id]) && node.TransferLeadership(c.now, c.isLeaving) {
 		return
 	}
 	replaced := slices.DeleteFunc(slices.Clone(group.Outgoing), func(id string) bool { return slices.Contains(group.Voters, id) })
 	_, silence := longestSilence(node, group)
 	switch {
 	case len(liveMembers(node, replaced)) == 0 || c.safeWithVoters(node, group.Voters):
-		_ = node.EndReplacement(c.now, false) // if refused, the next reconciliation tries again
+		_ = node.LeaveJoint(c.now, false) // if refused, the next reconciliation tries again
 	case silence > voterRemovalTimeout:
-		_ = node.EndReplacement(c.now, true)
+		_ = node.LeaveJoint(c.now, true)
 	}
 }
 
 // roleAfterRemoval returns what a voter becomes that loses its vote: a learner if it must still follow the session
 // group, otherwise no member.
-func (c *Core) roleAfterRemoval(id int, voter, unreachable string) agreement.Place {
+func (c *Core) roleAfterRemoval(id int, voter, unreachable string) agreement.MemberRole {
 	if voter != unreachable && c.leavesAfterOtherGroups(id, voter) {
-		return agreement.AsLearner
+		return agreement.Learner
 	}
-	return agreement.Out
+	return agreement.NotMember
 }
 
 // redundantVoter returns a voter without which the others keep a majority through every tolerated loss, or an empty
@@ -212,7 +212,7 @@
 func (c *Core) chooseReplacement(node *agreement.Node, group agreement.Membership, unreachable, leaving string) (voter, learner string) {
 	for _, voter := range c.replaceableVoters(group, unreachable, leaving) {
 		for _, learner := range c.promotableLearners(node, group) {
-			after := group.Replace(voter, learner, agreement.Out).Voters
+			after := group.Replace(voter, learner, agreement.NotMember).Voters
 			fits := 2*len(liveMembers(node, after)) > len(after) && c.options.Tolerance.MajoritySurvives(c.zonesOf(after, ""))
 			if fits && (voter == unreachable || c.safeWithVoters(node, after)) {
 				return voter, learner
@@ -259,9 +259,9 @@
 	c.now = now
 	yielded := true
 	for _, g := range c.groups {
-		if g.node.Leading() {
+		if g.node.LeaderReady() {
 			yielded = false
-			g.node.HandOver(now, c.isLeaving)
+			g.node.TransferLeadership(now, c.isLeaving)
 		}
 	}
 	return yielded
@@ -271,7 +271,7 @@
 // a learner is lost for good: the learner's identity was created on an empty disk of the same machine.
 func longestSilence(node *agreement.Node, group agreement.Membership) (id string, silence time.Duration) {
 	for _, voter := range group.Voters {
-		elapsed, _ := node.Silence(voter)
+		elapsed, _ := node.FollowerStatus(voter)
 		if elapsed > memberLiveWindow && slices.ContainsFunc(group.Learners, func(learner string) bool { return AddressOf(learner) == AddressOf(voter) }) {
 			elapsed = permanentSilence
 		}
@@ -285,5 +285,5 @@
 // changeGroup proposes a new membership and reports whether it was accepted. If another change is in progress, the
 // next reconciliation tries again.
 func (c *Core) changeGroup(id int, group agreement.Membership) bool {
-	return c.groups[id].node.ProposeGroup(c.now, group) == nil
+	return c.groups[id].node.ProposeMembership(c.now, group) == nil
 }
--- a/internal/system/role/keeper/groups_test.go
+++ b/internal/system/role/keeper/groups_test.go
@@ -48,7 +48,7 @@
 	random := rand.New(rand.NewPCG(uint64(t.identities), 1))
 	options := Options{Address: address, Tolerance: &tolerance.Tolerance{Machines: 1}, FeedEpoch: address,
 		Random: func(below int64) int64 { return random.Int64N(max(below, 1)) }}
-	var stored [Groups]agreement.Stored
+	var stored [Groups]agreement.PersistentState
 	for id := range Groups {
 		options.IDs[id] = identity
 		stored[id].Snapshot.Members.Voters = bootstrap
--- a/internal/system/role/keeper/join.go
+++ b/internal/system/role/keeper/join.go
@@ -22,20 +22,20 @@
 // gets a RemovedError once a majority confirms its removal.
 func (c *Core) JoinGroup(now time.Duration, id int, member string, knows bool, done func(err error)) {
 	c.now = now
-	if id < 0 || id >= Groups || !c.groups[id].node.Leading() {
+	if id < 0 || id >= Groups || !c.groups[id].node.LeaderReady() {
 		done(c.notLeader(min(max(id, 0), Groups-1)))
 		return
 	}
 	node := c.groups[id].node
 	switch {
-	case node.Group().Has(member):
+	case node.Membership().Has(member):
 		done(nil)
 	case knows:
 		c.confirmRemoval(id, member, done)
 	case c.isLeaving(member) && !c.leavesAfterOtherGroups(id, member):
 		done(&LeavingError{ID: member})
 	default:
-		done(node.ProposeGroup(now, node.Group().With(member, agreement.AsLearner)))
+		done(node.ProposeMembership(now, node.Membership().With(member, agreement.Learner)))
 	}
 }
 
@@ -49,9 +49,9 @@
 		switch {
 		case err != nil:
 			done(err)
-		case !node.GroupSettled():
+		case !node.MembershipStable():
 			done(&agreement.ChangePendingError{})
-		case node.Group().Has(member):
+		case node.Membership().Has(member):
 			done(nil)
 		default:
 			done(&RemovedError{ID: member})
@@ -63,7 +63,7 @@
 // ask to join. It should while it knows no leader of the group.
 func (c *Core) Joining(now time.Duration, id int) (member string, knows, wanted bool) {
 	node := c.groups[id].node
-	group := node.Group()
+	group := node.Membership()
 	knows = !group.Empty()
 	return c.options.IDs[id], knows, node.Leader() == ""
 }
@@ -74,7 +74,7 @@
 	c.options.IDs[id] = identity
 	c.groups[id].failWaiters()
 	c.groups[id].reset()
-	c.groups[id] = c.newGroup(id, agreement.Stored{})
+	c.groups[id] = c.newGroup(id, agreement.PersistentState{})
 	for subscriber := range c.subscribers {
 		c.subscribers[subscriber] = &subscription{} // is sent the whole table again
 	}
--- a/internal/system/role/keeper/keeper_suite_test.go
+++ b/internal/system/role/keeper/keeper_suite_test.go
@@ -31,7 +31,7 @@
 }
 
 func newSingleKeeper() *singleKeeper {
-	var stored [Groups]agreement.Stored
+	var stored [Groups]agreement.PersistentState
 	options := Options{Address: singleAddress, Tolerance: &tolerance.Tolerance{}, Random: func(int64) int64 { return 0 }, FeedEpoch: "e"}
 	for id := range Groups {
 		options.IDs[id] = singleAddress
--- a/internal/system/role/keeper/known.go
+++ b/internal/system/role/keeper/known.go
@@ -12,7 +12,7 @@
 func (c *Core) publishKeepers() {
 	keepers := map[string]bool{c.options.Address: true}
 	for _, g := range c.groups {
-		group := g.node.Group()
+		group := g.node.Membership()
 		for _, member := range append(slices.Clone(group.Voters), group.Learners...) {
 			keepers[AddressOf(member)] = true
 			c.rememberAddress(AddressOf(member))
--- a/internal/system/role/keeper/loss_test.go
+++ b/internal/system/role/keeper/loss_test.go
@@ -50,7 +50,7 @@
 	votes := func(t *cluster, number int) int {
 		count := 0
 		for id := range Groups {
-			for _, voter := range t.cores[t.leader(id)].groups[id].node.Group().Voters {
+			for _, voter := range t.cores[t.leader(id)].groups[id].node.Membership().Voters {
 				if AddressOf(voter) == addressOf(number) {
 					count++
 				}
@@ -71,7 +71,7 @@
 				if leader == nil {
 					continue // the leader was the lost keeper
 				}
-				group := leader.groups[id].node.Group()
+				group := leader.groups[id].node.Membership()
 				if !group.Has(addressOf(leaver)) {
 					Expect(len(liveMembers(leader.groups[id].node, group.Voters))).To(BeNumerically(">=", 3), "group %d: %v", id, group.Voters)
 				}
@@ -155,7 +155,7 @@
 		t.advance(700 * time.Millisecond)
 		t.join(addressOf(3))
 		for id := range Groups {
-			group := t.cores[t.leader(id)].groups[id].node.Group()
+			group := t.cores[t.leader(id)].groups[id].node.Membership()
 			Expect(group.Voters).To(HaveLen(3))
 			Expect(group.Has(addressOf(3))).To(BeFalse())
 		}
--- a/internal/system/role/keeper/orders.go
+++ b/internal/system/role/keeper/orders.go
@@ -14,7 +14,7 @@
 func (c *Core) Replace(now time.Duration, order configuration.Order, done func(err error)) {
 	c.now = now
 	g := c.groups[ConfigurationGroup]
-	if !g.node.Leading() {
+	if !g.node.LeaderReady() {
 		done(c.notLeader(ConfigurationGroup))
 		return
 	}
@@ -64,7 +64,7 @@
 func (c *Core) Read(now time.Duration, done func(raw []byte, err error)) {
 	c.now = now
 	g := c.groups[ConfigurationGroup]
-	if !g.node.Leading() {
+	if !g.node.LeaderReady() {
 		done(nil, c.notLeader(ConfigurationGroup))
 		return
 	}
--- a/internal/system/role/keeper/owners.go
+++ b/internal/system/role/keeper/owners.go
@@ -38,10 +38,10 @@
 	fleet := c.fleet()
 	for shard := range c.owners {
 		g := c.groups[firstOwnershipGroup+shard]
-		if !g.node.Leading() {
+		if !g.node.LeaderReady() {
 			c.unneededUnits[shard] = unneededState{}
 		}
-		if !g.node.Leading() || c.now < c.assignmentDeadline[shard] || len(fleet.Live) == 0 {
+		if !g.node.LeaderReady() || c.now < c.assignmentDeadline[shard] || len(fleet.Live) == 0 {
 			continue
 		}
 		offset := shard * len(fleet.Live) / OwnershipShards
--- a/internal/system/role/keeper/retire.go
+++ b/internal/system/role/keeper/retire.go
@@ -38,7 +38,7 @@
 // proposeTolerance records the tolerance from this keeper's settings in the session table, if it differs from the
 // recorded one.
 func (c *Core) proposeTolerance() {
-	if !c.groups[SessionGroup].node.Leading() || c.now < c.toleranceDeadline || reflect.DeepEqual(c.sessions.Tolerance(), c.options.Tolerance) {
+	if !c.groups[SessionGroup].node.LeaderReady() || c.now < c.toleranceDeadline || reflect.DeepEqual(c.sessions.Tolerance(), c.options.Tolerance) {
 		return
 	}
 	c.toleranceDeadline = c.now + proposalTimeout
@@ -88,11 +88,11 @@
 		return nil
 	}
 	for id, g := range c.groups {
-		if !g.node.Leading() || !g.node.GroupSettled() || !g.node.Followed(ElectionTimeout) || !c.safeWithout(g.node, "") {
+		if !g.node.LeaderReady() || !g.node.MembershipStable() || !g.node.QuorumActive(ElectionTimeout) || !c.safeWithout(g.node, "") {
 			continue
 		}
 		for node, address := range ordered.Map(c.sessions.NotLeft(id)) {
-			if !hasMemberAt(g.node.Group(), address) {
+			if !hasMemberAt(g.node.Membership(), address) {
 				departures = append(departures, Departure{Node: node, Group: id})
 			}
 		}
--- a/internal/system/role/keeper/sessions.go
+++ b/internal/system/role/keeper/sessions.go
@@ -110,7 +110,7 @@
 		// A process that was paused must not extend a session before it knows that it still leads.
 		node.Tick(c.now)
 	}
-	return node.Leading() && node.Followed(maxQuorumAge)
+	return node.LeaderReady() && node.QuorumActive(maxQuorumAge)
 }
 
 // CloseSession ends a session at its member's request.
@@ -133,7 +133,7 @@
 
 // proposeSession proposes a command to the session group.
 func (c *Core) proposeSession(command session.Command, done func(err error)) {
-	if !c.groups[SessionGroup].node.Leading() {
+	if !c.groups[SessionGroup].node.LeaderReady() {
 		done(c.notLeader(SessionGroup))
 		return
 	}
@@ -167,7 +167,7 @@
 // expireSessions ends the sessions whose members sent no heartbeat for SessionLife, and forgets the timers of ended
 // ones.
 func (c *Core) expireSessions() {
-	if !c.groups[SessionGroup].node.Leading() {
+	if !c.groups[SessionGroup].node.LeaderReady() {
 		return
 	}
 	for _, role := range []session.Role{session.Carrier, session.Store} {
--- a/internal/system/role/keeper/status.go
+++ b/internal/system/role/keeper/status.go
@@ -96,7 +96,7 @@
 		status.CatalogAge = c.CatalogAge().Round(time.Millisecond).String()
 	}
 	for id, g := range c.groups {
-		group := g.node.Group()
+		group := g.node.Membership()
 		groupStatus := GroupStatus{Name: groupNames[id], Leader: AddressOf(g.node.Leader()),
 			Term: g.node.Term(), Applied: g.node.Applied(), Voters: group.Voters, Learners: group.Learners}
 		if whole, leads := c.Whole(id); leads {
--- a/internal/system/role/keeper/subscribers.go
+++ b/internal/system/role/keeper/subscribers.go
@@ -54,7 +54,7 @@
 // Pushes returns the updates that subscribers lack. It returns none unless this keeper leads the session group, as
 // members follow that leader.
 func (c *Core) Pushes() []Push {
-	if !c.groups[SessionGroup].node.Leading() {
+	if !c.groups[SessionGroup].node.LeaderReady() {
 		return nil
 	}
 	var pushes []Push
--- a/internal/system/role/keeper/tables.go
+++ b/internal/system/role/keeper/tables.go
@@ -75,7 +75,7 @@
 // reading. Only the leader of the session group reads the list, as it is the one that members follow.
 func (c *Core) WantsCatalog(now time.Duration) bool {
 	c.now = now
-	if !c.groups[SessionGroup].node.Leading() || now < c.nextCatalogRead {
+	if !c.groups[SessionGroup].node.LeaderReady() || now < c.nextCatalogRead {
 		return false
 	}
 	c.nextCatalogRead = now + catalogInterval
--- a/internal/system/role/keeper/whole.go
+++ b/internal/system/role/keeper/whole.go
@@ -11,7 +11,7 @@
 func liveMembers(node *agreement.Node, members []string) []string {
 	var found []string
 	for _, id := range members {
-		if silence, caughtUp := node.Silence(id); caughtUp && silence < memberLiveWindow {
+		if silence, caughtUp := node.FollowerStatus(id); caughtUp && silence < memberLiveWindow {
 			found = append(found, id)
 		}
 	}
@@ -34,7 +34,7 @@
 // through every tolerated loss. If they are too close together for that, all of them must be live and there must be
 // as many as the tolerance requires.
 func (c *Core) safeWithout(node *agreement.Node, member string) bool {
-	return c.safeWithVoters(node, slices.DeleteFunc(slices.Clone(node.Group().Voters), func(id string) bool { return id == member }))
+	return c.safeWithVoters(node, slices.DeleteFunc(slices.Clone(node.Membership().Voters), func(id string) bool { return id == member }))
 }
 
 // safeWithVoters reports whether the group is safe with only the given voters, by the rule of safeWithout.
@@ -49,8 +49,8 @@
 // tolerated loss.
 func (c *Core) Whole(id int) (whole, leads bool) {
 	node := c.groups[id].node
-	if !node.Leading() || !node.Followed(ElectionTimeout) {
+	if !node.LeaderReady() || !node.QuorumActive(ElectionTimeout) {
 		return false, false
 	}
-	return node.GroupSettled() && c.survivesLoss(node, node.Group().Voters), true
+	return node.MembershipStable() && c.survivesLoss(node, node.Membership().Voters), true
 }
--- a/internal/system/simulation/keeper_host.go
+++ b/internal/system/simulation/keeper_host.go
@@ -38,7 +38,7 @@
 	h.process = w.start(m, "keeper", s.KeeperAddress(s.IP))
 	options := keeper.Options{Address: h.address, Tolerance: &s.Tolerance, Random: h.Random,
 		FeedEpoch: member.NewIncarnation(h, m.name)}
-	var stored [keeper.Groups]agreement.Stored
+	var stored [keeper.Groups]agreement.PersistentState
 	for group := range keeper.Groups {
 		identity := h.identity()
 		opened, err := disk.Open(m.disk(w, fmt.Sprintf("control-%d", group)), identity)
