--- a/internal/system/agreement/disk/disk.go
+++ b/internal/system/agreement/disk/disk.go
@@ -2,11 +2,11 @@
 // are records of a segmented log; a snapshot is a file of its own in the same folder, which a record refers to by its
 // index.
 //
-// Open replays the log and yields a Member, whose Stored is the state to start a node with. Save makes the writes of
-// a Ready durable, Compact replaces the log by a snapshot, and Begin gives the disk to a new identity. If the disk is
-// full, these fail with an error for which segment.IsDiskFull is true, and may be called again once there is space.
-// Errors of the file system are of package segment; contradictory or unreadable data is a CorruptError. A Member is
-// not safe for concurrent use.
+// Open replays the log and yields a Storage, whose PersistentState is what a node starts with. Save makes the writes of
+// a Ready durable, Compact replaces the log by a snapshot, and StartIdentity gives the disk to a new identity. If the
+// disk is full, these fail with an error for which segment.IsDiskFull is true, and may be called again once there is
+// space. Errors of the file system are of package segment; contradictory or unreadable data is a CorruptError. A
+// Storage is not safe for concurrent use.
 package disk
 
 import (
@@ -47,8 +47,8 @@
 
 func (e *CorruptError) Error() string { return "agreement log: " + e.Reason }
 
-// Member is the storage of one member of a group.
-type Member struct {
+// Storage is the durable storage of one member of a group.
+type Storage struct {
 	files              segment.Directory
 	log                *segment.Log
 	id                 string
@@ -67,12 +67,12 @@
 
 // Open reads a member's disk. On an empty disk it starts the initial identity. The error is a CorruptError, or one of
 // package segment.
-func Open(files segment.Directory, initial Identity) (*Member, error) {
+func Open(files segment.Directory, initial Identity) (*Storage, error) {
 	log, err := segment.Open(files, segmentLength)
 	if err != nil {
 		return nil, err
 	}
-	member := &Member{files: files, log: log}
+	member := &Storage{files: files, log: log}
 	if err := member.load(initial); err != nil {
 		log.Close()
 		return nil, err
@@ -81,7 +81,7 @@
 }
 
 // load replays the log and starts the initial identity if the log has none.
-func (m *Member) load(initial Identity) error {
+func (m *Storage) load(initial Identity) error {
 	if err := m.listSnapshots(); err != nil {
 		return err
 	}
@@ -97,12 +97,12 @@
 	if err != nil || started {
 		return err
 	}
-	return m.Begin(initial)
+	return m.StartIdentity(initial)
 }
 
-// Begin starts a new identity on the disk. The state of an earlier identity becomes invalid. Its records are removed
-// too, since they refer to snapshots that are removed. If the disk is full, Begin can be called again.
-func (m *Member) Begin(initial Identity) error {
+// StartIdentity starts a new identity on the disk. The state of an earlier identity becomes invalid. Its records are
+// removed too, since they refer to snapshots that are removed. If the disk is full, StartIdentity can be called again.
+func (m *Storage) StartIdentity(initial Identity) error {
 	if m.id != "" {
 		if err := m.log.Rotate(); err != nil {
 			return err
@@ -119,7 +119,7 @@
 }
 
 // removeObsolete removes the segments and snapshots that the last segment of the log makes obsolete.
-func (m *Member) removeObsolete() error {
+func (m *Storage) removeObsolete() error {
 	for len(m.log.Segments()) > 1 {
 		if err := m.log.RemoveOldestSegment(); err != nil {
 			return err
@@ -129,7 +129,7 @@
 }
 
 // listSnapshots collects the indexes of the snapshot files in the folder.
-func (m *Member) listSnapshots() error {
+func (m *Storage) listSnapshots() error {
 	names, err := m.files.List()
 	if err != nil {
 		return &segment.FileError{Operation: "list", Name: "agreement folder", Err: err}
@@ -146,14 +146,14 @@
 	return nil
 }
 
-// Stored returns the state that was read from the disk, with which the member starts.
-func (m *Member) Stored() agreement.PersistentState { return m.stored }
+// PersistentState returns the state that was read from the disk, with which the member starts.
+func (m *Storage) PersistentState() agreement.PersistentState { return m.stored }
 
 // ID returns the member's identity.
-func (m *Member) ID() string { return m.id }
+func (m *Storage) ID() string { return m.id }
 
 // apply updates the state by a record that was read or has just been written.
-func (m *Member) apply(rec *record) error {
+func (m *Storage) apply(rec *record) error {
 	if rec.Started {
 		m.id, m.bootstrap = rec.ID, rec.Founders
 		m.stored = agreement.PersistentState{}
@@ -178,7 +178,7 @@
 }
 
 // appendEntries appends entries to the state. An entry at an existing index replaces it and all later ones.
-func (m *Member) appendEntries(entries []agreement.Entry) error {
+func (m *Storage) appendEntries(entries []agreement.Entry) error {
 	for _, entry := range entries {
 		first := m.stored.Snapshot.Index + 1
 		if entry.Index < first {
@@ -194,7 +194,7 @@
 }
 
 // writeRecord appends a record to the log and syncs it.
-func (m *Member) writeRecord(rec *record) error {
+func (m *Storage) writeRecord(rec *record) error {
 	payload, err := msgpack.Marshal(rec)
 	if err != nil {
 		return &CorruptError{Reason: "cannot encode record: " + err.Error()}
@@ -207,7 +207,7 @@
 
 // Save writes and syncs the hard state, the snapshot and the entries of a Ready. After an error the member must not
 // continue; only if the disk is full, the same Ready may be saved again.
-func (m *Member) Save(ready *agreement.Ready) error {
+func (m *Storage) Save(ready *agreement.Ready) error {
 	if !ready.MustSync() {
 		return nil
 	}
@@ -225,15 +225,15 @@
 	return nil
 }
 
-// WantsCompaction reports whether the log should be replaced by a snapshot, because it has too many segments or, in
+// NeedsCompaction reports whether the log should be replaced by a snapshot, because it has too many segments or, in
 // memory, too many entries after the last snapshot.
-func (m *Member) WantsCompaction(entries int) bool {
+func (m *Storage) NeedsCompaction(entries int) bool {
 	return entries > maxEntries || len(m.log.Segments()) > maxSegments
 }
 
 // Compact replaces the log by the snapshot of stored and the entries after it. If the disk is full, everything that was
 // stored stays valid and the member can continue.
-func (m *Member) Compact(stored agreement.PersistentState) error {
+func (m *Storage) Compact(stored agreement.PersistentState) error {
 	if err := m.writeSnapshot(&stored.Snapshot); err != nil {
 		return err
 	}
@@ -250,7 +250,7 @@
 }
 
 // removeUnreferencedSnapshots removes all snapshot files but the one that the log refers to.
-func (m *Member) removeUnreferencedSnapshots() error {
+func (m *Storage) removeUnreferencedSnapshots() error {
 	for _, index := range slices.Clone(m.snapshots) {
 		if index == m.referencedSnapshot {
 			continue
@@ -268,7 +268,7 @@
 
 // writeSnapshot writes and syncs a snapshot file. It skips the one that the log refers to: that file holds the same
 // state already, and an interrupted rewrite would leave nothing to start from.
-func (m *Member) writeSnapshot(snapshot *agreement.Snapshot) error {
+func (m *Storage) writeSnapshot(snapshot *agreement.Snapshot) error {
 	if snapshot.Index > 0 && snapshot.Index == m.referencedSnapshot {
 		return nil
 	}
@@ -300,7 +300,7 @@
 }
 
 // readSnapshot reads a snapshot file and verifies its checksum.
-func (m *Member) readSnapshot(index uint64) (*agreement.Snapshot, error) {
+func (m *Storage) readSnapshot(index uint64) (*agreement.Snapshot, error) {
 	name := snapshotName(index)
 	data, err := m.files.ReadFile(name)
 	if err != nil {
--- a/internal/system/agreement/disk/disk_test.go
+++ b/internal/system/agreement/disk/disk_test.go
@@ -18,7 +18,7 @@
 var _ = ginkgo.Describe("A member's storage", func() {
 	var path string
 
-	open := func(identity Identity) *Member {
+	open := func(identity Identity) *Storage {
 		folder, err := segment.OpenDirectory(path)
 		Expect(err).NotTo(HaveOccurred())
 		member, err := Open(folder, identity)
@@ -33,13 +33,13 @@
 	ginkgo.BeforeEach(func() { path = ginkgo.GinkgoT().TempDir() })
 
 	ginkgo.It("keeps the identity with which it was started", func() {
-		Expect(open(bootstrapMember).Stored().Snapshot.Members.Voters).To(Equal(bootstrapMember.Founders))
+		Expect(open(bootstrapMember).PersistentState().Snapshot.Members.Voters).To(Equal(bootstrapMember.Founders))
 		member := open(Identity{ID: "a#other"})
 		Expect(member.ID()).To(Equal("a"))
-		Expect(member.Begin(Identity{ID: "a#new"})).To(Succeed())
+		Expect(member.StartIdentity(Identity{ID: "a#new"})).To(Succeed())
 		again := open(bootstrapMember)
 		Expect(again.ID()).To(Equal("a#new"))
-		Expect(again.Stored().Snapshot.Members.Voters).To(BeEmpty())
+		Expect(again.PersistentState().Snapshot.Members.Voters).To(BeEmpty())
 	})
 
 	ginkgo.It("restores term, vote and entries, including those that a later leader replaced", func() {
@@ -47,7 +47,7 @@
 		Expect(member.Save(&agreement.Ready{HardState: &agreement.HardState{Term: 2, Vote: "b"},
 			Entries: []agreement.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}})).To(Succeed())
 		Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(2, 2)}})).To(Succeed())
-		stored := open(bootstrapMember).Stored()
+		stored := open(bootstrapMember).PersistentState()
 		Expect(stored.HardState).To(Equal(agreement.HardState{Term: 2, Vote: "b"}))
 		Expect(stored.Entries).To(Equal([]agreement.Entry{entry(1, 1), entry(2, 2)}))
 	})
@@ -60,7 +60,7 @@
 		Expect(member.Compact(stored)).To(Succeed())
 		Expect(os.WriteFile(filepath.Join(path, snapshotName(9)), []byte("torn"), 0o644)).To(Succeed())
 		again := open(bootstrapMember)
-		Expect(again.Stored()).To(Equal(stored))
+		Expect(again.PersistentState()).To(Equal(stored))
 		Expect(again.ID()).To(Equal("a"))
 	})
 
@@ -70,9 +70,9 @@
 		snapshot := &agreement.Snapshot{Index: 2, Term: 2, Data: []byte("state")}
 		Expect(member.Save(&agreement.Ready{HardState: &agreement.HardState{Term: 3}, Snapshot: snapshot})).To(Succeed())
 		// Entries of term 1 after a snapshot of term 2 would make the log look older than it is.
-		Expect(open(bootstrapMember).Stored().Entries).To(BeEmpty())
+		Expect(open(bootstrapMember).PersistentState().Entries).To(BeEmpty())
 		Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(3, 3)}})).To(Succeed())
-		Expect(open(bootstrapMember).Stored().Entries).To(Equal([]agreement.Entry{entry(3, 3)}))
+		Expect(open(bootstrapMember).PersistentState().Entries).To(Equal([]agreement.Entry{entry(3, 3)}))
 	})
 
 	ginkgo.It("reports a corrupt snapshot that the log refers to", func() {
@@ -91,10 +91,10 @@
 		Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(1, 1), entry(2, 1)}})).To(Succeed())
 		Expect(member.Compact(agreement.PersistentState{Snapshot: agreement.Snapshot{Index: 2, Term: 1, Data: []byte("state")}})).To(Succeed())
 		member = open(bootstrapMember)
-		Expect(member.Begin(Identity{ID: "a#new"})).To(Succeed())
+		Expect(member.StartIdentity(Identity{ID: "a#new"})).To(Succeed())
 		again := open(bootstrapMember)
 		Expect(again.ID()).To(Equal("a#new"))
-		Expect(again.Stored()).To(Equal(agreement.PersistentState{}))
+		Expect(again.PersistentState()).To(Equal(agreement.PersistentState{}))
 	})
 
 	ginkgo.It("never overwrites the snapshot that its log refers to", func() {
@@ -110,7 +110,7 @@
 		after, err := os.Stat(file)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(after.ModTime()).To(BeTemporally("==", before.ModTime().Add(-time.Hour)))
-		Expect(open(bootstrapMember).Stored()).To(Equal(stored))
+		Expect(open(bootstrapMember).PersistentState()).To(Equal(stored))
 	})
 
 	ginkgo.Context("when it is full", func() {
@@ -127,11 +127,11 @@
 			disk.full = true
 			member, err := Open(disk, bootstrapMember)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(member.Stored().Entries).To(Equal([]agreement.Entry{entry(1, 1)}))
+			Expect(member.PersistentState().Entries).To(Equal([]agreement.Entry{entry(1, 1)}))
 			Expect(segment.IsDiskFull(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(2, 1)}}))).To(BeTrue())
 			disk.full = false
 			Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(2, 1)}})).To(Succeed())
-			Expect(open(bootstrapMember).Stored().Entries).To(Equal([]agreement.Entry{entry(1, 1), entry(2, 1)}))
+			Expect(open(bootstrapMember).PersistentState().Entries).To(Equal([]agreement.Entry{entry(1, 1), entry(2, 1)}))
 		})
 
 		ginkgo.It("starts no identity on an empty disk, and reports why", func() {
@@ -157,12 +157,12 @@
 				stored := agreement.PersistentState{Entries: []agreement.Entry{entry(2, 1)}, Snapshot: agreement.Snapshot{Index: 1, Term: 1,
 					Data: []byte("state"), Members: agreement.Membership{Voters: bootstrapMember.Founders}}}
 				Expect(segment.IsDiskFull(member.Compact(stored))).To(BeTrue(), "%d writes succeed", remaining)
-				Expect(open(bootstrapMember).Stored().Entries).To(Equal([]agreement.Entry{entry(1, 1), entry(2, 1)}))
+				Expect(open(bootstrapMember).PersistentState().Entries).To(Equal([]agreement.Entry{entry(1, 1), entry(2, 1)}))
 				disk.full = false
 				Expect(member.Save(&agreement.Ready{Entries: []agreement.Entry{entry(3, 1)}})).To(Succeed())
-				Expect(open(bootstrapMember).Stored().Entries).To(HaveLen(3))
+				Expect(open(bootstrapMember).PersistentState().Entries).To(HaveLen(3))
 				Expect(member.Compact(stored)).To(Succeed())
-				Expect(open(bootstrapMember).Stored()).To(Equal(stored))
+				Expect(open(bootstrapMember).PersistentState()).To(Equal(stored))
 			}
 		})
 	})
--- a/internal/system/command/people.go
+++ b/internal/system/command/people.go
@@ -159,14 +159,14 @@
 	if err != nil {
 		return err
 	}
-	stored := member.Stored()
+	stored := member.PersistentState()
 	fmt.Fprintf(command.OutOrStdout(), "member %s: term %d, vote %q, snapshot at %d, %d entries behind it, voters %v\n", member.ID(),
 		stored.HardState.Term, stored.HardState.Vote, stored.Snapshot.Index, len(stored.Entries), stored.Snapshot.Members.Voters)
 	return nil
 }
 
 // openGroupMember reads the state of a replica group's member from a folder, without modifying it.
-func openGroupMember(path string) (*disk.Member, error) {
+func openGroupMember(path string) (*disk.Storage, error) {
 	files, err := openReadOnly(path)
 	if err != nil {
 		return nil, err
--- a/internal/system/command/roster.go
+++ b/internal/system/command/roster.go
@@ -27,8 +27,8 @@
 }
 
 // loadSessions rebuilds the session state from the snapshot and the log entries on a member's disk.
-func loadSessions(member *disk.Member) (*session.State, error) {
-	stored := member.Stored()
+func loadSessions(member *disk.Storage) (*session.State, error) {
+	stored := member.PersistentState()
 	state := session.NewState()
 	if len(stored.Snapshot.Data) > 0 {
 		if err := state.Restore(stored.Snapshot.Data); err != nil {
--- a/internal/system/node/keeper.go
+++ b/internal/system/node/keeper.go
@@ -21,7 +21,7 @@
 	*eventLoop
 	settings          *settings.Settings
 	core              *keeper.Core
-	disks             [keeper.Groups]*disk.Member
+	disks             [keeper.Groups]*disk.Storage
 	wake              [keeper.Groups]chan struct{}
 	server            *link.Server
 	subscribers       map[*link.Peer]keeper.Subscriber
@@ -150,7 +150,7 @@
 		return err
 	}
 	for group, member := range n.disks {
-		stored[group], options.IDs[group] = member.Stored(), member.ID()
+		stored[group], options.IDs[group] = member.PersistentState(), member.ID()
 		n.wake[group] = make(chan struct{}, 1)
 	}
 	core, err := keeper.New(options, stored, n.Now())
--- a/internal/system/node/keeper_disk.go
+++ b/internal/system/node/keeper_disk.go
@@ -34,7 +34,7 @@
 }
 
 // openDisk opens the log of a group. The identity is used only if the disk holds no state of the group.
-func (n *keeperNode) openDisk(group int, fresh disk.Identity) (*disk.Member, error) {
+func (n *keeperNode) openDisk(group int, fresh disk.Identity) (*disk.Storage, error) {
 	folder, err := segment.OpenDirectory(filepath.Join(n.settings.DataDir, "control-"+strconv.Itoa(group)))
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	}
 	identity := disk.Identity{ID: keeper.FreshIdentity(n.address(), member.NewIncarnation(n, n.settings.NodeName))}
 	log.WithField("group", group).Warn("this keeper was removed from the group, rejoining with a new identity")
-	if err := retryWhileDiskFull(n.ctx, func() error { return n.disks[group].Begin(identity) }); err != nil {
+	if err := retryWhileDiskFull(n.ctx, func() error { return n.disks[group].StartIdentity(identity) }); err != nil {
 		return err
 	}
 	n.withLock(func() {
@@ -117,7 +117,7 @@
 	var compacted bool
 	var err error
 	n.withLock(func() {
-		if n.disks[group].WantsCompaction(n.core.LogLength(group)) {
+		if n.disks[group].NeedsCompaction(n.core.LogLength(group)) {
 			stored, compacted, err = n.core.Compact(group)
 		}
 	})
--- a/internal/system/simulation/keeper_host.go
+++ b/internal/system/simulation/keeper_host.go
@@ -22,7 +22,7 @@
 	settings      *settings.Settings
 	core          *keeper.Core
 	joiner        *keeper.Joiner
-	disks         [keeper.Groups]*disk.Member
+	disks         [keeper.Groups]*disk.Storage
 	saving        [keeper.Groups]bool
 	pendingResets [keeper.Groups]bool
 	subscribers   map[*process]keeper.Subscriber
@@ -45,7 +45,7 @@
 		if err != nil {
 			return nil, err
 		}
-		h.disks[group], stored[group], options.IDs[group] = opened, opened.Stored(), opened.ID()
+		h.disks[group], stored[group], options.IDs[group] = opened, opened.PersistentState(), opened.ID()
 		m.identities[group] = opened.ID()
 	}
 	core, err := keeper.New(options, stored, h.Now())
@@ -192,7 +192,7 @@
 
 // compact replaces a group's log by a snapshot if the log has grown enough.
 func (h *keeperHost) compact(group int) {
-	if h.Now() < h.compactAfter[group] || !h.disks[group].WantsCompaction(h.core.LogLength(group)) {
+	if h.Now() < h.compactAfter[group] || !h.disks[group].NeedsCompaction(h.core.LogLength(group)) {
 		return
 	}
 	stored, compacted, err := h.core.Compact(group)
@@ -228,7 +228,7 @@
 func (h *keeperHost) reset(group int) {
 	h.pendingResets[group] = false
 	identity := disk.Identity{ID: keeper.FreshIdentity(h.address, member.NewIncarnation(h, h.machine.name))}
-	err := h.disks[group].Begin(identity)
+	err := h.disks[group].StartIdentity(identity)
 	if segment.IsDiskFull(err) {
 		h.After(fullDiskRetryDelay, func() { h.Reset(group) })
 		return
