--- a/internal/system/command/roster.go
+++ b/internal/system/command/roster.go
@@ -54,8 +54,8 @@
 	for id, entry := range ordered.Map(state.Disks()) {
 		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s\n", id, entry.Member.Node, choose(entry.Counted, "counts", "being filled"), textIf(entry.Leaving, ", being emptied"))
 	}
-	for _, drain := range state.Emptyings(keeper.Groups) {
-		fmt.Fprintf(table, "emptying\t%s\t%s\twaits for %s\n", drain.Node, choose(drain.Begun, "takes no messages", "not begun"), drain.Waits)
+	for _, drain := range state.Drains(keeper.Groups) {
+		fmt.Fprintf(table, "emptying\t%s\t%s\twaits for %s\n", drain.Node, choose(drain.Started, "takes no messages", "not begun"), drain.WaitsFor)
 	}
 	return table.Flush()
 }
--- a/internal/system/command/roster_test.go
+++ b/internal/system/command/roster_test.go
@@ -12,9 +12,9 @@
 // Both a running keeper's status and the contents of its disk must show the draining machines and what they wait for.
 func TestDrainsAreShown(t *testing.T) {
 	state := session.NewState()
-	state.Apply(session.Command{Kind: session.Tolerate, Tolerance: &tolerance.Tolerance{Machines: 1}})
+	state.Apply(session.Command{Kind: session.SetTolerance, Tolerance: &tolerance.Tolerance{Machines: 1}})
 	for _, node := range []string{"a", "b", "c", "d"} {
-		state.Apply(session.Command{Kind: session.Join, Member: session.Member{Incarnation: node, Node: node, Role: session.Store, Disk: "disk-" + node, Founder: true}})
+		state.Apply(session.Command{Kind: session.Join, Member: session.Member{Incarnation: node, Node: node, Role: session.Store, Disk: "disk-" + node, BootstrapDisk: true}})
 	}
 	state.Apply(session.Command{Kind: session.Retire, Node: "b"})
 	var onDisk bytes.Buffer
--- a/internal/system/node/operators.go
+++ b/internal/system/node/operators.go
@@ -101,8 +101,8 @@
 	var conflict *configuration.ConflictError
 	var notLeader *agreement.NotLeaderError
 	var unknown *session.UnknownMachineError
-	var tooFew *session.TooFewError
-	var alreadyDrained *session.AlreadyEmptiedError
+	var tooFew *session.TooFewDisksError
+	var alreadyDrained *session.AlreadyDrainedError
 	switch {
 	case errors.As(result.err, &unknown):
 		return c.JSON(http.StatusNotFound, &errorResponse{Error: result.err.Error()})
--- a/internal/system/node/store.go
+++ b/internal/system/node/store.go
@@ -145,7 +145,7 @@
 	}
 	s := n.settings
 	self := session.Member{Incarnation: member.NewIncarnation(n, s.NodeName), Node: s.NodeName, Role: session.Store,
-		Zone: s.Zone, Address: s.StoreAddress(), Disk: n.core.Disk(), Founder: n.core.Founder()}
+		Zone: s.Zone, Address: s.StoreAddress(), Disk: n.core.Disk(), BootstrapDisk: n.core.Founder()}
 	n.withLock(func() {
 		n.session = member.NewClient(n, n, s.SeedKeepers(), self, member.Events{
 			Changed: func(_, after *member.View) { n.applyView(after) },
--- a/internal/system/role/keeper/groups.go
+++ b/internal/system/role/keeper/groups.go
@@ -99,7 +99,7 @@
 		if group == SessionGroup {
 			continue
 		}
-		for _, store := range c.sessions.NotLeft(group) {
+		for _, store := range c.sessions.MachinesNotRemoved(group) {
 			if sameHost(AddressOf(member), store) {
 				return true
 			}
--- a/internal/system/role/keeper/groups_test.go
+++ b/internal/system/role/keeper/groups_test.go
@@ -74,7 +74,7 @@
 func (t *cluster) openStoreSession(number int) {
 	host := fmt.Sprintf("10.0.0.%d", number)
 	member := session.Member{Incarnation: "store+" + host, Node: "storage-" + host, Role: session.Store, Address: host + ":7100",
-		Disk: "disk of " + host, Founder: true, Zone: "zone"}
+		Disk: "disk of " + host, BootstrapDisk: true, Zone: "zone"}
 	var failure error
 	t.cores[t.leader(SessionGroup)].OpenSession(t.now, Subscriber(number), wire.OpenSessionBody{Member: member}, func(err error) { failure = err })
 	t.deliverAll()
--- a/internal/system/role/keeper/loss_test.go
+++ b/internal/system/role/keeper/loss_test.go
@@ -122,9 +122,9 @@
 		leader.DiskEmptied(t.now, "disk of 10.0.0.1", 0, func(err error) { failure = err })
 		t.deliverAll()
 		Expect(failure).To(BeAssignableToTypeOf(&MissingDiskError{}))
-		leader.proposeSession(session.Command{Kind: session.DiskEmptied, Disk: "disk of 10.0.0.1"}, func(error) {})
+		leader.proposeSession(session.Command{Kind: session.DiskDrained, Disk: "disk of 10.0.0.1"}, func(error) {})
 		t.deliverAll()
-		Expect(leader.sessions.Retirement(node)).To(Equal(session.Running), "the table itself refuses it")
+		Expect(leader.sessions.Retirement(node)).To(Equal(session.Draining), "the table itself refuses it")
 	})
 })
 
--- a/internal/system/role/keeper/retire.go
+++ b/internal/system/role/keeper/retire.go
@@ -42,7 +42,7 @@
 		return
 	}
 	c.toleranceDeadline = c.now + proposalTimeout
-	c.proposeSession(session.Command{Kind: session.Tolerate, Tolerance: c.options.Tolerance}, func(error) { c.toleranceDeadline = 0 })
+	c.proposeSession(session.Command{Kind: session.SetTolerance, Tolerance: c.options.Tolerance}, func(error) { c.toleranceDeadline = 0 })
 }
 
 // Retired reports whether the retirement of a machine is complete: every message on its disks has enough replicas
@@ -56,9 +56,9 @@
 			return
 		}
 		switch c.sessions.Retirement(node) {
-		case session.UnknownMachine, session.Staying:
+		case session.UnknownMachine, session.NotRetiring:
 			done(false, &session.UnknownMachineError{Node: node})
-		case session.Running:
+		case session.Draining:
 			done(false, nil)
 		default:
 			done(c.sessions.HasLeft(node, Groups), nil)
@@ -70,7 +70,7 @@
 // group's leader.
 func (c *Core) GroupLeft(now time.Duration, node string, group int, done func(err error)) {
 	c.now = now
-	c.proposeSession(session.Command{Kind: session.GroupLeft, Node: node, Group: group}, done)
+	c.proposeSession(session.Command{Kind: session.GroupRemovedNode, Node: node, Group: group}, done)
 }
 
 // Departure states that a group has removed the keeper on a machine that is being drained.
@@ -91,7 +91,7 @@
 		if !g.node.LeaderReady() || !g.node.MembershipStable() || !g.node.QuorumActive(ElectionTimeout) || !c.safeWithout(g.node, "") {
 			continue
 		}
-		for node, address := range ordered.Map(c.sessions.NotLeft(id)) {
+		for node, address := range ordered.Map(c.sessions.MachinesNotRemoved(id)) {
 			if !hasMemberAt(g.node.Membership(), address) {
 				departures = append(departures, Departure{Node: node, Group: id})
 			}
@@ -142,9 +142,9 @@
 // the roster with the given epoch.
 func (c *Core) DiskEmptied(now time.Duration, disk string, epoch uint64, done func(err error)) {
 	c.now = now
-	if c.sessions.Missing(c.sessions.Disks()[disk].Member.Node) {
+	if c.sessions.HasMissingStore(c.sessions.Disks()[disk].Member.Node) {
 		done(&MissingDiskError{Disk: disk})
 		return
 	}
-	c.proposeSession(session.Command{Kind: session.DiskEmptied, Disk: disk, Epoch: epoch}, done)
+	c.proposeSession(session.Command{Kind: session.DiskDrained, Disk: disk, Epoch: epoch}, done)
 }
--- a/internal/system/role/keeper/sessions.go
+++ b/internal/system/role/keeper/sessions.go
@@ -122,13 +122,13 @@
 // Settle records that all messages of a departed carrier are complete.
 func (c *Core) Settle(now time.Duration, incarnation string, done func(err error)) {
 	c.now = now
-	c.proposeSession(session.Command{Kind: session.Settled, Incarnation: incarnation}, done)
+	c.proposeSession(session.Command{Kind: session.SettleDeparted, Incarnation: incarnation}, done)
 }
 
 // CountDisk records that a disk is backfilled and counts toward the write quorum from now on.
 func (c *Core) CountDisk(now time.Duration, disk string, done func(err error)) {
 	c.now = now
-	c.proposeSession(session.Command{Kind: session.Count, Disk: disk}, done)
+	c.proposeSession(session.Command{Kind: session.CountDisk, Disk: disk}, done)
 }
 
 // proposeSession proposes a command to the session group.
--- a/internal/system/role/keeper/status.go
+++ b/internal/system/role/keeper/status.go
@@ -142,9 +142,9 @@
 // drainStatus describes the machines whose retirement is not complete.
 func (c *Core) drainStatus() []EmptyingStatus {
 	var drains []EmptyingStatus
-	for _, e := range c.sessions.Emptyings(Groups) {
+	for _, e := range c.sessions.Drains(Groups) {
 		age := (c.now - c.retiringSince[e.Node]).Round(time.Millisecond)
-		drains = append(drains, EmptyingStatus{Node: e.Node, Age: age.String(), Begun: e.Begun, Waits: e.Waits})
+		drains = append(drains, EmptyingStatus{Node: e.Node, Age: age.String(), Begun: e.Started, Waits: e.WaitsFor})
 	}
 	return drains
 }
@@ -152,7 +152,7 @@
 // trackRetirements remembers since when this keeper knows of each machine that is being drained.
 func (c *Core) trackRetirements() {
 	since := map[string]time.Duration{}
-	for _, e := range c.sessions.Emptyings(Groups) {
+	for _, e := range c.sessions.Drains(Groups) {
 		began, known := c.retiringSince[e.Node]
 		if !known {
 			began = c.now
--- a/internal/system/session/emptying.go
+++ b/internal/system/session/drains.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// Emptying describes the progress of the drain of a machine, for operators.
-type Emptying struct {
-	Node  string
-	Begun bool   // its disks no longer accept messages
-	Waits string // what the drain waits for, as text
+// Drain describes the progress of the drain of a machine, for operators.
+type Drain struct {
+	Node     string
+	Started  bool   // its disks no longer accept messages
+	WaitsFor string // what the drain waits for, as text
 }
 
-// Emptyings returns the machines that are to be drained, and the drained ones that still belong to a control group.
+// Drains returns the machines that are to be drained, and the drained ones that still belong to a control group.
 // groups is the number of control groups.
-func (s *State) Emptyings(groups int) []Emptying {
-	var found []Emptying
+func (s *State) Drains(groups int) []Drain {
+	var found []Drain
 	for _, node := range s.Retiring() {
-		found = append(found, Emptying{Node: node, Begun: !s.waitsForCapacity(node), Waits: s.waitReason(node)})
+		found = append(found, Drain{Node: node, Started: !s.waitsForCapacity(node), WaitsFor: s.waitReason(node)})
 	}
 	for _, node := range s.retiredMachines {
 		if left := len(s.retirements[node].Left); left < groups {
-			found = append(found, Emptying{Node: node, Begun: true, Waits: fmt.Sprintf("%d control groups to do without it", groups-left)})
+			found = append(found, Drain{Node: node, Started: true, WaitsFor: fmt.Sprintf("%d control groups to do without it", groups-left)})
 		}
 	}
 	return found
--- a/internal/system/session/retire.go
+++ b/internal/system/session/retire.go
@@ -12,22 +12,22 @@
 // The stages of a retirement.
 const (
 	UnknownMachine Retirement = iota // no disk of the machine is in the roster
-	Staying                          // no retirement was ordered
-	Running                          // the drain waits to start, or is in progress
-	Emptied                          // all disks are drained
+	NotRetiring                      // no retirement was ordered
+	Draining                         // the drain waits to start, or is in progress
+	Drained                          // all disks are drained
 )
 
 // Retirement returns the stage that the drain of a machine's disks has reached.
 func (s *State) Retirement(node string) Retirement {
 	switch _, known := s.retirements[node]; {
 	case known && slices.Contains(s.retiredMachines, node):
-		return Emptied
+		return Drained
 	case known:
-		return Running
+		return Draining
 	}
 	for _, disk := range s.disks {
 		if disk.Member.Node == node {
-			return Staying
+			return NotRetiring
 		}
 	}
 	return UnknownMachine
@@ -55,9 +55,9 @@
 	return slices.Compact(addresses)
 }
 
-// NotLeft returns the machines that are being retired or were retired and that a control group is not known to have
-// removed. It maps their names to the addresses of their stores.
-func (s *State) NotLeft(group int) map[string]string {
+// MachinesNotRemoved returns the machines that are being retired or were retired and that a control group is not known
+// to have removed. It maps their names to the addresses of their stores.
+func (s *State) MachinesNotRemoved(group int) map[string]string {
 	machines := map[string]string{}
 	for node, entry := range s.retirements {
 		if !slices.Contains(entry.Left, group) {
@@ -91,7 +91,7 @@
 // sent none, and skips this check.
 func (s *State) removeDrainedDisk(id string, epoch uint64) {
 	disk, known := s.disks[id]
-	if !known || !disk.Leaving || s.Missing(disk.Member.Node) || epoch != 0 && epoch != s.epoch {
+	if !known || !disk.Leaving || s.HasMissingStore(disk.Member.Node) || epoch != 0 && epoch != s.epoch {
 		return
 	}
 	s.removeDisk(id)
@@ -111,8 +111,8 @@
 	}
 }
 
-// Missing reports whether a counted disk that isn't leaving, on another machine than except, has no live store.
-func (s *State) Missing(except string) bool { return s.nodeMissingStore(except) != "" }
+// HasMissingStore reports whether a counted disk that isn't leaving, on another machine than except, has no live store.
+func (s *State) HasMissingStore(except string) bool { return s.nodeMissingStore(except) != "" }
 
 // nodeMissingStore returns the machine of a counted disk that isn't leaving, is on another machine than except, and
 // has no live store. It returns an empty string if there is none.
--- a/internal/system/session/retire_test.go
+++ b/internal/system/session/retire_test.go
@@ -9,7 +9,7 @@
 
 var _ = ginkgo.Describe("A machine that is drained", func() {
 	store := func(node, incarnation string) Member {
-		return Member{Incarnation: incarnation, Node: node, Role: Store, Address: node, Disk: "disk of " + node, Founder: true}
+		return Member{Incarnation: incarnation, Node: node, Role: Store, Address: node, Disk: "disk of " + node, BootstrapDisk: true}
 	}
 	var state *State
 
@@ -23,52 +23,52 @@
 
 	ginkgo.It("stays in the roster as leaving until all its messages have enough replicas on other disks", func() {
 		epoch := state.Epoch()
-		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of storage-1"})
-		Expect(state.Retirement("storage-1")).To(Equal(Staying), "no retirement was ordered")
+		state.Apply(Command{Kind: DiskDrained, Disk: "disk of storage-1"})
+		Expect(state.Retirement("storage-1")).To(Equal(NotRetiring), "no retirement was ordered")
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
-		Expect(state.Retirement("storage-1")).To(Equal(Running))
+		Expect(state.Retirement("storage-1")).To(Equal(Draining))
 		Expect(state.Epoch()).To(BeNumerically(">", epoch), "nothing more is written there")
 		epoch = state.Epoch()
-		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of storage-1"})
-		Expect(state.Retirement("storage-1")).To(Equal(Emptied))
+		state.Apply(Command{Kind: DiskDrained, Disk: "disk of storage-1"})
+		Expect(state.Retirement("storage-1")).To(Equal(Drained))
 		Expect(state.Epoch()).To(BeNumerically(">", epoch))
 		Expect(state.Disks()).To(HaveLen(3))
 	})
 
 	ginkgo.It("stays drained when its store renews its session", func() {
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
-		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of storage-1"})
+		state.Apply(Command{Kind: DiskDrained, Disk: "disk of storage-1"})
 		state.Apply(Command{Kind: Join, Member: store("storage-1", "storage-1+2")})
-		Expect(state.Retirement("storage-1")).To(Equal(Emptied))
+		Expect(state.Retirement("storage-1")).To(Equal(Drained))
 		Expect(state.Disks()).To(HaveLen(3))
 	})
 
 	ginkgo.It("stays out even with a new disk, and joins as a new machine from another address", func() {
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
-		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of storage-1"})
+		state.Apply(Command{Kind: DiskDrained, Disk: "disk of storage-1"})
 		fresh := store("storage-1", "storage-1+2")
-		fresh.Disk, fresh.Founder = "another disk", false
+		fresh.Disk, fresh.BootstrapDisk = "another disk", false
 		state.Apply(Command{Kind: Join, Member: fresh})
-		Expect(state.Retirement("storage-1")).To(Equal(Emptied), "the operator who ordered it still polls for the result")
+		Expect(state.Retirement("storage-1")).To(Equal(Drained), "the operator who ordered it still polls for the result")
 		Expect(state.Disks()).NotTo(HaveKey("another disk"))
 		fresh.Incarnation, fresh.Address = "storage-1+3", "another address"
 		state.Apply(Command{Kind: Join, Member: fresh})
-		Expect(state.Retirement("storage-1")).To(Equal(Staying))
+		Expect(state.Retirement("storage-1")).To(Equal(NotRetiring))
 		Expect(state.Disks()).To(HaveKey("another disk"))
 	})
 
 	ginkgo.It("is known by its address when its store has left, until it returns at another address", func() {
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
-		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of storage-1"})
+		state.Apply(Command{Kind: DiskDrained, Disk: "disk of storage-1"})
 		state.Apply(Command{Kind: Leave, Incarnation: "storage-1+1"})
 		Expect(state.LeavingAddresses()).To(ConsistOf("storage-1"))
-		Expect(state.NotLeft(2)).To(Equal(map[string]string{"storage-1": "storage-1"}))
-		state.Apply(Command{Kind: GroupLeft, Node: "storage-1", Group: 2})
-		Expect(state.NotLeft(2)).To(BeEmpty())
+		Expect(state.MachinesNotRemoved(2)).To(Equal(map[string]string{"storage-1": "storage-1"}))
+		state.Apply(Command{Kind: GroupRemovedNode, Node: "storage-1", Group: 2})
+		Expect(state.MachinesNotRemoved(2)).To(BeEmpty())
 		Expect(state.HasLeft("storage-1", 1)).To(BeTrue())
 		Expect(state.HasLeft("storage-1", 2)).To(BeFalse())
 		fresh := store("storage-1", "storage-1+2")
-		fresh.Disk, fresh.Founder, fresh.Address = "another disk", false, "another address"
+		fresh.Disk, fresh.BootstrapDisk, fresh.Address = "another disk", false, "another address"
 		state.Apply(Command{Kind: Join, Member: fresh})
 		Expect(state.LeavingAddresses()).To(BeEmpty())
 		Expect(state.HasLeft("storage-1", 1)).To(BeFalse())
@@ -97,9 +97,9 @@
 				replica.Apply(Command{Kind: Join, Member: other})
 			}
 			newcomer := store("storage-9", "storage-9+new")
-			newcomer.Disk, newcomer.Founder = "new", false
+			newcomer.Disk, newcomer.BootstrapDisk = "new", false
 			replica.Apply(Command{Kind: Join, Member: newcomer})
-			replica.Apply(Command{Kind: Count, Disk: "new"})
+			replica.Apply(Command{Kind: CountDisk, Disk: "new"})
 			Expect(replica.Disks()).NotTo(HaveKey("a"))
 			Expect(replica.Disks()).To(HaveKey("b"))
 		}
@@ -109,21 +109,21 @@
 		state.Apply(Command{Kind: Retire, Node: "storage-1"})
 		state.Apply(Command{Kind: Leave, Incarnation: "storage-1+1"})
 		fresh := store("storage-1", "storage-1+2")
-		fresh.Disk, fresh.Founder = "another disk", false
+		fresh.Disk, fresh.BootstrapDisk = "another disk", false
 		state.Apply(Command{Kind: Join, Member: fresh})
-		Expect(state.Retirement("storage-1")).To(Equal(Running))
-		state.Apply(Command{Kind: Count, Disk: "another disk"})
+		Expect(state.Retirement("storage-1")).To(Equal(Draining))
+		state.Apply(Command{Kind: CountDisk, Disk: "another disk"})
 		Expect(state.Disks()).NotTo(HaveKey("disk of storage-1"))
 		Expect(state.Disks()["another disk"].Leaving).To(BeTrue())
-		Expect(state.Retirement("storage-1")).To(Equal(Running))
-		state.Apply(Command{Kind: DiskEmptied, Disk: "another disk"})
-		Expect(state.Retirement("storage-1")).To(Equal(Emptied))
+		Expect(state.Retirement("storage-1")).To(Equal(Draining))
+		state.Apply(Command{Kind: DiskDrained, Disk: "another disk"})
+		Expect(state.Retirement("storage-1")).To(Equal(Drained))
 	})
 })
 
 var _ = ginkgo.Describe("A spare disk", func() {
 	store := func(node, disk string, founder bool) Command {
-		return Command{Kind: Join, Member: Member{Incarnation: node + "+" + disk, Node: node, Role: Store, Address: node, Disk: disk, Founder: founder}}
+		return Command{Kind: Join, Member: Member{Incarnation: node + "+" + disk, Node: node, Role: Store, Address: node, Disk: disk, BootstrapDisk: founder}}
 	}
 	var state *State
 
@@ -133,7 +133,7 @@
 			state.Apply(store(node, "disk of "+node, true))
 		}
 		state.Apply(store("d", "disk of d", false))
-		state.Apply(Command{Kind: Count, Disk: "disk of d"})
+		state.Apply(Command{Kind: CountDisk, Disk: "disk of d"})
 	})
 	spares := func() (found []string) {
 		for id, disk := range state.Disks() {
@@ -148,7 +148,7 @@
 		Expect(spares()).To(ConsistOf("disk of d"))
 		state.Apply(Command{Kind: Leave, Incarnation: "d+disk of d"})
 		Expect(spares()).To(ConsistOf("disk of a"))
-		state.Apply(Command{Kind: Count, Disk: "disk of a"})
+		state.Apply(Command{Kind: CountDisk, Disk: "disk of a"})
 		Expect(state.Disks()).To(HaveLen(3))
 		Expect(state.Disks()).NotTo(HaveKey("disk of d"))
 		Expect(spares()).To(BeEmpty())
@@ -156,7 +156,7 @@
 
 	ginkgo.It("becomes a regular disk once another was drained", func() {
 		state.Apply(Command{Kind: Retire, Node: "b"})
-		state.Apply(Command{Kind: DiskEmptied, Disk: "disk of b"})
+		state.Apply(Command{Kind: DiskDrained, Disk: "disk of b"})
 		Expect(spares()).To(BeEmpty())
 	})
 })
--- a/internal/system/session/spare.go
+++ b/internal/system/session/retirement_rules.go
@@ -19,13 +19,13 @@
 
 func (e *UnknownMachineError) Error() string { return "no store is known at machine " + e.Node }
 
-// TooFewError refuses an order to drain a machine without which too few disks would remain for messages.
-type TooFewError struct {
+// TooFewDisksError refuses an order to drain a machine without which too few disks would remain for messages.
+type TooFewDisksError struct {
 	Left, Needed int      // numbers of disks
 	Leaving      []string // machines whose drain was ordered before
 }
 
-func (e *TooFewError) Error() string {
+func (e *TooFewDisksError) Error() string {
 	text := fmt.Sprintf("%d disks would be left, %d are needed", e.Left, e.Needed)
 	if len(e.Leaving) > 0 {
 		text += fmt.Sprintf(" (being emptied: %s)", strings.Join(e.Leaving, ", "))
@@ -33,10 +33,10 @@
 	return text + "; add a machine with a disk first, or cancel another emptying"
 }
 
-// AlreadyEmptiedError refuses an order to keep a machine whose disks are drained.
-type AlreadyEmptiedError struct{ Node string }
+// AlreadyDrainedError refuses an order to keep a machine whose disks are drained.
+type AlreadyDrainedError struct{ Node string }
 
-func (e *AlreadyEmptiedError) Error() string { return "machine " + e.Node + " is empty already" }
+func (e *AlreadyDrainedError) Error() string { return "machine " + e.Node + " is empty already" }
 
 // Tolerance returns the recorded tolerance: what may be lost at one time. It is nil until the keepers have recorded
 // it.
@@ -48,12 +48,12 @@
 	switch s.Retirement(node) {
 	case UnknownMachine:
 		return &UnknownMachineError{Node: node}
-	case Running, Emptied:
+	case Draining, Drained:
 		return nil
 	}
 	if s.tolerance != nil {
 		if expected := s.expectedDisksWithout(node); !s.sufficient(expected) {
-			return &TooFewError{Left: len(expected), Needed: s.tolerance.Voters(), Leaving: s.Retiring()}
+			return &TooFewDisksError{Left: len(expected), Needed: s.tolerance.Voters(), Leaving: s.Retiring()}
 		}
 	}
 	for _, disk := range ordered.Map(s.disks) {
@@ -73,8 +73,8 @@
 	switch s.Retirement(node) {
 	case UnknownMachine:
 		return &UnknownMachineError{Node: node}
-	case Emptied:
-		return &AlreadyEmptiedError{Node: node}
+	case Drained:
+		return &AlreadyDrainedError{Node: node}
 	}
 	delete(s.retirements, node)
 	for id, disk := range ordered.Map(s.disks) {
--- a/internal/system/session/spare_test.go
+++ b/internal/system/session/retirement_rules_test.go
@@ -14,7 +14,7 @@
 func newStoreTable(machines int, tolerated *tolerance.Tolerance) *State {
 	state := NewState()
 	if tolerated != nil {
-		state.Apply(Command{Kind: Tolerate, Tolerance: tolerated})
+		state.Apply(Command{Kind: SetTolerance, Tolerance: tolerated})
 	}
 	for i := range machines {
 		state.Apply(joinOf(i, true))
@@ -29,7 +29,7 @@
 func joinOf(i int, founder bool) Command {
 	node := nodeOf(i)
 	return Command{Kind: Join, Member: Member{Incarnation: node + "+1", Node: node, Role: Store, Zone: string(rune('a' + i%3)), Address: node,
-		Disk: diskOf(i), Founder: founder}}
+		Disk: diskOf(i), BootstrapDisk: founder}}
 }
 
 func leaveOf(i int) Command { return Command{Kind: Leave, Incarnation: nodeOf(i) + "+1"} }
@@ -54,7 +54,7 @@
 		Expect(retire(state, 0)).To(Succeed())
 		Expect(retire(state, 1)).To(Succeed())
 		err := retire(state, 2)
-		var tooFew *TooFewError
+		var tooFew *TooFewDisksError
 		Expect(errors.As(err, &tooFew)).To(BeTrue(), "got %v", err)
 		Expect(err.Error()).To(Equal("2 disks would be left, 3 are needed (being emptied: storage-0, storage-1); add a machine with a disk first, or cancel another emptying"))
 		Expect(leavingNodes(state)).To(ConsistOf("storage-0", "storage-1"))
@@ -66,10 +66,10 @@
 		state := newStoreTable(3, oneMachine)
 		state.Apply(joinOf(3, false))
 		Expect(retire(state, 0)).To(Succeed())
-		Expect(state.Retirement(nodeOf(0))).To(Equal(Running))
+		Expect(state.Retirement(nodeOf(0))).To(Equal(Draining))
 		Expect(leavingNodes(state)).To(BeEmpty(), "three accept messages, and one of them is to leave")
-		Expect(retire(state, 1)).To(BeAssignableToTypeOf(&TooFewError{}), "two would remain once all count")
-		state.Apply(Command{Kind: Count, Disk: diskOf(3)})
+		Expect(retire(state, 1)).To(BeAssignableToTypeOf(&TooFewDisksError{}), "two would remain once all count")
+		state.Apply(Command{Kind: CountDisk, Disk: diskOf(3)})
 		Expect(leavingNodes(state)).To(ConsistOf(nodeOf(0)))
 	})
 
@@ -92,7 +92,7 @@
 		state.Apply(leaveOf(3))
 		Expect(leavingNodes(state)).To(ConsistOf(nodeOf(0)))
 		Expect(state.Epoch()).To(BeNumerically(">", epoch), "carriers write messages there again")
-		Expect(state.Retirement(nodeOf(1))).To(Equal(Running))
+		Expect(state.Retirement(nodeOf(1))).To(Equal(Draining))
 		state.Apply(joinOf(2, true))
 		Expect(leavingNodes(state)).To(ConsistOf(nodeOf(0)), "three accept messages, and one of them is to leave")
 		state.Apply(joinOf(3, true))
@@ -117,10 +117,10 @@
 			Expect(retire(state, i)).To(Succeed())
 		}
 		Expect(leavingNodes(state)).To(HaveLen(4))
-		state.Apply(Command{Kind: Tolerate, Tolerance: oneMachine})
+		state.Apply(Command{Kind: SetTolerance, Tolerance: oneMachine})
 		Expect(leavingNodes(state)).To(HaveLen(2), "as many disks accept messages as a message needs")
 		state.Apply(joinOf(4, false))
-		state.Apply(Command{Kind: Count, Disk: diskOf(4)})
+		state.Apply(Command{Kind: CountDisk, Disk: diskOf(4)})
 		Expect(len(leavingNodes(state))).To(Equal(2), "three accept messages")
 	})
 
@@ -128,7 +128,7 @@
 		state := newStoreTable(6, &tolerance.Tolerance{Machines: 1, Zones: 1})
 		Expect(retire(state, 0)).To(Succeed())
 		Expect(retire(state, 1)).To(Succeed())
-		Expect(retire(state, 3)).To(BeAssignableToTypeOf(&TooFewError{}), "it is the last of zone a")
+		Expect(retire(state, 3)).To(BeAssignableToTypeOf(&TooFewDisksError{}), "it is the last of zone a")
 		Expect(retire(state, 5)).To(Succeed())
 		Expect(leavingNodes(state)).To(ConsistOf(nodeOf(0), nodeOf(1), nodeOf(5)))
 	})
@@ -137,14 +137,14 @@
 		state := newStoreTable(4, oneMachine)
 		state.Apply(joinOf(4, false))
 		Expect(retire(state, 4)).To(Succeed())
-		Expect(state.Retirement(nodeOf(4))).To(Equal(Emptied))
+		Expect(state.Retirement(nodeOf(4))).To(Equal(Drained))
 		Expect(state.Disks()).NotTo(HaveKey(diskOf(4)))
 		Expect(retire(state, 0)).To(Succeed())
 		state.Apply(leaveOf(0))
 		state.Apply(joinOf(5, false))
-		state.Apply(Command{Kind: Count, Disk: diskOf(5)})
+		state.Apply(Command{Kind: CountDisk, Disk: diskOf(5)})
 		Expect(state.Disks()).NotTo(HaveKey(diskOf(0)))
-		Expect(state.Retirement(nodeOf(0))).To(Equal(Emptied))
+		Expect(state.Retirement(nodeOf(0))).To(Equal(Drained))
 	})
 
 	ginkgo.It("can be cancelled until the machine is empty", func() {
@@ -153,12 +153,12 @@
 		retire(state, 0)
 		Expect(cancel(0)).To(Succeed())
 		Expect(leavingNodes(state)).To(BeEmpty())
-		Expect(state.Retirement(nodeOf(0))).To(Equal(Staying))
+		Expect(state.Retirement(nodeOf(0))).To(Equal(NotRetiring))
 		Expect(cancel(0)).To(Succeed(), "a repeated order is acknowledged again")
 		Expect(cancel(9)).To(BeAssignableToTypeOf(&UnknownMachineError{}))
 		retire(state, 1)
-		state.Apply(Command{Kind: DiskEmptied, Disk: diskOf(1), Epoch: state.Epoch()})
-		Expect(cancel(1)).To(BeAssignableToTypeOf(&AlreadyEmptiedError{}))
+		state.Apply(Command{Kind: DiskDrained, Disk: diskOf(1), Epoch: state.Epoch()})
+		Expect(cancel(1)).To(BeAssignableToTypeOf(&AlreadyDrainedError{}))
 	})
 
 	ginkgo.It("complete only by the current roster", func() {
@@ -166,10 +166,10 @@
 		retire(state, 0)
 		checkedEpoch := state.Epoch()
 		retire(state, 1)
-		state.Apply(Command{Kind: DiskEmptied, Disk: diskOf(0), Epoch: checkedEpoch})
-		Expect(state.Retirement(nodeOf(0))).To(Equal(Running), "the other replicas may be on the disk that started to leave since")
-		state.Apply(Command{Kind: DiskEmptied, Disk: diskOf(0), Epoch: state.Epoch()})
-		Expect(state.Retirement(nodeOf(0))).To(Equal(Emptied))
+		state.Apply(Command{Kind: DiskDrained, Disk: diskOf(0), Epoch: checkedEpoch})
+		Expect(state.Retirement(nodeOf(0))).To(Equal(Draining), "the other replicas may be on the disk that started to leave since")
+		state.Apply(Command{Kind: DiskDrained, Disk: diskOf(0), Epoch: state.Epoch()})
+		Expect(state.Retirement(nodeOf(0))).To(Equal(Drained))
 	})
 
 	ginkgo.It("are the same after a restored snapshot", func() {
@@ -182,7 +182,7 @@
 		Expect(restored.Restore(data)).To(Succeed())
 		Expect(restored.Retiring()).To(Equal([]string{nodeOf(3), nodeOf(0)}))
 		Expect(restored.Tolerance()).To(Equal(oneMachine))
-		Expect(retire(restored, 1)).To(BeAssignableToTypeOf(&TooFewError{}))
+		Expect(retire(restored, 1)).To(BeAssignableToTypeOf(&TooFewDisksError{}))
 	})
 })
 
@@ -191,24 +191,24 @@
 		state := newStoreTable(4, &tolerance.Tolerance{Machines: 1})
 		state.Apply(leaveOf(3))
 		state.Apply(Command{Kind: Retire, Node: nodeOf(0)})
-		waits := func() Emptying {
-			drains := state.Emptyings(2)
+		waits := func() Drain {
+			drains := state.Drains(2)
 			Expect(drains).To(HaveLen(1))
 			return drains[0]
 		}
-		Expect(waits()).To(Equal(Emptying{Node: nodeOf(0), Waits: "3 live disks to stay without it, in enough zones; there are 2"}))
+		Expect(waits()).To(Equal(Drain{Node: nodeOf(0), WaitsFor: "3 live disks to stay without it, in enough zones; there are 2"}))
 		state.Apply(joinOf(3, true))
-		Expect(waits()).To(Equal(Emptying{Node: nodeOf(0), Begun: true, Waits: "its disk to hand over what lies on too few others"}))
+		Expect(waits()).To(Equal(Drain{Node: nodeOf(0), Started: true, WaitsFor: "its disk to hand over what lies on too few others"}))
 		state.Apply(leaveOf(2))
-		Expect(waits().Waits).To(Equal("the store of storage-2, which is gone: what lies here may be the last copy"))
+		Expect(waits().WaitsFor).To(Equal("the store of storage-2, which is gone: what lies here may be the last copy"))
 		state.Apply(joinOf(2, true))
 		state.Apply(leaveOf(0))
-		Expect(waits().Waits).To(Equal("its store, which is gone"))
+		Expect(waits().WaitsFor).To(Equal("its store, which is gone"))
 		state.Apply(joinOf(0, true))
-		state.Apply(Command{Kind: DiskEmptied, Disk: diskOf(0), Epoch: state.Epoch()})
-		Expect(waits().Waits).To(Equal("2 control groups to do without it"))
-		state.Apply(Command{Kind: GroupLeft, Node: nodeOf(0), Group: 0})
-		state.Apply(Command{Kind: GroupLeft, Node: nodeOf(0), Group: 1})
-		Expect(state.Emptyings(2)).To(BeEmpty())
+		state.Apply(Command{Kind: DiskDrained, Disk: diskOf(0), Epoch: state.Epoch()})
+		Expect(waits().WaitsFor).To(Equal("2 control groups to do without it"))
+		state.Apply(Command{Kind: GroupRemovedNode, Node: nodeOf(0), Group: 0})
+		state.Apply(Command{Kind: GroupRemovedNode, Node: nodeOf(0), Group: 1})
+		Expect(state.Drains(2)).To(BeEmpty())
 	})
 })
--- a/internal/system/session/roster.go
+++ b/internal/system/session/roster.go
@@ -34,7 +34,7 @@
 		s.forgetRetired(member.Node)
 	}
 	disk.Member = member
-	if !known && member.Founder && !slices.Contains(s.replacedDisks, member.Disk) {
+	if !known && member.BootstrapDisk && !slices.Contains(s.replacedDisks, member.Disk) {
 		disk.Counted = true
 		s.epoch++
 	}
@@ -52,7 +52,7 @@
 	disk.Counted, disk.Spare = true, lost == ""
 	// A machine that lost its disk while it was being drained is drained again. Without a tolerance that starts at
 	// once, otherwise reconcileRetirements starts it when enough other disks remain.
-	disk.Leaving = s.tolerance == nil && s.Retirement(disk.Member.Node) == Running
+	disk.Leaving = s.tolerance == nil && s.Retirement(disk.Member.Node) == Draining
 	s.disks[id] = disk
 	s.epoch++
 	if lost == "" {
--- a/internal/system/session/state.go
+++ b/internal/system/session/state.go
@@ -25,16 +25,16 @@
 
 // Member is one incarnation of a process in the fleet.
 type Member struct {
-	_msgpack    struct{} `msgpack:",as_array"`
-	Incarnation string   // drawn at random at each start
-	Node        string   // name of the machine
-	Role        Role
-	Zone        string
-	Address     string // of the process's peer listener
-	Disk        string // of stores: random identity that is stored on the disk
-	Founder     bool   // of stores: the disk is a bootstrap member of the roster, set up with the system
-	Replaces    string // earlier incarnation of this process, whose session was lost
-	Stopping    bool   // it is shutting down and hands over what it owns
+	_msgpack      struct{} `msgpack:",as_array"`
+	Incarnation   string   // drawn at random at each start
+	Node          string   // name of the machine
+	Role          Role
+	Zone          string
+	Address       string // of the process's peer listener
+	Disk          string // of stores: random identity that is stored on the disk
+	BootstrapDisk bool   // of stores: the disk is a bootstrap member of the roster, set up with the system
+	Replaces      string // earlier incarnation of this process, whose session was lost
+	Stopping      bool   // it is shutting down and hands over what it owns
 }
 
 // Departed is a carrier that has left while some of its messages were not complete.
@@ -49,15 +49,15 @@
 
 // The kinds of commands.
 const (
-	Join         CommandKind = iota + 1 // opens a session
-	Leave                               // ends a session, at its member's request or by expiry
-	Settled                             // all messages of a departed carrier are complete
-	Count                               // a disk is backfilled from the others, and counts toward the write quorum from now on
-	Retire                              // a machine's disks are to be drained
-	DiskEmptied                         // all messages on a leaving disk have enough replicas on other disks
-	GroupLeft                           // a control group has removed the keeper on a machine that is being retired
-	Tolerate                            // records the tolerance from the keepers' settings
-	CancelRetire                        // cancels the retirement of a machine
+	Join             CommandKind = iota + 1 // opens a session
+	Leave                                   // ends a session, at its member's request or by expiry
+	SettleDeparted                          // all messages of a departed carrier are complete
+	CountDisk                               // a disk is backfilled from the others, and counts toward the write quorum from now on
+	Retire                                  // a machine's disks are to be drained
+	DiskDrained                             // all messages on a leaving disk have enough replicas on other disks
+	GroupRemovedNode                        // a control group has removed the keeper on a machine that is being retired
+	SetTolerance                            // records the tolerance from the keepers' settings
+	CancelRetire                            // cancels the retirement of a machine
 )
 
 // Command is a change of the table. Which fields are set depends on the kind.
@@ -66,9 +66,9 @@
 	Member      Member
 	Incarnation string
 	Disk        string
-	Node        string // of Retire, CancelRetire and GroupLeft
-	Group       int    // of GroupLeft
-	Epoch       uint64 // of DiskEmptied: epoch of the roster by which the disk is drained; 0 from versions that did not send it
+	Node        string // of Retire, CancelRetire and GroupRemovedNode
+	Group       int    // of GroupRemovedNode
+	Epoch       uint64 // of DiskDrained: epoch of the roster by which the disk is drained; 0 from versions that did not send it
 	Tolerance   *tolerance.Tolerance
 }
 
@@ -152,19 +152,19 @@
 		s.join(command.Member)
 	case Leave:
 		s.leave(command.Incarnation)
-	case Settled:
+	case SettleDeparted:
 		delete(s.departed, command.Incarnation)
-	case Count:
+	case CountDisk:
 		s.countDisk(command.Disk)
 	case Retire:
 		return s.retire(command.Node)
 	case CancelRetire:
 		return s.cancelRetirement(command.Node)
-	case DiskEmptied:
+	case DiskDrained:
 		s.removeDrainedDisk(command.Disk, command.Epoch)
-	case GroupLeft:
+	case GroupRemovedNode:
 		s.groupLeft(command.Node, command.Group)
-	case Tolerate:
+	case SetTolerance:
 		s.tolerance = command.Tolerance
 	}
 	return nil
--- a/internal/system/session/state_test.go
+++ b/internal/system/session/state_test.go
@@ -10,7 +10,7 @@
 }
 
 func joinStore(node, disk string, founder bool) Command {
-	return Command{Kind: Join, Member: Member{Node: node, Incarnation: node + disk, Role: Store, Disk: disk, Founder: founder}}
+	return Command{Kind: Join, Member: Member{Node: node, Incarnation: node + disk, Role: Store, Disk: disk, BootstrapDisk: founder}}
 }
 
 var _ = ginkgo.Describe("The session table", func() {
@@ -67,7 +67,7 @@
 		Expect(state.Departed()[0].Adopter).To(BeEmpty())
 		apply(join("b", "b1", Carrier))
 		Expect(state.Departed()[0].Adopter).To(Equal("b1"))
-		apply(Command{Kind: Settled, Incarnation: "a1"})
+		apply(Command{Kind: SettleDeparted, Incarnation: "a1"})
 		Expect(state.Departed()).To(BeEmpty())
 	})
 
@@ -77,30 +77,30 @@
 		epoch := state.Epoch()
 		apply(Command{Kind: Leave, Incarnation: "xd1"}, joinStore("w", "d4", false))
 		Expect(counted()).To(ConsistOf("d1", "d2", "d3"))
-		apply(Command{Kind: Count, Disk: "d4"})
+		apply(Command{Kind: CountDisk, Disk: "d4"})
 		Expect(counted()).To(ConsistOf("d2", "d3", "d4"))
 		Expect(state.Epoch()).To(BeNumerically(">", epoch))
 	})
 
 	ginkgo.It("does not take a replaced disk that returns for a bootstrap disk", func() {
 		apply(joinStore("x", "d1", true), joinStore("y", "d2", true), joinStore("z", "d3", true),
-			Command{Kind: Leave, Incarnation: "xd1"}, joinStore("w", "d4", false), Command{Kind: Count, Disk: "d4"})
+			Command{Kind: Leave, Incarnation: "xd1"}, joinStore("w", "d4", false), Command{Kind: CountDisk, Disk: "d4"})
 		apply(joinStore("x", "d1", true))
 		Expect(counted()).To(ConsistOf("d2", "d3", "d4"))
 	})
 
 	ginkgo.It("replaces the lost disk of the same machine first", func() {
 		apply(joinStore("x", "d1", true), joinStore("y", "d2", true), joinStore("z", "d3", true),
-			Command{Kind: Leave, Incarnation: "yd2"}, joinStore("x", "d4", false), Command{Kind: Count, Disk: "d4"})
+			Command{Kind: Leave, Incarnation: "yd2"}, joinStore("x", "d4", false), Command{Kind: CountDisk, Disk: "d4"})
 		Expect(counted()).To(ConsistOf("d2", "d3", "d4"))
 	})
 
 	ginkgo.It("lets a spare disk, and no other, take the place of one that is lost later", func() {
-		apply(joinStore("x", "d1", true), joinStore("y", "d2", true), joinStore("w", "d4", false), Command{Kind: Count, Disk: "d4"})
+		apply(joinStore("x", "d1", true), joinStore("y", "d2", true), joinStore("w", "d4", false), Command{Kind: CountDisk, Disk: "d4"})
 		Expect(counted()).To(ConsistOf("d1", "d2", "d4"))
-		apply(Command{Kind: Leave, Incarnation: "xd1"}, Command{Kind: Count, Disk: "d2"})
+		apply(Command{Kind: Leave, Incarnation: "xd1"}, Command{Kind: CountDisk, Disk: "d2"})
 		Expect(counted()).To(ConsistOf("d1", "d2", "d4"))
-		apply(Command{Kind: Count, Disk: "d4"})
+		apply(Command{Kind: CountDisk, Disk: "d4"})
 		Expect(counted()).To(ConsistOf("d2", "d4"))
 	})
 
--- a/internal/system/simulation/store_host.go
+++ b/internal/system/simulation/store_host.go
@@ -38,7 +38,7 @@
 	}
 	h.core.Start(s.Bootstrap, member.NewIncarnation(h, s.NodeName))
 	self := session.Member{Incarnation: member.NewIncarnation(h, s.NodeName), Node: s.NodeName, Role: session.Store,
-		Zone: s.Zone, Address: s.StoreAddress(), Disk: h.core.Disk(), Founder: h.core.Founder()}
+		Zone: s.Zone, Address: s.StoreAddress(), Disk: h.core.Disk(), BootstrapDisk: h.core.Founder()}
 	h.session = member.NewClient(h, h, s.SeedKeepers(), self, member.Events{
 		Changed: func(_, after *member.View) { h.followView(after) },
 		Keepers: func() { h.followView(h.session.View()) },
--- a/internal/system/simulation/trouble.go
+++ b/internal/system/simulation/trouble.go
@@ -169,7 +169,7 @@
 // retirementRefused reports whether a keeper has refused to retire a machine.
 func retirementRefused(err error) bool {
 	var unknown *session.UnknownMachineError
-	var tooFew *session.TooFewError
+	var tooFew *session.TooFewDisksError
 	return errors.As(err, &unknown) || errors.As(err, &tooFew)
 }
 
