--- a/internal/system/link/link_test.go
+++ b/internal/system/link/link_test.go
@@ -31,7 +31,7 @@
 
 	ginkgo.It("carries calls, answers, refusals and pushes", func() {
 		_, address := listen(func(peer *Peer, frame wire.Frame) {
-			if frame.Kind == wire.VoidMessage {
+			if frame.Kind == wire.CancelMessage {
 				peer.Refuse(frame.Call, wire.RefusalBody{Code: wire.NotOwner, Reason: "no"})
 				return
 			}
@@ -51,7 +51,7 @@
 		})
 		Eventually(answers, waitTimeout).Should(Receive(BeNil()))
 		Eventually(pushed, waitTimeout).Should(Receive())
-		client.Call(wire.VoidMessage, nil, func(_ []byte, err error) { answers <- err })
+		client.Call(wire.CancelMessage, nil, func(_ []byte, err error) { answers <- err })
 		var refused error
 		Eventually(answers, waitTimeout).Should(Receive(&refused))
 		var body *RefusedError
--- a/internal/system/member/orders.go
+++ b/internal/system/member/orders.go
@@ -21,8 +21,8 @@
 // DiskEmptied notifies the keepers that every message on this store's leaving disk has enough replicas on other disks,
 // by the roster of disks of the given epoch.
 func (c *Client) DiskEmptied(epoch uint64, done func(err error)) {
-	body := wire.DiskEmptiedBody{Disk: c.member.Disk, Epoch: epoch}
-	c.peers.Call(c.keepers[c.keeperIndex], wire.DiskEmptied, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
+	body := wire.DiskDrainedBody{Disk: c.member.Disk, Epoch: epoch}
+	c.peers.Call(c.keepers[c.keeperIndex], wire.DiskDrained, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
 }
 
 // Release hands a unit over to the carrier that it was offered to. The token is the owner's fencing token and offer the
--- a/internal/system/node/store.go
+++ b/internal/system/node/store.go
@@ -76,7 +76,7 @@
 		select {
 		case n.calls <- storeCall{peer: peer, frame: frame}:
 		default:
-			peer.Refuse(frame.Call, wire.RefusalBody{Code: wire.Failed, Reason: "too many calls wait"})
+			peer.Refuse(frame.Call, wire.RefusalBody{Code: wire.CallFailed, Reason: "too many calls wait"})
 		}
 	}, nil)
 	if err != nil {
@@ -303,6 +303,6 @@
 	answerer := call.peer.Answerer(call.frame.Call)
 	if err := n.core.Handle(call.frame.Kind, call.frame.Payload, answerer); err != nil {
 		log.WithError(err).WithField("peer", call.peer.RemoteAddr()).Warn("call failed")
-		answerer.Refuse(wire.RefusalBody{Code: wire.Failed, Reason: err.Error()})
+		answerer.Refuse(wire.RefusalBody{Code: wire.CallFailed, Reason: err.Error()})
 	}
 }
--- a/internal/system/role/carrier/duplicate.go
+++ b/internal/system/role/carrier/duplicate.go
@@ -91,17 +91,17 @@
 func (q *outcomeQuery) askDisk(disk string) {
 	c := q.core
 	q.pending[disk] = true
-	body := wire.FindEndsBody{IDs: []string{q.message.ID}}
-	c.env.Call(c.stores.address(disk), wire.FindEnds, wire.Encode(&body), listTimeout, func(payload []byte, err error) {
+	body := wire.FindOutcomesBody{IDs: []string{q.message.ID}}
+	c.env.Call(c.stores.address(disk), wire.FindOutcomes, wire.Encode(&body), listTimeout, func(payload []byte, err error) {
 		delete(q.pending, disk)
-		var answer wire.FoundEnds
+		var answer wire.FindOutcomesAnswer
 		if err == nil {
-			err = wire.Decode(wire.FindEnds, payload, &answer)
+			err = wire.Decode(wire.FindOutcomes, payload, &answer)
 		}
 		if q.finished || err != nil {
 			return
 		}
-		for _, outcome := range answer.Ends {
+		for _, outcome := range answer.Outcomes {
 			if outcome.ID == q.message.ID {
 				q.foundOutcome(outcome)
 				return
--- a/internal/system/role/carrier/handle.go
+++ b/internal/system/role/carrier/handle.go
@@ -17,8 +17,8 @@
 			return nil
 		}
 		answerer.Answer(&reservation)
-	case wire.TakeTurn:
-		var body wire.TakeTurnBody
+	case wire.AcquirePermit:
+		var body wire.AcquirePermitBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
--- a/internal/system/role/carrier/outbox.go
+++ b/internal/system/role/carrier/outbox.go
@@ -211,11 +211,11 @@
 	}
 	switch {
 	case len(box.outcomes.records) > 0:
-		var body wire.EndsBody
+		var body wire.OutcomesBody
 		for _, record := range box.outcomes.nextBatch() {
-			body.Ends = append(body.Ends, record.outcome)
+			body.Outcomes = append(body.Outcomes, record.outcome)
 		}
-		s.send(disk, box, wire.PutEnds, wire.Encode(&body), &box.outcomes)
+		s.send(disk, box, wire.PutOutcomes, wire.Encode(&body), &box.outcomes)
 	case len(box.callbacks.records) > 0:
 		var body wire.CallbackDoneBody
 		for _, record := range box.callbacks.nextBatch() {
--- a/internal/system/role/carrier/recovery.go
+++ b/internal/system/role/carrier/recovery.go
@@ -179,7 +179,7 @@
 		r.finish()
 		return
 	}
-	body := wire.FindEndsBody{}
+	body := wire.FindOutcomesBody{}
 	for id := range ids {
 		body.IDs = append(body.IDs, id)
 	}
@@ -198,16 +198,16 @@
 func (r *recovery) queryOutcomesAt(disk string, payload []byte, answered func()) {
 	c := r.core
 	l := r.outcomeRound[disk]
-	c.env.Call(c.stores.address(disk), wire.FindEnds, payload, listTimeout, func(payload []byte, err error) {
-		var answer wire.FoundEnds
+	c.env.Call(c.stores.address(disk), wire.FindOutcomes, payload, listTimeout, func(payload []byte, err error) {
+		var answer wire.FindOutcomesAnswer
 		if err == nil {
-			err = wire.Decode(wire.FindEnds, payload, &answer)
+			err = wire.Decode(wire.FindOutcomes, payload, &answer)
 		}
 		if err != nil || !answer.Complete {
 			delete(r.outcomeRound, disk)
 			*l = listing{} // listed again from the start
 		} else {
-			l.outcomes = answer.Ends
+			l.outcomes = answer.Outcomes
 		}
 		answered()
 	})
--- a/internal/system/role/carrier/review.go
+++ b/internal/system/role/carrier/review.go
@@ -44,13 +44,13 @@
 }
 
 func (c *Core) reviewAt(disk string, ids []string, waiting map[string]*item) {
-	body := wire.FindEndsBody{IDs: ids}
-	c.env.Call(c.stores.address(disk), wire.FindEnds, wire.Encode(&body), listTimeout, func(payload []byte, err error) {
-		var answer wire.FoundEnds
-		if err != nil || wire.Decode(wire.FindEnds, payload, &answer) != nil {
+	body := wire.FindOutcomesBody{IDs: ids}
+	c.env.Call(c.stores.address(disk), wire.FindOutcomes, wire.Encode(&body), listTimeout, func(payload []byte, err error) {
+		var answer wire.FindOutcomesAnswer
+		if err != nil || wire.Decode(wire.FindOutcomes, payload, &answer) != nil {
 			return // the next review queries again
 		}
-		for _, outcome := range answer.Ends {
+		for _, outcome := range answer.Outcomes {
 			if it := waiting[outcome.ID]; it != nil {
 				c.completedElsewhere(it, outcome)
 			}
--- a/internal/system/role/carrier/rig_test.go
+++ b/internal/system/role/carrier/rig_test.go
@@ -124,7 +124,7 @@
 func (r *fixture) storesWithOutcomes() map[string]bool {
 	addresses := map[string]bool{}
 	for _, call := range r.Calls {
-		if call.Kind == wire.PutEnds {
+		if call.Kind == wire.PutOutcomes {
 			addresses[call.Address] = true
 		}
 	}
@@ -161,16 +161,16 @@
 			}
 		}
 		return wire.Encode(&answer), nil
-	case wire.FindEnds:
+	case wire.FindOutcomes:
 		s.outcomeQueries++
-		var body wire.FindEndsBody
+		var body wire.FindOutcomesBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return nil, err
 		}
-		answer := wire.FoundEnds{Complete: true}
+		answer := wire.FindOutcomesAnswer{Complete: true}
 		for _, id := range body.IDs {
 			if outcome, completed := s.outcomes[id]; completed {
-				answer.Ends = append(answer.Ends, outcome)
+				answer.Outcomes = append(answer.Outcomes, outcome)
 			}
 		}
 		return wire.Encode(&answer), nil
--- a/internal/system/role/carrier/storage.go
+++ b/internal/system/role/carrier/storage.go
@@ -199,8 +199,8 @@
 }
 
 func (s *storage) cancel(disk, id string, timeout time.Duration, done func(err error)) {
-	body := wire.VoidBody{ID: id}
-	s.core.env.Call(s.address(disk), wire.VoidMessage, wire.Encode(&body), timeout, func(_ []byte, err error) {
+	body := wire.CancelBody{ID: id}
+	s.core.env.Call(s.address(disk), wire.CancelMessage, wire.Encode(&body), timeout, func(_ []byte, err error) {
 		if err != nil {
 			s.core.env.Report("cannot cancel a stored message", err)
 		}
--- a/internal/system/role/carrier/turn.go
+++ b/internal/system/role/carrier/turn.go
@@ -86,12 +86,12 @@
 		return
 	}
 	q.permit.requesting = true
-	body := wire.TakeTurnBody{Service: q.service, Urgent: q.takenOver.liveFront(q) != nil}
-	c.env.Call(address, wire.TakeTurn, wire.Encode(&body), permitTimeout, func(payload []byte, err error) {
+	body := wire.AcquirePermitBody{Service: q.service, Urgent: q.takenOver.liveFront(q) != nil}
+	c.env.Call(address, wire.AcquirePermit, wire.Encode(&body), permitTimeout, func(payload []byte, err error) {
 		q.permit.requesting = false
-		var answer wire.TakeTurnAnswer
+		var answer wire.AcquirePermitAnswer
 		if err == nil {
-			err = wire.Decode(wire.TakeTurn, payload, &answer)
+			err = wire.Decode(wire.AcquirePermit, payload, &answer)
 		}
 		now := c.env.Now()
 		if err != nil || !answer.Granted {
@@ -107,21 +107,21 @@
 // long to wait before the next request. Messages that were taken over go before all others, at whichever carrier
 // they wait: the delivery guarantee allows a second run of a message that ran just before its carrier was lost
 // only shortly after that loss.
-func (c *Core) Turn(body wire.TakeTurnBody) (wire.TakeTurnAnswer, *wire.RefusalBody) {
+func (c *Core) Turn(body wire.AcquirePermitBody) (wire.AcquirePermitAnswer, *wire.RefusalBody) {
 	if !c.ownsRate(body.Service) || c.paused {
-		return wire.TakeTurnAnswer{}, &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + ownership.ServiceUnit(body.Service)}
+		return wire.AcquirePermitAnswer{}, &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + ownership.ServiceUnit(body.Service)}
 	}
 	now := c.env.Now()
 	q := c.queue(body.Service)
 	if body.Urgent {
 		q.urgentUntil = now + urgentPeriod
 	} else if now < q.urgentUntil || q.takenOver.liveFront(q) != nil {
-		return wire.TakeTurnAnswer{Wait: permitRetry}, nil
+		return wire.AcquirePermitAnswer{Wait: permitRetry}, nil
 	}
 	wait := max(0, q.pace.Due()-now)
 	if wait > maxPermitLead {
-		return wire.TakeTurnAnswer{Wait: wait - maxPermitLead}, nil
+		return wire.AcquirePermitAnswer{Wait: wait - maxPermitLead}, nil
 	}
 	q.pace.Take(now + wait)
-	return wire.TakeTurnAnswer{Granted: true, Wait: wait}, nil
+	return wire.AcquirePermitAnswer{Granted: true, Wait: wait}, nil
 }
--- a/internal/system/role/keeper/handle.go
+++ b/internal/system/role/keeper/handle.go
@@ -26,7 +26,7 @@
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		c.JoinGroup(now, body.Group, body.Member, body.Knows, done)
+		c.JoinGroup(now, body.Group, body.Member, body.HasGroupState, done)
 	case wire.OpenSession:
 		var body wire.OpenSessionBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
@@ -76,14 +76,14 @@
 			return err
 		}
 		c.ReleaseUnit(now, body.Unit, body.Token, body.Offer, done)
-	case wire.DiskEmptied:
-		var body wire.DiskEmptiedBody
+	case wire.DiskDrained:
+		var body wire.DiskDrainedBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
 		c.DiskEmptied(now, body.Disk, body.Epoch, done)
-	case wire.GroupLeft:
-		var body wire.GroupLeftBody
+	case wire.GroupRemovedNode:
+		var body wire.GroupRemovedNodeBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
@@ -104,7 +104,7 @@
 	case err == nil:
 		answerer.Answer(body)
 	case errors.As(err, &removed):
-		answerer.Refuse(wire.RefusalBody{Code: wire.Removed, Reason: err.Error()})
+		answerer.Refuse(wire.RefusalBody{Code: wire.RemovedFromGroup, Reason: err.Error()})
 	case errors.As(err, &notLeader):
 		answerer.Refuse(wire.RefusalBody{Code: wire.NotLeader, Reason: err.Error(), Leader: notLeader.Leader})
 	case errors.As(err, &unknown):
@@ -112,6 +112,6 @@
 	case errors.As(err, &stale):
 		answerer.Refuse(wire.RefusalBody{Code: wire.StaleOffer, Reason: err.Error()})
 	default:
-		answerer.Refuse(wire.RefusalBody{Code: wire.Failed, Reason: err.Error()})
+		answerer.Refuse(wire.RefusalBody{Code: wire.CallFailed, Reason: err.Error()})
 	}
 }
--- a/internal/system/role/keeper/joiner.go
+++ b/internal/system/role/keeper/joiner.go
@@ -57,15 +57,15 @@
 		case self:
 			j.core.GroupLeft(j.env.Now(), departure.Node, departure.Group, func(error) {})
 		case j.env.Connected(leader):
-			body := wire.GroupLeftBody{Node: departure.Node, Group: departure.Group}
-			j.env.Call(leader, wire.GroupLeft, wire.Encode(&body), joinInterval, func([]byte, error) {})
+			body := wire.GroupRemovedNodeBody{Node: departure.Node, Group: departure.Group}
+			j.env.Call(leader, wire.GroupRemovedNode, wire.Encode(&body), joinInterval, func([]byte, error) {})
 		}
 	}
 }
 
 // requestJoin asks every connected keeper to admit this one to a group. Only the leader can.
 func (j *Joiner) requestJoin(group int, id string, knows bool) {
-	body := wire.Encode(&wire.JoinGroupBody{Group: group, Member: id, Knows: knows})
+	body := wire.Encode(&wire.JoinGroupBody{Group: group, Member: id, HasGroupState: knows})
 	for _, address := range j.env.Others() {
 		if j.env.Connected(address) {
 			j.env.Call(address, wire.JoinGroup, body, joinTimeout, func(_ []byte, err error) { j.handleJoinAnswer(group, id, err) })
@@ -89,7 +89,7 @@
 	}
 	// The leader may not be among the configured seeds. It is asked as soon as a connection to it is up.
 	j.core.Heard(refused.Refusal().Leader)
-	if refused.Refusal().Code != wire.Removed || current != id || j.resetting[group] {
+	if refused.Refusal().Code != wire.RemovedFromGroup || current != id || j.resetting[group] {
 		return
 	}
 	j.resetting[group] = true
--- a/internal/system/role/store/census.go
+++ b/internal/system/role/store/census.go
@@ -105,11 +105,11 @@
 	var pending, owed, delivered wire.HeldState
 	for _, r := range replicas {
 		switch {
-		case r.state.Has(wire.HeldVoid):
-			return wire.HeldVoid
-		case r.state.Has(wire.HeldEnd | wire.HeldOwed):
+		case r.state.Has(wire.HeldCancellation):
+			return wire.HeldCancellation
+		case r.state.Has(wire.HeldOutcome | wire.HeldPendingCallback):
 			owed |= r.state
-		case r.state.Has(wire.HeldEnd):
+		case r.state.Has(wire.HeldOutcome):
 			delivered |= r.state
 		default:
 			pending |= r.state
--- a/internal/system/role/store/census_test.go
+++ b/internal/system/role/store/census_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	pending    = wire.HeldBytes
-	succeeded  = wire.HeldEnd
-	deadLetter = wire.HeldBytes | wire.HeldEnd
-	owed       = wire.HeldBytes | wire.HeldEnd | wire.HeldOwed
-	void       = wire.HeldVoid
+	pending    = wire.HeldMessage
+	succeeded  = wire.HeldOutcome
+	deadLetter = wire.HeldMessage | wire.HeldOutcome
+	owed       = wire.HeldMessage | wire.HeldOutcome | wire.HeldPendingCallback
+	void       = wire.HeldCancellation
 )
 
 // rosterOf returns a view in which all disks count, each in a zone of its own.
--- a/internal/system/role/store/copy.go
+++ b/internal/system/role/store/copy.go
@@ -15,7 +15,7 @@
 
 func (c *Core) addCopy(copied *wire.CopiedMessage) {
 	id := copied.Message.ID
-	if copied.Void {
+	if copied.Cancelled {
 		c.Void(id, func(*wire.RefusalBody) {})
 		return
 	}
@@ -26,8 +26,8 @@
 	if e == nil || !e.held && copied.Message.Method != "" {
 		c.storeCopy(e, copied)
 	}
-	if copied.End != nil {
-		c.Ends([]message.Outcome{*copied.End}, func() {})
+	if copied.Outcome != nil {
+		c.Ends([]message.Outcome{*copied.Outcome}, func() {})
 	}
 }
 
--- a/internal/system/role/store/core.go
+++ b/internal/system/role/store/core.go
@@ -157,7 +157,7 @@
 	}
 	e := c.index.get(m.ID)
 	if e != nil && e.void {
-		done(&wire.RefusalBody{Code: wire.Voided, Reason: "the message is void"})
+		done(&wire.RefusalBody{Code: wire.Cancelled, Reason: "the message is void"})
 		return
 	}
 	if e != nil && e.held {
@@ -165,7 +165,7 @@
 		return
 	}
 	if float64(c.logBytes) > fullThreshold*float64(c.options.DiskBytes) {
-		done(&wire.RefusalBody{Code: wire.Failed, Reason: "the disk is full"})
+		done(&wire.RefusalBody{Code: wire.CallFailed, Reason: "the disk is full"})
 		return
 	}
 	if e == nil {
@@ -180,7 +180,7 @@
 		done(nil)
 	}, onDiskFull: func() {
 		e.writing = false
-		done(&wire.RefusalBody{Code: wire.Failed, Reason: "the disk is full"})
+		done(&wire.RefusalBody{Code: wire.CallFailed, Reason: "the disk is full"})
 	}})
 }
 
@@ -193,7 +193,7 @@
 		return
 	}
 	if e != nil && (e.shared || e.phase != message.Pending) {
-		done(&wire.RefusalBody{Code: wire.Failed, Reason: "the message may have been delivered"})
+		done(&wire.RefusalBody{Code: wire.CallFailed, Reason: "the message may have been delivered"})
 		return
 	}
 	if e == nil {
--- a/internal/system/role/store/empty.go
+++ b/internal/system/role/store/empty.go
@@ -125,7 +125,7 @@
 		case own == 0:
 		case own.Has(m.required):
 			held = append(held, m)
-		case m.required.Has(wire.HeldEnd) && !own.Has(wire.HeldEnd) && len(m.holders) > 0:
+		case m.required.Has(wire.HeldOutcome) && !own.Has(wire.HeldOutcome) && len(m.holders) > 0:
 			outdated = append(outdated, m)
 		}
 	}
--- a/internal/system/role/store/empty_test.go
+++ b/internal/system/role/store/empty_test.go
@@ -41,7 +41,7 @@
 		sender := e.sender
 		sender.copyTo("other", "10.0.0.2:7001", []string{"m"})
 		e.lists, e.sender = nil, nil // the disk no longer leaves the roster
-		env.onCopies(wire.CopiesBody{Messages: []wire.CopiedMessage{{Void: true}}}, nil)
+		env.onCopies(wire.CopiesBody{Messages: []wire.CopiedMessage{{Cancelled: true}}}, nil)
 		env.onSent(nil, nil)
 		Expect(sender.inFlight).To(BeZero())
 	})
--- a/internal/system/role/store/ends.go
+++ b/internal/system/role/store/ends.go
@@ -46,7 +46,7 @@
 		if len(ids) == 0 {
 			return
 		}
-		body := wire.Encode(&wire.FindEndsBody{IDs: ids})
+		body := wire.Encode(&wire.FindOutcomesBody{IDs: ids})
 		for id, other := range ordered.Map(a.session.View().Disks) {
 			if id != a.disk && a.env.Connected(other.Member.Address) {
 				a.query(other.Member.Address, body)
@@ -56,10 +56,10 @@
 }
 
 func (a *EndsAsker) query(address string, body []byte) {
-	a.env.Call(address, wire.FindEnds, body, outcomeQueryTimeout, func(payload []byte, err error) {
-		var answer wire.FoundEnds
-		if err == nil && wire.Decode(wire.FindEnds, payload, &answer) == nil && len(answer.Ends) > 0 {
-			a.onOutcomes(answer.Ends)
+	a.env.Call(address, wire.FindOutcomes, body, outcomeQueryTimeout, func(payload []byte, err error) {
+		var answer wire.FindOutcomesAnswer
+		if err == nil && wire.Decode(wire.FindOutcomes, payload, &answer) == nil && len(answer.Outcomes) > 0 {
+			a.onOutcomes(answer.Outcomes)
 		}
 	})
 }
--- a/internal/system/role/store/handle.go
+++ b/internal/system/role/store/handle.go
@@ -3,7 +3,7 @@
 import "granitewing/internal/system/wire"
 
 // sealedRefusal answers a sender of outcomes while the store is sealed.
-var sealedRefusal = wire.RefusalBody{Code: wire.Failed, Reason: "this disk is empty and about to leave the roster"}
+var sealedRefusal = wire.RefusalBody{Code: wire.CallFailed, Reason: "this disk is empty and about to leave the roster"}
 
 // Seal makes the store refuse outcomes and completed callbacks, or accept them again. It is set while the disk is
 // about to leave the roster, since the disk would be the only one to hold what it accepts.
@@ -27,14 +27,14 @@
 			return err
 		}
 		c.Put(&body.Message, body.Epoch, answer)
-	case wire.VoidMessage:
-		var body wire.VoidBody
+	case wire.CancelMessage:
+		var body wire.CancelBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
 		c.Void(body.ID, answer)
-	case wire.PutEnds:
-		var body wire.EndsBody
+	case wire.PutOutcomes:
+		var body wire.OutcomesBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
@@ -42,7 +42,7 @@
 			answerer.Refuse(sealedRefusal)
 			return nil
 		}
-		c.Ends(body.Ends, accepted)
+		c.Ends(body.Outcomes, accepted)
 	case wire.CallbackDone:
 		var body wire.CallbackDoneBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
@@ -77,7 +77,7 @@
 		c.takeOver(body.Unit, func() {
 			answer, err := c.List(body)
 			if err != nil {
-				answerer.Refuse(wire.RefusalBody{Code: wire.Failed, Reason: err.Error()})
+				answerer.Refuse(wire.RefusalBody{Code: wire.CallFailed, Reason: err.Error()})
 				return
 			}
 			answerer.Answer(&answer)
@@ -90,12 +90,12 @@
 		}
 		answer, err := c.Find(body)
 		return reply(answerer, &answer, err)
-	case wire.FindEnds:
-		var body wire.FindEndsBody
+	case wire.FindOutcomes:
+		var body wire.FindOutcomesBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		return reply(answerer, &wire.FoundEnds{Ends: c.FindEnds(body.IDs), Complete: c.complete}, nil)
+		return reply(answerer, &wire.FindOutcomesAnswer{Outcomes: c.FindEnds(body.IDs), Complete: c.complete}, nil)
 	case wire.ListHeld:
 		var body wire.HeldBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
--- a/internal/system/role/store/held.go
+++ b/internal/system/role/store/held.go
@@ -26,17 +26,17 @@
 // heldState returns what is held of a message, 0 if nothing that another store could need.
 func (e *entry) heldState() wire.HeldState {
 	if e.void {
-		return wire.HeldVoid
+		return wire.HeldCancellation
 	}
 	var state wire.HeldState
 	if e.needsBytes() {
-		state |= wire.HeldBytes
+		state |= wire.HeldMessage
 	}
 	if e.phase != message.Pending {
-		state |= wire.HeldEnd
+		state |= wire.HeldOutcome
 	}
 	if e.phase != message.Pending && e.callbackOwed {
-		state |= wire.HeldOwed
+		state |= wire.HeldPendingCallback
 	}
 	return state
 }
@@ -67,13 +67,13 @@
 
 // copyOf returns one entry in the form in which it is copied.
 func (c *Core) copyOf(e *entry) (*wire.CopiedMessage, error) {
-	copied := &wire.CopiedMessage{Void: e.void, Age: c.now - e.arrivedAt}
+	copied := &wire.CopiedMessage{Cancelled: e.void, Age: c.now - e.arrivedAt}
 	copied.Message.ID, copied.Message.Unit = e.id, e.unit
 	if e.void {
 		return copied, nil
 	}
 	if e.phase != message.Pending {
-		copied.End = &message.Outcome{ID: e.id, Phase: e.phase, Stamp: e.stamp, CallbackOwed: e.callbackOwed}
+		copied.Outcome = &message.Outcome{ID: e.id, Phase: e.phase, Stamp: e.stamp, CallbackOwed: e.callbackOwed}
 	}
 	if e.needsBytes() {
 		e.shared = true
--- a/internal/system/role/store/listed_test.go
+++ b/internal/system/role/store/listed_test.go
@@ -21,7 +21,7 @@
 	end := message.Outcome{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
 	f.core.Ends([]message.Outcome{end}, func() {})
 	f.flush()
-	f.core.TakeCopy([]wire.CopiedMessage{{Message: *newMessage("m1"), End: &end}})
+	f.core.TakeCopy([]wire.CopiedMessage{{Message: *newMessage("m1"), Outcome: &end}})
 	f.flush()
 	Expect(f.listed()).To(Equal([]string{"m1"}))
 }
@@ -158,7 +158,7 @@
 	}
 	if !withBytes || rapid.Bool().Draw(t, "with its outcome") {
 		end := drawOutcome(t, m.ID)
-		copied.End = &end
+		copied.Outcome = &end
 	}
 	s.fixture.core.TakeCopy([]wire.CopiedMessage{copied})
 	s.flush()
@@ -166,8 +166,8 @@
 		return
 	}
 	known.held = known.held || withBytes
-	if copied.End != nil {
-		known.complete(*copied.End)
+	if copied.Outcome != nil {
+		known.complete(*copied.Outcome)
 	}
 }
 
--- a/internal/system/role/store/repair.go
+++ b/internal/system/role/store/repair.go
@@ -142,18 +142,18 @@
 
 // copiedState returns what a disk holds of a message once it has this copy.
 func copiedState(copied *wire.CopiedMessage) wire.HeldState {
-	if copied.Void {
-		return wire.HeldVoid
+	if copied.Cancelled {
+		return wire.HeldCancellation
 	}
 	var state wire.HeldState
 	if copied.Message.Method != "" {
-		state |= wire.HeldBytes
+		state |= wire.HeldMessage
 	}
-	if copied.End != nil {
-		state |= wire.HeldEnd
+	if copied.Outcome != nil {
+		state |= wire.HeldOutcome
 	}
-	if copied.End != nil && copied.End.CallbackOwed {
-		state |= wire.HeldOwed
+	if copied.Outcome != nil && copied.Outcome.CallbackOwed {
+		state |= wire.HeldPendingCallback
 	}
 	return state
 }
--- a/internal/system/role/store/seal_test.go
+++ b/internal/system/role/store/seal_test.go
@@ -18,7 +18,7 @@
 func TestSealedStoreRefusesOutcomes(t *testing.T) {
 	core := New(Options{}, nil, 0)
 	core.Start(true, "own")
-	ends := wire.Encode(&wire.EndsBody{Ends: []message.Outcome{{ID: "m", Phase: message.Succeeded}}})
+	ends := wire.Encode(&wire.OutcomesBody{Outcomes: []message.Outcome{{ID: "m", Phase: message.Succeeded}}})
 	done := wire.Encode(&wire.CallbackDoneBody{IDs: []string{"m"}})
 	send := func(kind wire.Kind, payload []byte) *replyCounter {
 		answered := &replyCounter{}
@@ -28,7 +28,7 @@
 		return answered
 	}
 	core.Seal(true)
-	if got := send(wire.PutEnds, ends); got.refused != 1 {
+	if got := send(wire.PutOutcomes, ends); got.refused != 1 {
 		t.Errorf("an outcome at a sealed store: %+v, want one refusal", got)
 	}
 	if got := send(wire.CallbackDone, done); got.refused != 1 {
@@ -38,7 +38,7 @@
 		t.Errorf("a sealed store holds %v, want nothing", held.IDs)
 	}
 	core.Seal(false)
-	if got := send(wire.PutEnds, ends); got.refused != 0 {
+	if got := send(wire.PutOutcomes, ends); got.refused != 0 {
 		t.Errorf("an outcome at an unsealed store: %+v, want no refusal", got)
 	}
 	if held := core.Held(wire.HeldBody{}); len(held.IDs) != 1 {
--- a/internal/system/role/store/store_test.go
+++ b/internal/system/role/store/store_test.go
@@ -47,7 +47,7 @@
 	ginkgo.It("voids a message that has not arrived yet", func() {
 		Expect(f.void("a")).To(BeNil())
 		refusal := f.put("a")
-		Expect(refusal.Code).To(Equal(wire.Voided))
+		Expect(refusal.Code).To(Equal(wire.Cancelled))
 	})
 
 	ginkgo.It("refuses to void a message that others may know: listed, copied, completed or loaded from the log", func() {
@@ -96,7 +96,7 @@
 		f.complete("m07", message.DeadLetter)
 		held = f.core.Held(wire.HeldBody{After: held.Next})
 		Expect(held.IDs).To(Equal([]string{"m07"}), "what has changed since is listed again")
-		Expect(held.States).To(Equal([]wire.HeldState{wire.HeldBytes | wire.HeldEnd}), "the bytes of a dead letter may be requested")
+		Expect(held.States).To(Equal([]wire.HeldState{wire.HeldMessage | wire.HeldOutcome}), "the bytes of a dead letter may be requested")
 		fresh.core.Follow(9, true)
 		Expect(fresh.core.Complete()).To(BeFalse())
 	})
@@ -135,7 +135,7 @@
 		Expect(first.IDs).To(HaveLen(maxListedEntries))
 		Expect(second.IDs).To(HaveLen(501))
 		Expect(second.IDs[500]).To(Equal("m00000"))
-		Expect(second.States[500]).To(Equal(wire.HeldEnd))
+		Expect(second.States[500]).To(Equal(wire.HeldOutcome))
 	})
 
 	ginkgo.It("measures a message's age by its own clock, not by the wall clock of the accepting carrier", func() {
@@ -157,7 +157,7 @@
 		f.core.Put(newMessage("b"), 0, func(r *wire.RefusalBody) { refusal = r })
 		f.core.Ends([]message.Outcome{{ID: "a", Phase: message.Succeeded, Stamp: "s"}}, func() { recorded = true })
 		f.core.Full(f.core.Take())
-		Expect(refusal.Code).To(Equal(wire.Failed))
+		Expect(refusal.Code).To(Equal(wire.CallFailed))
 		Expect(recorded).To(BeFalse())
 		f.flush()
 		Expect(recorded).To(BeTrue())
--- a/internal/system/simulation/judge_callbacks.go
+++ b/internal/system/simulation/judge_callbacks.go
@@ -48,8 +48,8 @@
 	if copied.Message.Method != "" {
 		text += " body"
 	}
-	if copied.End != nil {
-		text += fmt.Sprintf(" outcome, call-back owed=%t", copied.End.CallbackOwed)
+	if copied.Outcome != nil {
+		text += fmt.Sprintf(" outcome, call-back owed=%t", copied.Outcome.CallbackOwed)
 	}
 	answer, err := h.core.List(wire.ListBody{Unit: copied.Message.Unit})
 	if err != nil {
--- a/internal/system/simulation/store_host.go
+++ b/internal/system/simulation/store_host.go
@@ -50,7 +50,7 @@
 	h.handleCall = func(_ *process, kind wire.Kind, payload []byte, answerer wire.Answerer) {
 		h.updateCore()
 		if err := h.core.Handle(kind, payload, answerer); err != nil {
-			answerer.Refuse(wire.RefusalBody{Code: wire.Failed, Reason: err.Error()})
+			answerer.Refuse(wire.RefusalBody{Code: wire.CallFailed, Reason: err.Error()})
 		}
 		h.flush()
 	}
--- a/internal/system/wire/messages.go
+++ b/internal/system/wire/messages.go
@@ -26,20 +26,20 @@
 	SettleDeparted    // with a SettleBody
 	JoinGroup         // from a keeper, with a JoinGroupBody
 	CountDisk         // from a store, with a CountDiskBody
-	DiskEmptied       // from a store, with a DiskEmptiedBody
+	DiskDrained       // from a store, with a DiskDrainedBody
 	FeedUpdate        // push from a keeper to a member, encoded by EncodeUpdate
 
 	// To stores.
-	PutMessage   // with a PutBody
-	VoidMessage  // with a VoidBody
-	PutEnds      // with an EndsBody
-	CallbackDone // with a CallbackDoneBody
-	ListUnit     // with a ListBody, answered by a ListAnswer
-	FindMessage  // with a FindBody, answered by a FindAnswer
-	ListHeld     // with a HeldBody, answered by a HeldAnswer
-	FetchCopies  // with a FetchBody, answered by a CopiesBody
-	PutCopies    // with a CopiesBody
-	FindEnds     // with a FindEndsBody, answered by a FoundEnds
+	PutMessage    // with a PutBody
+	CancelMessage // with a CancelBody
+	PutOutcomes   // with an OutcomesBody
+	CallbackDone  // with a CallbackDoneBody
+	ListUnit      // with a ListBody, answered by a ListAnswer
+	FindMessage   // with a FindBody, answered by a FindAnswer
+	ListHeld      // with a HeldBody, answered by a HeldAnswer
+	FetchCopies   // with a FetchBody, answered by a CopiesBody
+	PutCopies     // with a CopiesBody
+	FindOutcomes  // with a FindOutcomesBody, answered by a FindOutcomesAnswer
 
 	// To carriers.
 	ReserveSequence // with a ReserveBody, answered by a ReserveAnswer
@@ -47,11 +47,11 @@
 	ForwardMessage  // with a DeliverBody, answered by a DeliverAnswer
 
 	// To keepers.
-	ReleaseUnit // from a carrier, with a ReleaseUnitBody
-	GroupLeft   // from a keeper, with a GroupLeftBody
+	ReleaseUnit      // from a carrier, with a ReleaseUnitBody
+	GroupRemovedNode // from a keeper, with a GroupRemovedNodeBody
 
 	// To carriers.
-	TakeTurn // with a TakeTurnBody, answered by a TakeTurnAnswer
+	AcquirePermit // with an AcquirePermitBody, answered by an AcquirePermitAnswer
 )
 
 // RefusalBody is the payload of a Refusal.
@@ -67,15 +67,15 @@
 
 // The codes. The values are part of the protocol.
 const (
-	NotLeader      RefusalCode = iota + 1 // the keeper does not lead the group; RefusalBody.Leader may name the leader
-	UnknownSession                        // the session has ended: the member must open another under a new incarnation
-	NotOwner                              // the carrier does not own the unit, or its messages have been taken over
-	NotReady                              // the owner of the unit cannot serve the call now; it may be repeated
-	Voided                                // the message has been cancelled
-	Failed                                // any other reason, such as a full disk
-	Removed                               // the keeper was removed from the group that it wants to join
-	StaleRoster                           // the call is for an older roster of disks than the store's
-	StaleOffer                            // the offer of the unit was withdrawn: the unit stays with its owner
+	NotLeader        RefusalCode = iota + 1 // the keeper does not lead the group; RefusalBody.Leader may name the leader
+	UnknownSession                          // the session has ended: the member must open another under a new incarnation
+	NotOwner                                // the carrier does not own the unit, or its messages have been taken over
+	NotReady                                // the owner of the unit cannot serve the call now; it may be repeated
+	Cancelled                               // the message has been cancelled
+	CallFailed                              // any other reason, such as a full disk
+	RemovedFromGroup                        // the keeper was removed from the group that it wants to join
+	StaleRoster                             // the call is for an older roster of disks than the store's
+	StaleOffer                              // the offer of the unit was withdrawn: the unit stays with its owner
 )
 
 // AgreementBody carries messages of the agreement protocol of one replica group.
@@ -87,14 +87,14 @@
 
 // JoinGroupBody asks the leader of a replica group to add a keeper as a learner.
 type JoinGroupBody struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Group    int
-	Member   string
-	Knows    bool // the disk of the keeper already holds state of a group
+	_msgpack      struct{} `msgpack:",as_array"`
+	Group         int
+	Member        string
+	HasGroupState bool // the disk of the keeper already holds state of a group
 }
 
-// GroupLeftBody notifies the leader of the sessions group that a replica group has removed a draining machine.
-type GroupLeftBody struct {
+// GroupRemovedNodeBody notifies the leader of the sessions group that a replica group has removed a draining machine.
+type GroupRemovedNodeBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Node     string
 	Group    int
@@ -145,9 +145,9 @@
 	Disk     string
 }
 
-// DiskEmptiedBody notifies the keepers that all messages on a leaving disk have enough replicas on other disks, by the
+// DiskDrainedBody notifies the keepers that all messages on a leaving disk have enough replicas on other disks, by the
 // roster of disks of the given epoch.
-type DiskEmptiedBody struct {
+type DiskDrainedBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Disk     string
 	Epoch    uint64 // 0 from earlier versions, which do not send it
@@ -161,8 +161,8 @@
 	Offer    uint64 // number of the offer
 }
 
-// FindEndsBody queries the outcomes of some messages.
-type FindEndsBody struct {
+// FindOutcomesBody queries the outcomes of some messages.
+type FindOutcomesBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	IDs      []string
 }
@@ -174,22 +174,22 @@
 	Epoch    uint64
 }
 
-// VoidBody cancels a message: it never runs, whether the store has received it already or receives it later.
-type VoidBody struct {
+// CancelBody cancels a message: it never runs, whether the store has received it already or receives it later.
+type CancelBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
 }
 
-// EndsBody records the outcomes of messages.
-type EndsBody struct {
+// OutcomesBody records the outcomes of messages.
+type OutcomesBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	Ends     []message.Outcome
+	Outcomes []message.Outcome
 }
 
-// FoundEnds contains the outcomes that a store has of the messages in a FindEndsBody.
-type FoundEnds struct {
+// FindOutcomesAnswer contains the outcomes that a store has of the messages in a FindOutcomesBody.
+type FindOutcomesAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	Ends     []message.Outcome
+	Outcomes []message.Outcome
 	Complete bool // the store has all that a disk must have to count toward the write quorum: no outcome of the others
 }
 
@@ -253,10 +253,10 @@
 
 // The elements of a HeldState.
 const (
-	HeldBytes HeldState = 1 << iota // the message itself, which may still be needed
-	HeldEnd                         // its outcome
-	HeldVoid                        // that it has been cancelled
-	HeldOwed                        // that the call-back with its outcome is still pending
+	HeldMessage         HeldState = 1 << iota // the message itself, which may still be needed
+	HeldOutcome                               // its outcome
+	HeldCancellation                          // that it has been cancelled
+	HeldPendingCallback                       // that the call-back with its outcome is still pending
 )
 
 // Has reports whether the set contains all of some elements.
@@ -286,11 +286,11 @@
 
 // CopiedMessage is the copy of what a store holds of one message.
 type CopiedMessage struct {
-	_msgpack struct{}         `msgpack:",as_array"`
-	Message  message.Message  // only with ID and unit if the message itself is not needed any more, or was cancelled
-	End      *message.Outcome // the outcome; nil if there is none
-	Void     bool             // the message has been cancelled
-	Age      time.Duration    // since the store received it
+	_msgpack  struct{}         `msgpack:",as_array"`
+	Message   message.Message  // only with ID and unit if the message itself is not needed any more, or was cancelled
+	Outcome   *message.Outcome // the outcome; nil if there is none
+	Cancelled bool             // the message has been cancelled
+	Age       time.Duration    // since the store received it
 }
 
 // CopiesBody contains copies of messages: the answer to FetchCopies, which may cover only the first of the requested
@@ -320,16 +320,16 @@
 	RetryAfter time.Duration
 }
 
-// TakeTurnBody asks the carrier that enforces the rate limit of a service for the next send permit.
-type TakeTurnBody struct {
+// AcquirePermitBody asks the carrier that enforces the rate limit of a service for the next send permit.
+type AcquirePermitBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  string
 	Urgent   bool // the permit is for a message that was taken over from another carrier
 }
 
-// TakeTurnAnswer grants a send permit or not. Wait is the time until the permit may be used or, if none is granted,
-// until the caller should ask again.
-type TakeTurnAnswer struct {
+// AcquirePermitAnswer grants a send permit or not. Wait is the time until the permit may be used or, if none is
+// granted, until the caller should ask again.
+type AcquirePermitAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Granted  bool
 	Wait     time.Duration
