--- a/internal/system/member/client.go
+++ b/internal/system/member/client.go
@@ -33,9 +33,9 @@
 type Events struct {
 	// Changed is called after each change of the view.
 	Changed func(before, after *View)
-	// Lost is called when the keepers report that the session has ended: the process no longer owns the units that it
-	// owned under this incarnation.
-	Lost func()
+	// SessionLost is called when the keepers report that the session has ended: the process no longer owns the units
+	// that it owned under this incarnation.
+	SessionLost func()
 	// Keepers is called when a refusal has added a leader to Client.Keepers, which needs a connection. Keepers that the
 	// feed adds are reported by Changed.
 	Keepers func()
@@ -88,14 +88,14 @@
 // Keeper returns the address of the keeper that the client uses for its session.
 func (c *Client) Keeper() string { return c.keepers[c.keeperIndex] }
 
-// Holds reports whether the session's lease is valid, so that the process may act on what it owns.
-func (c *Client) Holds() bool { return c.loop.Now() < c.leaseUntil }
+// LeaseValid reports whether the session's lease is valid, so that the process may act on what it owns.
+func (c *Client) LeaseValid() bool { return c.loop.Now() < c.leaseUntil }
 
 // Joined reports whether a session was ever opened under the current incarnation.
 func (c *Client) Joined() bool { return c.leaseUntil > 0 }
 
-// InContact reports whether a session is open, with a keeper that answers.
-func (c *Client) InContact() bool { return c.sessionOpen }
+// SessionOpen reports whether a session is open, with a keeper that answers.
+func (c *Client) SessionOpen() bool { return c.sessionOpen }
 
 func (c *Client) openSession() {
 	if c.closed || c.opening {
@@ -238,8 +238,8 @@
 	c.leaseUntil = 0
 	c.member.Replaces = c.member.Incarnation
 	c.member.Incarnation = NewIncarnation(c.loop, c.member.Node)
-	if c.events.Lost != nil {
-		c.events.Lost()
+	if c.events.SessionLost != nil {
+		c.events.SessionLost()
 	}
 	c.opening = false
 	c.switchKeeper(c.keepers[c.keeperIndex])
--- a/internal/system/member/client_test.go
+++ b/internal/system/member/client_test.go
@@ -38,19 +38,19 @@
 		peers.Answer = acceptAll
 		self := session.Member{Incarnation: "edge-1+a", Node: "edge-1", Role: session.Carrier}
 		client = NewClient(peers, peers, []string{firstKeeper, secondKeeper}, self, Events{
-			Changed: func(_, _ *View) {},
-			Lost:    func() { lost++ },
-			Fault:   func(err error) { faults = append(faults, err) },
+			Changed:     func(_, _ *View) {},
+			SessionLost: func() { lost++ },
+			Fault:       func(err error) { faults = append(faults, err) },
 		})
 	})
 
 	ginkgo.It("holds its session while heartbeats are answered, and at most one lease longer", func() {
 		client.Start()
 		peers.Advance(10 * time.Second)
-		Expect(client.Holds()).To(BeTrue())
+		Expect(client.LeaseValid()).To(BeTrue())
 		peers.Answer = func(string, wire.Kind, []byte) ([]byte, error) { return nil, nil }
 		peers.Advance(keeper.MemberLease + heartbeatInterval)
-		Expect(client.Holds()).To(BeFalse())
+		Expect(client.LeaseValid()).To(BeFalse())
 		Expect(client.Joined()).To(BeTrue())
 		Expect(lost).To(BeZero(), "no keeper has reported that the session ended")
 	})
@@ -67,7 +67,7 @@
 		client.Start()
 		peers.Advance(time.Second)
 		Expect(client.Keeper()).To(Equal(thirdKeeper))
-		Expect(client.Holds()).To(BeTrue())
+		Expect(client.LeaseValid()).To(BeTrue())
 	})
 
 	ginkgo.It("opens a session under a new incarnation that names the old one, after its session has ended", func() {
@@ -88,7 +88,7 @@
 		Expect(wire.Decode(wire.OpenSession, peers.LastCall(wire.OpenSession).Payload, &opened)).To(Succeed())
 		Expect(opened.Member.Replaces).To(Equal("edge-1+a"))
 		Expect(opened.Renew).To(BeFalse())
-		Expect(client.Holds()).To(BeTrue())
+		Expect(client.LeaseValid()).To(BeTrue())
 	})
 
 	ginkgo.Context("with a feed", func() {
--- a/internal/system/member/orders.go
+++ b/internal/system/member/orders.go
@@ -4,23 +4,23 @@
 	"granitewing/internal/system/wire"
 )
 
-// Settle notifies the keepers that all messages of a departed carrier have completed. Here and in the methods below,
-// done is called once: with nil when the keepers have recorded it, or with the error of the call.
-func (c *Client) Settle(incarnation string, done func(err error)) {
+// ReportSettled notifies the keepers that all messages of a departed carrier have completed. Here and in the methods
+// below, done is called once: with nil when the keepers have recorded it, or with the error of the call.
+func (c *Client) ReportSettled(incarnation string, done func(err error)) {
 	body := wire.SettleBody{Incarnation: incarnation}
 	c.peers.Call(c.keepers[c.keeperIndex], wire.SettleDeparted, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
 }
 
-// CountDisk notifies the keepers that this store's disk has been backfilled, so that it can count toward the write
-// quorum.
-func (c *Client) CountDisk(done func(err error)) {
+// ReportDiskBackfilled notifies the keepers that this store's disk has been backfilled, so that it can count toward the
+// write quorum.
+func (c *Client) ReportDiskBackfilled(done func(err error)) {
 	body := wire.CountDiskBody{Disk: c.member.Disk}
 	c.peers.Call(c.keepers[c.keeperIndex], wire.CountDisk, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
 }
 
-// DiskEmptied notifies the keepers that every message on this store's leaving disk has enough replicas on other disks,
-// by the roster of disks of the given epoch.
-func (c *Client) DiskEmptied(epoch uint64, done func(err error)) {
+// ReportDiskDrained notifies the keepers that every message on this store's leaving disk has enough replicas on other
+// disks, by the roster of disks of the given epoch.
+func (c *Client) ReportDiskDrained(epoch uint64, done func(err error)) {
 	body := wire.DiskDrainedBody{Disk: c.member.Disk, Epoch: epoch}
 	c.peers.Call(c.keepers[c.keeperIndex], wire.DiskDrained, wire.Encode(&body), openTimeout, func(_ []byte, err error) { done(err) })
 }
--- a/internal/system/member/view.go
+++ b/internal/system/member/view.go
@@ -2,7 +2,7 @@
 //
 // A Client keeps one session with the leader of the keepers. It opens the session, renews its lease by heartbeats,
 // follows the leader when it changes, and starts a session under a new incarnation after the keepers have ended the old
-// one. A process may act on what it owns only while Client.Holds returns true.
+// one. A process may act on what it owns only while Client.LeaseValid returns true.
 //
 // The keeper pushes a feed of changes to each open session. The client applies them to a View, an immutable snapshot of
 // the fleet: members, disks, owners of units, workers and the configuration. Events report changes of both.
@@ -191,8 +191,8 @@
 	return count
 }
 
-// Counted returns the disks that count toward the write quorum, by identity.
-func (v *View) Counted() map[string]session.Disk {
+// QuorumDisks returns the disks that count toward the write quorum, by identity.
+func (v *View) QuorumDisks() map[string]session.Disk {
 	counted := make(map[string]session.Disk, len(v.Disks))
 	for id, disk := range v.Disks {
 		if disk.Counted {
@@ -202,14 +202,15 @@
 	return counted
 }
 
-// Missing returns the disks that count toward the write quorum but have no live store, in ascending order of identity.
-func (v *View) Missing() []string {
+// MissingDisks returns the disks that count toward the write quorum but have no live store, in ascending order of
+// identity.
+func (v *View) MissingDisks() []string {
 	live := map[string]bool{}
 	for _, member := range v.Members {
 		live[member.Disk] = true
 	}
 	var missing []string
-	for id := range ordered.Map(v.Counted()) {
+	for id := range ordered.Map(v.QuorumDisks()) {
 		if !live[id] {
 			missing = append(missing, id)
 		}
--- a/internal/system/role/carrier/core.go
+++ b/internal/system/role/carrier/core.go
@@ -92,7 +92,7 @@
 	self := session.Member{Incarnation: member.NewIncarnation(env, s.NodeName), Node: s.NodeName, Role: session.Carrier,
 		Zone: s.Zone, Address: s.CarrierAddress()}
 	c.session = member.NewClient(env, env, s.SeedKeepers(), self, member.Events{
-		Changed: c.viewChanged, Lost: c.sessionLost, Keepers: c.connect,
+		Changed: c.viewChanged, SessionLost: c.sessionLost, Keepers: c.connect,
 		Fault: func(err error) { env.Report("feed is unreadable", err) },
 	})
 	c.newOwnUnit()
@@ -186,7 +186,7 @@
 		c.env.Inform(fmt.Sprintf("configuration %d is in force", after.Table.Document.Version))
 	}
 	if before.Epoch != after.Epoch {
-		c.env.Inform(fmt.Sprintf("%d disks count toward the write quorum, disk roster %d", len(after.Counted()), after.Epoch))
+		c.env.Inform(fmt.Sprintf("%d disks count toward the write quorum, disk roster %d", len(after.QuorumDisks()), after.Epoch))
 	}
 	if !sameMap(before.Instances, after.Instances) {
 		c.policy.SetInstances(now, after.Instances)
--- a/internal/system/role/carrier/outbox.go
+++ b/internal/system/role/carrier/outbox.go
@@ -118,7 +118,7 @@
 // votingDisks returns the disks of the roster that count toward the write quorum.
 func (s *storage) votingDisks() []string {
 	var disks []string
-	for disk := range ordered.Map(s.core.session.View().Counted()) {
+	for disk := range ordered.Map(s.core.session.View().QuorumDisks()) {
 		disks = append(disks, disk)
 	}
 	return disks
--- a/internal/system/role/carrier/owner.go
+++ b/internal/system/role/carrier/owner.go
@@ -39,7 +39,7 @@
 // try again. It refuses with NotOwner or NotReady if this carrier cannot assign one.
 func (c *Core) Reserve(body wire.ReserveBody) (wire.ReserveAnswer, *wire.RefusalBody) {
 	u := c.units[body.Unit]
-	if u == nil || !c.session.Holds() || c.paused {
+	if u == nil || !c.session.LeaseValid() || c.paused {
 		return wire.ReserveAnswer{}, &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + body.Unit}
 	}
 	if !u.active || u.released() {
@@ -93,7 +93,7 @@
 // again. A message that arrives twice is taken once, even if it arrived at a former owner before.
 func (c *Core) Deliver(body wire.DeliverBody) *wire.RefusalBody {
 	u := c.units[body.Message.Unit]
-	if u == nil || !c.session.Holds() || c.paused || u.token < body.Message.Token {
+	if u == nil || !c.session.LeaseValid() || c.paused || u.token < body.Message.Token {
 		return &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + body.Message.Unit}
 	}
 	if !u.active || u.released() {
--- a/internal/system/role/carrier/recovery_merge.go
+++ b/internal/system/role/carrier/recovery_merge.go
@@ -81,7 +81,7 @@
 			}
 		}
 	}
-	for disk := range ordered.Map(c.session.View().Counted()) {
+	for disk := range ordered.Map(c.session.View().QuorumDisks()) {
 		if r.isCurrent(r.outcomeRound[disk]) {
 			continue
 		}
--- a/internal/system/role/carrier/storage.go
+++ b/internal/system/role/carrier/storage.go
@@ -80,7 +80,7 @@
 // enoughReachable reports whether messages can be stored: enough stores are connected and answer puts.
 func (s *storage) enoughReachable() bool {
 	var reachable []string
-	for disk, entry := range s.core.session.View().Counted() {
+	for disk, entry := range s.core.session.View().QuorumDisks() {
 		if !entry.Leaving && s.isUp(disk) && s.unansweredFor(disk) < suspectTimeout {
 			reachable = append(reachable, disk)
 		}
@@ -116,7 +116,7 @@
 func (s *storage) ranked(excluded []string) []string {
 	view := s.core.session.View()
 	var disks []string
-	for disk, entry := range view.Counted() {
+	for disk, entry := range view.QuorumDisks() {
 		if !entry.Leaving && s.isUp(disk) && !slices.Contains(excluded, disk) {
 			disks = append(disks, disk)
 		}
@@ -159,7 +159,7 @@
 func (s *storage) enoughAnswered(late bool, answerOf func(disk string) diskAnswer) bool {
 	var counting, missing []string
 	all := true
-	for disk, entry := range s.core.session.View().Counted() {
+	for disk, entry := range s.core.session.View().QuorumDisks() {
 		counting = append(counting, entry.Member.Zone)
 		answer := answerOf(disk)
 		all = all && answer != notAnswered
--- a/internal/system/role/carrier/turn.go
+++ b/internal/system/role/carrier/turn.go
@@ -32,7 +32,7 @@
 // ownsRate reports whether this carrier limits the rate of a service and may act on it.
 func (c *Core) ownsRate(service string) bool {
 	u := c.units[ownership.ServiceUnit(service)]
-	return u != nil && u.active && !u.released() && c.session.Holds()
+	return u != nil && u.active && !u.released() && c.session.LeaseValid()
 }
 
 // hasPermit reports whether a message may be sent to a service with a rate now. If not, it schedules a wake-up of
--- a/internal/system/role/carrier/unit.go
+++ b/internal/system/role/carrier/unit.go
@@ -256,6 +256,6 @@
 			continue
 		}
 		u.settling = true
-		c.session.Settle(incarnation, func(error) { u.settling = false })
+		c.session.ReportSettled(incarnation, func(error) { u.settling = false })
 	}
 }
--- a/internal/system/role/store/empty.go
+++ b/internal/system/role/store/empty.go
@@ -97,7 +97,7 @@
 	case e.env.Now()-e.sealedAt > maxSealTime:
 		e.seal(false) // the keepers have not removed the disk yet
 	default:
-		e.session.DiskEmptied(view.Epoch, func(error) {})
+		e.session.ReportDiskDrained(view.Epoch, func(error) {})
 	}
 }
 
--- a/internal/system/role/store/fill.go
+++ b/internal/system/role/store/fill.go
@@ -58,7 +58,7 @@
 func (f *Filler) Follow(view *member.View) {
 	own, known := view.Disks[f.disk]
 	interrupted := own.Counted && !f.complete && !f.env.Complete()
-	if f.running || !known || own.Counted && !interrupted && (!own.Spare || len(view.Missing()) == 0) {
+	if f.running || !known || own.Counted && !interrupted && (!own.Spare || len(view.MissingDisks()) == 0) {
 		return
 	}
 	f.env.Report("a disk is missing or this one is new: backfilling this disk from the other stores", nil)
@@ -127,7 +127,7 @@
 // advance goes to the next stage and reports whether the backfill is over.
 func (f *Filler) advance(view *member.View) bool {
 	own := view.Disks[f.disk]
-	missing := len(view.Missing())
+	missing := len(view.MissingDisks())
 	switch {
 	case f.epoch > 0:
 		f.complete = true
@@ -162,12 +162,12 @@
 	}
 	f.countRequested, f.countRequestedAt = true, f.env.Now()
 	f.previousDisks = map[string]string{}
-	for id, other := range view.Counted() {
+	for id, other := range view.QuorumDisks() {
 		if id != f.disk {
 			f.previousDisks[id] = other.Member.Zone
 		}
 	}
-	f.session.CountDisk(func(err error) {
+	f.session.ReportDiskBackfilled(func(err error) {
 		if err != nil {
 			f.countRequested = false
 		}
