--- a/internal/system/delivery/delivery_test.go
+++ b/internal/system/delivery/delivery_test.go
@@ -41,9 +41,9 @@
 		policy.SetInstances(now, list)
 		held := map[string]int{}
 		for range 12 {
-			policy.Arrive(now, "s", "r", second)
+			policy.RecordArrival(now, "s", "r", second)
 			worker := pick()
-			policy.Start(now, worker)
+			policy.RecordStart(now, worker)
 			held[worker.ID]++
 		}
 		Expect(held["i-1"]).To(BeNumerically(">=", 4))
@@ -57,7 +57,7 @@
 		for range 8 {
 			worker := pick()
 			Expect(worker.Static).To(BeTrue())
-			policy.Start(now, worker)
+			policy.RecordStart(now, worker)
 		}
 		policy.SetService(now, "s", 90, "")
 		Expect(pick()).To(BeNil())
@@ -69,10 +69,10 @@
 		for i := range 100 {
 			policy.SetService(now, fmt.Sprintf("gone-%d", i), 90, "10.0.0.1:80")
 		}
-		policy.KeepServices(func(service string) bool { return service == "s" })
+		policy.RemoveServicesExcept(func(service string) bool { return service == "s" })
 		Expect(policy.pools).To(HaveLen(1))
 		Expect(pick()).NotTo(BeNil())
-		policy.KeepServices(func(string) bool { return false })
+		policy.RemoveServicesExcept(func(string) bool { return false })
 		policy.SetInstances(now, nil)
 		Expect(policy.pools).To(BeEmpty())
 	})
@@ -83,23 +83,23 @@
 		var out []*Worker
 		for turn := range attempts {
 			now += 20 * time.Millisecond
-			policy.Arrive(now, "s", "r", second)
+			policy.RecordArrival(now, "s", "r", second)
 			worker := pick()
-			policy.Start(now, worker)
+			policy.RecordStart(now, worker)
 			taken[worker.ID]++
 			out = append(out, worker)
 			if len(out) <= 6 {
 				continue
 			}
-			result := Ran
+			result := Completed
 			if fails(turn, out[0].ID) {
 				result = Failed
 			}
-			policy.Finish(now, out[0], result, 120*time.Millisecond, Load{})
+			policy.RecordResult(now, out[0], result, 120*time.Millisecond, Load{})
 			out = out[1:]
 		}
 		for _, worker := range out {
-			policy.Finish(now, worker, Ran, 120*time.Millisecond, Load{})
+			policy.RecordResult(now, worker, Completed, 120*time.Millisecond, Load{})
 		}
 		return taken
 	}
@@ -120,11 +120,11 @@
 	})
 
 	ginkgo.It("distributes messages over workers by backlog", func() {
-		policy.Arrive(now, "s", "r", second)
+		policy.RecordArrival(now, "s", "r", second)
 		held := map[string]int{}
 		for range 9 {
 			worker := pick()
-			policy.Start(now, worker)
+			policy.RecordStart(now, worker)
 			held[worker.ID]++
 		}
 		Expect(held).To(Equal(map[string]int{"i-0": 3, "i-1": 3, "i-2": 3}))
@@ -132,10 +132,10 @@
 
 	ginkgo.It("limits the load of a worker from all carriers to its slots and a short queue", func() {
 		for range 24 {
-			policy.Start(now, pick())
+			policy.RecordStart(now, pick())
 		}
 		Expect(pick()).To(BeNil())
-		policy.Finish(now, policy.Workers("s")[0], Ran, 10*time.Millisecond, Load{Known: true, Running: 4, Waiting: 9})
+		policy.RecordResult(now, policy.Workers("s")[0], Completed, 10*time.Millisecond, Load{Known: true, Running: 4, Waiting: 9})
 		Expect(pick()).To(BeNil())
 	})
 
@@ -143,19 +143,19 @@
 		slow := policy.Workers("s")[0]
 		for range 30 {
 			for _, worker := range policy.Workers("s") {
-				policy.Start(now, worker)
+				policy.RecordStart(now, worker)
 				took := 50 * time.Millisecond
 				if worker == slow {
 					took = 500 * time.Millisecond
 				}
-				policy.Finish(now, worker, Ran, took, Load{})
+				policy.RecordResult(now, worker, Completed, took, Load{})
 			}
 		}
 		held := map[string]int{}
 		for range 9 {
-			policy.Arrive(now, "s", "r", second)
+			policy.RecordArrival(now, "s", "r", second)
 			worker := pick()
-			policy.Start(now, worker)
+			policy.RecordStart(now, worker)
 			held[worker.ID]++
 		}
 		Expect(held[slow.ID]).To(BeNumerically("<", held["i-1"]))
@@ -176,42 +176,42 @@
 	ginkgo.It("opens a breaker after consecutive failures, and closes it after a successful probe", func() {
 		faulty := policy.Workers("s")[0]
 		for range breakerThreshold {
-			policy.Start(now, faulty)
-			policy.Finish(now, faulty, Silent, second, Load{})
+			policy.RecordStart(now, faulty)
+			policy.RecordResult(now, faulty, TimedOut, second, Load{})
 		}
 		Expect(faulty.Usable(now)).To(BeFalse())
 		later := now + breakerMinOpen
 		Expect(faulty.Usable(later)).To(BeTrue())
-		policy.Start(later, faulty)
+		policy.RecordStart(later, faulty)
 		Expect(faulty.Usable(later)).To(BeFalse(), "one probe at a time")
-		policy.Finish(later, faulty, Ran, 10*time.Millisecond, Load{})
+		policy.RecordResult(later, faulty, Completed, 10*time.Millisecond, Load{})
 		Expect(faulty.Usable(later)).To(BeTrue())
-		_, known := policy.Wake(later+breakerMinOpen, "s")
+		_, known := policy.NextAvailable(later+breakerMinOpen, "s")
 		Expect(known).To(BeFalse())
 	})
 
 	ginkgo.It("avoids a worker that did not run a message, and the one tried last if there is another", func() {
 		first := pick()
-		policy.Start(now, first)
-		policy.Finish(now, first, NotRun, time.Millisecond, Load{})
+		policy.RecordStart(now, first)
+		policy.RecordResult(now, first, NotRun, time.Millisecond, Load{})
 		Expect(pick().ID).NotTo(Equal(first.ID))
 		Expect(policy.Pick(now, "s", "r", second, "i-1").ID).To(Equal("i-2"))
 	})
 })
 
-var _ = ginkgo.Describe("Pace", func() {
+var _ = ginkgo.Describe("RateLimiter", func() {
 	ginkgo.It("keeps every time window under the rate across changes of owner", func() {
 		const rate, window = 39.0, 5 * second
 		var sent []time.Duration
 		now := time.Duration(0)
 		for owner := range 4 {
-			pace := Pace{}
+			pace := RateLimiter{}
 			pace.SetRate(rate)
 			if owner > 0 {
-				pace.Hold(now + 100*time.Millisecond)
+				pace.BlockUntil(now + 100*time.Millisecond)
 			}
 			for end := now + 3*second; now < end; now += time.Millisecond {
-				for pace.Take(now) {
+				for pace.Allow(now) {
 					sent = append(sent, now)
 				}
 			}
@@ -227,18 +227,18 @@
 	})
 
 	ginkgo.It("does not accumulate idle time", func() {
-		pace := Pace{}
+		pace := RateLimiter{}
 		pace.SetRate(10)
 		count := 0
-		for pace.Take(60 * second) {
+		for pace.Allow(60 * second) {
 			count++
 		}
 		Expect(count).To(BeNumerically("<=", 2))
 	})
 
 	ginkgo.It("lets every message through without a rate", func() {
-		pace := Pace{}
-		Expect(pace.Take(0)).To(BeTrue())
-		Expect(pace.Take(0)).To(BeTrue())
+		pace := RateLimiter{}
+		Expect(pace.Allow(0)).To(BeTrue())
+		Expect(pace.Allow(0)).To(BeTrue())
 	})
 })
--- a/internal/system/delivery/policy.go
+++ b/internal/system/delivery/policy.go
@@ -9,10 +9,10 @@
 // as one server with a service time of d/c, where d is its run time. Its backlog u is the work of all messages that
 // it holds, divided by c.
 //
-// A carrier declares services and workers with SetService and SetInstances, and counts arrivals with Arrive. It
-// calls Pick for each due message, Start when it sends the message and Finish when the attempt ends. Where Pick
-// returns nil, the caller tries again when an attempt finishes, or at the time that Wake returns. Pace is the rate
-// limiter of one service.
+// A carrier declares services and workers with SetService and SetInstances, and counts arrivals with RecordArrival. It
+// calls Pick for each due message, RecordStart when it sends the message and RecordResult when the attempt ends. Where
+// Pick returns nil, the caller tries again when an attempt finishes, or at the time that NextAvailable returns.
+// RateLimiter is the rate limiter of one service.
 //
 // All times are durations since an origin that the caller chooses; the package reads no clock. Its types are not
 // safe for concurrent use.
@@ -72,8 +72,8 @@
 	failureShareAt time.Duration
 }
 
-// Held returns the number of this carrier's messages that are in flight at the worker.
-func (w *Worker) Held() int { return w.inFlight }
+// InFlight returns the number of this carrier's messages that are in flight at the worker.
+func (w *Worker) InFlight() int { return w.inFlight }
 
 // Usable reports whether a message may be sent to the worker: it is listed, it is not draining, and its breaker
 // is closed or lets a probe through.
@@ -133,7 +133,7 @@
 // Pick returns the worker with the lowest cost for a message of a route that should start within slack. It returns nil
 // if no worker of the service can take a message now. exclude is the ID of the worker that was tried last, or empty;
 // that worker is returned only if there is no other. A
-// static endpoint is returned whatever its cost. Pick does not count the message; call Start when it is sent.
+// static endpoint is returned whatever its cost. Pick does not count the message; call RecordStart when it is sent.
 func (p *Policy) Pick(now time.Duration, service, route string, slack time.Duration, exclude string) *Worker {
 	pool := p.pools[service]
 	if pool == nil {
--- a/internal/system/delivery/pool.go
+++ b/internal/system/delivery/pool.go
@@ -63,9 +63,9 @@
 	p.rebuildSorted()
 }
 
-// KeepServices removes the services that the configuration no longer has, and their static endpoints. Workers that the
-// platform lists for such a service stay until SetInstances omits them.
-func (p *Policy) KeepServices(has func(service string) bool) {
+// RemoveServicesExcept removes the services that the configuration no longer has, and their static endpoints. Workers
+// that the platform lists for such a service stay until SetInstances omits them.
+func (p *Policy) RemoveServicesExcept(has func(service string) bool) {
 	for service, pool := range p.pools {
 		if has(service) {
 			continue
@@ -134,9 +134,9 @@
 	sortByID(p.sorted)
 }
 
-// Arrive counts the arrival of a message of a route at a service, with the route's target latency to the
+// RecordArrival counts the arrival of a message of a route at a service, with the route's target latency to the
 // start of the run.
-func (p *Policy) Arrive(now time.Duration, service, route string, target time.Duration) {
+func (p *Policy) RecordArrival(now time.Duration, service, route string, target time.Duration) {
 	pool := p.pool(service)
 	pool.decay(now)
 	pool.arrivals++
--- a/internal/system/delivery/learn.go
+++ b/internal/system/delivery/results.go
@@ -11,12 +11,12 @@
 
 // The results of an attempt.
 const (
-	Ran      Result = iota + 1 // the run's own response: success or refusal
-	Failed                     // a response that this attempt failed
-	NotRun                     // a response that the worker did not run the message
-	Broken                     // the connection was reset or closed, or the response was unusable
-	Silent                     // no response by the deadline
-	NoAnswer                   // nothing was sent: no connection could be made
+	Completed        Result = iota + 1 // the run's own response: success or refusal
+	Failed                             // a response that this attempt failed
+	NotRun                             // a response that the worker did not run the message
+	ConnectionFailed                   // the connection was reset or closed, or the response was unusable
+	TimedOut                           // no response by the deadline
+	NotSent                            // nothing was sent: no connection could be made
 )
 
 // Load is a worker's own report of the messages that it holds, from all carriers.
@@ -29,8 +29,8 @@
 	sort.Slice(workers, func(i, j int) bool { return workers[i].ID < workers[j].ID })
 }
 
-// Start records that a message was sent to a worker. Each Start is followed by one Finish.
-func (p *Policy) Start(now time.Duration, worker *Worker) {
+// RecordStart records that a message was sent to a worker. Each RecordStart is followed by one RecordResult.
+func (p *Policy) RecordStart(now time.Duration, worker *Worker) {
 	worker.inFlight++
 	if worker.consecutiveFailures >= breakerThreshold {
 		worker.probing = true
@@ -40,8 +40,8 @@
 	}
 }
 
-// Finish records the result of an attempt, its duration and the load that the worker reported with it.
-func (p *Policy) Finish(now time.Duration, worker *Worker, result Result, took time.Duration, load Load) {
+// RecordResult records the result of an attempt, its duration and the load that the worker reported with it.
+func (p *Policy) RecordResult(now time.Duration, worker *Worker, result Result, took time.Duration, load Load) {
 	if worker.inFlight > 0 {
 		worker.inFlightWork -= worker.inFlightWork / float64(worker.inFlight)
 		worker.inFlight--
@@ -49,7 +49,7 @@
 	worker.probing = false
 	worker.updateFailureShare(now, result)
 	switch result {
-	case Ran:
+	case Completed:
 		worker.consecutiveFailures, worker.openDuration = 0, 0
 		p.recordRunTime(worker, took)
 	case Failed:
@@ -72,7 +72,7 @@
 func (w *Worker) updateFailureShare(now time.Duration, result Result) {
 	outcome := 0.0
 	switch result {
-	case Failed, Broken, Silent, NoAnswer:
+	case Failed, ConnectionFailed, TimedOut, NotSent:
 		outcome = 1
 	case NotRun:
 		outcome = notRunFailure
@@ -117,9 +117,9 @@
 	worker.openUntil = now + worker.openDuration
 }
 
-// Wake returns the earliest time at which a breaker of the service lets a probe through or the pause after a NotRun
-// ends. It returns false if no worker of the service is waiting for either.
-func (p *Policy) Wake(now time.Duration, service string) (time.Duration, bool) {
+// NextAvailable returns the earliest time at which a breaker of the service lets a probe through or the pause after a
+// NotRun ends. It returns false if no worker of the service is waiting for either.
+func (p *Policy) NextAvailable(now time.Duration, service string) (time.Duration, bool) {
 	pool := p.pools[service]
 	if pool == nil {
 		return 0, false
--- a/internal/system/role/carrier/core.go
+++ b/internal/system/role/carrier/core.go
@@ -212,14 +212,14 @@
 func (c *Core) applyConfiguration(now time.Duration, table *configuration.Table) {
 	clear(c.ownerBusyUntil) // it may name services that no longer exist
 	services := table.Document.Services
-	c.policy.KeepServices(func(service string) bool { return services[service] != nil })
+	c.policy.RemoveServicesExcept(func(service string) bool { return services[service] != nil })
 	for name, service := range services {
 		c.policy.SetService(now, name, service.MaxConnections, service.Static)
 		c.queue(name).pace.SetRate(service.Rate)
 	}
 	c.policy.SetInstances(now, c.session.View().Instances) // a service may have lost its static endpoint
 	for name, q := range c.queues {
-		if services[name] == nil && q.empty() && now > q.pace.Due()+rateWindow {
+		if services[name] == nil && q.empty() && now > q.pace.NextAllowed()+rateWindow {
 			delete(c.queues, name)
 		}
 	}
--- a/internal/system/role/carrier/dispatch.go
+++ b/internal/system/role/carrier/dispatch.go
@@ -84,7 +84,7 @@
 		return
 	}
 	if it.attempts == 0 {
-		c.policy.Arrive(c.env.Now(), route.Service, route.Name, route.TargetStart)
+		c.policy.RecordArrival(c.env.Now(), route.Service, route.Name, route.TargetStart)
 	}
 	q := c.queue(route.Service)
 	q.add(it, it.takenOverDue && it.attempts == 0)
@@ -158,7 +158,7 @@
 	}
 	worker := c.policy.Pick(now, q.service, route.Name, startBy-now, it.lastWorker)
 	if worker == nil {
-		next, known := c.policy.Wake(now, q.service)
+		next, known := c.policy.NextAvailable(now, q.service)
 		if !known || next > now+retryWhenFull {
 			next = now + retryWhenFull
 		}
@@ -197,7 +197,7 @@
 	c.inFlight[it.message.ID] = it
 	backlog := &c.queue(route.Service).backlog
 	backlog.running++
-	c.policy.Start(now, worker)
+	c.policy.RecordStart(now, worker)
 	c.figures.Delivered++
 	attempt := Attempt{Message: it.message, Address: worker.Address, Deadline: route.Timeout, Repeat: it.attempts > 1 || it.takenOver}
 	if !worker.Static {
@@ -212,25 +212,25 @@
 func resultOf(outcome Outcome) delivery.Result {
 	switch outcome.Kind {
 	case RunSucceeded, RunRefused:
-		return delivery.Ran
+		return delivery.Completed
 	case RunFailed:
 		return delivery.Failed
 	case NotRun:
 		return delivery.NotRun
 	case NotSent:
-		return delivery.NoAnswer
+		return delivery.NotSent
 	}
 	if outcome.Silent {
-		return delivery.Silent
+		return delivery.TimedOut
 	}
-	return delivery.Broken
+	return delivery.ConnectionFailed
 }
 
 func (c *Core) attemptFinished(it *item, route *configuration.Route, worker *delivery.Worker, outcome Outcome) {
 	now := c.env.Now()
 	it.inFlight = false
 	delete(c.inFlight, it.message.ID)
-	c.policy.Finish(now, worker, resultOf(outcome), outcome.Took, outcome.Load)
+	c.policy.RecordResult(now, worker, resultOf(outcome), outcome.Took, outcome.Load)
 	q := c.queue(route.Service)
 	switch outcome.Kind {
 	case RunSucceeded:
@@ -247,7 +247,7 @@
 		c.retryLater(it, backoffFailed)
 	case NotRun:
 		if worker.Static {
-			q.pace.Hold(now + rateHoldAfterRefusal)
+			q.pace.BlockUntil(now + rateHoldAfterRefusal)
 		}
 		c.retryLater(it, backoffNotRun)
 	default:
--- a/internal/system/role/carrier/queue.go
+++ b/internal/system/role/carrier/queue.go
@@ -23,7 +23,7 @@
 	fresh     fifo
 	late      lateHeap
 	lateByAge fifo // late messages in the order in which they became late
-	pace      delivery.Pace
+	pace      delivery.RateLimiter
 	permit    permit // for a service whose rate another carrier controls
 	// urgentUntil is set for a service whose rate this carrier controls, while another carrier has messages that it
 	// took over. Until then messages that were not taken over wait.
--- a/internal/system/role/carrier/turn.go
+++ b/internal/system/role/carrier/turn.go
@@ -39,7 +39,7 @@
 // the queue for when one may.
 func (c *Core) hasPermit(now time.Duration, q *queue) bool {
 	if c.ownsRate(q.service) {
-		due := q.pace.Due()
+		due := q.pace.NextAllowed()
 		if now < q.urgentUntil && q.takenOver.liveFront(q) == nil {
 			due = max(due, q.urgentUntil)
 		}
@@ -66,7 +66,7 @@
 // usePermit uses up the permit that hasPermit found.
 func (c *Core) usePermit(now time.Duration, q *queue) {
 	if c.ownsRate(q.service) {
-		q.pace.Take(now)
+		q.pace.Allow(now)
 		return
 	}
 	q.permit.held = false
@@ -118,10 +118,10 @@
 	} else if now < q.urgentUntil || q.takenOver.liveFront(q) != nil {
 		return wire.AcquirePermitAnswer{Wait: permitRetry}, nil
 	}
-	wait := max(0, q.pace.Due()-now)
+	wait := max(0, q.pace.NextAllowed()-now)
 	if wait > maxPermitLead {
 		return wire.AcquirePermitAnswer{Wait: wait - maxPermitLead}, nil
 	}
-	q.pace.Take(now + wait)
+	q.pace.Allow(now + wait)
 	return wire.AcquirePermitAnswer{Granted: true, Wait: wait}, nil
 }
--- a/internal/system/role/carrier/unit.go
+++ b/internal/system/role/carrier/unit.go
@@ -84,7 +84,7 @@
 	c.units[name] = u
 	if service, paced := strings.CutPrefix(name, ownership.ServiceUnit("")); paced {
 		// A message that the former owner sent last may still be in transit.
-		c.queue(service).pace.Hold(c.env.Now() + rateHoldAfterTakeover)
+		c.queue(service).pace.BlockUntil(c.env.Now() + rateHoldAfterTakeover)
 	}
 	c.recover(u)
 	return u
