--- a/internal/system/node/carrier.go
+++ b/internal/system/node/carrier.go
@@ -85,11 +85,11 @@
 	started := n.Now()
 	log.Info("shutting down: readiness checks fail from now on")
 	n.draining.Store(true)
-	n.withLock(n.core.StopReady)
+	n.withLock(n.core.BeginShutdown)
 	time.Sleep(time.Duration(acceptFraction * float64(grace)))
 	frontListener.Close()
 	done := make(chan struct{})
-	n.withLock(func() { n.core.Drain(started, func() { close(done) }) })
+	n.withLock(func() { n.core.Shutdown(started, func() { close(done) }) })
 	remaining := func() time.Duration { return grace - (n.Now() - started) - grace/20 }
 	select {
 	case <-done:
@@ -118,11 +118,11 @@
 	}
 }
 
-// Report implements carrier.Environment.
-func (n *carrierNode) Report(event string, err error) { report(event, err) }
+// LogWarning implements carrier.Environment.
+func (n *carrierNode) LogWarning(event string, err error) { report(event, err) }
 
-// Inform implements carrier.Environment.
-func (n *carrierNode) Inform(event string) { log.Info(event) }
+// LogInfo implements carrier.Environment.
+func (n *carrierNode) LogInfo(event string) { log.Info(event) }
 
 // report logs a warning for the operator, with err if it is not nil.
 func report(event string, err error) {
--- a/internal/system/node/front.go
+++ b/internal/system/node/front.go
@@ -72,7 +72,7 @@
 	if contentType := request.Header.Get(wire.HeaderContentType); contentType != "" {
 		m.Headers = append(m.Headers, message.Header{Name: wire.HeaderContentType, Value: contentType})
 	}
-	return &carrier.Submission{Message: m, Path: request.URL.EscapedPath(), Left: headerDuration(request, wire.HeaderDeadline)}
+	return &carrier.Submission{Message: m, Path: request.URL.EscapedPath(), ClientTimeout: headerDuration(request, wire.HeaderDeadline)}
 }
 
 // headerDuration parses a header that holds milliseconds. It returns 0 if the header is missing, negative or not a number.
@@ -107,10 +107,10 @@
 func (n *carrierNode) handleState(c echo.Context, withBody bool) error {
 	id := c.Param("id")
 	found := make(chan carrier.State, 1)
-	n.withLock(func() { n.core.Find(id, withBody, func(state carrier.State) { found <- state }) })
+	n.withLock(func() { n.core.QueryState(id, withBody, func(state carrier.State) { found <- state }) })
 	state := <-found
 	switch {
-	case state.Unclear:
+	case state.Indeterminate:
 		c.Response().Header().Set(wire.HeaderRetryAfter, "1")
 		return c.JSON(http.StatusServiceUnavailable, &errorResponse{Error: "not all stores answered"})
 	case !state.Known || withBody && !state.HasBody:
--- a/internal/system/node/worker.go
+++ b/internal/system/node/worker.go
@@ -27,11 +27,11 @@
 }
 
 // Deliver implements carrier.Environment. It sends in the background and calls done under the loop's mutex.
-func (n *carrierNode) Deliver(attempt carrier.Attempt, done func(carrier.Outcome)) {
+func (n *carrierNode) Deliver(attempt carrier.Attempt, done func(carrier.AttemptOutcome)) {
 	go func() {
 		started := n.Now()
 		outcome := n.workers.Send(attempt)
-		outcome.Took = n.Now() - started
+		outcome.Duration = n.Now() - started
 		n.withLock(func() { done(outcome) })
 	}()
 }
--- a/internal/system/role/carrier/accept.go
+++ b/internal/system/role/carrier/accept.go
@@ -14,8 +14,8 @@
 type Submission struct {
 	Message message.Message // without unit, route and sequence number; Submit fills them in
 	Path    string          // path of the target URL, escaped as the client sent it
-	// Left is how long the client still waits for an answer, as stated in its request; 0 if it stated nothing.
-	Left time.Duration
+	// ClientTimeout is how long the client still waits for an answer, as stated in its request; 0 if it stated nothing.
+	ClientTimeout time.Duration
 }
 
 // Verdict classifies the answer to a submission.
@@ -23,10 +23,10 @@
 
 // The verdicts.
 const (
-	Accepted Verdict = iota + 1
-	NoRoute          // no route matches; HTTP status 404
-	Refused          // not accepted, the message never runs; HTTP status 503
-	Unclear          // not known whether it was accepted, the message may run; HTTP status 504
+	Accepted      Verdict = iota + 1
+	NoRoute               // no route matches; HTTP status 404
+	Refused               // not accepted, the message never runs; HTTP status 503
+	Indeterminate         // not known whether it was accepted, the message may run; HTTP status 504
 )
 
 // Answer is the answer to a client's submission. RetryAfter is set for Refused only; Reason is empty for Accepted.
@@ -90,8 +90,8 @@
 		c.refuse(answer, "too few stores are reachable")
 		return
 	}
-	a := &acceptance{core: c, message: &s.Message, route: route, answer: answer, received: c.env.Now(), clientTimeout: s.Left}
-	a.deadline = a.received + holdDuration(s.Left, route)
+	a := &acceptance{core: c, message: &s.Message, route: route, answer: answer, received: c.env.Now(), clientTimeout: s.ClientTimeout}
+	a.deadline = a.received + holdDuration(s.ClientTimeout, route)
 	a.message.Version = message.Version(view.Table.Document.Version)
 	a.message.Retention = route.Retention
 	a.assignUnit(view.Table.Service(route))
--- a/internal/system/role/carrier/accept_store.go
+++ b/internal/system/role/carrier/accept_store.go
@@ -63,7 +63,7 @@
 }
 
 // giveUp answers a submission that could not be stored in time. If every store that may hold the message has
-// cancelled it, the message never runs and the submission is refused. Otherwise the answer is Unclear.
+// cancelled it, the message never runs and the submission is refused. Otherwise the answer is Indeterminate.
 func (a *acceptance) giveUp() {
 	c := a.core
 	a.done = true
@@ -97,6 +97,6 @@
 }
 
 func (a *acceptance) answerUnclear() {
-	a.core.figures.Unclear++
-	a.answer(Answer{Verdict: Unclear, Reason: "it could not be stored in time"})
+	a.core.figures.Indeterminate++
+	a.answer(Answer{Verdict: Indeterminate, Reason: "it could not be stored in time"})
 }
--- a/internal/system/role/carrier/callback.go
+++ b/internal/system/role/carrier/callback.go
@@ -49,19 +49,19 @@
 // idle reports whether no call-back is queued, in flight or pausing for the receiver.
 func (r *receiver) idle() bool { return r.inFlight == 0 && r.backingOff == 0 && len(r.waiting) == 0 }
 
-// GivenUpError reports a call-back that was abandoned because its receiver never accepted it.
-type GivenUpError struct {
+// CallbackAbandonedError reports a call-back that was abandoned because its receiver never accepted it.
+type CallbackAbandonedError struct {
 	ID     string // of the message
 	Tries  int
 	Status int   // of the last answer; 0 if there was none
 	Err    error // of the last attempt
 }
 
-func (e *GivenUpError) Error() string {
+func (e *CallbackAbandonedError) Error() string {
 	return fmt.Sprintf("message %s: %d attempts, last status %d, last error: %v", e.ID, e.Tries, e.Status, e.Err)
 }
 
-func (e *GivenUpError) Unwrap() error { return e.Err }
+func (e *CallbackAbandonedError) Unwrap() error { return e.Err }
 
 type callbackBody struct {
 	ID    string        `json:"id"`
@@ -177,7 +177,7 @@
 		c.finishCallback(call)
 	case call.rejections >= maxRejections || c.env.Now()-call.queuedAt > message.OwedCallbackFactor*c.settings.Bounds.Status:
 		r.failures = 0
-		c.env.Report("call-back abandoned", &GivenUpError{ID: call.outcome.ID, Tries: call.attempts, Status: status, Err: err})
+		c.env.LogWarning("call-back abandoned", &CallbackAbandonedError{ID: call.outcome.ID, Tries: call.attempts, Status: status, Err: err})
 		c.finishCallback(call)
 	default:
 		r.failures++
--- a/internal/system/role/carrier/callback_test.go
+++ b/internal/system/role/carrier/callback_test.go
@@ -22,11 +22,11 @@
 func (r *fixture) runMessages(t *testing.T, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
-		if refusal := r.core.Deliver(deliverBodyWithCallback(id, ownedToken)); refusal != nil {
+		if refusal := r.core.TakeMessage(deliverBodyWithCallback(id, ownedToken)); refusal != nil {
 			t.Fatal(refusal.Reason)
 		}
 		r.Advance(100 * time.Millisecond)
-		r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
+		r.finish(AttemptOutcome{Kind: RunSucceeded, Stamp: "s"})
 	}
 }
 
@@ -36,7 +36,7 @@
 	r := newFixture()
 	r.receive = func(string) int { return http.StatusOK }
 	r.store("disk-2").outcomes["m1"] = message.Outcome{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
-	r.core.Deliver(deliverBodyWithCallback("m1", ownedToken-1))
+	r.core.TakeMessage(deliverBodyWithCallback("m1", ownedToken-1))
 	r.Advance(time.Second)
 	if !slices.Equal(r.calledBack, []string{"m1"}) || len(r.sent) > 0 {
 		t.Errorf("call-backs made for %v, messages sent %v", r.calledBack, r.sent)
@@ -109,7 +109,7 @@
 	}
 	r.runMessages(t, "m1", "m2", "m3", "m4")
 	stopped := false
-	r.core.Drain(r.Now(), func() { stopped = true })
+	r.core.Shutdown(r.Now(), func() { stopped = true })
 	for !stopped {
 		r.Advance(50 * time.Millisecond)
 	}
--- a/internal/system/role/carrier/core.go
+++ b/internal/system/role/carrier/core.go
@@ -10,7 +10,7 @@
 //
 // Core is one carrier. A driver or a simulation implements Environment, creates the core with New, calls Start,
 // passes on events of its connections (PeerUp, PeerDown, FeedUpdate, Handle) and submits client requests with
-// Submit and Find. Drain shuts it down gracefully. All methods must be called from one goroutine or event loop.
+// Submit and QueryState. Shutdown stops it gracefully. All methods must be called from one goroutine or event loop.
 package carrier
 
 import (
@@ -34,16 +34,16 @@
 	loop.Loop
 	loop.Peers
 	// Deliver sends an attempt to a worker and calls done once, later.
-	Deliver(attempt Attempt, done func(outcome Outcome))
+	Deliver(attempt Attempt, done func(outcome AttemptOutcome))
 	// Post sends an outcome to a call-back URL; keep allows the connection to be reused. It calls done with the HTTP
 	// status, or with an error if there was no answer.
 	Post(url string, body []byte, keep bool, timeout time.Duration, done func(status int, err error))
 	// ReadCatalog reads the platform's list of workers.
 	ReadCatalog(done func(instances map[string]catalog.Instance, err error))
-	// Report logs an event that an operator should see. err may be nil.
-	Report(event string, err error)
-	// Inform logs a normal event in the carrier's operation.
-	Inform(event string)
+	// LogWarning logs an event that an operator should see. err may be nil.
+	LogWarning(event string, err error)
+	// LogInfo logs a normal event in the carrier's operation.
+	LogInfo(event string)
 }
 
 // Core is the state machine of one carrier.
@@ -71,16 +71,16 @@
 	draining           bool
 	paused             bool // no new delivery starts
 	relistScheduled    bool
-	figures            Figures
+	figures            Counters
 	// endedBeforeLogged is set while a log line about messages that completed before they arrived here is pending.
 	completedBeforeLogged bool
 }
 
-// Figures counts events since the carrier started.
-type Figures struct {
-	Accepted, Refused, Unclear, Delivered, Failed, Ended, Callbacks uint64
-	// EndedBefore counts messages that were passed to this carrier after they had completed under a former owner.
-	EndedBefore uint64
+// Counters holds the counts of events since the carrier started.
+type Counters struct {
+	Accepted, Refused, Indeterminate, Delivered, Failed, Completed, Callbacks uint64
+	// CompletedBefore counts messages that were passed to this carrier after they had completed under a former owner.
+	CompletedBefore uint64
 }
 
 // New returns a carrier. Start starts it.
@@ -93,7 +93,7 @@
 		Zone: s.Zone, Address: s.CarrierAddress()}
 	c.session = member.NewClient(env, env, s.SeedKeepers(), self, member.Events{
 		Changed: c.viewChanged, SessionLost: c.sessionLost, Keepers: c.connect,
-		Fault: func(err error) { env.Report("feed is unreadable", err) },
+		Fault: func(err error) { env.LogWarning("feed is unreadable", err) },
 	})
 	c.newOwnUnit()
 	return c
@@ -183,10 +183,10 @@
 	}
 	if before.Table != after.Table {
 		c.applyConfiguration(now, after.Table)
-		c.env.Inform(fmt.Sprintf("configuration %d is in force", after.Table.Document.Version))
+		c.env.LogInfo(fmt.Sprintf("configuration %d is in force", after.Table.Document.Version))
 	}
 	if before.Epoch != after.Epoch {
-		c.env.Inform(fmt.Sprintf("%d disks count toward the write quorum, disk roster %d", len(after.QuorumDisks()), after.Epoch))
+		c.env.LogInfo(fmt.Sprintf("%d disks count toward the write quorum, disk roster %d", len(after.QuorumDisks()), after.Epoch))
 	}
 	if !sameMap(before.Instances, after.Instances) {
 		c.policy.SetInstances(now, after.Instances)
@@ -240,7 +240,7 @@
 		c.env.ReadCatalog(func(instances map[string]catalog.Instance, err error) {
 			c.catalogBusy = false
 			if err != nil {
-				c.env.Report("cannot read the platform's list of workers", err)
+				c.env.LogWarning("cannot read the platform's list of workers", err)
 				return
 			}
 			c.session.SetInstances(begun, func(view *member.View) {
@@ -275,8 +275,8 @@
 // Incarnation returns the incarnation of this carrier's session.
 func (c *Core) Incarnation() string { return c.session.Incarnation() }
 
-// Figures returns the current counts.
-func (c *Core) Figures() Figures { return c.figures }
+// Counters returns the current counts.
+func (c *Core) Counters() Counters { return c.figures }
 
 // item is a message that this carrier is responsible for.
 type item struct {
--- a/internal/system/role/carrier/dispatch.go
+++ b/internal/system/role/carrier/dispatch.go
@@ -24,19 +24,19 @@
 const (
 	RunSucceeded OutcomeKind = iota + 1
 	RunFailed                // this attempt failed
-	RunRefused               // the worker refused the message for good
+	RunRejected              // the worker refused the message for good
 	NotRun                   // the worker reported that it did not run the message
 	RunUnknown               // it may have run
 	NotSent                  // no byte of the request was sent
 )
 
-// Outcome is the outcome of an attempt.
-type Outcome struct {
-	Kind   OutcomeKind
-	Stamp  string
-	Silent bool // with RunUnknown: no answer arrived by the deadline
-	Load   delivery.Load
-	Took   time.Duration
+// AttemptOutcome is the outcome of an attempt.
+type AttemptOutcome struct {
+	Kind     OutcomeKind
+	Stamp    string
+	TimedOut bool // with RunUnknown: no answer arrived by the deadline
+	Load     delivery.Load
+	Duration time.Duration
 }
 
 // Pauses before a message is attempted again.
@@ -203,15 +203,15 @@
 	if !worker.Static {
 		attempt.Instance = worker.ID
 	}
-	c.env.Deliver(attempt, func(outcome Outcome) {
+	c.env.Deliver(attempt, func(outcome AttemptOutcome) {
 		backlog.running--
 		c.attemptFinished(it, route, worker, outcome)
 	})
 }
 
-func resultOf(outcome Outcome) delivery.Result {
+func resultOf(outcome AttemptOutcome) delivery.Result {
 	switch outcome.Kind {
-	case RunSucceeded, RunRefused:
+	case RunSucceeded, RunRejected:
 		return delivery.Completed
 	case RunFailed:
 		return delivery.Failed
@@ -220,22 +220,22 @@
 	case NotSent:
 		return delivery.NotSent
 	}
-	if outcome.Silent {
+	if outcome.TimedOut {
 		return delivery.TimedOut
 	}
 	return delivery.ConnectionFailed
 }
 
-func (c *Core) attemptFinished(it *item, route *configuration.Route, worker *delivery.Worker, outcome Outcome) {
+func (c *Core) attemptFinished(it *item, route *configuration.Route, worker *delivery.Worker, outcome AttemptOutcome) {
 	now := c.env.Now()
 	it.inFlight = false
 	delete(c.inFlight, it.message.ID)
-	c.policy.RecordResult(now, worker, resultOf(outcome), outcome.Took, outcome.Load)
+	c.policy.RecordResult(now, worker, resultOf(outcome), outcome.Duration, outcome.Load)
 	q := c.queue(route.Service)
 	switch outcome.Kind {
 	case RunSucceeded:
 		c.complete(it, message.Succeeded, outcome.Stamp)
-	case RunRefused:
+	case RunRejected:
 		c.complete(it, message.DeadLetter, "")
 	case RunFailed:
 		c.figures.Failed++
@@ -272,7 +272,7 @@
 	if it.completed {
 		return
 	}
-	c.figures.Ended++
+	c.figures.Completed++
 	c.recordOutcome(it, message.Outcome{ID: it.message.ID, Phase: phase, Stamp: stamp, CallbackOwed: it.message.Callback != ""})
 }
 
--- a/internal/system/role/carrier/drain.go
+++ b/internal/system/role/carrier/drain.go
@@ -10,24 +10,24 @@
 	closeAtShare      = 0.92 // the session is closed by then, even if some records are not written
 )
 
-// StopReady makes Ready report false, so that the platform sends no more clients, and tells the keepers that this
+// BeginShutdown makes Ready report false, so that the platform sends no more clients, and tells the keepers that this
 // carrier is stopping.
-func (c *Core) StopReady() {
+func (c *Core) BeginShutdown() {
 	c.draining = true
 	c.session.Stopping()
 }
 
-// Drain shuts the carrier down gracefully. For a share of the grace period it keeps serving and makes its pending
+// Shutdown shuts the carrier down gracefully. For a share of the grace period it keeps serving and makes its pending
 // call-backs. Then it starts no more deliveries, waits for those in flight and for all outcomes to be recorded,
 // and closes its session so that another carrier takes over. Units that it owns are handed over in the meantime.
-// Drain calls done at the end. began is when the shutdown was requested.
-func (c *Core) Drain(began time.Duration, done func()) {
-	c.StopReady()
+// Shutdown calls done at the end. began is when the shutdown was requested.
+func (c *Core) Shutdown(began time.Duration, done func()) {
+	c.BeginShutdown()
 	grace := c.settings.Bounds.Grace
 	deadline := func(share float64) time.Duration { return began + time.Duration(share*float64(grace)) }
 	now := c.env.Now()
 	if now < deadline(pauseAtShare) && c.hasWork() {
-		c.env.After(drainPollInterval, func() { c.Drain(began, done) })
+		c.env.After(drainPollInterval, func() { c.Shutdown(began, done) })
 		return
 	}
 	c.paused = true
@@ -37,12 +37,12 @@
 	}
 	unrecorded := c.stores.unrecorded() > 0 && now < deadline(closeAtShare)
 	if busy || unrecorded {
-		c.env.After(drainPollInterval, func() { c.Drain(began, done) })
+		c.env.After(drainPollInterval, func() { c.Shutdown(began, done) })
 		return
 	}
 	c.session.Close(func(err error) {
 		if err != nil {
-			c.env.Report("cannot close the session", err)
+			c.env.LogWarning("cannot close the session", err)
 		}
 		done()
 	})
--- a/internal/system/role/carrier/duplicate.go
+++ b/internal/system/role/carrier/duplicate.go
@@ -160,13 +160,13 @@
 
 // countCompletedBefore counts a message that was passed to this carrier after it had completed.
 func (c *Core) countCompletedBefore() {
-	c.figures.EndedBefore++
+	c.figures.CompletedBefore++
 	if c.completedBeforeLogged {
 		return
 	}
 	c.completedBeforeLogged = true
 	c.env.After(completedBeforeLogInterval, func() {
 		c.completedBeforeLogged = false
-		c.env.Inform(fmt.Sprintf("%d messages had completed under a former owner before they were passed to this carrier", c.figures.EndedBefore))
+		c.env.LogInfo(fmt.Sprintf("%d messages had completed under a former owner before they were passed to this carrier", c.figures.CompletedBefore))
 	})
 }
--- a/internal/system/role/carrier/handed_test.go
+++ b/internal/system/role/carrier/duplicate_test.go
@@ -24,36 +24,36 @@
 	for _, unit := range []string{pacedUnit, keyUnit} {
 		ginkgo.It("does not run it if it completed under a former owner: "+unit, func() {
 			r.store("disk-2").outcomes["m1"] = succeeded
-			refusal := r.core.Deliver(deliverBody("m1", unit, ownedToken-1))
+			refusal := r.core.TakeMessage(deliverBody("m1", unit, ownedToken-1))
 			Expect(refusal).NotTo(BeNil(), "the outcome is not known yet")
 			Expect(refusal.Code).To(Equal(wire.NotReady))
 			r.Advance(50 * time.Millisecond)
-			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).To(BeNil(), "the message has completed")
+			Expect(r.core.TakeMessage(deliverBody("m1", unit, ownedToken-1))).To(BeNil(), "the message has completed")
 			r.Advance(3 * time.Second)
 			Expect(r.sent).To(BeEmpty())
-			Expect(r.core.Figures().EndedBefore).To(BeEquivalentTo(1))
+			Expect(r.core.Counters().CompletedBefore).To(BeEquivalentTo(1))
 			Expect(r.logged).To(ContainElement(ContainSubstring("had completed under a former owner")))
 		})
 
 		ginkgo.It("runs it once the stores that hold it report no outcome: "+unit, func() {
-			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).NotTo(BeNil())
+			Expect(r.core.TakeMessage(deliverBody("m1", unit, ownedToken-1))).NotTo(BeNil())
 			Expect(r.sent).To(BeEmpty())
 			r.Advance(50 * time.Millisecond)
-			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken-1))).To(BeNil())
+			Expect(r.core.TakeMessage(deliverBody("m1", unit, ownedToken-1))).To(BeNil())
 			r.Advance(time.Second)
 			Expect(r.sent).To(Equal([]string{"m1"}))
 		})
 
 		ginkgo.It("queries no store if it was accepted under this owner: "+unit, func() {
-			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken))).To(BeNil())
-			Expect(r.core.Deliver(deliverBody("m1", unit, ownedToken))).To(BeNil())
+			Expect(r.core.TakeMessage(deliverBody("m1", unit, ownedToken))).To(BeNil())
+			Expect(r.core.TakeMessage(deliverBody("m1", unit, ownedToken))).To(BeNil())
 			r.Advance(time.Second)
 			Expect(r.sent).To(Equal([]string{"m1"}))
 			Expect(r.store("disk-1").outcomeQueries).To(BeZero())
 		})
 
 		ginkgo.It("refuses it if it was accepted under a later owner: "+unit, func() {
-			refusal := r.core.Deliver(deliverBody("m1", unit, ownedToken+1))
+			refusal := r.core.TakeMessage(deliverBody("m1", unit, ownedToken+1))
 			Expect(refusal).NotTo(BeNil())
 			Expect(refusal.Code).To(Equal(wire.NotOwner))
 			r.Advance(time.Second)
@@ -63,7 +63,7 @@
 
 	ginkgo.It("waits for an unresponsive store, but only for as long as for one that may be lost", func() {
 		r.store("disk-1").unresponsive = true
-		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
+		r.core.TakeMessage(deliverBody("m1", pacedUnit, ownedToken-1))
 		r.Advance(listAllPeriod - 100*time.Millisecond)
 		Expect(r.sent).To(BeEmpty())
 		r.Advance(300 * time.Millisecond)
@@ -72,7 +72,7 @@
 
 	ginkgo.It("does not run it while no store that holds it answers", func() {
 		r.store("disk-1").unresponsive, r.store("disk-2").unresponsive = true, true
-		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
+		r.core.TakeMessage(deliverBody("m1", pacedUnit, ownedToken-1))
 		r.Advance(5 * time.Second)
 		Expect(r.sent).To(BeEmpty())
 		r.store("disk-1").unresponsive, r.store("disk-2").unresponsive = false, false
@@ -83,13 +83,13 @@
 	ginkgo.It("queries all counting stores, and queries an unreachable one later", func() {
 		r.store("disk-3").outcomes["m1"] = succeeded
 		r.Reachable["10.0.0.2:703"] = false
-		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
+		r.core.TakeMessage(deliverBody("m1", pacedUnit, ownedToken-1))
 		r.Advance(200 * time.Millisecond)
 		Expect(r.sent).To(BeEmpty())
 		r.Reachable["10.0.0.2:703"] = true
 		r.Advance(3 * time.Second)
 		Expect(r.sent).To(BeEmpty())
-		Expect(r.core.Figures().EndedBefore).To(BeEquivalentTo(1))
+		Expect(r.core.Counters().CompletedBefore).To(BeEquivalentTo(1))
 	})
 
 	ginkgo.It("queries the stores if the message may be older than the outcomes that it remembers", func() {
@@ -97,14 +97,14 @@
 			r.core.recent.add(r.Now(), message.Outcome{ID: string(rune(id)) + "x", Phase: message.Succeeded})
 		}
 		r.store("disk-1").outcomes["m1"] = succeeded
-		Expect(r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken))).NotTo(BeNil())
+		Expect(r.core.TakeMessage(deliverBody("m1", pacedUnit, ownedToken))).NotTo(BeNil())
 		r.Advance(time.Second)
 		Expect(r.sent).To(BeEmpty())
 	})
 
 	ginkgo.It("leaves it to the next owner if the unit moves meanwhile", func() {
 		r.store("disk-1").unresponsive = true
-		r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken-1))
+		r.core.TakeMessage(deliverBody("m1", pacedUnit, ownedToken-1))
 		waiting := r.core.waitingBytes
 		Expect(waiting).To(BeNumerically(">", 0))
 		r.table.Set(keeper.PrefixOwner+pacedUnit, wire.Encode(&ownership.Owner{Incarnation: "edge-2+x", Token: ownedToken + 1}))
@@ -119,7 +119,7 @@
 			store.unresponsive = true
 		}
 		for id := range maxOutcomeQueries + 10 {
-			Expect(r.core.Deliver(deliverBody(string(rune(id))+"y", pacedUnit, ownedToken-1))).NotTo(BeNil())
+			Expect(r.core.TakeMessage(deliverBody(string(rune(id))+"y", pacedUnit, ownedToken-1))).NotTo(BeNil())
 		}
 		Expect(r.core.units[pacedUnit].outcomeQueries).To(HaveLen(maxOutcomeQueries))
 	})
--- a/internal/system/role/carrier/rig_test.go
+++ b/internal/system/role/carrier/fixture_test.go
@@ -34,7 +34,7 @@
 	table   *feed.Table
 	stores  map[string]*storeStub // by address
 	sent    []string              // IDs of messages that were sent to workers
-	finish  func(Outcome)         // finishes the latest attempt
+	finish  func(AttemptOutcome)  // finishes the latest attempt
 	logged  []string
 	reports []error
 	// receive returns the status that answers a call-back of a message; if it is nil, call-backs are not answered.
@@ -50,7 +50,7 @@
 	outcomeQueries int // number of FindOutcomes calls
 }
 
-func (r *fixture) Deliver(attempt Attempt, done func(Outcome)) {
+func (r *fixture) Deliver(attempt Attempt, done func(AttemptOutcome)) {
 	r.sent = append(r.sent, attempt.Message.ID)
 	r.finish = done
 }
@@ -71,8 +71,8 @@
 	})
 }
 func (r *fixture) ReadCatalog(func(map[string]catalog.Instance, error)) {}
-func (r *fixture) Report(_ string, err error)                           { r.reports = append(r.reports, err) }
-func (r *fixture) Inform(event string)                                  { r.logged = append(r.logged, event) }
+func (r *fixture) LogWarning(_ string, err error)                       { r.reports = append(r.reports, err) }
+func (r *fixture) LogInfo(event string)                                 { r.logged = append(r.logged, event) }
 
 const document = `{"resource-version":3,"routes":[{"name":"r","host":"h","path-prefix":"/","kind":"async","timeout-ms":500,` +
 	`"target-latency-ms":100,"priority":1,"backend":"partner","retries":3,"ordered":false,"retention-s":60,"target-start-ms":900}],` +
--- a/internal/system/role/carrier/handle.go
+++ b/internal/system/role/carrier/handle.go
@@ -22,7 +22,7 @@
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		permit, refusal := c.Turn(body)
+		permit, refusal := c.GrantPermit(body)
 		if refusal != nil {
 			answerer.Refuse(*refusal)
 			return nil
@@ -33,7 +33,7 @@
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		if refusal := c.Deliver(body); refusal != nil {
+		if refusal := c.TakeMessage(body); refusal != nil {
 			answerer.Refuse(*refusal)
 			return nil
 		}
--- a/internal/system/role/carrier/handover.go
+++ b/internal/system/role/carrier/handover.go
@@ -49,7 +49,7 @@
 
 // keepUnit ends a handover and resumes the unit.
 func (c *Core) keepUnit(u *unit) {
-	c.env.Inform(fmt.Sprintf("handover of unit %s ended without release, this carrier keeps the unit", u.name))
+	c.env.LogInfo(fmt.Sprintf("handover of unit %s ended without release, this carrier keeps the unit", u.name))
 	u.declinedOffer = u.handover.offer
 	u.handover = nil
 	for _, it := range ordered.Map(u.items) {
@@ -94,7 +94,7 @@
 		switch {
 		case u.dropped || u.handover != h:
 		case err == nil:
-			c.env.Inform(fmt.Sprintf("unit %s released to %s", u.name, h.nextOwner))
+			c.env.LogInfo(fmt.Sprintf("unit %s released to %s", u.name, h.nextOwner))
 		case isStaleOffer(err):
 			c.keepUnit(u)
 		default:
--- a/internal/system/role/carrier/outbox.go
+++ b/internal/system/role/carrier/outbox.go
@@ -41,13 +41,13 @@
 	return dropped
 }
 
-// DroppedError reports that the queue of records for a disk was full and its oldest records were dropped.
-type DroppedError struct {
+// RecordsDroppedError reports that the queue of records for a disk was full and its oldest records were dropped.
+type RecordsDroppedError struct {
 	Disk  string
 	Count int
 }
 
-func (e *DroppedError) Error() string {
+func (e *RecordsDroppedError) Error() string {
 	return fmt.Sprintf("disk %s: %d records dropped", e.Disk, e.Count)
 }
 
@@ -156,7 +156,7 @@
 // enqueue adds a record to a disk's outbox and starts sending.
 func (s *storage) enqueue(disk string, records *recordQueue, record pendingRecord) {
 	if dropped := records.add(record); dropped > 0 {
-		s.core.env.Report("outbox of a disk is full, oldest records dropped", &DroppedError{Disk: disk, Count: dropped})
+		s.core.env.LogWarning("outbox of a disk is full, oldest records dropped", &RecordsDroppedError{Disk: disk, Count: dropped})
 	}
 	s.flush(disk)
 }
--- a/internal/system/role/carrier/outbox_test.go
+++ b/internal/system/role/carrier/outbox_test.go
@@ -16,7 +16,7 @@
 	for range maxOutbox + 1 {
 		r.core.stores.recordOutcome(u, []string{"disk-1", "disk-2"}, message.Outcome{ID: "m", Phase: message.Succeeded})
 	}
-	var dropped *DroppedError
+	var dropped *RecordsDroppedError
 	for _, err := range r.reports {
 		if errors.As(err, &dropped) && dropped.Disk == "disk-1" && dropped.Count == maxOutbox/2 {
 			return
--- a/internal/system/role/carrier/ends_test.go
+++ b/internal/system/role/carrier/outcome_test.go
@@ -23,7 +23,7 @@
 	if len(r.sent) != 1 {
 		t.Fatalf("sent %v", r.sent)
 	}
-	r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
+	r.finish(AttemptOutcome{Kind: RunSucceeded, Stamp: "s"})
 	r.Advance(time.Second)
 	recorded := r.storesWithOutcomes()
 	if len(recorded) != len(r.stores) {
@@ -67,9 +67,9 @@
 	for _, disk := range []string{"disk-1", "disk-2"} {
 		delete(r.Reachable, diskAddress(disk))
 	}
-	r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
+	r.finish(AttemptOutcome{Kind: RunSucceeded, Stamp: "s"})
 	stopped := false
-	r.core.Drain(r.Now(), func() { stopped = true })
+	r.core.Shutdown(r.Now(), func() { stopped = true })
 	for !stopped {
 		r.Advance(50 * time.Millisecond)
 	}
@@ -83,7 +83,7 @@
 func newFixtureWithAttempt(t *testing.T) *fixture {
 	t.Helper()
 	r := newFixture()
-	if refusal := r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken)); refusal != nil {
+	if refusal := r.core.TakeMessage(deliverBody("m1", pacedUnit, ownedToken)); refusal != nil {
 		t.Fatal(refusal.Reason)
 	}
 	r.Advance(time.Second)
@@ -93,7 +93,7 @@
 // expectOutcomeAt lets the attempt succeed and checks that the outcome is recorded on the given disks.
 func (r *fixture) expectOutcomeAt(t *testing.T, disks ...string) {
 	t.Helper()
-	r.finish(Outcome{Kind: RunSucceeded, Stamp: "s"})
+	r.finish(AttemptOutcome{Kind: RunSucceeded, Stamp: "s"})
 	r.Advance(time.Second)
 	recorded := r.storesWithOutcomes()
 	for _, disk := range disks {
--- a/internal/system/role/carrier/owner.go
+++ b/internal/system/role/carrier/owner.go
@@ -72,7 +72,7 @@
 		})
 	}
 	if owner.Incarnation == c.session.Incarnation() {
-		if refusal := c.Deliver(body); refusal != nil {
+		if refusal := c.TakeMessage(body); refusal != nil {
 			finish(&link.RefusedError{Body: *refusal})
 			return
 		}
@@ -88,10 +88,10 @@
 	forwardRetry = 100 * time.Millisecond
 )
 
-// Deliver takes a stored message for a unit that this carrier owns. It returns nil once this carrier is
+// TakeMessage takes a stored message for a unit that this carrier owns. It returns nil once this carrier is
 // responsible for the message or the message has completed; otherwise it returns a refusal, and the caller tries
 // again. A message that arrives twice is taken once, even if it arrived at a former owner before.
-func (c *Core) Deliver(body wire.DeliverBody) *wire.RefusalBody {
+func (c *Core) TakeMessage(body wire.DeliverBody) *wire.RefusalBody {
 	u := c.units[body.Message.Unit]
 	if u == nil || !c.session.LeaseValid() || c.paused || u.token < body.Message.Token {
 		return &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + body.Message.Unit}
@@ -137,7 +137,7 @@
 	owner := c.session.View().Owners[m.Unit]
 	body := wire.DeliverBody{Message: *m, Holders: f.holders, Age: c.env.Now() - f.accepted}
 	if owner.Incarnation == c.session.Incarnation() {
-		if refusal := c.Deliver(body); refusal != nil {
+		if refusal := c.TakeMessage(body); refusal != nil {
 			f.retry()
 			return
 		}
--- a/internal/system/role/carrier/turn.go
+++ b/internal/system/role/carrier/permit.go
@@ -103,11 +103,11 @@
 	})
 }
 
-// Turn grants another carrier the next send permit of a service whose rate this carrier limits, or returns how
+// GrantPermit grants another carrier the next send permit of a service whose rate this carrier limits, or returns how
 // long to wait before the next request. Messages that were taken over go before all others, at whichever carrier
 // they wait: the delivery guarantee allows a second run of a message that ran just before its carrier was lost
 // only shortly after that loss.
-func (c *Core) Turn(body wire.AcquirePermitBody) (wire.AcquirePermitAnswer, *wire.RefusalBody) {
+func (c *Core) GrantPermit(body wire.AcquirePermitBody) (wire.AcquirePermitAnswer, *wire.RefusalBody) {
 	if !c.ownsRate(body.Service) || c.paused {
 		return wire.AcquirePermitAnswer{}, &wire.RefusalBody{Code: wire.NotOwner, Reason: "not the owner of " + ownership.ServiceUnit(body.Service)}
 	}
--- a/internal/system/role/carrier/query.go
+++ b/internal/system/role/carrier/query.go
@@ -10,12 +10,12 @@
 
 // State is the state of a message as reported to a client.
 type State struct {
-	Known   bool
-	Unclear bool // not all stores that might know the message have answered
-	Phase   message.Phase
-	Stamp   string
-	Body    []byte
-	HasBody bool
+	Known         bool
+	Indeterminate bool // not all stores that might know the message have answered
+	Phase         message.Phase
+	Stamp         string
+	Body          []byte
+	HasBody       bool
 }
 
 const findTimeout = 1200 * time.Millisecond
@@ -30,9 +30,9 @@
 	done       func(State)
 }
 
-// Find reports the state of a message, with its body if withBody is set. It calls done once, with the first
+// QueryState reports the state of a message, with its body if withBody is set. It calls done once, with the first
 // definite state or once all stores have answered or failed to.
-func (c *Core) Find(id string, withBody bool, done func(State)) {
+func (c *Core) QueryState(id string, withBody bool, done func(State)) {
 	if outcome, known := c.recent.get(id); known && !withBody {
 		done(State{Known: true, Phase: outcome.Phase, Stamp: outcome.Stamp})
 		return
@@ -49,7 +49,7 @@
 	}
 	q.pending = len(addresses)
 	if len(addresses) == 0 {
-		done(State{Unclear: true})
+		done(State{Indeterminate: true})
 		return
 	}
 	for _, address := range addresses {
@@ -76,7 +76,7 @@
 		return
 	}
 	q.answered = true
-	q.state.Unclear = !q.state.Known && q.unanswered > 0
+	q.state.Indeterminate = !q.state.Known && q.unanswered > 0
 	q.done(q.state)
 }
 
--- a/internal/system/role/carrier/recovery_merge.go
+++ b/internal/system/role/carrier/recovery_merge.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(u.items)+pendingCallbacks > 0 {
-		c.env.Inform(fmt.Sprintf("took over unit %s with %d messages and %d pending call-backs in %s", u.name, len(u.items), pendingCallbacks,
+		c.env.LogInfo(fmt.Sprintf("took over unit %s with %d messages and %d pending call-backs in %s", u.name, len(u.items), pendingCallbacks,
 			c.env.Now()-r.began))
 	}
 	c.settleDeparted()
--- a/internal/system/role/carrier/sendable_test.go
+++ b/internal/system/role/carrier/send_block_test.go
@@ -40,12 +40,12 @@
 		t.Run(name, func(t *testing.T) {
 			r := newFixture()
 			body := deliverBody("m1", test.unit, ownedToken)
-			if refusal := r.core.Deliver(body); refusal != nil {
+			if refusal := r.core.TakeMessage(body); refusal != nil {
 				t.Fatal(refusal.Reason)
 			}
 			it := r.core.units[test.unit].items["m1"]
 			r.Advance(100 * time.Millisecond)
-			r.finish(Outcome{Kind: NotSent})
+			r.finish(AttemptOutcome{Kind: NotSent})
 			it.attempts = 0
 			sent := len(r.sent)
 			test.apply(r, it)
@@ -65,7 +65,7 @@
 // service.
 func TestNoMessageIsSentWithoutAConfiguration(t *testing.T) {
 	r := newFixture()
-	if refusal := r.core.Deliver(deliverBody("m1", pacedUnit, ownedToken)); refusal != nil {
+	if refusal := r.core.TakeMessage(deliverBody("m1", pacedUnit, ownedToken)); refusal != nil {
 		t.Fatal(refusal.Reason)
 	}
 	it := r.core.units[pacedUnit].items["m1"]
--- a/internal/system/role/carrier/storage.go
+++ b/internal/system/role/carrier/storage.go
@@ -202,7 +202,7 @@
 	body := wire.CancelBody{ID: id}
 	s.core.env.Call(s.address(disk), wire.CancelMessage, wire.Encode(&body), timeout, func(_ []byte, err error) {
 		if err != nil {
-			s.core.env.Report("cannot cancel a stored message", err)
+			s.core.env.LogWarning("cannot cancel a stored message", err)
 		}
 		done(err)
 	})
--- a/internal/system/role/carrier/unit.go
+++ b/internal/system/role/carrier/unit.go
@@ -108,7 +108,7 @@
 // sessionLost gives up everything that was owned under the session. Messages that this carrier accepted return to
 // it with the session that replaces the lost one.
 func (c *Core) sessionLost() {
-	c.env.Report("session lost", nil)
+	c.env.LogWarning("session lost", nil)
 	for _, u := range ordered.Map(c.units) {
 		c.drop(u)
 	}
--- a/internal/system/simulation/carrier_host.go
+++ b/internal/system/simulation/carrier_host.go
@@ -32,7 +32,7 @@
 	}
 	h.handleCall = func(_ *process, kind wire.Kind, payload []byte, answerer wire.Answerer) {
 		if err := h.core.Handle(kind, payload, answerer); err != nil {
-			h.Report("call", err)
+			h.LogWarning("call", err)
 		}
 	}
 	h.core.Start()
@@ -44,9 +44,9 @@
 func (h *carrierHost) drain() {
 	const acceptShareOfGrace = 0.40
 	startedAt := h.Now()
-	h.core.StopReady()
+	h.core.BeginShutdown()
 	h.After(time.Duration(acceptShareOfGrace*float64(h.settings.Bounds.Grace)), func() {
 		h.closedToClients = true
-		h.core.Drain(startedAt, func() { h.After(0, h.terminate) })
+		h.core.Shutdown(startedAt, func() { h.After(0, h.terminate) })
 	})
 }
--- a/internal/system/simulation/clients.go
+++ b/internal/system/simulation/clients.go
@@ -72,7 +72,7 @@
 			return
 		}
 		m.Accepted = target.WallMillis()
-		submission := &carrier.Submission{Message: m, Path: "/in/1", Left: clientTimeout}
+		submission := &carrier.Submission{Message: m, Path: "/in/1", ClientTimeout: clientTimeout}
 		target.core.Submit(submission, func(answer carrier.Answer) { sim.deliverAnswer(target, r, answer) })
 	})
 }
@@ -80,7 +80,7 @@
 // deliverAnswer delivers the answer to the client, unless the carrier's machine has no power.
 func (sim *simulation) deliverAnswer(from *carrierHost, r *messageRecord, answer carrier.Answer) {
 	status := map[carrier.Verdict]int{carrier.Accepted: statusAccepted, carrier.Refused: statusRefused,
-		carrier.NoRoute: 404, carrier.Unclear: 504}[answer.Verdict]
+		carrier.NoRoute: 404, carrier.Indeterminate: 504}[answer.Verdict]
 	sim.world.after(clientLatency, func() {
 		if from.machine.poweredOff {
 			return
--- a/internal/system/simulation/judge.go
+++ b/internal/system/simulation/judge.go
@@ -61,7 +61,7 @@
 		sim.checker.reportViolation(sim.world.now, "LOST", "no carrier runs at the end")
 		return
 	}
-	host.core.Find(r.id, false, func(state carrier.State) {
+	host.core.QueryState(r.id, false, func(state carrier.State) {
 		now := sim.world.now
 		switch {
 		case !state.Known:
@@ -80,7 +80,7 @@
 }
 
 func (sim *simulation) checkBody(host *carrierHost, r *messageRecord) {
-	host.core.Find(r.id, true, func(state carrier.State) {
+	host.core.QueryState(r.id, true, func(state carrier.State) {
 		if string(state.Body) != "body of "+r.id {
 			sim.checker.reportViolation(sim.world.now, "LOST", r.id+" has not completed and its body can't be read back")
 		}
--- a/internal/system/simulation/judge_states.go
+++ b/internal/system/simulation/judge_states.go
@@ -28,7 +28,7 @@
 		return
 	}
 	host.run(func() {
-		host.core.Find("nobody-sent-this", false, func(state carrier.State) {
+		host.core.QueryState("nobody-sent-this", false, func(state carrier.State) {
 			if state.Known {
 				sim.checker.reportViolation(sim.world.now, "MIXED", "a state is returned for a message that nobody sent")
 			}
@@ -41,7 +41,7 @@
 	r := accepted[sim.world.random.IntN(len(accepted))]
 	queriedAt := sim.world.now
 	host.run(func() {
-		host.core.Find(r.id, false, func(state carrier.State) { sim.checkQueriedState(host, r, queriedAt, state) })
+		host.core.QueryState(r.id, false, func(state carrier.State) { sim.checkQueriedState(host, r, queriedAt, state) })
 	})
 }
 
@@ -49,7 +49,7 @@
 func (sim *simulation) checkQueriedState(host *carrierHost, r *messageRecord, queriedAt time.Duration, state carrier.State) {
 	now := sim.world.now
 	switch {
-	case state.Unclear:
+	case state.Indeterminate:
 	case !state.Known && queriedAt > r.answeredAt+maxPropagationTime && sim.checker.undisturbed(now):
 		sim.checker.reportViolation(now, "LOST", fmt.Sprintf("%s was accepted but is unknown to %s", r.id, host.machine.name))
 	case !state.Known:
--- a/internal/system/simulation/keeper_host.go
+++ b/internal/system/simulation/keeper_host.go
@@ -57,7 +57,7 @@
 	h.handleCall = h.handle
 	h.handlePush = func(_ string, kind wire.Kind, payload []byte) {
 		if err := core.Handle(h.Now(), 0, kind, payload, discardAnswerer{}); err != nil {
-			h.Report("frame", err)
+			h.LogWarning("frame", err)
 		}
 		h.advance()
 	}
@@ -137,7 +137,7 @@
 		h.subscribers[from], h.members[number] = number, from
 	}
 	if err := h.core.Handle(h.Now(), number, kind, payload, answerer); err != nil {
-		h.Report("call", err)
+		h.LogWarning("call", err)
 	}
 	h.advance()
 }
@@ -181,7 +181,7 @@
 		return
 	}
 	if err != nil {
-		h.Report("disk", err)
+		h.LogWarning("disk", err)
 		return
 	}
 	h.After(h.machine.syncTime(), func() {
@@ -204,7 +204,7 @@
 		return
 	}
 	if err != nil {
-		h.Report("compaction", err)
+		h.LogWarning("compaction", err)
 	}
 }
 
@@ -218,7 +218,7 @@
 		}
 	}
 	if err := h.core.Persisted(h.Now(), group, ready); err != nil {
-		h.Report("apply", err)
+		h.LogWarning("apply", err)
 	}
 	h.compact(group)
 	h.advance()
@@ -234,7 +234,7 @@
 		return
 	}
 	if err != nil {
-		h.Report("disk", err)
+		h.LogWarning("disk", err)
 		return
 	}
 	h.machine.identities[group] = identity.ID
--- a/internal/system/simulation/platform.go
+++ b/internal/system/simulation/platform.go
@@ -116,11 +116,11 @@
 
 // deliver sends a message to a worker and reports the outcome of the attempt, or an unknown outcome after the
 // deadline.
-func (p *platform) deliver(from *process, attempt carrier.Attempt, done func(carrier.Outcome)) {
+func (p *platform) deliver(from *process, attempt carrier.Attempt, done func(carrier.AttemptOutcome)) {
 	const networkDelay = 500 * time.Microsecond
 	w := p.world
 	answered := false
-	finish := func(outcome carrier.Outcome) {
+	finish := func(outcome carrier.AttemptOutcome) {
 		w.after(networkDelay, func() {
 			from.run(func() {
 				if !answered {
@@ -134,7 +134,7 @@
 			})
 		})
 	}
-	w.after(attempt.Deadline+60*time.Millisecond, func() { finish(carrier.Outcome{Kind: carrier.RunUnknown, Silent: true}) })
+	w.after(attempt.Deadline+60*time.Millisecond, func() { finish(carrier.AttemptOutcome{Kind: carrier.RunUnknown, TimedOut: true}) })
 	w.after(networkDelay, func() {
 		if from.machine.poweredOff {
 			return
@@ -144,7 +144,7 @@
 			target = p.workers[attempt.Address]
 		}
 		if target == nil || target.stopped {
-			finish(carrier.Outcome{Kind: carrier.NotSent})
+			finish(carrier.AttemptOutcome{Kind: carrier.NotSent})
 			return
 		}
 		if target.service.static == "" {
@@ -158,20 +158,20 @@
 
 // handleAttempt handles a message at the worker: it rejects it, returns the stored result of an idempotent service,
 // or runs it.
-func (w *worker) handleAttempt(p *platform, from *process, attempt carrier.Attempt, finish func(carrier.Outcome)) {
+func (w *worker) handleAttempt(p *platform, from *process, attempt carrier.Attempt, finish func(carrier.AttemptOutcome)) {
 	const queuePerSlot = 4
 	model, id := w.service, attempt.Message.ID
 	model.arrivals = append(model.arrivals, p.world.now)
 	if w.fault == rejectsAll || w.inFlight >= model.slots*(1+queuePerSlot) {
-		finish(carrier.Outcome{Kind: carrier.NotRun})
+		finish(carrier.AttemptOutcome{Kind: carrier.NotRun})
 		return
 	}
 	if stamp, known := model.completedStamps[id]; model.idempotent && known {
-		finish(carrier.Outcome{Kind: carrier.RunSucceeded, Stamp: stamp})
+		finish(carrier.AttemptOutcome{Kind: carrier.RunSucceeded, Stamp: stamp})
 		return
 	}
 	if model.idempotent && model.running[id] {
-		finish(carrier.Outcome{Kind: carrier.NotRun})
+		finish(carrier.AttemptOutcome{Kind: carrier.NotRun})
 		return
 	}
 	w.inFlight++
@@ -192,7 +192,7 @@
 }
 
 // completeRun ends a run and answers the carrier, as the worker's fault and a random failure decide.
-func (p *platform) completeRun(w *worker, m *message.Message, pastDeadline bool, load delivery.Load, finish func(carrier.Outcome)) {
+func (p *platform) completeRun(w *worker, m *message.Message, pastDeadline bool, load delivery.Load, finish func(carrier.AttemptOutcome)) {
 	const failOneIn = 50 // one in this many runs fails
 	if w.stopped || w.silent {
 		p.checker.runAborted(m.ID)
@@ -200,12 +200,12 @@
 	}
 	if pastDeadline || w.fault == resetsRuns {
 		p.checker.runAborted(m.ID)
-		finish(carrier.Outcome{Kind: carrier.RunUnknown, Load: load})
+		finish(carrier.AttemptOutcome{Kind: carrier.RunUnknown, Load: load})
 		return
 	}
 	if w.fault == failsAll || p.world.random.IntN(failOneIn) == 0 {
 		p.checker.runFailed(p.world.now, m.ID)
-		finish(carrier.Outcome{Kind: carrier.RunFailed, Load: load})
+		finish(carrier.AttemptOutcome{Kind: carrier.RunFailed, Load: load})
 		return
 	}
 	stamp := fmt.Sprintf("stamp-%s-%d", m.ID, p.world.lastSequence)
@@ -216,11 +216,11 @@
 	if w.fault == losesAnswers {
 		return
 	}
-	finish(carrier.Outcome{Kind: carrier.RunSucceeded, Stamp: stamp, Load: load})
+	finish(carrier.AttemptOutcome{Kind: carrier.RunSucceeded, Stamp: stamp, Load: load})
 }
 
 // Deliver implements carrier.Environment.
-func (h *carrierHost) Deliver(attempt carrier.Attempt, done func(carrier.Outcome)) {
+func (h *carrierHost) Deliver(attempt carrier.Attempt, done func(carrier.AttemptOutcome)) {
 	h.platform.deliver(h.process, attempt, done)
 }
 
--- a/internal/system/simulation/store_host.go
+++ b/internal/system/simulation/store_host.go
@@ -42,7 +42,7 @@
 	h.session = member.NewClient(h, h, s.SeedKeepers(), self, member.Events{
 		Changed: func(_, after *member.View) { h.followView(after) },
 		Keepers: func() { h.followView(h.session.View()) },
-		Fault:   func(err error) { h.Report("feed", err) },
+		Fault:   func(err error) { h.LogWarning("feed", err) },
 	})
 	h.backfiller = store.NewFiller(h, h.session, h.core.Disk(), &s.Tolerance, s.RepairRate())
 	h.peerUp, h.peerDown = h.session.Up, h.session.Down
@@ -81,12 +81,12 @@
 // clean moves live records out of old segments and removes the segments that have become empty.
 func (h *storeHost) clean() {
 	if err := h.core.Clean(h.log.Segments()); err != nil {
-		h.Report("cleaning", err)
+		h.LogWarning("cleaning", err)
 	}
 	h.flush()
 	for _, number := range h.core.Removable(h.log.Segments()) {
 		if err := h.log.RemoveOldestSegment(); err != nil {
-			h.Report("cleaning", err)
+			h.LogWarning("cleaning", err)
 			return
 		}
 		h.core.Removed(number)
@@ -170,7 +170,7 @@
 		err = h.log.Sync()
 	}
 	if err != nil {
-		h.Report("disk", err)
+		h.LogWarning("disk", err)
 		return
 	}
 	h.flushing = true
--- a/internal/system/simulation/world.go
+++ b/internal/system/simulation/world.go
@@ -257,10 +257,10 @@
 	return p.world.random.Int64N(n)
 }
 
-// Report implements the Report method of the roles' environments.
-func (p *process) Report(event string, err error) {
+// LogWarning implements the LogWarning method of the roles' environments.
+func (p *process) LogWarning(event string, err error) {
 	p.world.report(p.machine.name+"/"+p.role, event, err)
 }
 
-// Inform implements the Inform method of the roles' environments. It discards the text.
-func (p *process) Inform(string) {}
+// LogInfo implements the LogInfo method of the roles' environments. It discards the text.
+func (p *process) LogInfo(string) {}
--- a/internal/system/workers/answer.go
+++ b/internal/system/workers/answer.go
@@ -13,8 +13,8 @@
 // classify returns the outcome of an attempt by the status and the headers of a worker's complete response. The run
 // has succeeded only if the response has a 2xx status and a signature. A status that states neither success nor
 // failure leaves the outcome unknown.
-func classify(status int, headers http.Header) carrier.Outcome {
-	outcome := carrier.Outcome{Kind: carrier.RunUnknown, Load: parseLoad(headers.Get(wire.HeaderLoad))}
+func classify(status int, headers http.Header) carrier.AttemptOutcome {
+	outcome := carrier.AttemptOutcome{Kind: carrier.RunUnknown, Load: parseLoad(headers.Get(wire.HeaderLoad))}
 	signature := headers.Get(wire.HeaderSignature)
 	switch {
 	case headers.Get(wire.HeaderNotExecuted) != "" || status == http.StatusMisdirectedRequest:
@@ -22,7 +22,7 @@
 	case status >= 200 && status < 300 && signature != "":
 		outcome.Kind, outcome.Stamp = carrier.RunSucceeded, signature
 	case status == http.StatusUnprocessableEntity:
-		outcome.Kind = carrier.RunRefused
+		outcome.Kind = carrier.RunRejected
 	case status == http.StatusInternalServerError:
 		outcome.Kind = carrier.RunFailed
 	}
--- a/internal/system/workers/client.go
+++ b/internal/system/workers/client.go
@@ -63,13 +63,13 @@
 }
 
 // Send sends one message and waits for its outcome, at most until answerMargin after the attempt's deadline, which
-// is relative to the call. A message that cannot be encoded as a request gives carrier.RunRefused, one of which no
+// is relative to the call. A message that cannot be encoded as a request gives carrier.RunRejected, one of which no
 // byte was sent carrier.NotSent.
-func (c *Client) Send(attempt carrier.Attempt) carrier.Outcome {
+func (c *Client) Send(attempt carrier.Attempt) carrier.AttemptOutcome {
 	deadline := time.Now().Add(attempt.Deadline + answerMargin)
 	request, err := encodeRequest(attempt)
 	if err != nil {
-		return carrier.Outcome{Kind: carrier.RunRefused}
+		return carrier.AttemptOutcome{Kind: carrier.RunRejected}
 	}
 	for range maxSendAttempts {
 		outcome, err := c.sendOnce(attempt, request, deadline)
@@ -81,7 +81,7 @@
 			break
 		}
 	}
-	return carrier.Outcome{Kind: carrier.NotSent}
+	return carrier.AttemptOutcome{Kind: carrier.NotSent}
 }
 
 // unsentError reports that no byte of a request was sent. reused is true if the connection had carried another request
@@ -96,22 +96,22 @@
 func (e *unsentError) Unwrap() error { return e.err }
 
 // sendOnce sends a request over one connection and waits for the outcome. The error is an *unsentError.
-func (c *Client) sendOnce(attempt carrier.Attempt, request []byte, deadline time.Time) (carrier.Outcome, error) {
+func (c *Client) sendOnce(attempt carrier.Attempt, request []byte, deadline time.Time) (carrier.AttemptOutcome, error) {
 	connection, err := c.acquire(attempt, deadline)
 	if err != nil {
-		return carrier.Outcome{}, &unsentError{err: err}
+		return carrier.AttemptOutcome{}, &unsentError{err: err}
 	}
 	reused := connection.reused
 	call, err := connection.begin(attempt.Message.ID, attempt.Message.Method, deadline)
 	if err != nil {
-		return carrier.Outcome{}, &unsentError{reused: reused, err: err}
+		return carrier.AttemptOutcome{}, &unsentError{reused: reused, err: err}
 	}
 	written, err := connection.socket.Write(request)
 	if err != nil {
 		connection.fail(err)
 	}
 	if err != nil && written == 0 {
-		return carrier.Outcome{}, &unsentError{reused: reused && !errors.Is(err, os.ErrDeadlineExceeded), err: err}
+		return carrier.AttemptOutcome{}, &unsentError{reused: reused && !errors.Is(err, os.ErrDeadlineExceeded), err: err}
 	}
 	connection.requestSent(call)
 	result := <-call.result
--- a/internal/system/workers/client_test.go
+++ b/internal/system/workers/client_test.go
@@ -92,7 +92,7 @@
 }
 
 var _ = ginkgo.Describe("Client with a faulty worker", func() {
-	send := func(client *Client, w *scriptedServer, id string) carrier.Outcome {
+	send := func(client *Client, w *scriptedServer, id string) carrier.AttemptOutcome {
 		m := &message.Message{ID: id, Method: http.MethodPost, Target: "/in/x", Host: "h.example", Body: []byte("body")}
 		return client.Send(carrier.Attempt{Message: m, Address: w.listener.Addr().String(), Instance: "i", Deadline: 300 * time.Millisecond})
 	}
@@ -144,7 +144,7 @@
 
 	ginkgo.It("distinguishes refusal, failure and a message that was not run", func() {
 		for response, kind := range map[string]carrier.OutcomeKind{
-			"422 Unprocessable Entity\r\n":                     carrier.RunRefused,
+			"422 Unprocessable Entity\r\n":                     carrier.RunRejected,
 			"500 Internal Server Error\r\n":                    carrier.RunFailed,
 			"503 Service Unavailable\r\nX-Not-Executed: 1\r\n": carrier.NotRun,
 			"421 Misdirected Request\r\n":                      carrier.NotRun,
--- a/internal/system/workers/connection.go
+++ b/internal/system/workers/connection.go
@@ -52,7 +52,7 @@
 
 // result is the result of a call. reason is empty if the outcome is known.
 type result struct {
-	outcome carrier.Outcome
+	outcome carrier.AttemptOutcome
 	reason  unknownReason
 }
 
@@ -129,7 +129,7 @@
 // workerResponse is one complete response of a worker.
 type workerResponse struct {
 	id      string
-	outcome carrier.Outcome
+	outcome carrier.AttemptOutcome
 	idleFor time.Duration // how long the connection may be idle before the worker closes it
 	last    bool          // the connection must not be reused
 }
@@ -240,7 +240,7 @@
 	c.idle.remove(c)
 	if call != nil {
 		reason := reasonOf(call, err)
-		call.result <- result{outcome: carrier.Outcome{Kind: carrier.RunUnknown, Silent: reason == responseTimeout}, reason: reason}
+		call.result <- result{outcome: carrier.AttemptOutcome{Kind: carrier.RunUnknown, TimedOut: reason == responseTimeout}, reason: reason}
 	}
 }
 
