--- a/internal/system/command/people.go
+++ b/internal/system/command/people.go
@@ -142,7 +142,7 @@
 	}
 	recorded, pending := core.Counts()
 	output := command.OutOrStdout()
-	fmt.Fprintf(output, "disk %s, complete %t: %d messages known, %d pending, %d bytes\n", core.Disk(), core.Complete(), recorded, pending, core.Bytes())
+	fmt.Fprintf(output, "disk %s, complete %t: %d messages known, %d pending, %d bytes\n", core.DiskID(), core.Complete(), recorded, pending, core.LogBytes())
 	numbers := make([]uint64, 0, len(records))
 	for number := range records {
 		numbers = append(numbers, number)
--- a/internal/system/node/store.go
+++ b/internal/system/node/store.go
@@ -35,7 +35,7 @@
 	log           *segment.Log
 	calls         chan storeCall
 	session       *member.Client
-	backfiller    *store.Filler
+	backfiller    *store.Backfiller
 	coreTasks     chan func() // functions to run on the goroutine that owns the core
 	backfillParts chan backfillPart
 	rosterState   atomic.Pointer[rosterState]
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	n.core = store.New(store.Options{Status: n.settings.Bounds.Status, DiskBytes: n.settings.Limits.DiskBytes}, n.log,
+	n.core = store.New(store.Options{StatusTime: n.settings.Bounds.Status, DiskBytes: n.settings.Limits.DiskBytes}, n.log,
 		n.Now())
 	if err := n.replay(); err != nil {
 		return err
@@ -145,17 +145,17 @@
 	}
 	s := n.settings
 	self := session.Member{Incarnation: member.NewIncarnation(n, s.NodeName), Node: s.NodeName, Role: session.Store,
-		Zone: s.Zone, Address: s.StoreAddress(), Disk: n.core.Disk(), BootstrapDisk: n.core.Founder()}
+		Zone: s.Zone, Address: s.StoreAddress(), Disk: n.core.DiskID(), BootstrapDisk: n.core.BootstrapDisk()}
 	n.withLock(func() {
 		n.session = member.NewClient(n, n, s.SeedKeepers(), self, member.Events{
 			Changed: func(_, after *member.View) { n.applyView(after) },
 			Keepers: func() { n.applyView(n.session.View()) },
 			Fault:   func(err error) { log.WithError(err).Warn("cannot decode feed update") },
 		})
-		n.backfiller = store.NewFiller(n, n.session, n.core.Disk(), &s.Tolerance, s.RepairRate())
-		drainer := store.NewEmptier(n, n.session, n.core.Disk(), &s.Tolerance, s.RepairRate())
-		outcomeRequester := store.NewEndsAsker(n, n.session, n.core.Disk(), n.longPending, func(ends []message.Outcome) {
-			go func() { n.coreTasks <- func() { n.core.Ends(ends, func() {}) } }()
+		n.backfiller = store.NewBackfiller(n, n.session, n.core.DiskID(), &s.Tolerance, s.RepairRate())
+		drainer := store.NewDrainer(n, n.session, n.core.DiskID(), &s.Tolerance, s.RepairRate())
+		outcomeRequester := store.NewOutcomeFetcher(n, n.session, n.core.DiskID(), n.longPending, func(ends []message.Outcome) {
+			go func() { n.coreTasks <- func() { n.core.PutOutcomes(ends, func() {}) } }()
 		})
 		n.Connect(s.SeedKeepers())
 		n.session.Start()
@@ -168,11 +168,11 @@
 // backfiller, and connects to the keepers and to the other disks' stores.
 func (n *storeNode) applyView(view *member.View) {
 	addresses := append([]string(nil), n.session.Keepers()...)
-	own, known := view.Disks[n.core.Disk()]
+	own, known := view.Disks[n.core.DiskID()]
 	n.rosterState.Store(&rosterState{epoch: view.Epoch, nonVoting: known && !own.Counted})
-	n.backfiller.Follow(view)
+	n.backfiller.ApplyRoster(view)
 	for id, other := range view.Disks {
-		if id != n.core.Disk() {
+		if id != n.core.DiskID() {
 			addresses = append(addresses, other.Member.Address)
 		}
 	}
@@ -185,7 +185,7 @@
 	if n.Now() < n.nextWriteAt {
 		return nil
 	}
-	batch := n.core.Take()
+	batch := n.core.TakeBatch()
 	var positions []segment.Position
 	if len(batch.Payloads) > 0 {
 		var err error
@@ -194,7 +194,7 @@
 		if errors.As(err, &full) {
 			n.nextWriteAt = n.Now() + diskFullRetryInterval
 			log.WithError(err).Error("disk is full, refusing new messages")
-			n.core.Full(batch)
+			n.core.DiskFull(batch)
 			return nil
 		}
 		if err != nil {
@@ -204,7 +204,7 @@
 			return err
 		}
 	}
-	n.core.Synced(n.Now(), batch, positions)
+	n.core.BatchSynced(n.Now(), batch, positions)
 	n.complete.Store(n.core.Complete())
 	n.pendingParts.Add(-n.unsyncedParts)
 	n.unsyncedParts = 0
@@ -224,9 +224,9 @@
 			n.handleQueuedCalls()
 		case part := <-n.backfillParts:
 			n.updateCore()
-			n.core.TakeCopy(part.messages)
+			n.core.AddCopies(part.messages)
 			if part.last {
-				n.core.CopyFinished()
+				n.core.FinishBackfill()
 				log.Info("backfill finished, the store is complete")
 			}
 			n.unsyncedParts++
@@ -253,9 +253,9 @@
 
 // updateCore passes the current time and roster to the core.
 func (n *storeNode) updateCore() {
-	n.core.Time(n.Now())
+	n.core.SetTime(n.Now())
 	if current := n.rosterState.Load(); current != nil {
-		n.core.Follow(current.epoch, current.nonVoting)
+		n.core.SetRoster(current.epoch, current.nonVoting)
 	}
 }
 
@@ -288,11 +288,11 @@
 	if err := n.flushBatch(); err != nil {
 		return err
 	}
-	for _, number := range n.core.Removable(n.log.Segments()) {
+	for _, number := range n.core.RemovableSegments(n.log.Segments()) {
 		if err := n.log.RemoveOldestSegment(); err != nil {
 			return err
 		}
-		n.core.Removed(number)
+		n.core.SegmentRemoved(number)
 	}
 	return nil
 }
--- a/internal/system/node/store_repair.go
+++ b/internal/system/node/store_repair.go
@@ -11,9 +11,9 @@
 	last     bool
 }
 
-// Fill implements store.RepairEnvironment. It is called under the mutex. The number of waiting goroutines is bounded,
-// because the backfiller requests one part at a time from each source, and none while parts are pending.
-func (n *storeNode) Fill(messages []wire.CopiedMessage, last bool) {
+// AddCopies implements store.RepairEnvironment. It is called under the mutex. The number of waiting goroutines is
+// bounded, because the backfiller requests one part at a time from each source, and none while parts are pending.
+func (n *storeNode) AddCopies(messages []wire.CopiedMessage, last bool) {
 	n.pendingParts.Add(1)
 	go func() { n.backfillParts <- backfillPart{messages: messages, last: last} }()
 }
@@ -36,10 +36,10 @@
 	})
 }
 
-// Held implements store.RepairEnvironment.
-func (n *storeNode) Held(body wire.HeldBody, done func(wire.HeldAnswer)) {
+// ListHeld implements store.RepairEnvironment.
+func (n *storeNode) ListHeld(body wire.HeldBody, done func(wire.HeldAnswer)) {
 	n.queryCore(func(core *store.Core) func() {
-		answer := core.Held(body)
+		answer := core.ListHeld(body)
 		return func() { done(answer) }
 	})
 }
@@ -52,10 +52,10 @@
 	})
 }
 
-// Seal implements store.RepairEnvironment.
-func (n *storeNode) Seal(sealed bool, done func()) {
+// RefuseOutcomes implements store.RepairEnvironment.
+func (n *storeNode) RefuseOutcomes(sealed bool, done func()) {
 	n.queryCore(func(core *store.Core) func() {
-		core.Seal(sealed)
+		core.RefuseOutcomes(sealed)
 		return done
 	})
 }
@@ -63,8 +63,8 @@
 // Complete implements store.RepairEnvironment.
 func (n *storeNode) Complete() bool { return n.complete.Load() }
 
-// Filling implements store.RepairEnvironment.
-func (n *storeNode) Filling() bool { return n.pendingParts.Load() > 0 }
+// CopiesPending implements store.RepairEnvironment.
+func (n *storeNode) CopiesPending() bool { return n.pendingParts.Load() > 0 }
 
-// Report implements store.RepairEnvironment.
-func (n *storeNode) Report(event string, err error) { report(event, err) }
+// LogWarning implements store.RepairEnvironment.
+func (n *storeNode) LogWarning(event string, err error) { report(event, err) }
--- a/internal/system/role/store/fill.go
+++ b/internal/system/role/store/backfill.go
@@ -23,9 +23,9 @@
 // it is meant to replace may have crashed, and its session remains until it expires.
 const spareDelay = keeper.SessionLife + time.Second
 
-// Filler backfills a disk with the messages that too few other disks hold: a first time until the disk may be
+// Backfiller backfills a disk with the messages that too few other disks hold: a first time until the disk may be
 // counted in the roster, then again for what was written to disks of the former roster meanwhile.
-type Filler struct {
+type Backfiller struct {
 	env              RepairEnvironment
 	session          *member.Client
 	disk             string // of this store
@@ -44,24 +44,24 @@
 	complete         bool              // everything was fetched, and the core has been notified
 }
 
-// NewFiller returns a Filler for a disk. It moves at most rate bytes per second; 0 means no limit. It does nothing
-// until Follow.
-func NewFiller(env RepairEnvironment, session *member.Client, disk string, tolerated *tolerance.Tolerance, rate float64) *Filler {
-	return &Filler{env: env, session: session, disk: disk, tolerance: tolerated, throttle: throttle{rate: rate}}
+// NewBackfiller returns a Backfiller for a disk. It moves at most rate bytes per second; 0 means no limit. It does
+// nothing until ApplyRoster.
+func NewBackfiller(env RepairEnvironment, session *member.Client, disk string, tolerated *tolerance.Tolerance, rate float64) *Backfiller {
+	return &Backfiller{env: env, session: session, disk: disk, tolerance: tolerated, throttle: throttle{rate: rate}}
 }
 
 // Running reports whether a backfill is in progress and needs connections to the other stores.
-func (f *Filler) Running() bool { return f.running }
+func (f *Backfiller) Running() bool { return f.running }
 
-// Follow starts a backfill if the roster calls for one: this disk does not count, or it is spare and another disk
+// ApplyRoster starts a backfill if the roster calls for one: this disk does not count, or it is spare and another disk
 // is missing, or a backfill of a counted disk was interrupted.
-func (f *Filler) Follow(view *member.View) {
+func (f *Backfiller) ApplyRoster(view *member.View) {
 	own, known := view.Disks[f.disk]
 	interrupted := own.Counted && !f.complete && !f.env.Complete()
 	if f.running || !known || own.Counted && !interrupted && (!own.Spare || len(view.MissingDisks()) == 0) {
 		return
 	}
-	f.env.Report("a disk is missing or this one is new: backfilling this disk from the other stores", nil)
+	f.env.LogWarning("a disk is missing or this one is new: backfilling this disk from the other stores", nil)
 	f.running, f.complete, f.countRequested, f.startedAt, f.epoch, f.replacedZone = true, false, false, f.env.Now(), 0, nil
 	if interrupted {
 		// The disk counts, but its process stopped before it had fetched everything. Which disk it replaced is
@@ -74,7 +74,7 @@
 }
 
 // step runs the current stage and schedules the next step unless the backfill is over.
-func (f *Filler) step() {
+func (f *Backfiller) step() {
 	if f.runStage(f.session.View()) {
 		return
 	}
@@ -83,7 +83,7 @@
 
 // runStage reads the lists of the stores, then fetches what too few disks hold, then goes on to the next stage. It
 // reports whether the backfill is over.
-func (f *Filler) runStage(view *member.View) bool {
+func (f *Backfiller) runStage(view *member.View) bool {
 	ownCaughtUp := f.lists.readOwn(0)
 	caughtUp, awaited, missingZones := f.lists.read(view, f.epoch)
 	missingZones = append(missingZones, f.replacedZone...)
@@ -93,7 +93,7 @@
 	if f.plan == nil {
 		f.plan = newFetchPlan(f, view)
 	}
-	if !f.plan.fetchRemaining(view) || f.env.Filling() {
+	if !f.plan.fetchRemaining(view) || f.env.CopiesPending() {
 		return false
 	}
 	if f.sender.inFlight > 0 {
@@ -115,7 +115,7 @@
 
 // findReplacedZone returns the zone of the disk that this one replaces. There is at most one: other disks that have
 // left the roster since were drained, or have a replacement of their own that is queried.
-func (f *Filler) findReplacedZone(view *member.View) []string {
+func (f *Backfiller) findReplacedZone(view *member.View) []string {
 	for id, zone := range ordered.Map(f.previousDisks) {
 		if _, still := view.Disks[id]; !still {
 			return []string{zone}
@@ -125,13 +125,13 @@
 }
 
 // advance goes to the next stage and reports whether the backfill is over.
-func (f *Filler) advance(view *member.View) bool {
+func (f *Backfiller) advance(view *member.View) bool {
 	own := view.Disks[f.disk]
 	missing := len(view.MissingDisks())
 	switch {
 	case f.epoch > 0:
 		f.complete = true
-		f.env.Fill(nil, true)
+		f.env.AddCopies(nil, true)
 		f.stop()
 		return true
 	case f.countRequested && own.Counted && (missing == 0 || !own.Spare):
@@ -150,13 +150,13 @@
 }
 
 // stop ends the backfill and releases its state of the other disks.
-func (f *Filler) stop() {
+func (f *Backfiller) stop() {
 	f.running = false
 	f.lists, f.plan, f.sender = nil, nil, nil
 }
 
 // requestCounting asks the keepers to count this disk. It is called repeatedly until they do.
-func (f *Filler) requestCounting(view *member.View) {
+func (f *Backfiller) requestCounting(view *member.View) {
 	if f.countRequested && f.env.Now()-f.countRequestedAt < countRetryInterval {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // zonesWithOwn returns the zones of the disks that hold a message, including this disk, which is about to count.
-func (f *Filler) zonesWithOwn(view *member.View, m *underReplicatedMessage) []string {
+func (f *Backfiller) zonesWithOwn(view *member.View, m *underReplicatedMessage) []string {
 	zones := m.holderZones(view)
 	if !slices.Contains(m.holders, f.disk) {
 		zones = append(zones, view.Disks[f.disk].Member.Zone)
@@ -186,7 +186,7 @@
 // fetchPlan lists which messages a backfill fetches from which store: those that too few disks hold and this one
 // does not.
 type fetchPlan struct {
-	backfiller *Filler
+	backfiller *Backfiller
 	startedAt  time.Duration
 	queues     map[string][]string      // message ids by source disk, those with the fewest holders first
 	inFlight   map[string]bool          // by source disk
@@ -195,7 +195,7 @@
 	localSent  bool                     // copies of these were sent to other disks
 }
 
-func newFetchPlan(f *Filler, view *member.View) *fetchPlan {
+func newFetchPlan(f *Backfiller, view *member.View) *fetchPlan {
 	p := &fetchPlan{backfiller: f, startedAt: f.env.Now(), queues: map[string][]string{}, inFlight: map[string]bool{}}
 	for _, m := range f.lists.index.underReplicated(view) {
 		if f.lists.index.state(f.disk, m.id).Has(m.required) {
@@ -253,7 +253,7 @@
 
 func (p *fetchPlan) fetch(disk, address string) {
 	f := p.backfiller
-	if p.inFlight[disk] || f.env.Filling() || !f.throttle.ready(f.env.Now()) {
+	if p.inFlight[disk] || f.env.CopiesPending() || !f.throttle.ready(f.env.Now()) {
 		return
 	}
 	p.inFlight[disk] = true
@@ -271,7 +271,7 @@
 			p.queues[disk] = nil
 			return
 		}
-		f.env.Fill(answer.Messages, false)
+		f.env.AddCopies(answer.Messages, false)
 		copied := f.lists.recordCopies(f.disk, answer.Messages)
 		p.queues[disk] = p.remaining(disk, ids, copied, answer.More)
 	})
--- a/internal/system/role/store/batch.go
+++ b/internal/system/role/store/batch.go
@@ -24,9 +24,9 @@
 	return r.encode()
 }
 
-// Full reports that a batch did not fit on the disk. Records with an onDiskFull callback are dropped, which refuses
+// DiskFull reports that a batch did not fit on the disk. Records with an onDiskFull callback are dropped, which refuses
 // new messages. The other records and the answers are kept for the next batch.
-func (c *Core) Full(batch *Batch) {
+func (c *Core) DiskFull(batch *Batch) {
 	var kept []pendingRecord
 	for _, r := range batch.records {
 		if r.onDiskFull != nil {
@@ -39,8 +39,8 @@
 	c.answers = append(batch.answers, c.answers...)
 }
 
-// Waiting reports whether records or answers wait to be taken as a batch.
-func (c *Core) Waiting() bool { return len(c.batch) > 0 || len(c.answers) > 0 }
+// HasBatch reports whether records or answers wait to be taken as a batch.
+func (c *Core) HasBatch() bool { return len(c.batch) > 0 || len(c.answers) > 0 }
 
 // Batch is a set of records that are written and synced together, and of answers that are sent after the sync.
 type Batch struct {
@@ -51,8 +51,8 @@
 	epoch    uint64 // of the roster that the store followed when the batch was taken
 }
 
-// Take returns the gathered batch and begins a new one.
-func (c *Core) Take() *Batch {
+// TakeBatch returns the gathered batch and begins a new one.
+func (c *Core) TakeBatch() *Batch {
 	batch := &Batch{records: c.batch, answers: c.answers, epoch: c.epoch}
 	for _, r := range batch.records {
 		batch.Payloads = append(batch.Payloads, r.payload)
@@ -61,9 +61,9 @@
 	return batch
 }
 
-// Synced reports that a batch is durable on disk, at one position for each payload. It calls the callbacks of the
+// BatchSynced reports that a batch is durable on disk, at one position for each payload. It calls the callbacks of the
 // records and sends the answers.
-func (c *Core) Synced(now time.Duration, batch *Batch, positions []segment.Position) {
+func (c *Core) BatchSynced(now time.Duration, batch *Batch, positions []segment.Position) {
 	c.now = c.clock.timeAt(now)
 	for i, r := range batch.records {
 		c.addSize(positions[i], r.payload)
--- a/internal/system/role/store/clean.go
+++ b/internal/system/role/store/clean.go
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// Removable returns those of the log's segments that hold nothing that is needed, oldest first. The newest segment
-// is never among them.
-func (c *Core) Removable(segments []uint64) []uint64 {
+// RemovableSegments returns those of the log's segments that hold nothing that is needed, oldest first. The newest
+// segment is never among them.
+func (c *Core) RemovableSegments(segments []uint64) []uint64 {
 	count := 0
 	for count < len(segments)-1 && segments[count] <= c.cleaning.removableUpTo {
 		count++
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// Removed reports that a segment was deleted from the disk.
-func (c *Core) Removed(number uint64) {
+// SegmentRemoved reports that a segment was deleted from the disk.
+func (c *Core) SegmentRemoved(number uint64) {
 	c.logBytes -= c.segmentSizes[number]
 	c.bytesAfterCleaning = c.logBytes
 	delete(c.segmentSizes, number)
--- a/internal/system/role/store/clock_test.go
+++ b/internal/system/role/store/clock_test.go
@@ -40,13 +40,13 @@
 
 	ginkgo.It("records its clock only while messages are pending", func() {
 		Expect(f.put("a")).To(BeNil())
-		before := f.core.Bytes()
+		before := f.core.LogBytes()
 		f.advance(2 * clockInterval)
-		Expect(f.core.Bytes()).To(BeNumerically(">", before))
+		Expect(f.core.LogBytes()).To(BeNumerically(">", before))
 		f.complete("a", message.Succeeded)
-		before = f.core.Bytes()
+		before = f.core.LogBytes()
 		f.advance(2 * clockInterval)
-		Expect(f.core.Bytes()).To(Equal(before))
+		Expect(f.core.LogBytes()).To(Equal(before))
 	})
 
 	ginkgo.It("preserves the ages of copies over a restart", func() {
--- a/internal/system/role/store/copy.go
+++ b/internal/system/role/store/copy.go
@@ -6,8 +6,8 @@
 	"granitewing/internal/system/wire"
 )
 
-// TakeCopy adds copies of messages that another store holds.
-func (c *Core) TakeCopy(messages []wire.CopiedMessage) {
+// AddCopies adds copies of messages that another store holds.
+func (c *Core) AddCopies(messages []wire.CopiedMessage) {
 	for i := range messages {
 		c.addCopy(&messages[i])
 	}
@@ -16,7 +16,7 @@
 func (c *Core) addCopy(copied *wire.CopiedMessage) {
 	id := copied.Message.ID
 	if copied.Cancelled {
-		c.Void(id, func(*wire.RefusalBody) {})
+		c.Cancel(id, func(*wire.RefusalBody) {})
 		return
 	}
 	e := c.index.get(id)
@@ -27,7 +27,7 @@
 		c.storeCopy(e, copied)
 	}
 	if copied.Outcome != nil {
-		c.Ends([]message.Outcome{*copied.Outcome}, func() {})
+		c.PutOutcomes([]message.Outcome{*copied.Outcome}, func() {})
 	}
 }
 
@@ -47,9 +47,9 @@
 	})
 }
 
-// CopyFinished reports that the store has copied everything that too few other disks hold. From now on the store is
+// FinishBackfill reports that the store has copied everything that too few other disks hold. From now on the store is
 // complete, as if its disk had never lost anything.
-func (c *Core) CopyFinished() {
+func (c *Core) FinishBackfill() {
 	if c.complete {
 		return
 	}
--- a/internal/system/role/store/core.go
+++ b/internal/system/role/store/core.go
@@ -10,8 +10,8 @@
 
 // Options configures a store.
 type Options struct {
-	// Status is how long after its completion a message's state can be queried.
-	Status time.Duration
+	// StatusTime is how long after its completion a message's state can be queried.
+	StatusTime time.Duration
 	// DiskBytes is the size of the disk in bytes. Part of it is left free for the records that cleaning and
 	// outcomes need.
 	DiskBytes int64
@@ -90,13 +90,13 @@
 	return record{Kind: recordStarted, Incomplete: !c.complete, Founder: c.bootstrapDisk, Disk: c.disk}
 }
 
-// Founder reports whether the disk has been in use since the system was bootstrapped.
-func (c *Core) Founder() bool { return c.bootstrapDisk }
+// BootstrapDisk reports whether the disk has been in use since the system was bootstrapped.
+func (c *Core) BootstrapDisk() bool { return c.bootstrapDisk }
 
-// Follow sets the epoch of the roster, and whether the store's disk is in it without counting toward the write
+// SetRoster sets the epoch of the roster, and whether the store's disk is in it without counting toward the write
 // quorum. From then on the store refuses messages that were sent under an older roster. A disk that was replaced
 // while it was away has to be backfilled again.
-func (c *Core) Follow(epoch uint64, uncounted bool) {
+func (c *Core) SetRoster(epoch uint64, uncounted bool) {
 	c.epoch = max(c.epoch, epoch)
 	if uncounted && c.complete {
 		c.complete, c.bootstrapDisk = false, false
@@ -104,11 +104,11 @@
 	}
 }
 
-// Epoch returns the epoch of the roster that this store follows.
-func (c *Core) Epoch() uint64 { return c.epoch }
+// RosterEpoch returns the epoch of the roster that this store follows.
+func (c *Core) RosterEpoch() uint64 { return c.epoch }
 
-// Disk returns the random identity that was recorded on the disk.
-func (c *Core) Disk() string { return c.disk }
+// DiskID returns the random identity that was recorded on the disk.
+func (c *Core) DiskID() string { return c.disk }
 
 // Complete reports whether the store holds everything that it ever acknowledged.
 func (c *Core) Complete() bool { return c.complete }
@@ -123,13 +123,13 @@
 	return len(c.index.entries), pending
 }
 
-// Bytes returns the size of the log in bytes.
-func (c *Core) Bytes() int64 { return c.logBytes }
+// LogBytes returns the size of the log in bytes.
+func (c *Core) LogBytes() int64 { return c.logBytes }
 
-// Time sets the time of the process's monotonic clock, forgets old outcomes and completes overdue messages.
-func (c *Core) Time(now time.Duration) {
+// SetTime sets the time of the process's monotonic clock, forgets old outcomes and completes overdue messages.
+func (c *Core) SetTime(now time.Duration) {
 	c.now = c.clock.timeAt(now)
-	c.index.dropExpired(c.now, c.options.Status)
+	c.index.dropExpired(c.now, c.options.StatusTime)
 	c.expire()
 	c.persistClock()
 }
@@ -184,9 +184,9 @@
 	}})
 }
 
-// Void cancels a message: it never runs. The request is refused if another process may already know of the message.
+// Cancel cancels a message: it never runs. The request is refused if another process may already know of the message.
 // done is called with nil once the cancellation is synced.
-func (c *Core) Void(id string, done func(refusal *wire.RefusalBody)) {
+func (c *Core) Cancel(id string, done func(refusal *wire.RefusalBody)) {
 	e := c.index.get(id)
 	if e != nil && e.void {
 		c.answers = append(c.answers, func() { done(nil) })
--- a/internal/system/role/store/empty.go
+++ b/internal/system/role/store/drain.go
@@ -17,9 +17,9 @@
 	maxSealTime = time.Second
 )
 
-// Emptier drains a disk that leaves the roster. It copies to other disks the messages that too few disks would hold
+// Drainer drains a disk that leaves the roster. It copies to other disks the messages that too few disks would hold
 // without this one, and reports to the keepers once there are none left.
-type Emptier struct {
+type Drainer struct {
 	env             RepairEnvironment
 	session         *member.Client
 	disk            string // of this store
@@ -34,14 +34,14 @@
 	sealedAt        time.Duration
 }
 
-// NewEmptier returns an Emptier for a disk. It moves at most rate bytes per second; 0 means no limit. It does
+// NewDrainer returns a Drainer for a disk. It moves at most rate bytes per second; 0 means no limit. It does
 // nothing until Start.
-func NewEmptier(env RepairEnvironment, session *member.Client, disk string, tolerated *tolerance.Tolerance, rate float64) *Emptier {
-	return &Emptier{env: env, session: session, disk: disk, tolerance: tolerated, throttle: throttle{rate: rate}}
+func NewDrainer(env RepairEnvironment, session *member.Client, disk string, tolerated *tolerance.Tolerance, rate float64) *Drainer {
+	return &Drainer{env: env, session: session, disk: disk, tolerance: tolerated, throttle: throttle{rate: rate}}
 }
 
 // Start begins to watch the roster, and drains the disk while the roster marks it as leaving.
-func (e *Emptier) Start() {
+func (e *Drainer) Start() {
 	e.env.After(drainInterval, e.Start)
 	view := e.session.View()
 	own, known := view.Disks[e.disk]
@@ -53,7 +53,7 @@
 		return
 	}
 	if e.lists == nil {
-		e.env.Report("this disk is leaving the roster: draining it to other disks", nil)
+		e.env.LogWarning("this disk is leaving the roster: draining it to other disks", nil)
 		e.lists = newListReader(e.env, e.session, e.disk, e.tolerance)
 		e.sender = &sender{lists: e.lists, throttle: &e.throttle}
 		e.listsStale = false
@@ -61,7 +61,7 @@
 	e.step(view)
 }
 
-func (e *Emptier) step(view *member.View) {
+func (e *Drainer) step(view *member.View) {
 	if e.sender.inFlight > 0 || e.fetchesInFlight > 0 || e.sealPending || !e.throttle.ready(e.env.Now()) {
 		return
 	}
@@ -90,7 +90,7 @@
 // finish seals the store, reads once more what it accepted until then, and reports to the keepers that the disk is
 // drained. A sender whose outcome is refused meanwhile sends it to the other stores once this disk is out of the
 // roster.
-func (e *Emptier) finish(view *member.View) {
+func (e *Drainer) finish(view *member.View) {
 	switch {
 	case !e.sealed:
 		e.seal(true)
@@ -102,12 +102,12 @@
 }
 
 // seal makes the core refuse or accept outcomes. This store's list is then read for changes up to that point.
-func (e *Emptier) seal(sealed bool) {
+func (e *Drainer) seal(sealed bool) {
 	if e.sealed == sealed || e.sealPending {
 		return
 	}
 	e.sealPending = true
-	e.env.Seal(sealed, func() {
+	e.env.RefuseOutcomes(sealed, func() {
 		e.sealPending, e.sealed, e.sealedAt = false, sealed, e.env.Now()
 		if e.lists != nil {
 			e.lists.readOwnAgain()
@@ -118,7 +118,7 @@
 // underReplicated returns the messages that this disk holds something of and that too few other disks hold. held
 // are those that this disk can copy to others. outdated are those whose outcome other disks know and this one does
 // not, for example one recorded while this disk was partitioned.
-func (e *Emptier) underReplicated(view *member.View) (held, outdated []underReplicatedMessage) {
+func (e *Drainer) underReplicated(view *member.View) (held, outdated []underReplicatedMessage) {
 	for _, m := range e.lists.index.underReplicated(view) {
 		own := e.lists.index.state(e.disk, m.id)
 		switch {
@@ -134,7 +134,7 @@
 
 // fetchOutcomes fetches from other disks what this one lacks of outdated messages, so that it can then copy them
 // on.
-func (e *Emptier) fetchOutcomes(view *member.View, outdated []underReplicatedMessage) {
+func (e *Drainer) fetchOutcomes(view *member.View, outdated []underReplicatedMessage) {
 	byDisk := map[string][]string{}
 	for i, m := range outdated {
 		from := m.holders[i%len(m.holders)]
@@ -152,7 +152,7 @@
 				err = wire.Decode(wire.FetchCopies, payload, &answer)
 			}
 			if err == nil {
-				e.env.Fill(answer.Messages, false)
+				e.env.AddCopies(answer.Messages, false)
 			}
 		})
 	}
--- a/internal/system/role/store/empty_test.go
+++ b/internal/system/role/store/drain_test.go
@@ -21,13 +21,13 @@
 
 func (s *silentEnvironment) Now() time.Duration                                   { return 0 }
 func (s *silentEnvironment) After(time.Duration, func())                          {}
-func (s *silentEnvironment) Fill([]wire.CopiedMessage, bool)                      {}
+func (s *silentEnvironment) AddCopies([]wire.CopiedMessage, bool)                 {}
 func (s *silentEnvironment) Complete() bool                                       { return true }
-func (s *silentEnvironment) Filling() bool                                        { return false }
-func (s *silentEnvironment) Seal(bool, func())                                    {}
-func (s *silentEnvironment) Held(wire.HeldBody, func(wire.HeldAnswer))            {}
+func (s *silentEnvironment) CopiesPending() bool                                  { return false }
+func (s *silentEnvironment) RefuseOutcomes(bool, func())                          {}
+func (s *silentEnvironment) ListHeld(wire.HeldBody, func(wire.HeldAnswer))        {}
 func (s *silentEnvironment) Copies(_ []string, done func(wire.CopiesBody, error)) { s.onCopies = done }
-func (s *silentEnvironment) Report(string, error)                                 {}
+func (s *silentEnvironment) LogWarning(string, error)                             {}
 func (s *silentEnvironment) Call(_ string, _ wire.Kind, _ []byte, _ time.Duration, done func([]byte, error)) {
 	s.onSent = done
 }
@@ -35,7 +35,7 @@
 var _ = ginkgo.Describe("A drain of a disk", func() {
 	ginkgo.It("handles an answer that arrives after the drain was cancelled", func() {
 		env := &silentEnvironment{}
-		e := NewEmptier(env, nil, "own", &tolerance.Tolerance{Machines: 1}, 0)
+		e := NewDrainer(env, nil, "own", &tolerance.Tolerance{Machines: 1}, 0)
 		e.lists = newListReader(env, nil, "own", e.tolerance)
 		e.sender = &sender{lists: e.lists, throttle: &e.throttle}
 		sender := e.sender
--- a/internal/system/role/store/expire_test.go
+++ b/internal/system/role/store/expire_test.go
@@ -21,7 +21,7 @@
 	Expect(f.put("m2")).To(BeNil(), "a message without a callback")
 	copied := newMessage("m3")
 	copied.Callback = withCallback.Callback
-	f.core.TakeCopy([]wire.CopiedMessage{{Message: *copied}})
+	f.core.AddCopies([]wire.CopiedMessage{{Message: *copied}})
 	f.flush()
 	f.open(false)
 	f.advance(withCallback.Retention + time.Minute)
--- a/internal/system/role/store/bench_test.go
+++ b/internal/system/role/store/fixture_test.go
@@ -26,7 +26,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	f.log, err = segment.Open(folder, 8<<10)
 	Expect(err).NotTo(HaveOccurred())
-	f.core = New(Options{Status: 120 * time.Second, DiskBytes: 160 << 10}, f.log, f.now)
+	f.core = New(Options{StatusTime: 120 * time.Second, DiskBytes: 160 << 10}, f.log, f.now)
 	Expect(f.log.Replay(f.core.Load)).To(Succeed())
 	f.core.Start(bootstrap, "disk-1")
 	f.flush()
@@ -34,10 +34,10 @@
 
 func (f *fixture) flush() {
 	if f.full {
-		f.core.Full(f.core.Take())
+		f.core.DiskFull(f.core.TakeBatch())
 		return
 	}
-	batch := f.core.Take()
+	batch := f.core.TakeBatch()
 	var positions []segment.Position
 	if len(batch.Payloads) > 0 {
 		var err error
@@ -47,7 +47,7 @@
 			Expect(f.log.Sync()).To(Succeed())
 		}
 	}
-	f.core.Synced(f.now, batch, positions)
+	f.core.BatchSynced(f.now, batch, positions)
 }
 
 // clean cleans old segments and removes those that are clean, as the store's driver does. It returns how many were
@@ -55,17 +55,17 @@
 func (f *fixture) clean() int {
 	Expect(f.core.Clean(f.log.Segments())).To(Succeed())
 	f.flush()
-	removable := f.core.Removable(f.log.Segments())
+	removable := f.core.RemovableSegments(f.log.Segments())
 	for _, number := range removable {
 		Expect(f.log.RemoveOldestSegment()).To(Succeed())
-		f.core.Removed(number)
+		f.core.SegmentRemoved(number)
 	}
 	return len(removable)
 }
 
 func (f *fixture) advance(wait time.Duration) {
 	f.now += wait
-	f.core.Time(f.now)
+	f.core.SetTime(f.now)
 	f.flush()
 }
 
@@ -75,20 +75,20 @@
 
 func (f *fixture) put(id string) (refusal *wire.RefusalBody) {
 	answered := false
-	f.core.Put(newMessage(id), f.core.Epoch(), func(r *wire.RefusalBody) { refusal, answered = r, true })
+	f.core.Put(newMessage(id), f.core.RosterEpoch(), func(r *wire.RefusalBody) { refusal, answered = r, true })
 	f.flush()
 	Expect(answered).To(BeTrue())
 	return refusal
 }
 
 func (f *fixture) void(id string) (refusal *wire.RefusalBody) {
-	f.core.Void(id, func(r *wire.RefusalBody) { refusal = r })
+	f.core.Cancel(id, func(r *wire.RefusalBody) { refusal = r })
 	f.flush()
 	return refusal
 }
 
 func (f *fixture) complete(id string, phase message.Phase) {
-	f.core.Ends([]message.Outcome{{ID: id, Phase: phase, Stamp: "stamp"}}, func() {})
+	f.core.PutOutcomes([]message.Outcome{{ID: id, Phase: phase, Stamp: "stamp"}}, func() {})
 	f.flush()
 }
 
@@ -121,7 +121,7 @@
 	for rest := ids; ; {
 		copies, err := f.core.Copies(rest)
 		Expect(err).NotTo(HaveOccurred())
-		other.core.TakeCopy(copies.Messages)
+		other.core.AddCopies(copies.Messages)
 		other.flush()
 		count += len(copies.Messages)
 		if !copies.More {
--- a/internal/system/role/store/handle.go
+++ b/internal/system/role/store/handle.go
@@ -5,9 +5,9 @@
 // sealedRefusal answers a sender of outcomes while the store is sealed.
 var sealedRefusal = wire.RefusalBody{Code: wire.CallFailed, Reason: "this disk is empty and about to leave the roster"}
 
-// Seal makes the store refuse outcomes and completed callbacks, or accept them again. It is set while the disk is
-// about to leave the roster, since the disk would be the only one to hold what it accepts.
-func (c *Core) Seal(sealed bool) { c.sealed = sealed }
+// RefuseOutcomes makes the store refuse outcomes and completed callbacks, or accept them again. It is set while the
+// disk is about to leave the roster, since the disk would be the only one to hold what it accepts.
+func (c *Core) RefuseOutcomes(sealed bool) { c.sealed = sealed }
 
 // Handle executes a call. A call that writes is answered once its batch is synced. An error means that the call had
 // no effect.
@@ -32,7 +32,7 @@
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		c.Void(body.ID, answer)
+		c.Cancel(body.ID, answer)
 	case wire.PutOutcomes:
 		var body wire.OutcomesBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
@@ -42,7 +42,7 @@
 			answerer.Refuse(sealedRefusal)
 			return nil
 		}
-		c.Ends(body.Outcomes, accepted)
+		c.PutOutcomes(body.Outcomes, accepted)
 	case wire.CallbackDone:
 		var body wire.CallbackDoneBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
@@ -58,7 +58,7 @@
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		c.TakeCopy(body.Messages)
+		c.AddCopies(body.Messages)
 		c.answers = append(c.answers, accepted)
 	default:
 		return c.handleRead(kind, payload, answerer)
@@ -95,13 +95,13 @@
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		return reply(answerer, &wire.FindOutcomesAnswer{Outcomes: c.FindEnds(body.IDs), Complete: c.complete}, nil)
+		return reply(answerer, &wire.FindOutcomesAnswer{Outcomes: c.FindOutcomes(body.IDs), Complete: c.complete}, nil)
 	case wire.ListHeld:
 		var body wire.HeldBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		answer := c.Held(body)
+		answer := c.ListHeld(body)
 		return reply(answerer, &answer, nil)
 	case wire.FetchCopies:
 		var body wire.FetchBody
--- a/internal/system/role/store/held.go
+++ b/internal/system/role/store/held.go
@@ -5,11 +5,11 @@
 	"granitewing/internal/system/wire"
 )
 
-// maxListedEntries is the maximum number of changed entries that one part of a Held list covers.
+// maxListedEntries is the maximum number of changed entries that one part of a list by ListHeld covers.
 const maxListedEntries = 8000
 
-// Held lists one part of what the store holds, ordered by latest change.
-func (c *Core) Held(body wire.HeldBody) wire.HeldAnswer {
+// ListHeld lists one part of what the store holds, ordered by latest change.
+func (c *Core) ListHeld(body wire.HeldBody) wire.HeldAnswer {
 	answer := wire.HeldAnswer{Next: body.After, Epoch: c.syncedEpoch, Disk: c.disk}
 	changed := c.index.changedSince(body.After, maxListedEntries)
 	answer.More = len(changed) == maxListedEntries
--- a/internal/system/role/store/listed_test.go
+++ b/internal/system/role/store/listed_test.go
@@ -19,9 +19,9 @@
 func TestListsCopyThatArrivesAfterItsOutcome(t *testing.T) {
 	f := newFixture(t)
 	end := message.Outcome{ID: "m1", Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}
-	f.core.Ends([]message.Outcome{end}, func() {})
+	f.core.PutOutcomes([]message.Outcome{end}, func() {})
 	f.flush()
-	f.core.TakeCopy([]wire.CopiedMessage{{Message: *newMessage("m1"), Outcome: &end}})
+	f.core.AddCopies([]wire.CopiedMessage{{Message: *newMessage("m1"), Outcome: &end}})
 	f.flush()
 	Expect(f.listed()).To(Equal([]string{"m1"}))
 }
@@ -32,7 +32,7 @@
 	f := newFixture(t)
 	f.core.options.DiskBytes = 64 << 20
 	for _, id := range []string{"early1", "early2"} {
-		f.core.Ends([]message.Outcome{{ID: id, Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}}, func() {})
+		f.core.PutOutcomes([]message.Outcome{{ID: id, Phase: message.Succeeded, Stamp: "s", CallbackOwed: true}}, func() {})
 	}
 	ids := []string{"m1", "m2", "m3", "early1", "m4", "m5", "m6", "early2"}
 	for _, id := range ids {
@@ -133,7 +133,7 @@
 func (s *randomStore) put(t *rapid.T) {
 	m, known := s.drawMessage(t)
 	accepted := false
-	s.fixture.core.Put(m, s.fixture.core.Epoch(), func(refusal *wire.RefusalBody) { accepted = refusal == nil })
+	s.fixture.core.Put(m, s.fixture.core.RosterEpoch(), func(refusal *wire.RefusalBody) { accepted = refusal == nil })
 	s.flush()
 	if accepted == known.void {
 		t.Fatalf("%s is void: %t, and its put was accepted: %t", m.ID, known.void, accepted)
@@ -144,7 +144,7 @@
 func (s *randomStore) putOutcome(t *rapid.T) {
 	m, known := s.drawMessage(t)
 	end := drawOutcome(t, m.ID)
-	s.fixture.core.Ends([]message.Outcome{end}, func() {})
+	s.fixture.core.PutOutcomes([]message.Outcome{end}, func() {})
 	s.flush()
 	known.complete(end)
 }
@@ -160,7 +160,7 @@
 		end := drawOutcome(t, m.ID)
 		copied.Outcome = &end
 	}
-	s.fixture.core.TakeCopy([]wire.CopiedMessage{copied})
+	s.fixture.core.AddCopies([]wire.CopiedMessage{copied})
 	s.flush()
 	if known.void {
 		return
@@ -181,7 +181,7 @@
 func (s *randomStore) void(t *rapid.T) {
 	m, known := s.drawMessage(t)
 	voided := false
-	s.fixture.core.Void(m.ID, func(refusal *wire.RefusalBody) { voided = refusal == nil })
+	s.fixture.core.Cancel(m.ID, func(refusal *wire.RefusalBody) { voided = refusal == nil })
 	s.flush()
 	known.void = known.void || voided
 }
--- a/internal/system/role/store/ends.go
+++ b/internal/system/role/store/outcomes.go
@@ -16,31 +16,31 @@
 	outcomeQueryTimeout  = 2 * time.Second
 )
 
-// EndsEnvironment is what an EndsAsker needs from its driver or from the simulation.
-type EndsEnvironment interface {
+// OutcomeEnvironment is what an OutcomeFetcher needs from its driver or from the simulation.
+type OutcomeEnvironment interface {
 	loop.Loop
 	loop.Peers
 }
 
-// EndsAsker queries the other stores for the outcomes of messages that have been pending here for long. The
+// OutcomeFetcher queries the other stores for the outcomes of messages that have been pending here for long. The
 // carriers of such messages may not know that this store holds them too.
-type EndsAsker struct {
-	env         EndsEnvironment
+type OutcomeFetcher struct {
+	env         OutcomeEnvironment
 	session     *member.Client
 	disk        string                        // of this store
 	longPending func(done func(ids []string)) // requests the ids of long-pending messages from the core
 	onOutcomes  func(ends []message.Outcome)  // passes found outcomes to the core
 }
 
-// NewEndsAsker returns an EndsAsker, which does nothing until Start. longPending requests the ids of long-pending
-// messages from the core; onOutcomes passes the outcomes found to it.
-func NewEndsAsker(env EndsEnvironment, session *member.Client, disk string, longPending func(done func(ids []string)),
-	onOutcomes func(ends []message.Outcome)) *EndsAsker {
-	return &EndsAsker{env: env, session: session, disk: disk, longPending: longPending, onOutcomes: onOutcomes}
+// NewOutcomeFetcher returns an OutcomeFetcher, which does nothing until Start. longPending requests the ids of
+// long-pending messages from the core; onOutcomes passes the outcomes found to it.
+func NewOutcomeFetcher(env OutcomeEnvironment, session *member.Client, disk string, longPending func(done func(ids []string)),
+	onOutcomes func(ends []message.Outcome)) *OutcomeFetcher {
+	return &OutcomeFetcher{env: env, session: session, disk: disk, longPending: longPending, onOutcomes: onOutcomes}
 }
 
 // Start begins to query every outcomeQueryInterval.
-func (a *EndsAsker) Start() {
+func (a *OutcomeFetcher) Start() {
 	a.env.After(outcomeQueryInterval, a.Start)
 	a.longPending(func(ids []string) {
 		if len(ids) == 0 {
@@ -55,7 +55,7 @@
 	})
 }
 
-func (a *EndsAsker) query(address string, body []byte) {
+func (a *OutcomeFetcher) query(address string, body []byte) {
 	a.env.Call(address, wire.FindOutcomes, body, outcomeQueryTimeout, func(payload []byte, err error) {
 		var answer wire.FindOutcomesAnswer
 		if err == nil && wire.Decode(wire.FindOutcomes, payload, &answer) == nil && len(answer.Outcomes) > 0 {
@@ -64,9 +64,9 @@
 	})
 }
 
-// Ends records outcomes of messages. A message keeps its first outcome. done is called once all outcomes are
+// PutOutcomes records outcomes of messages. A message keeps its first outcome. done is called once all outcomes are
 // synced.
-func (c *Core) Ends(ends []message.Outcome, done func()) {
+func (c *Core) PutOutcomes(ends []message.Outcome, done func()) {
 	for _, end := range ends {
 		e := c.index.get(end.ID)
 		if e == nil {
--- a/internal/system/role/store/read.go
+++ b/internal/system/role/store/read.go
@@ -78,8 +78,8 @@
 	return answer, nil
 }
 
-// FindEnds returns the outcomes of those of the given messages that have completed.
-func (c *Core) FindEnds(ids []string) []message.Outcome {
+// FindOutcomes returns the outcomes of those of the given messages that have completed.
+func (c *Core) FindOutcomes(ids []string) []message.Outcome {
 	var ends []message.Outcome
 	for _, id := range ids {
 		if e := c.index.get(id); e != nil && !e.void && e.phase != message.Pending {
--- a/internal/system/role/store/record.go
+++ b/internal/system/role/store/record.go
@@ -2,11 +2,11 @@
 // them are void (cancelled before any delivery; a void message never runs).
 //
 // Core is a state machine without I/O or clocks of its own. Its driver replays the log into Load and calls Start.
-// It then passes calls to Handle, takes a batch of records with Take, writes and syncs it, and reports it with
-// Synced. Only then do the answers of the batch go out.
+// It then passes calls to Handle, takes a batch of records with TakeBatch, writes and syncs it, and reports it with
+// BatchSynced. Only then do the answers of the batch go out.
 //
 // Backfiller copies to a new disk what too few other disks hold. Drainer does the reverse for a disk that leaves the
-// roster. EndsAsker queries other stores for the outcomes of messages that have been pending for long. These three
+// roster. OutcomeFetcher queries other stores for the outcomes of messages that have been pending for long. These three
 // run on an event loop and reach the core through RepairEnvironment or callbacks.
 package store
 
--- a/internal/system/role/store/repair.go
+++ b/internal/system/role/store/repair.go
@@ -11,24 +11,24 @@
 	"granitewing/internal/system/wire"
 )
 
-// RepairEnvironment is what a Filler and an Emptier need from their driver or from the simulation.
+// RepairEnvironment is what a Backfiller and a Drainer need from their driver or from the simulation.
 type RepairEnvironment interface {
 	loop.Loop
 	loop.Peers
-	// Fill passes copies to the core; last marks the end of a backfill.
-	Fill(messages []wire.CopiedMessage, last bool)
+	// AddCopies passes copies to the core; last marks the end of a backfill.
+	AddCopies(messages []wire.CopiedMessage, last bool)
 	// Complete reports whether the store holds everything that its disk has to hold.
 	Complete() bool
-	// Filling reports whether copies are waiting to be written to disk.
-	Filling() bool
-	// Held requests a part of this store's list from the core.
-	Held(body wire.HeldBody, done func(answer wire.HeldAnswer))
+	// CopiesPending reports whether copies are waiting to be written to disk.
+	CopiesPending() bool
+	// ListHeld requests a part of this store's list from the core.
+	ListHeld(body wire.HeldBody, done func(answer wire.HeldAnswer))
 	// Copies requests copies of messages from the core.
 	Copies(ids []string, done func(answer wire.CopiesBody, err error))
-	// Seal makes the core refuse outcomes and completed callbacks, or accept them again.
-	Seal(sealed bool, done func())
-	// Report logs an event for the operator.
-	Report(event string, err error)
+	// RefuseOutcomes makes the core refuse outcomes and completed callbacks, or accept them again.
+	RefuseOutcomes(sealed bool, done func())
+	// LogWarning logs an event for the operator.
+	LogWarning(event string, err error)
 }
 
 // Intervals and sizes of a backfill or drain.
@@ -109,7 +109,7 @@
 		return false
 	}
 	progress.inFlight = true
-	l.env.Held(wire.HeldBody{After: progress.after}, func(answer wire.HeldAnswer) {
+	l.env.ListHeld(wire.HeldBody{After: progress.after}, func(answer wire.HeldAnswer) {
 		progress.inFlight = false
 		l.index.addPart(l.disk, progress, &answer)
 		if answer.More {
--- a/internal/system/role/store/repeats_test.go
+++ b/internal/system/role/store/repeats_test.go
@@ -12,7 +12,7 @@
 		f := &fixture{path: ginkgo.GinkgoT().TempDir()}
 		f.open(true)
 		report := func(id string, phase message.Phase, stamp string) {
-			f.core.Ends([]message.Outcome{{ID: id, Phase: phase, Stamp: stamp}}, func() {})
+			f.core.PutOutcomes([]message.Outcome{{ID: id, Phase: phase, Stamp: stamp}}, func() {})
 			f.flush()
 		}
 		report("m1", message.Succeeded, "one")
--- a/internal/system/role/store/seal_test.go
+++ b/internal/system/role/store/seal_test.go
@@ -27,21 +27,21 @@
 		}
 		return answered
 	}
-	core.Seal(true)
+	core.RefuseOutcomes(true)
 	if got := send(wire.PutOutcomes, ends); got.refused != 1 {
 		t.Errorf("an outcome at a sealed store: %+v, want one refusal", got)
 	}
 	if got := send(wire.CallbackDone, done); got.refused != 1 {
 		t.Errorf("a completed callback at a sealed store: %+v, want one refusal", got)
 	}
-	if held := core.Held(wire.HeldBody{}); len(held.IDs) != 0 {
+	if held := core.ListHeld(wire.HeldBody{}); len(held.IDs) != 0 {
 		t.Errorf("a sealed store holds %v, want nothing", held.IDs)
 	}
-	core.Seal(false)
+	core.RefuseOutcomes(false)
 	if got := send(wire.PutOutcomes, ends); got.refused != 0 {
 		t.Errorf("an outcome at an unsealed store: %+v, want no refusal", got)
 	}
-	if held := core.Held(wire.HeldBody{}); len(held.IDs) != 1 {
+	if held := core.ListHeld(wire.HeldBody{}); len(held.IDs) != 1 {
 		t.Errorf("an unsealed store holds %v, want one message", held.IDs)
 	}
 }
--- a/internal/system/role/store/send.go
+++ b/internal/system/role/store/send.go
@@ -88,7 +88,7 @@
 	s.lists.env.Copies(ids, func(body wire.CopiesBody, err error) {
 		if err != nil {
 			s.inFlight--
-			s.lists.env.Report("can't read under-replicated messages to copy them to other disks", err)
+			s.lists.env.LogWarning("can't read under-replicated messages to copy them to other disks", err)
 			return
 		}
 		body.More = false
--- a/internal/system/role/store/store_test.go
+++ b/internal/system/role/store/store_test.go
@@ -67,7 +67,7 @@
 	})
 
 	ginkgo.It("refuses messages sent under an older roster", func() {
-		f.core.Follow(4, false)
+		f.core.SetRoster(4, false)
 		var refusal *wire.RefusalBody
 		f.core.Put(newMessage("a"), 3, func(r *wire.RefusalBody) { refusal = r })
 		Expect(refusal.Code).To(Equal(wire.StaleRoster))
@@ -83,37 +83,37 @@
 		f.complete("m00", message.Succeeded)
 		Expect(f.put("void")).To(BeNil())
 		Expect(f.void("void")).To(BeNil())
-		held := f.core.Held(wire.HeldBody{})
+		held := f.core.ListHeld(wire.HeldBody{})
 		Expect(held.IDs).To(HaveLen(51))
 		Expect(held.More).To(BeFalse())
 		Expect(f.copyTo(fresh, held.IDs)).To(Equal(51))
-		fresh.core.CopyFinished()
+		fresh.core.FinishBackfill()
 		fresh.flush()
 		Expect(fresh.core.Complete()).To(BeTrue())
 		Expect(fresh.listed()).To(HaveLen(49))
 		Expect(fresh.find("m00").Phase).To(Equal(message.Succeeded))
 		Expect(fresh.put("void")).NotTo(BeNil())
 		f.complete("m07", message.DeadLetter)
-		held = f.core.Held(wire.HeldBody{After: held.Next})
+		held = f.core.ListHeld(wire.HeldBody{After: held.Next})
 		Expect(held.IDs).To(Equal([]string{"m07"}), "what has changed since is listed again")
 		Expect(held.States).To(Equal([]wire.HeldState{wire.HeldMessage | wire.HeldOutcome}), "the bytes of a dead letter may be requested")
-		fresh.core.Follow(9, true)
+		fresh.core.SetRoster(9, true)
 		Expect(fresh.core.Complete()).To(BeFalse())
 	})
 
 	ginkgo.It("reports a roster's epoch only once everything accepted under older rosters is synced", func() {
-		f.core.Follow(3, false)
+		f.core.SetRoster(3, false)
 		f.flush()
 		f.core.Put(newMessage("a"), 3, func(*wire.RefusalBody) {})
-		unsynced := f.core.Take()
-		f.core.Follow(4, false)
-		Expect(f.core.Held(wire.HeldBody{}).Epoch).To(BeNumerically("<", 4))
+		unsynced := f.core.TakeBatch()
+		f.core.SetRoster(4, false)
+		Expect(f.core.ListHeld(wire.HeldBody{}).Epoch).To(BeNumerically("<", 4))
 		positions, err := f.log.Append(unsynced.Payloads...)
 		Expect(err).NotTo(HaveOccurred())
-		f.core.Synced(f.now, unsynced, positions)
-		Expect(f.core.Held(wire.HeldBody{}).Epoch).To(BeNumerically("<", 4), "the batch was taken under the previous roster")
+		f.core.BatchSynced(f.now, unsynced, positions)
+		Expect(f.core.ListHeld(wire.HeldBody{}).Epoch).To(BeNumerically("<", 4), "the batch was taken under the previous roster")
 		f.flush()
-		held := f.core.Held(wire.HeldBody{})
+		held := f.core.ListHeld(wire.HeldBody{})
 		Expect(held.Epoch).To(BeNumerically("==", 4))
 		Expect(held.IDs).To(Equal([]string{"a"}))
 	})
@@ -127,10 +127,10 @@
 			big.core.Put(newMessage(fmt.Sprintf("m%05d", i)), 0, func(*wire.RefusalBody) {})
 		}
 		big.flush()
-		first := big.core.Held(wire.HeldBody{})
+		first := big.core.ListHeld(wire.HeldBody{})
 		Expect(first.More).To(BeTrue())
 		big.complete("m00000", message.Succeeded)
-		second := big.core.Held(wire.HeldBody{After: first.Next})
+		second := big.core.ListHeld(wire.HeldBody{After: first.Next})
 		Expect(second.More).To(BeFalse())
 		Expect(first.IDs).To(HaveLen(maxListedEntries))
 		Expect(second.IDs).To(HaveLen(501))
@@ -155,8 +155,8 @@
 		var refusal *wire.RefusalBody
 		recorded := false
 		f.core.Put(newMessage("b"), 0, func(r *wire.RefusalBody) { refusal = r })
-		f.core.Ends([]message.Outcome{{ID: "a", Phase: message.Succeeded, Stamp: "s"}}, func() { recorded = true })
-		f.core.Full(f.core.Take())
+		f.core.PutOutcomes([]message.Outcome{{ID: "a", Phase: message.Succeeded, Stamp: "s"}}, func() { recorded = true })
+		f.core.DiskFull(f.core.TakeBatch())
 		Expect(refusal.Code).To(Equal(wire.CallFailed))
 		Expect(recorded).To(BeFalse())
 		f.flush()
@@ -198,7 +198,7 @@
 
 	ginkgo.It("removes no segment while the disk has no space for the records still needed from it", func() {
 		pending := 0
-		for i := 0; float64(f.core.Bytes()) < 0.5*160*(1<<10); i++ {
+		for i := 0; float64(f.core.LogBytes()) < 0.5*160*(1<<10); i++ {
 			id := fmt.Sprintf("m%03d", i)
 			Expect(f.put(id)).To(BeNil())
 			if i%10 != 0 {
--- a/internal/system/simulation/judge.go
+++ b/internal/system/simulation/judge.go
@@ -136,12 +136,12 @@
 	zonesOf := map[string][]string{}
 	for _, name := range sortedKeys(sim.stores) {
 		host := sim.stores[name]
-		disk, known := host.session.View().Disks[host.core.Disk()]
+		disk, known := host.session.View().Disks[host.core.DiskID()]
 		if !host.alive || !known || !disk.Counted || disk.Leaving {
 			continue
 		}
 		for body, more := (wire.HeldBody{}), true; more; {
-			held := host.core.Held(body)
+			held := host.core.ListHeld(body)
 			for _, id := range held.IDs {
 				zonesOf[id] = append(zonesOf[id], host.machine.zone)
 			}
--- a/internal/system/simulation/store_host.go
+++ b/internal/system/simulation/store_host.go
@@ -19,7 +19,7 @@
 	core       *store.Core
 	log        *segment.Log
 	session    *member.Client
-	backfiller *store.Filler
+	backfiller *store.Backfiller
 	flushing   bool
 }
 
@@ -32,19 +32,19 @@
 	if h.log, err = segment.Open(m.disk(w, "messages"), segmentLength); err != nil {
 		return nil, err
 	}
-	h.core = store.New(store.Options{Status: s.Bounds.Status, DiskBytes: s.Limits.DiskBytes}, h.log, h.Now())
+	h.core = store.New(store.Options{StatusTime: s.Bounds.Status, DiskBytes: s.Limits.DiskBytes}, h.log, h.Now())
 	if err := h.log.Replay(h.core.Load); err != nil {
 		return nil, err
 	}
 	h.core.Start(s.Bootstrap, member.NewIncarnation(h, s.NodeName))
 	self := session.Member{Incarnation: member.NewIncarnation(h, s.NodeName), Node: s.NodeName, Role: session.Store,
-		Zone: s.Zone, Address: s.StoreAddress(), Disk: h.core.Disk(), BootstrapDisk: h.core.Founder()}
+		Zone: s.Zone, Address: s.StoreAddress(), Disk: h.core.DiskID(), BootstrapDisk: h.core.BootstrapDisk()}
 	h.session = member.NewClient(h, h, s.SeedKeepers(), self, member.Events{
 		Changed: func(_, after *member.View) { h.followView(after) },
 		Keepers: func() { h.followView(h.session.View()) },
 		Fault:   func(err error) { h.LogWarning("feed", err) },
 	})
-	h.backfiller = store.NewFiller(h, h.session, h.core.Disk(), &s.Tolerance, s.RepairRate())
+	h.backfiller = store.NewBackfiller(h, h.session, h.core.DiskID(), &s.Tolerance, s.RepairRate())
 	h.peerUp, h.peerDown = h.session.Up, h.session.Down
 	h.handlePush = func(address string, _ wire.Kind, payload []byte) { h.session.Push(address, payload) }
 	h.handleCall = func(_ *process, kind wire.Kind, payload []byte, answerer wire.Answerer) {
@@ -57,10 +57,10 @@
 	h.Connect(s.SeedKeepers())
 	h.flush()
 	h.session.Start()
-	store.NewEmptier(h, h.session, h.core.Disk(), &s.Tolerance, s.RepairRate()).Start()
-	store.NewEndsAsker(h, h.session, h.core.Disk(), func(done func([]string)) { done(h.core.LongPending()) }, func(ends []message.Outcome) {
+	store.NewDrainer(h, h.session, h.core.DiskID(), &s.Tolerance, s.RepairRate()).Start()
+	store.NewOutcomeFetcher(h, h.session, h.core.DiskID(), func(done func([]string)) { done(h.core.LongPending()) }, func(ends []message.Outcome) {
 		h.updateCore()
-		h.core.Ends(ends, func() {})
+		h.core.PutOutcomes(ends, func() {})
 		h.flush()
 	}).Start()
 	h.runMaintenance()
@@ -84,20 +84,20 @@
 		h.LogWarning("cleaning", err)
 	}
 	h.flush()
-	for _, number := range h.core.Removable(h.log.Segments()) {
+	for _, number := range h.core.RemovableSegments(h.log.Segments()) {
 		if err := h.log.RemoveOldestSegment(); err != nil {
 			h.LogWarning("cleaning", err)
 			return
 		}
-		h.core.Removed(number)
+		h.core.SegmentRemoved(number)
 	}
 }
 
 func (h *storeHost) followView(view *member.View) {
-	h.backfiller.Follow(view)
+	h.backfiller.ApplyRoster(view)
 	addresses := append([]string(nil), h.session.Keepers()...)
 	for id, other := range view.Disks {
-		if id != h.core.Disk() {
+		if id != h.core.DiskID() {
 			addresses = append(addresses, other.Member.Address)
 		}
 	}
@@ -106,18 +106,18 @@
 
 // updateCore updates the clock of the store and its view of the roster of disks.
 func (h *storeHost) updateCore() {
-	h.core.Time(h.Now())
+	h.core.SetTime(h.Now())
 	view := h.session.View()
-	own, known := view.Disks[h.core.Disk()]
-	h.core.Follow(view.Epoch, known && !own.Counted)
+	own, known := view.Disks[h.core.DiskID()]
+	h.core.SetRoster(view.Epoch, known && !own.Counted)
 }
 
-// Fill implements store.RepairEnvironment.
-func (h *storeHost) Fill(messages []wire.CopiedMessage, last bool) {
+// AddCopies implements store.RepairEnvironment.
+func (h *storeHost) AddCopies(messages []wire.CopiedMessage, last bool) {
 	h.updateCore()
-	h.core.TakeCopy(messages)
+	h.core.AddCopies(messages)
 	if last {
-		h.core.CopyFinished()
+		h.core.FinishBackfill()
 	}
 	h.flush()
 }
@@ -125,22 +125,22 @@
 // Complete implements store.RepairEnvironment.
 func (h *storeHost) Complete() bool { return h.core.Complete() }
 
-// Filling implements store.RepairEnvironment.
-func (h *storeHost) Filling() bool { return h.flushing }
+// CopiesPending implements store.RepairEnvironment.
+func (h *storeHost) CopiesPending() bool { return h.flushing }
 
-// Seal implements store.RepairEnvironment.
-func (h *storeHost) Seal(sealed bool, done func()) {
+// RefuseOutcomes implements store.RepairEnvironment.
+func (h *storeHost) RefuseOutcomes(sealed bool, done func()) {
 	h.After(0, func() {
-		h.core.Seal(sealed)
+		h.core.RefuseOutcomes(sealed)
 		done()
 	})
 }
 
-// Held implements store.RepairEnvironment.
-func (h *storeHost) Held(body wire.HeldBody, done func(wire.HeldAnswer)) {
+// ListHeld implements store.RepairEnvironment.
+func (h *storeHost) ListHeld(body wire.HeldBody, done func(wire.HeldAnswer)) {
 	h.After(0, func() {
 		h.updateCore()
-		done(h.core.Held(body))
+		done(h.core.ListHeld(body))
 	})
 }
 
@@ -154,14 +154,14 @@
 	if h.flushing {
 		return
 	}
-	batch := h.core.Take()
+	batch := h.core.TakeBatch()
 	if len(batch.Payloads) == 0 {
-		h.core.Synced(h.Now(), batch, nil)
+		h.core.BatchSynced(h.Now(), batch, nil)
 		return
 	}
 	positions, err := h.log.Append(batch.Payloads...)
 	if segment.IsDiskFull(err) {
-		h.core.Full(batch)
+		h.core.DiskFull(batch)
 		h.flushing = true
 		h.After(fullDiskRetryDelay, h.resumeFlush)
 		return
@@ -175,7 +175,7 @@
 	}
 	h.flushing = true
 	h.After(h.machine.syncTime(), func() {
-		h.core.Synced(h.Now(), batch, positions)
+		h.core.BatchSynced(h.Now(), batch, positions)
 		h.resumeFlush()
 	})
 }
