--- a/internal/system/command/roster_test.go
+++ b/internal/system/command/roster_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	var running bytes.Buffer
-	status := &keeper.Status{Emptyings: []keeper.EmptyingStatus{{Node: "b", Age: "12s", Waits: "another disk"}}}
+	status := &keeper.Status{Drains: []keeper.DrainStatus{{Node: "b", Age: "12s", WaitsFor: "another disk"}}}
 	if err := printStatus(&running, status); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/command/status.go
+++ b/internal/system/command/status.go
@@ -85,7 +85,7 @@
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	for _, group := range status.Groups {
 		fmt.Fprintf(table, "group\t%s\tleader %s\tterm %d\tapplied %d\tvoters %d, learners %d%s\n", group.Name, nameOrNobody(group.Leader),
-			group.Term, group.Applied, len(group.Voters), len(group.Learners), quorumHealth(group.Whole))
+			group.Term, group.Applied, len(group.Voters), len(group.Learners), quorumHealth(group.SurvivesLoss))
 	}
 	units := map[string]int{}
 	for _, unit := range status.Units {
@@ -103,8 +103,8 @@
 		fmt.Fprintf(table, "disk\t%s\tof %s\t%s%s%s\n", disk.Disk, disk.Node, choose(disk.Live, "live", "gone"),
 			choose(disk.Counted, ", counts", ", being filled"), textIf(disk.Leaving, ", being emptied"))
 	}
-	for _, drain := range status.Emptyings {
-		fmt.Fprintf(table, "emptying\t%s\tfor %s or more\t%s\twaits for %s\n", drain.Node, drain.Age, choose(drain.Begun, "takes no messages", "not begun"), drain.Waits)
+	for _, drain := range status.Drains {
+		fmt.Fprintf(table, "emptying\t%s\tfor %s or more\t%s\twaits for %s\n", drain.Node, drain.Age, choose(drain.Started, "takes no messages", "not begun"), drain.WaitsFor)
 	}
 	if status.CatalogAge == "" {
 		status.Services = nil // only the leader of the sessions group reads the list of workers
--- a/internal/system/node/keeper.go
+++ b/internal/system/node/keeper.go
@@ -106,7 +106,7 @@
 	for until := n.Now() + maxTransferTime; n.Now() < until; time.Sleep(transferInterval) {
 		transferred := false
 		n.withLock(func() {
-			transferred = n.core.Yield(n.Now())
+			transferred = n.core.TransferLeadership(n.Now())
 			n.dispatchReady()
 		})
 		if transferred {
@@ -158,8 +158,8 @@
 	return err
 }
 
-// Others implements keeper.JoinEnvironment.
-func (n *keeperNode) Others() []string { return n.otherKeepers }
+// KnownKeepers implements keeper.JoinEnvironment.
+func (n *keeperNode) KnownKeepers() []string { return n.otherKeepers }
 
 // Reset implements keeper.JoinEnvironment. The goroutine that owns the group's log carries it out.
 func (n *keeperNode) Reset(group int) {
@@ -224,7 +224,7 @@
 
 // readCatalog reads the platform's list of workers in the background when the core wants a new reading.
 func (n *keeperNode) readCatalog() {
-	if n.settings.Cloud.Address == "" || !n.core.WantsCatalog(n.Now()) {
+	if n.settings.Cloud.Address == "" || !n.core.CatalogReadDue(n.Now()) {
 		return
 	}
 	started := n.Now()
@@ -235,7 +235,7 @@
 			return
 		}
 		n.withLock(func() {
-			n.core.CatalogRead(n.Now(), started, instances)
+			n.core.UpdateCatalog(n.Now(), started, instances)
 			n.schedulePush()
 		})
 	}()
--- a/internal/system/node/keeper_disk.go
+++ b/internal/system/node/keeper_disk.go
@@ -58,7 +58,7 @@
 	n.withLock(func() {
 		n.resetRequested[group] = false
 		n.core.ResetGroup(n.Now(), group, identity.ID)
-		n.joiner.WasReset(group)
+		n.joiner.ResetDone(group)
 	})
 	return nil
 }
--- a/internal/system/node/operators.go
+++ b/internal/system/node/operators.go
@@ -66,20 +66,20 @@
 	}
 	result := n.awaitResult(func(done func(operatorResult)) {
 		order := configuration.Order{Base: base, Raw: raw}
-		n.core.Replace(n.Now(), order, func(err error) { done(operatorResult{err: err}) })
+		n.core.ReplaceConfiguration(n.Now(), order, func(err error) { done(operatorResult{err: err}) })
 	})
 	return n.writeResult(c, result)
 }
 
 func (n *keeperNode) getConfiguration(c echo.Context) error {
 	result := n.awaitResult(func(done func(operatorResult)) {
-		n.core.Read(n.Now(), func(raw []byte, err error) { done(operatorResult{raw: raw, err: err}) })
+		n.core.ReadConfiguration(n.Now(), func(raw []byte, err error) { done(operatorResult{raw: raw, err: err}) })
 	})
 	return n.writeResult(c, result)
 }
 
 // awaitResult starts an operation under the mutex and waits for its first result. Without a result within the
-// acknowledgement timeout it returns keeper.LostError: the operation may still take effect.
+// acknowledgement timeout it returns keeper.OutcomeUnknownError: the operation may still take effect.
 func (n *keeperNode) awaitResult(start func(done func(operatorResult))) operatorResult {
 	results := make(chan operatorResult, 1)
 	var once sync.Once
@@ -91,7 +91,7 @@
 	case result := <-results:
 		return result
 	case <-time.After(n.settings.Bounds.Ack):
-		return operatorResult{err: &keeper.LostError{}}
+		return operatorResult{err: &keeper.OutcomeUnknownError{}}
 	}
 }
 
--- a/internal/system/role/keeper/answers_test.go
+++ b/internal/system/role/keeper/answers_test.go
@@ -36,7 +36,7 @@
 	{"Config.Replace, with a version that is not higher", replaces("1", document("0"))},
 	{"Config.Replace, a new one", replaces("1", document("9"))},
 	{"Config.Get", func(c *Core, now time.Duration, done func(error)) {
-		c.Read(now, func(_ []byte, err error) { done(err) })
+		c.ReadConfiguration(now, func(_ []byte, err error) { done(err) })
 	}},
 	{"Retire.Start of an unknown machine", func(c *Core, now time.Duration, done func(error)) { c.RetireMachine(now, "nothing", done) }},
 	{"Retire.Start that would leave too few disks", func(c *Core, now time.Duration, done func(error)) {
@@ -61,11 +61,13 @@
 		c.Heartbeat(now, 7, wire.HeartbeatBody{Incarnation: "o"}, func(_ time.Duration, err error) { done(err) })
 	}},
 	{"CloseSession", func(c *Core, now time.Duration, done func(error)) { c.CloseSession(now, "store+10.0.0.1", done) }},
-	{"SettleDeparted", func(c *Core, now time.Duration, done func(error)) { c.Settle(now, "o", done) }},
+	{"SettleDeparted", func(c *Core, now time.Duration, done func(error)) { c.SettleDeparted(now, "o", done) }},
 	{"CountDisk", func(c *Core, now time.Duration, done func(error)) { c.CountDisk(now, "disk of 10.0.0.1", done) }},
-	{"DiskEmptied", func(c *Core, now time.Duration, done func(error)) { c.DiskEmptied(now, "disk of 10.0.0.1", 0, done) }},
+	{"DiskDrained", func(c *Core, now time.Duration, done func(error)) { c.DiskDrained(now, "disk of 10.0.0.1", 0, done) }},
 	{"Retire.Cancel", func(c *Core, now time.Duration, done func(error)) { c.CancelRetirement(now, "storage-10.0.0.1", done) }},
-	{"GroupLeft", func(c *Core, now time.Duration, done func(error)) { c.GroupLeft(now, "storage-10.0.0.1", 0, done) }},
+	{"GroupRemovedNode", func(c *Core, now time.Duration, done func(error)) {
+		c.GroupRemovedNode(now, "storage-10.0.0.1", 0, done)
+	}},
 	{"ReleaseUnit", func(c *Core, now time.Duration, done func(error)) {
 		c.ReleaseUnit(now, ownership.KeyUnits()[0], 0, 0, done)
 	}},
@@ -73,14 +75,14 @@
 
 func replaces(base string, raw []byte) func(c *Core, now time.Duration, done func(err error)) {
 	return func(c *Core, now time.Duration, done func(err error)) {
-		c.Replace(now, configuration.Order{Base: uint64(base[0] - '0'), Raw: raw}, done)
+		c.ReplaceConfiguration(now, configuration.Order{Base: uint64(base[0] - '0'), Raw: raw}, done)
 	}
 }
 
 // isInconclusive reports whether an error says nothing about the state, so that the caller has to ask another
 // keeper.
 func isInconclusive(err error) bool {
-	var lost *LostError
+	var lost *OutcomeUnknownError
 	var notLeader *agreement.NotLeaderError
 	return errors.As(err, &lost) || errors.As(err, &notLeader)
 }
@@ -95,13 +97,13 @@
 				if t.leader(id) == leader {
 					break
 				}
-				t.cores[t.leader(id)].Yield(t.now)
+				t.cores[t.leader(id)].TransferLeadership(t.now)
 				t.advance(300 * time.Millisecond)
 			}
 		}
 		leader = t.leader(SessionGroup)
 		var failure error
-		t.cores[t.leader(ConfigurationGroup)].Replace(t.now, configuration.Order{Raw: document("1")}, func(err error) { failure = err })
+		t.cores[t.leader(ConfigurationGroup)].ReplaceConfiguration(t.now, configuration.Order{Raw: document("1")}, func(err error) { failure = err })
 		t.deliverAll()
 		Expect(failure).NotTo(HaveOccurred())
 		for i := range 3 {
--- a/internal/system/role/keeper/core.go
+++ b/internal/system/role/keeper/core.go
@@ -41,17 +41,17 @@
 	// at random.
 	ElectionTimeout   = 500 * time.Millisecond
 	HeartbeatInterval = 120 * time.Millisecond // between the heartbeats of a group's leader to its members
-	// SessionLife is how long a session lasts without a heartbeat.
-	SessionLife = 3 * time.Second
+	// SessionTimeout is how long a session lasts without a heartbeat.
+	SessionTimeout = 3 * time.Second
 	// MemberLease is how long a member may act on its session after it sent a heartbeat that was answered. It ends well
 	// before the session does, even if the clocks of member and keeper run at different rates.
 	MemberLease = 2400 * time.Millisecond
 	// maxQuorumAge bounds how long ago a majority must have followed the keeper that extends a session.
-	// MemberLease + maxQuorumAge must be less than SessionLife.
+	// MemberLease + maxQuorumAge must be less than SessionTimeout.
 	maxQuorumAge          = 400 * time.Millisecond
 	catalogInterval       = 600 * time.Millisecond
 	catalogUrgentInterval = 200 * time.Millisecond  // while some service has no ready worker
-	proposalTimeout       = 2500 * time.Millisecond // a proposal not committed by then fails with LostError
+	proposalTimeout       = 2500 * time.Millisecond // a proposal not committed by then fails with OutcomeUnknownError
 	reconcileInterval     = 100 * time.Millisecond
 )
 
@@ -80,8 +80,8 @@
 	reset    func()
 }
 
-// waiter is a caller that waits for a log entry. done is called once the entry is applied, or with a LostError when
-// its outcome can no longer be known.
+// waiter is a caller that waits for a log entry. done is called once the entry is applied, or with an
+// OutcomeUnknownError when its outcome can no longer be known.
 type waiter struct {
 	term     uint64
 	deadline time.Duration
@@ -116,10 +116,10 @@
 	knownAddresses    []string                 // addresses of other keepers, the most recently seen last
 }
 
-// LostError reports that the outcome of a call is unknown: its log entry may or may not be committed.
-type LostError struct{}
+// OutcomeUnknownError reports that the outcome of a call is unknown: its log entry may or may not be committed.
+type OutcomeUnknownError struct{}
 
-func (e *LostError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return "the order's outcome is not known"
 }
 
@@ -218,7 +218,7 @@
 	for index, waiter := range ordered.Map(g.waiters) {
 		if now > waiter.deadline {
 			delete(g.waiters, index)
-			waiter.done(&LostError{})
+			waiter.done(&OutcomeUnknownError{})
 		}
 	}
 }
@@ -238,13 +238,13 @@
 	}
 }
 
-// failWaiters answers all waiters of a keeper that no longer leads with a LostError, as their entries may still be
-// committed.
+// failWaiters answers all waiters of a keeper that no longer leads with an OutcomeUnknownError, as their entries may
+// still be committed.
 func (g *group) failWaiters() {
 	waiting := g.waiters
 	g.waiters = map[uint64]waiter{}
 	for _, waiter := range ordered.Map(waiting) {
-		waiter.done(&LostError{})
+		waiter.done(&OutcomeUnknownError{})
 	}
 }
 
@@ -293,7 +293,7 @@
 		if waiter, waits := g.waiters[entry.Index]; waits {
 			delete(g.waiters, entry.Index)
 			if waiter.term != entry.Term {
-				result = &LostError{}
+				result = &OutcomeUnknownError{}
 			}
 			waiter.done(result)
 		}
--- a/internal/system/role/keeper/tables.go
+++ b/internal/system/role/keeper/feed.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// WantsCatalog reports whether the driver should read the platform's list of workers now, and schedules the next
+// CatalogReadDue reports whether the driver should read the platform's list of workers now, and schedules the next
 // reading. Only the leader of the session group reads the list, as it is the one that members follow.
-func (c *Core) WantsCatalog(now time.Duration) bool {
+func (c *Core) CatalogReadDue(now time.Duration) bool {
 	c.now = now
 	if !c.groups[SessionGroup].node.LeaderReady() || now < c.nextCatalogRead {
 		return false
@@ -103,8 +103,8 @@
 	return false
 }
 
-// CatalogRead takes a complete reading of the platform's list of workers that started at begun.
-func (c *Core) CatalogRead(now, begun time.Duration, reading map[string]catalog.Instance) {
+// UpdateCatalog takes a complete reading of the platform's list of workers that started at begun.
+func (c *Core) UpdateCatalog(now, begun time.Duration, reading map[string]catalog.Instance) {
 	c.now = now
 	c.instances = catalog.Merge(c.instances, reading)
 	c.catalogKnown = true
--- a/internal/system/role/keeper/groups.go
+++ b/internal/system/role/keeper/groups.go
@@ -253,9 +253,9 @@
 	return ""
 }
 
-// Yield transfers the leadership of all groups that this keeper leads, before it shuts down. It returns true once
-// this keeper leads no group.
-func (c *Core) Yield(now time.Duration) bool {
+// TransferLeadership transfers the leadership of all groups that this keeper leads, before it shuts down. It returns
+// true once this keeper leads no group.
+func (c *Core) TransferLeadership(now time.Duration) bool {
 	c.now = now
 	yielded := true
 	for _, g := range c.groups {
--- a/internal/system/role/keeper/groups_test.go
+++ b/internal/system/role/keeper/groups_test.go
@@ -62,7 +62,7 @@
 func (t *cluster) join(address string) {
 	t.start(address, FreshIdentity(address, fmt.Sprint(t.identities)), nil)
 	for id := range Groups {
-		member, knows, _ := t.cores[address].Joining(t.now, id)
+		member, knows, _ := t.cores[address].JoinState(t.now, id)
 		var failure error
 		t.cores[t.leader(id)].JoinGroup(t.now, id, member, knows, func(err error) { failure = err })
 		Expect(failure).NotTo(HaveOccurred())
--- a/internal/system/role/keeper/handle.go
+++ b/internal/system/role/keeper/handle.go
@@ -63,7 +63,7 @@
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		c.Settle(now, body.Incarnation, done)
+		c.SettleDeparted(now, body.Incarnation, done)
 	case wire.CountDisk:
 		var body wire.CountDiskBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
@@ -81,13 +81,13 @@
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		c.DiskEmptied(now, body.Disk, body.Epoch, done)
+		c.DiskDrained(now, body.Disk, body.Epoch, done)
 	case wire.GroupRemovedNode:
 		var body wire.GroupRemovedNodeBody
 		if err := wire.Decode(kind, payload, &body); err != nil {
 			return err
 		}
-		c.GroupLeft(now, body.Node, body.Group, done)
+		c.GroupRemovedNode(now, body.Node, body.Group, done)
 	default:
 		return &wire.UnknownCallError{Kind: kind}
 	}
--- a/internal/system/role/keeper/join.go
+++ b/internal/system/role/keeper/join.go
@@ -59,9 +59,9 @@
 	})
 }
 
-// Joining returns this keeper's identity in a group, whether it knows the group's membership, and whether it should
+// JoinState returns this keeper's identity in a group, whether it knows the group's membership, and whether it should
 // ask to join. It should while it knows no leader of the group.
-func (c *Core) Joining(now time.Duration, id int) (member string, knows, wanted bool) {
+func (c *Core) JoinState(now time.Duration, id int) (member string, knows, wanted bool) {
 	node := c.groups[id].node
 	group := node.Membership()
 	knows = !group.Empty()
--- a/internal/system/role/keeper/joiner.go
+++ b/internal/system/role/keeper/joiner.go
@@ -12,10 +12,10 @@
 type JoinEnvironment interface {
 	loop.Loop
 	loop.Peers
-	// Others returns the known addresses of other keepers.
-	Others() []string
+	// KnownKeepers returns the known addresses of other keepers.
+	KnownKeepers() []string
 	// Reset discards the state of a group that has removed this keeper and starts over under another identity. It ends
-	// with a call of Joiner.WasReset.
+	// with a call of Joiner.ResetDone.
 	Reset(group int)
 }
 
@@ -40,7 +40,7 @@
 func (j *Joiner) Step() {
 	j.env.After(joinInterval/2+time.Duration(j.env.Random(int64(joinInterval))), j.Step)
 	for group := range Groups {
-		id, knows, wanted := j.core.Joining(j.env.Now(), group)
+		id, knows, wanted := j.core.JoinState(j.env.Now(), group)
 		if wanted && !j.resetting[group] {
 			j.requestJoin(group, id, knows)
 		}
@@ -55,7 +55,7 @@
 		leader, self := j.core.Leader(SessionGroup)
 		switch {
 		case self:
-			j.core.GroupLeft(j.env.Now(), departure.Node, departure.Group, func(error) {})
+			j.core.GroupRemovedNode(j.env.Now(), departure.Node, departure.Group, func(error) {})
 		case j.env.Connected(leader):
 			body := wire.GroupRemovedNodeBody{Node: departure.Node, Group: departure.Group}
 			j.env.Call(leader, wire.GroupRemovedNode, wire.Encode(&body), joinInterval, func([]byte, error) {})
@@ -66,7 +66,7 @@
 // requestJoin asks every connected keeper to admit this one to a group. Only the leader can.
 func (j *Joiner) requestJoin(group int, id string, knows bool) {
 	body := wire.Encode(&wire.JoinGroupBody{Group: group, Member: id, HasGroupState: knows})
-	for _, address := range j.env.Others() {
+	for _, address := range j.env.KnownKeepers() {
 		if j.env.Connected(address) {
 			j.env.Call(address, wire.JoinGroup, body, joinTimeout, func(_ []byte, err error) { j.handleJoinAnswer(group, id, err) })
 		}
@@ -83,12 +83,12 @@
 // with its old state.
 func (j *Joiner) handleJoinAnswer(group int, id string, err error) {
 	var refused refusal
-	current, _, _ := j.core.Joining(j.env.Now(), group)
+	current, _, _ := j.core.JoinState(j.env.Now(), group)
 	if !errors.As(err, &refused) {
 		return
 	}
 	// The leader may not be among the configured seeds. It is asked as soon as a connection to it is up.
-	j.core.Heard(refused.Refusal().Leader)
+	j.core.RememberKeeper(refused.Refusal().Leader)
 	if refused.Refusal().Code != wire.RemovedFromGroup || current != id || j.resetting[group] {
 		return
 	}
@@ -96,5 +96,5 @@
 	j.env.Reset(group)
 }
 
-// WasReset reports to the Joiner that the reset of a group is complete.
-func (j *Joiner) WasReset(group int) { j.resetting[group] = false }
+// ResetDone reports to the Joiner that the reset of a group is complete.
+func (j *Joiner) ResetDone(group int) { j.resetting[group] = false }
--- a/internal/system/role/keeper/keeper_suite_test.go
+++ b/internal/system/role/keeper/keeper_suite_test.go
@@ -94,7 +94,7 @@
 		`"target-latency-ms":100,"priority":1,"backend":"s","retries":3,"ordered":true,"retention-s":60,"target-start-ms":900}],` +
 		`"services":[{"name":"s","max-connections":9,"rate-per-s":0,"static":null}],"limits":{}}`)
 	var failure error
-	l.core.Replace(l.now, configuration.Order{Raw: raw}, func(err error) { failure = err })
+	l.core.ReplaceConfiguration(l.now, configuration.Order{Raw: raw}, func(err error) { failure = err })
 	l.settle()
 	Expect(failure).NotTo(HaveOccurred())
 }
@@ -203,7 +203,7 @@
 		l.join("a", false)
 		l.join("b", false)
 		l.advance(quietBeforeOffers+200*time.Millisecond, "a", "b")
-		l.advance(SessionLife+time.Second, "b")
+		l.advance(SessionTimeout+time.Second, "b")
 		owned, offered := l.owners()
 		Expect(owned).To(Equal(map[string]int{"b": ownership.KeyBuckets}))
 		Expect(offered).To(BeEmpty())
--- a/internal/system/role/keeper/known.go
+++ b/internal/system/role/keeper/known_keepers.go
@@ -37,8 +37,8 @@
 	c.knownAddresses = known[max(0, len(known)-maxKnownAddresses):]
 }
 
-// Heard remembers the address of a keeper that another keeper named as leader.
-func (c *Core) Heard(address string) { c.rememberAddress(address) }
+// RememberKeeper remembers the address of a keeper that another keeper named as leader.
+func (c *Core) RememberKeeper(address string) { c.rememberAddress(address) }
 
 // Keepers returns the sorted addresses of the keepers to connect to: the members of all groups and this keeper, and
 // also all remembered addresses while the leader of some group is unknown.
--- a/internal/system/role/keeper/loss_test.go
+++ b/internal/system/role/keeper/loss_test.go
@@ -33,7 +33,7 @@
 	report := func(t *cluster) {
 		for _, core := range t.cores {
 			for _, departure := range core.Departures(t.now) {
-				t.cores[t.leader(SessionGroup)].GroupLeft(t.now, departure.Node, departure.Group, func(error) {})
+				t.cores[t.leader(SessionGroup)].GroupRemovedNode(t.now, departure.Node, departure.Group, func(error) {})
 			}
 		}
 		t.deliverAll()
@@ -98,7 +98,7 @@
 		}
 		Expect(retired(t)).To(BeFalse(), "its disk was not reported as drained")
 		var failure error
-		t.cores[t.leader(SessionGroup)].DiskEmptied(t.now, "disk of 10.0.0.1", 0, func(err error) { failure = err })
+		t.cores[t.leader(SessionGroup)].DiskDrained(t.now, "disk of 10.0.0.1", 0, func(err error) { failure = err })
 		t.deliverAll()
 		Expect(failure).NotTo(HaveOccurred())
 		Expect(votes(t, leaver)).To(BeZero())
@@ -119,7 +119,7 @@
 		leader.CloseSession(t.now, "store+10.0.0.2", func(error) {})
 		t.deliverAll()
 		var failure error
-		leader.DiskEmptied(t.now, "disk of 10.0.0.1", 0, func(err error) { failure = err })
+		leader.DiskDrained(t.now, "disk of 10.0.0.1", 0, func(err error) { failure = err })
 		t.deliverAll()
 		Expect(failure).To(BeAssignableToTypeOf(&MissingDiskError{}))
 		leader.proposeSession(session.Command{Kind: session.DiskDrained, Disk: "disk of 10.0.0.1"}, func(error) {})
@@ -134,10 +134,10 @@
 		t.start(addressOf(7), FreshIdentity(addressOf(7), "x"), nil)
 		newcomer := t.cores[addressOf(7)]
 		Expect(newcomer.Keepers()).To(BeEmpty())
-		newcomer.Heard(addressOf(1))
+		newcomer.RememberKeeper(addressOf(1))
 		Expect(newcomer.Keepers()).To(ContainElement(addressOf(1)))
 		for i := range 3 * maxKnownAddresses {
-			newcomer.Heard(addressOf(100 + i))
+			newcomer.RememberKeeper(addressOf(100 + i))
 		}
 		Expect(len(newcomer.Keepers())).To(BeNumerically("<=", maxKnownAddresses+1))
 	})
@@ -145,7 +145,7 @@
 	It("does not connect to lost machines while it knows a leader of each group", func() {
 		t := newThreeKeepers()
 		bootstrapMember := t.cores[addressOf(1)]
-		bootstrapMember.Heard(addressOf(9))
+		bootstrapMember.RememberKeeper(addressOf(9))
 		Expect(bootstrapMember.Keepers()).NotTo(ContainElement(addressOf(9)))
 	})
 
@@ -171,7 +171,7 @@
 				if leader == nil {
 					continue
 				}
-				if is, _ := leader.Whole(id); is {
+				if is, _ := leader.SurvivesLoss(id); is {
 					count++
 				}
 			}
--- a/internal/system/role/keeper/whole.go
+++ b/internal/system/role/keeper/loss_tolerance.go
@@ -45,9 +45,9 @@
 	return len(staying) >= c.options.Tolerance.Voters() && len(liveMembers(node, staying)) == len(staying)
 }
 
-// Whole reports whether this keeper leads a group, and whether the group with its current voters survives every
+// SurvivesLoss reports whether this keeper leads a group, and whether the group with its current voters survives every
 // tolerated loss.
-func (c *Core) Whole(id int) (whole, leads bool) {
+func (c *Core) SurvivesLoss(id int) (whole, leads bool) {
 	node := c.groups[id].node
 	if !node.LeaderReady() || !node.QuorumActive(ElectionTimeout) {
 		return false, false
--- a/internal/system/role/keeper/orders.go
+++ b/internal/system/role/keeper/orders.go
@@ -8,10 +8,10 @@
 	"granitewing/internal/system/configuration"
 )
 
-// Replace replaces the configuration by an operator's order. done gets nil once a majority has synced it. A repeated
-// order is acknowledged again. An order that does not fit the current configuration is refused only after a majority
-// has confirmed that this keeper still leads.
-func (c *Core) Replace(now time.Duration, order configuration.Order, done func(err error)) {
+// ReplaceConfiguration replaces the configuration by an operator's order. done gets nil once a majority has synced it.
+// A repeated order is acknowledged again. An order that does not fit the current configuration is refused only after a
+// majority has confirmed that this keeper still leads.
+func (c *Core) ReplaceConfiguration(now time.Duration, order configuration.Order, done func(err error)) {
 	c.now = now
 	g := c.groups[ConfigurationGroup]
 	if !g.node.LeaderReady() {
@@ -59,9 +59,9 @@
 // leads, and the state here is up to date.
 func (c *Core) confirm(id int, done func(err error)) { c.propose(id, nil, done) }
 
-// Read passes the current configuration to done, in the bytes in which it was sent; nil if there is none. A majority
-// has confirmed that it is current.
-func (c *Core) Read(now time.Duration, done func(raw []byte, err error)) {
+// ReadConfiguration passes the current configuration to done, in the bytes in which it was sent; nil if there is none.
+// A majority has confirmed that it is current.
+func (c *Core) ReadConfiguration(now time.Duration, done func(raw []byte, err error)) {
 	c.now = now
 	g := c.groups[ConfigurationGroup]
 	if !g.node.LeaderReady() {
--- a/internal/system/role/keeper/retire.go
+++ b/internal/system/role/keeper/retire.go
@@ -66,9 +66,9 @@
 	})
 }
 
-// GroupLeft records that a group has removed the keeper on a machine that is being drained, as reported by the
+// GroupRemovedNode records that a group has removed the keeper on a machine that is being drained, as reported by the
 // group's leader.
-func (c *Core) GroupLeft(now time.Duration, node string, group int, done func(err error)) {
+func (c *Core) GroupRemovedNode(now time.Duration, node string, group int, done func(err error)) {
 	c.now = now
 	c.proposeSession(session.Command{Kind: session.GroupRemovedNode, Node: node, Group: group}, done)
 }
@@ -138,9 +138,9 @@
 	return "disk " + e.Disk + " stays while another that counts has no live store"
 }
 
-// DiskEmptied records that a leaving disk is drained: all its messages have enough replicas on the other disks of
+// DiskDrained records that a leaving disk is drained: all its messages have enough replicas on the other disks of
 // the roster with the given epoch.
-func (c *Core) DiskEmptied(now time.Duration, disk string, epoch uint64, done func(err error)) {
+func (c *Core) DiskDrained(now time.Duration, disk string, epoch uint64, done func(err error)) {
 	c.now = now
 	if c.sessions.HasMissingStore(c.sessions.Disks()[disk].Member.Node) {
 		done(&MissingDiskError{Disk: disk})
--- a/internal/system/role/keeper/sessions.go
+++ b/internal/system/role/keeper/sessions.go
@@ -119,8 +119,8 @@
 	c.proposeSession(session.Command{Kind: session.Leave, Incarnation: incarnation}, done)
 }
 
-// Settle records that all messages of a departed carrier are complete.
-func (c *Core) Settle(now time.Duration, incarnation string, done func(err error)) {
+// SettleDeparted records that all messages of a departed carrier are complete.
+func (c *Core) SettleDeparted(now time.Duration, incarnation string, done func(err error)) {
 	c.now = now
 	c.proposeSession(session.Command{Kind: session.SettleDeparted, Incarnation: incarnation}, done)
 }
@@ -164,7 +164,7 @@
 	return refused
 }
 
-// expireSessions ends the sessions whose members sent no heartbeat for SessionLife, and forgets the timers of ended
+// expireSessions ends the sessions whose members sent no heartbeat for SessionTimeout, and forgets the timers of ended
 // ones.
 func (c *Core) expireSessions() {
 	if !c.groups[SessionGroup].node.LeaderReady() {
@@ -185,7 +185,7 @@
 
 // expireMember proposes the end of a member's session if it has expired and its end is not being proposed already.
 func (c *Core) expireMember(incarnation string) {
-	if c.now-c.lastHeartbeat[incarnation] < SessionLife || c.now < c.expiryDeadline[incarnation] {
+	if c.now-c.lastHeartbeat[incarnation] < SessionTimeout || c.now < c.expiryDeadline[incarnation] {
 		return
 	}
 	c.expiryDeadline[incarnation] = c.now + proposalTimeout
--- a/internal/system/role/keeper/status.go
+++ b/internal/system/role/keeper/status.go
@@ -16,7 +16,7 @@
 	Groups        []GroupStatus    `json:"groups"`
 	Members       []MemberStatus   `json:"members"`
 	Disks         []DiskStatus     `json:"disks"`
-	Emptyings     []EmptyingStatus `json:"emptyings,omitempty"`
+	Drains        []DrainStatus    `json:"emptyings,omitempty"`
 	Units         []UnitStatus     `json:"units"`
 	Services      []ServiceStatus  `json:"services"`
 	Departed      []DepartedStatus `json:"departed"`
@@ -30,8 +30,9 @@
 	Applied  uint64   `json:"applied"`
 	Voters   []string `json:"voters"`
 	Learners []string `json:"learners"`
-	// Whole is set by the leader only. It reports whether the group keeps a live majority through every tolerated loss.
-	Whole *bool `json:"whole,omitempty"`
+	// SurvivesLoss is set by the leader only. It reports whether the group keeps a live majority through every
+	// tolerated loss.
+	SurvivesLoss *bool `json:"whole,omitempty"`
 }
 
 // MemberStatus describes a member with an open session.
@@ -53,12 +54,12 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// EmptyingStatus describes a machine that is being drained or waits for it.
-type EmptyingStatus struct {
-	Node  string `json:"node"`
-	Age   string `json:"age"`       // since this keeper process first saw the order
-	Begun bool   `json:"begun"`     // its disks no longer accept messages
-	Waits string `json:"waits_for"` // what the drain waits for, as text
+// DrainStatus describes a machine that is being drained or waits for it.
+type DrainStatus struct {
+	Node     string `json:"node"`
+	Age      string `json:"age"`       // since this keeper process first saw the order
+	Started  bool   `json:"begun"`     // its disks no longer accept messages
+	WaitsFor string `json:"waits_for"` // what the drain waits for, as text
 }
 
 // UnitStatus describes the owner of a unit.
@@ -99,13 +100,13 @@
 		group := g.node.Membership()
 		groupStatus := GroupStatus{Name: groupNames[id], Leader: AddressOf(g.node.Leader()),
 			Term: g.node.Term(), Applied: g.node.Applied(), Voters: group.Voters, Learners: group.Learners}
-		if whole, leads := c.Whole(id); leads {
-			groupStatus.Whole = &whole
+		if whole, leads := c.SurvivesLoss(id); leads {
+			groupStatus.SurvivesLoss = &whole
 		}
 		status.Groups = append(status.Groups, groupStatus)
 	}
 	status.Members, status.Disks = c.memberStatus(), c.diskStatus()
-	status.Emptyings = c.drainStatus()
+	status.Drains = c.drainStatus()
 	status.Units, status.Services = c.unitStatus(), c.serviceStatus()
 	for _, gone := range c.sessions.Departed() {
 		status.Departed = append(status.Departed, DepartedStatus{Incarnation: gone.Incarnation, Adopter: gone.Adopter})
@@ -140,11 +141,11 @@
 }
 
 // drainStatus describes the machines whose retirement is not complete.
-func (c *Core) drainStatus() []EmptyingStatus {
-	var drains []EmptyingStatus
+func (c *Core) drainStatus() []DrainStatus {
+	var drains []DrainStatus
 	for _, e := range c.sessions.Drains(Groups) {
 		age := (c.now - c.retiringSince[e.Node]).Round(time.Millisecond)
-		drains = append(drains, EmptyingStatus{Node: e.Node, Age: age.String(), Begun: e.Started, Waits: e.WaitsFor})
+		drains = append(drains, DrainStatus{Node: e.Node, Age: age.String(), Started: e.Started, WaitsFor: e.WaitsFor})
 	}
 	return drains
 }
--- a/internal/system/role/keeper/units_test.go
+++ b/internal/system/role/keeper/units_test.go
@@ -18,7 +18,7 @@
 		`"priority":1,"backend":%q,"retries":3,"ordered":%t,"retention-s":60,"target-start-ms":900}],"services":[{"name":%q,"max-connections":9,`+
 		`"rate-per-s":%d,"static":null}],"limits":{}}`, version, service, inOrder, service, rate)
 	var failure error
-	l.core.Replace(l.now, configuration.Order{Base: version - 1, Raw: []byte(raw)}, func(err error) { failure = err })
+	l.core.ReplaceConfiguration(l.now, configuration.Order{Base: version - 1, Raw: []byte(raw)}, func(err error) { failure = err })
 	l.settle()
 	Expect(failure).NotTo(HaveOccurred())
 }
@@ -35,7 +35,7 @@
 		l.advance(time.Second, "a", "b")
 		Expect(l.core.Owner(paced).Incarnation).NotTo(BeEmpty())
 		l.replaceConfiguration(2, "q", 0, false)
-		l.advance(SessionLife+time.Second, "b")
+		l.advance(SessionTimeout+time.Second, "b")
 		for _, unit := range append(ownership.KeyUnits(), paced) {
 			Expect(l.core.Owner(unit).Incarnation).To(Equal("b"), unit)
 		}
--- a/internal/system/role/store/backfill.go
+++ b/internal/system/role/store/backfill.go
@@ -21,7 +21,7 @@
 
 // spareDelay is how long a new disk waits before it asks to be counted although no disk is missing. The disk that
 // it is meant to replace may have crashed, and its session remains until it expires.
-const spareDelay = keeper.SessionLife + time.Second
+const spareDelay = keeper.SessionTimeout + time.Second
 
 // Backfiller backfills a disk with the messages that too few other disks hold: a first time until the disk may be
 // counted in the roster, then again for what was written to disks of the former roster meanwhile.
--- a/internal/system/simulation/judge_control.go
+++ b/internal/system/simulation/judge_control.go
@@ -21,7 +21,7 @@
 		sim.checkMajority(group, members.Outgoing)
 		voters := members.Voters
 		held := sim.checkMajority(group, voters)
-		whole, leads := leader.core.Whole(group)
+		whole, leads := leader.core.SurvivesLoss(group)
 		if leads && whole && sim.checker.leadersInformed(sim.world.now) && !sim.tolerance.MajoritySurvivesWith(sim.zonesOf(sim.runningIdentities(held)), len(voters)) {
 			sim.checker.reportViolation(sim.world.now, "CONTROL", fmt.Sprintf("%s reports that it survives every tolerated loss, but of its voters %v only %v run", groupNames[group], voters, sim.runningIdentities(held)))
 		}
@@ -122,7 +122,7 @@
 	const tries, pause = 20, 50 * time.Millisecond
 	for range tries {
 		if leader := sim.leaderKeeper(group); leader != nil {
-			if whole, _ := leader.core.Whole(group); whole {
+			if whole, _ := leader.core.SurvivesLoss(group); whole {
 				return true
 			}
 		}
--- a/internal/system/simulation/keeper_host.go
+++ b/internal/system/simulation/keeper_host.go
@@ -82,7 +82,7 @@
 
 // transferLeadership transfers the leadership of all groups. It ends the process when that is done or a time has passed.
 func (h *keeperHost) transferLeadership(until time.Duration) {
-	transferred := h.core.Yield(h.Now())
+	transferred := h.core.TransferLeadership(h.Now())
 	h.advance()
 	if transferred || h.Now() >= until {
 		h.terminate()
@@ -100,8 +100,8 @@
 	return disk.Identity{ID: keeper.FreshIdentity(h.address, member.NewIncarnation(h, h.machine.name))}
 }
 
-// Others implements keeper.JoinEnvironment.
-func (h *keeperHost) Others() []string {
+// KnownKeepers implements keeper.JoinEnvironment.
+func (h *keeperHost) KnownKeepers() []string {
 	var others []string
 	for _, address := range append(h.core.Keepers(), h.settings.SeedKeepers()...) {
 		if address != h.address && !slices.Contains(others, address) {
@@ -121,10 +121,10 @@
 func (h *keeperHost) tick() {
 	const minWait = 10 * time.Millisecond
 	h.core.Tick(h.Now())
-	h.Connect(h.Others())
-	if h.core.WantsCatalog(h.Now()) {
+	h.Connect(h.KnownKeepers())
+	if h.core.CatalogReadDue(h.Now()) {
 		startedAt := h.Now()
-		h.platform.callInventory(h.process, func() { h.core.CatalogRead(h.Now(), startedAt, h.platform.inventory()) })
+		h.platform.callInventory(h.process, func() { h.core.UpdateCatalog(h.Now(), startedAt, h.platform.inventory()) })
 	}
 	h.advance()
 	h.After(max(minWait, h.core.NextWake()-h.Now()), h.tick)
@@ -239,5 +239,5 @@
 	}
 	h.machine.identities[group] = identity.ID
 	h.core.ResetGroup(h.Now(), group, identity.ID)
-	h.joiner.WasReset(group)
+	h.joiner.ResetDone(group)
 }
--- a/internal/system/simulation/operators.go
+++ b/internal/system/simulation/operators.go
@@ -110,7 +110,9 @@
 			sim.checker.reportViolation(sim.world.now, "CONFIG", "an invalid configuration was acknowledged")
 		}
 	}
-	sim.callKeeper(func(host *keeperHost, answer func(err error)) { host.core.Replace(host.Now(), change.Order, answer) }, func(err error) {
+	sim.callKeeper(func(host *keeperHost, answer func(err error)) {
+		host.core.ReplaceConfiguration(host.Now(), change.Order, answer)
+	}, func(err error) {
 		if err == nil {
 			change.done(true)
 		}
--- a/internal/system/simulation/orders.go
+++ b/internal/system/simulation/orders.go
@@ -120,7 +120,9 @@
 	w := sim.world
 	sim.checker.sentDocuments[string(change.Raw)] = true
 	answered := sim.history.recordCall(w.now, configurationCall{base: change.Base, version: change.version, content: sim.history.documentName(change.Raw)})
-	send := func(host *keeperHost, answer func(err error)) { host.core.Replace(host.Now(), change.Order, answer) }
+	send := func(host *keeperHost, answer func(err error)) {
+		host.core.ReplaceConfiguration(host.Now(), change.Order, answer)
+	}
 	sim.callKeeper(send, func(err error) {
 		answered(w.now, changeVerdict(err))
 		sim.changeAnswered(change, err)
@@ -184,7 +186,7 @@
 func (sim *simulation) readOnce(done func(raw []byte)) {
 	var read []byte
 	send := func(host *keeperHost, answer func(err error)) {
-		host.core.Read(host.Now(), func(raw []byte, err error) {
+		host.core.ReadConfiguration(host.Now(), func(raw []byte, err error) {
 			read = bytes.Clone(raw)
 			answer(err)
 		})
