--- a/internal/system/simulation/callbacks_test.go
+++ b/internal/system/simulation/callbacks_test.go
@@ -20,7 +20,7 @@
 func TestDrawnOwedCallbacks(t *testing.T) {
 	first, count := scheduleRange()
 	count = max(1, count/6)
-	if found := failingSchedules(first, count, DrawOwedCallbacks); len(found) > 0 {
+	if found := failingSchedules(first, count, DrawOutstandingCallbacks); len(found) > 0 {
 		t.Errorf("%d schedules break rules:\n%s", len(found), strings.Join(found, "\n"))
 	}
 }
--- a/internal/system/simulation/search.go
+++ b/internal/system/simulation/draw.go
@@ -30,15 +30,15 @@
 		return drawControl(seed)
 	}
 	r := rand.New(rand.NewPCG(seed, 2))
-	s := &Scenario{Seed: seed, Traffic: time.Duration(8+r.IntN(6)) * time.Second, Storage: defaultStorageMachines,
-		Tolerate: tolerance.Tolerance{Machines: 1}}
-	s.Disk, s.Retention = defaultDisk, defaultRetention
+	s := &Scenario{Seed: seed, Traffic: time.Duration(8+r.IntN(6)) * time.Second, StorageMachines: defaultStorageMachines,
+		Tolerance: tolerance.Tolerance{Machines: 1}}
+	s.DiskKB, s.Retention = defaultDisk, defaultRetention
 	if seed%smallDiskSeedModulus == 0 {
-		s.Disk = smallDisk
+		s.DiskKB = smallDisk
 	}
 	zonal := seed%zonalSeedModulus == 0
 	if zonal {
-		s.Storage, s.Tolerate.Zones = zonalStorageMachines, 1
+		s.StorageMachines, s.Tolerance.Zones = zonalStorageMachines, 1
 	}
 	lossUntil := time.Duration(0) // until when a machine that counts toward the write quorum counts as lossTime
 	at := 300 * time.Millisecond
@@ -47,7 +47,7 @@
 		if at > s.Traffic-500*time.Millisecond {
 			break
 		}
-		what, lossTime := drawEvent(r, s.Storage)
+		what, lossTime := drawEvent(r, s.StorageMachines)
 		if zonal && r.IntN(zonalSeedModulus) == 0 {
 			what, lossTime = drawZoneFault(r)
 		}
--- a/internal/system/simulation/draw_callbacks.go
+++ b/internal/system/simulation/draw_callbacks.go
@@ -13,9 +13,9 @@
 	minReceiverFault    = 500 * time.Millisecond
 )
 
-// DrawOwedCallbacks draws a scenario in which receivers of call-backs fail again and again while storage machines are
-// drained and added in waves, and in which carriers stop, die or freeze while call-backs are outstanding.
-func DrawOwedCallbacks(seed uint64) *Scenario {
+// DrawOutstandingCallbacks draws a scenario in which receivers of call-backs fail again and again while storage
+// machines are drained and added in waves, and in which carriers stop, die or freeze while call-backs are outstanding.
+func DrawOutstandingCallbacks(seed uint64) *Scenario {
 	s := DrawRetirements(seed)
 	r := rand.New(rand.NewPCG(seed, 17))
 	addEvent := func(at time.Duration, what string) {
--- a/internal/system/simulation/draw_control.go
+++ b/internal/system/simulation/draw_control.go
@@ -30,7 +30,7 @@
 // at a time than the system tolerates. A disk counts as lost until recoveryTime after all other faults have healed.
 func drawControl(seed uint64) *Scenario {
 	r := rand.New(rand.NewPCG(seed, 5))
-	s := &Scenario{Seed: seed, Storage: defaultStorageMachines, Tolerate: tolerance.Tolerance{Machines: 1}, Disk: defaultDisk, Retention: defaultRetention}
+	s := &Scenario{Seed: seed, StorageMachines: defaultStorageMachines, Tolerance: tolerance.Tolerance{Machines: 1}, DiskKB: defaultDisk, Retention: defaultRetention}
 	at := time.Duration(300+r.IntN(1500)) * time.Millisecond
 	added := 0
 	for range r.IntN(3) {
@@ -40,7 +40,7 @@
 	}
 	var healed, nextDiskLoss time.Duration // when all faults have healed, and when another disk may be lost
 	for range minFaults + r.IntN(maxFaults-minFaults+1) {
-		next := drawControlFault(r, s.Storage)
+		next := drawControlFault(r, s.StorageMachines)
 		if next.minAdded > added {
 			continue
 		}
--- a/internal/system/simulation/draw_planned.go
+++ b/internal/system/simulation/draw_planned.go
@@ -15,14 +15,14 @@
 	storageRestartTime = 650 * time.Millisecond
 )
 
-// DrawPlanned draws a scenario of planned operations alone, which overlap freely: restarts of carriers and storage
-// machines, machines that are added and retired, configuration changes, and worker replacements. It includes their
-// usual side effects, lost answers between carriers and delayed feed updates. One storage machine is restarted at a
-// time, and at least one carrier stays up.
-func DrawPlanned(seed uint64) *Scenario {
+// DrawPlannedOperations draws a scenario of planned operations alone, which overlap freely: restarts of carriers and
+// storage machines, machines that are added and retired, configuration changes, and worker replacements. It includes
+// their usual side effects, lost answers between carriers and delayed feed updates. One storage machine is restarted at
+// a time, and at least one carrier stays up.
+func DrawPlannedOperations(seed uint64) *Scenario {
 	r := rand.New(rand.NewPCG(seed, 11))
-	s := &Scenario{Seed: seed, Traffic: time.Duration(10+r.IntN(10)) * time.Second, Storage: defaultStorageMachines, Disk: defaultDisk, Retention: defaultRetention,
-		Tolerate: tolerance.Tolerance{Machines: 1}}
+	s := &Scenario{Seed: seed, Traffic: time.Duration(10+r.IntN(10)) * time.Second, StorageMachines: defaultStorageMachines, DiskKB: defaultDisk, Retention: defaultRetention,
+		Tolerance: tolerance.Tolerance{Machines: 1}}
 	p := &plannedWork{random: r, carriersAwayUntil: map[string]time.Duration{}}
 	for at := time.Duration(0); ; {
 		at += time.Duration(r.Int64N(int64(maxPlannedGap)))
--- a/internal/system/simulation/draw_retirements.go
+++ b/internal/system/simulation/draw_retirements.go
@@ -21,12 +21,12 @@
 // the same time, together with restarts. In half of the scenarios one machine at a time is lost as well.
 func DrawRetirements(seed uint64) *Scenario {
 	r := rand.New(rand.NewPCG(seed, 13))
-	s := &Scenario{Seed: seed, Traffic: time.Duration(20+r.IntN(14)) * time.Second, Storage: defaultStorageMachines, Disk: defaultDisk, Retention: defaultRetention,
-		Tolerate: tolerance.Tolerance{Machines: 1}}
+	s := &Scenario{Seed: seed, Traffic: time.Duration(20+r.IntN(14)) * time.Second, StorageMachines: defaultStorageMachines, DiskKB: defaultDisk, Retention: defaultRetention,
+		Tolerance: tolerance.Tolerance{Machines: 1}}
 	if seed%zonalSeedModulus == 0 {
-		s.Storage, s.Tolerate.Zones = zonalStorageMachines, 1
+		s.StorageMachines, s.Tolerance.Zones = zonalStorageMachines, 1
 	}
-	d := &retirementDraw{scenario: s, random: r, machines: s.Storage}
+	d := &retirementDraw{scenario: s, random: r, machines: s.StorageMachines}
 	d.add(time.Duration(r.Int64N(int64(time.Second))), 1+r.IntN(4))
 	for at := time.Duration(r.Int64N(int64(maxClusterGap))); at < s.Traffic-quietTimeAfterClusters; at += time.Duration(r.Int64N(int64(maxClusterGap))) {
 		d.cluster(at)
@@ -54,7 +54,7 @@
 
 // randomStorage returns the name of a random storage machine, which may have been removed already.
 func (d *retirementDraw) randomStorage() string {
-	return storageName(1+d.random.IntN(d.machines), d.scenario.Storage)
+	return storageName(1+d.random.IntN(d.machines), d.scenario.StorageMachines)
 }
 
 // storageName returns the name of the storage machine with a number, counted from 1 in order of creation. Storage
--- a/internal/system/simulation/moves.go
+++ b/internal/system/simulation/moves.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// DrawMoves draws a scenario as Draw does, with route changes added.
-func DrawMoves(seed uint64) *Scenario {
+// DrawRouteMoves draws a scenario as Draw does, with route changes added.
+func DrawRouteMoves(seed uint64) *Scenario {
 	const minMoves, moveRange = 2, 12
 	const dropOneIn = 8
 	s := Draw(seed)
--- a/internal/system/simulation/moves_test.go
+++ b/internal/system/simulation/moves_test.go
@@ -43,7 +43,7 @@
 
 // findShortcomings runs a scenario, and returns the first broken rules and the shares that are too small.
 func findShortcomings(scenario *Scenario) []string {
-	result, err := Play(scenario)
+	result, err := Run(scenario)
 	if err != nil {
 		return []string{err.Error()}
 	}
@@ -53,7 +53,7 @@
 		found = append(found[:most:most], fmt.Sprintf("%d rules broken in total", count))
 	}
 	for _, share := range shares {
-		if least := scenario.Least[share]; result.Shares[share] < least {
+		if least := scenario.MinShares[share]; result.Shares[share] < least {
 			found = append(found, fmt.Sprintf("share %s is %.3f, want at least %.3f", share, result.Shares[share], least))
 		}
 	}
@@ -67,7 +67,7 @@
 // without route changes.
 func TestDrawnMoves(t *testing.T) {
 	first, count := scheduleRange()
-	if found := failingSchedules(first, max(1, count/2), DrawMoves); len(found) > 0 {
+	if found := failingSchedules(first, max(1, count/2), DrawRouteMoves); len(found) > 0 {
 		t.Errorf("%d schedules break rules:\n%s", len(found), strings.Join(found, "\n"))
 	}
 }
--- a/internal/system/simulation/repeat_test.go
+++ b/internal/system/simulation/repeat_test.go
@@ -15,9 +15,9 @@
 		var found sync.Mutex
 		eachSeed(first, count, func(seed uint64) {
 			scenario := Draw(seed)
-			one, err := Play(scenario)
+			one, err := Run(scenario)
 			Expect(err).NotTo(HaveOccurred())
-			other, err := Play(scenario)
+			other, err := Run(scenario)
 			Expect(err).NotTo(HaveOccurred())
 			if one.History != other.History {
 				found.Lock()
--- a/internal/system/simulation/twice_test.go
+++ b/internal/system/simulation/repeated_run_test.go
@@ -73,7 +73,7 @@
 // TestDrawnPlannedWork runs drawn scenarios of planned operations, which excuse no repeated run.
 func TestDrawnPlannedWork(t *testing.T) {
 	first, count := scheduleRange()
-	if found := failingSchedules(first, count, DrawPlanned); len(found) > 0 {
+	if found := failingSchedules(first, count, DrawPlannedOperations); len(found) > 0 {
 		t.Errorf("%d schedules break rules:\n%s", len(found), strings.Join(found, "\n"))
 	}
 }
--- a/internal/system/simulation/play.go
+++ b/internal/system/simulation/run.go
@@ -11,16 +11,16 @@
 	// Sent is the number of messages that clients sent.
 	Sent int
 	// Shares holds the measured value of each share.
-	Shares  map[Share]float64
-	Expired float64 // share of the accepted messages that completed because their retention passed
-	Retired int     // machines that were drained and removed
-	Spread  int     // largest difference between carriers in the number of ordering-key units that they own
-	History uint64  // hash of all events and their times; equal for two runs of the same scenario
+	Shares          map[ShareName]float64
+	Expired         float64 // share of the accepted messages that completed because their retention passed
+	Retired         int     // machines that were drained and removed
+	OwnershipSpread int     // largest difference between carriers in the number of ordering-key units that they own
+	History         uint64  // hash of all events and their times; equal for two runs of the same scenario
 }
 
-// Play runs a scenario and checks the rules. It returns an error if the scenario has an invalid event or a process
+// Run runs a scenario and checks the rules. It returns an error if the scenario has an invalid event or a process
 // can't start; broken rules are no error.
-func Play(s *Scenario) (*Result, error) {
+func Run(s *Scenario) (*Result, error) {
 	return runScenario(s, func(string, string, error) {})
 }
 
@@ -47,7 +47,7 @@
 	sim.runChecks()
 	expired := float64(sim.expiredMessages) / float64(max(1, len(sim.checker.accepted())))
 	result := &Result{Broken: sim.checker.violations, Sent: len(sim.checker.records), Shares: sim.checker.shares(), Expired: expired,
-		Retired: sim.retiredMachines, Spread: sim.ownershipSpread(), History: sim.world.eventHash.Sum64()}
+		Retired: sim.retiredMachines, OwnershipSpread: sim.ownershipSpread(), History: sim.world.eventHash.Sum64()}
 	return result, sim.failure
 }
 
--- a/internal/system/simulation/scenario.go
+++ b/internal/system/simulation/scenario.go
@@ -63,17 +63,17 @@
 //
 // Drawn scenarios use further events, which are listed in machineEvents, disruptiveEvents and plannedEvents.
 type Scenario struct {
-	Seed      uint64
-	Traffic   time.Duration // for which clients send messages
-	Storage   int           // storage machines at the start
-	Disk      int64         // kilobytes, of each storage machine
-	Retention time.Duration
-	Tolerate  tolerance.Tolerance
-	Events    []Event
-	Least     map[Share]float64 // minimum of each share; missing for none
-	Expired   float64           // maximum share of accepted messages whose retention passes
-	Retired   int               // machines that must be drained and removed
-	Spread    int               // 0 means no bound
+	Seed            uint64
+	Traffic         time.Duration // for which clients send messages
+	StorageMachines int           // storage machines at the start
+	DiskKB          int64         // kilobytes, of each storage machine
+	Retention       time.Duration
+	Tolerance       tolerance.Tolerance
+	Events          []Event
+	MinShares       map[ShareName]float64 // minimum of each share; missing for none
+	MaxExpired      float64               // maximum share of accepted messages whose retention passes
+	Retired         int                   // machines that must be drained and removed
+	MaxSpread       int                   // 0 means no bound
 }
 
 // Event is something that happens during a run.
@@ -91,10 +91,10 @@
 func (e *ParseError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Reason) }
 
 // Parse parses a scenario. It returns a ParseError with the number of the line if one is invalid. Events are checked
-// only when Play runs the scenario.
+// only when Run runs the scenario.
 func Parse(text string) (*Scenario, error) {
-	s := &Scenario{Seed: 1, Traffic: 10 * time.Second, Storage: defaultStorageMachines, Disk: defaultDisk, Retention: defaultRetention, Least: map[Share]float64{},
-		Tolerate: tolerance.Tolerance{Machines: 1}}
+	s := &Scenario{Seed: 1, Traffic: 10 * time.Second, StorageMachines: defaultStorageMachines, DiskKB: defaultDisk, Retention: defaultRetention, MinShares: map[ShareName]float64{},
+		Tolerance: tolerance.Tolerance{Machines: 1}}
 	for i, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		words := strings.Fields(line)
@@ -126,7 +126,7 @@
 		}
 	case "storage":
 		if err = wants(2); err == nil {
-			s.Storage, err = strconv.Atoi(words[1])
+			s.StorageMachines, err = strconv.Atoi(words[1])
 		}
 	case "retention":
 		if err = wants(2); err == nil {
@@ -134,7 +134,7 @@
 		}
 	case "disk":
 		if err = wants(2); err == nil {
-			s.Disk, err = strconv.ParseInt(words[1], 10, 64)
+			s.DiskKB, err = strconv.ParseInt(words[1], 10, 64)
 		}
 	case "tolerate":
 		if err = wants(3); err != nil {
@@ -143,9 +143,9 @@
 		number, err := strconv.Atoi(words[2])
 		switch words[1] {
 		case "machines":
-			s.Tolerate.Machines = number
+			s.Tolerance.Machines = number
 		case "zones":
-			s.Tolerate.Zones = number
+			s.Tolerance.Zones = number
 		default:
 			return &ParseError{Reason: "unknown word " + words[1]}
 		}
@@ -157,17 +157,17 @@
 		number, err := strconv.ParseFloat(words[2], 64)
 		switch words[1] {
 		case "expired":
-			s.Expired = number
+			s.MaxExpired = number
 		case "retired":
 			s.Retired = int(number)
 		case "spread":
-			s.Spread = int(number)
+			s.MaxSpread = int(number)
 		default:
-			share := Share(words[1])
+			share := ShareName(words[1])
 			if !slices.Contains(shares, share) {
 				return &ParseError{Reason: "unknown word " + words[1]}
 			}
-			s.Least[share] = number
+			s.MinShares[share] = number
 		}
 		return err
 	case "at":
@@ -186,13 +186,13 @@
 // String returns the scenario as a text that Parse reads. Expectations other than minimum shares are left out.
 func (s *Scenario) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "seed %d\ntraffic %s\nstorage %d\ndisk %d\nretention %s\ntolerate machines %d\ntolerate zones %d\n", s.Seed, s.Traffic, s.Storage, s.Disk, s.Retention,
-		s.Tolerate.Machines, s.Tolerate.Zones)
+	fmt.Fprintf(&text, "seed %d\ntraffic %s\nstorage %d\ndisk %d\nretention %s\ntolerate machines %d\ntolerate zones %d\n", s.Seed, s.Traffic, s.StorageMachines, s.DiskKB, s.Retention,
+		s.Tolerance.Machines, s.Tolerance.Zones)
 	for _, event := range s.Events {
 		fmt.Fprintf(&text, "at %s %s\n", event.At, event.What)
 	}
 	for _, share := range shares {
-		if least, wanted := s.Least[share]; wanted {
+		if least, wanted := s.MinShares[share]; wanted {
 			fmt.Fprintf(&text, "expect %s %g\n", share, least)
 		}
 	}
--- a/internal/system/simulation/shares.go
+++ b/internal/system/simulation/shares.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Share names a proportion of a run's messages, call-backs or attempts that went well, from 0 to 1.
-type Share string
+// ShareName names a proportion of a run's messages, call-backs or attempts that went well, from 0 to 1.
+type ShareName string
 
 // The shares, each with its whole.
 const (
-	Accepted Share = "accepted" // of the sent messages: accepted
-	Prompt   Share = "prompt"   // of the sent messages: accepted within the target latency
-	Ended    Share = "ended"    // of the accepted messages: completed
-	Started  Share = "started"  // of the accepted messages: first run started within the target
-	Called   Share = "called"   // of the call-backs of completed messages: made
-	Useful   Share = "useful"   // of the attempts: succeeded, with an answer that the carrier received
-	Local    Share = "local"    // of the runs at services with many workers: in the zone of their carrier
+	Accepted       ShareName = "accepted" // of the sent messages: accepted
+	AcceptedInTime ShareName = "prompt"   // of the sent messages: accepted within the target latency
+	Completed      ShareName = "ended"    // of the accepted messages: completed
+	StartedInTime  ShareName = "started"  // of the accepted messages: first run started within the target
+	CallbacksMade  ShareName = "called"   // of the call-backs of completed messages: made
+	UsefulAttempts ShareName = "useful"   // of the attempts: succeeded, with an answer that the carrier received
+	LocalRuns      ShareName = "local"    // of the runs at services with many workers: in the zone of their carrier
 )
 
-var shares = []Share{Accepted, Prompt, Ended, Started, Called, Useful, Local}
+var shares = []ShareName{Accepted, AcceptedInTime, Completed, StartedInTime, CallbacksMade, UsefulAttempts, LocalRuns}
 
 // Targets of the routes: target-latency-ms and target-start-ms in the documents.
 const (
@@ -43,7 +43,7 @@
 }
 
 // shares returns the shares of a run.
-func (c *checker) shares() map[Share]float64 {
+func (c *checker) shares() map[ShareName]float64 {
 	var accepted, prompt, ended, started, called counter
 	for _, r := range c.records {
 		isAccepted := r.status == statusAccepted
@@ -58,6 +58,6 @@
 			called.count(r.callbackCount > 0)
 		}
 	}
-	return map[Share]float64{Accepted: accepted.share(), Prompt: prompt.share(), Ended: ended.share(), Started: started.share(),
-		Called: called.share(), Useful: c.usefulAttempts.share(), Local: c.localRuns.share()}
+	return map[ShareName]float64{Accepted: accepted.share(), AcceptedInTime: prompt.share(), Completed: ended.share(), StartedInTime: started.share(),
+		CallbacksMade: called.share(), UsefulAttempts: c.usefulAttempts.share(), LocalRuns: c.localRuns.share()}
 }
--- a/internal/system/simulation/day.go
+++ b/internal/system/simulation/simulation.go
@@ -77,11 +77,11 @@
 
 func newSimulation(s *Scenario) *simulation {
 	w := newWorld(s.Seed)
-	sim := &simulation{world: w, tolerance: s.Tolerate, diskBytes: s.Disk << 10, checker: newChecker(maxFailures, s.Retention), retention: s.Retention, burstFactors: map[string]int{}, keepers: map[string]*keeperHost{}, stores: map[string]*storeHost{},
+	sim := &simulation{world: w, tolerance: s.Tolerance, diskBytes: s.DiskKB << 10, checker: newChecker(maxFailures, s.Retention), retention: s.Retention, burstFactors: map[string]int{}, keepers: map[string]*keeperHost{}, stores: map[string]*storeHost{},
 		carriers: map[string]*carrierHost{}, failedProbes: map[string]int{}, seenVersions: map[*carrierHost]uint64{}, history: newConfigurationHistory(), backends: newBackends()}
 	sim.platform = newPlatform(w, sim.checker)
 	sim.addServices()
-	for i := range s.Storage {
+	for i := range s.StorageMachines {
 		w.add(fmt.Sprintf("storage-%d", i+1), sim.nextIP(), zones[i%len(zones)])
 	}
 	for i := range carrierCount {
--- a/internal/system/simulation/simulation_suite_test.go
+++ b/internal/system/simulation/simulation_suite_test.go
@@ -32,13 +32,13 @@
 			Expect(run.err).NotTo(HaveOccurred())
 			scenario, result := run.scenario, run.result
 			Expect(result.Broken).To(BeEmpty())
-			for share, least := range scenario.Least {
+			for share, least := range scenario.MinShares {
 				Expect(result.Shares[share]).To(BeNumerically(">=", least), "share "+string(share))
 			}
-			Expect(result.Expired).To(BeNumerically("<=", scenario.Expired), "share expired")
+			Expect(result.Expired).To(BeNumerically("<=", scenario.MaxExpired), "share expired")
 			Expect(result.Retired).To(Equal(scenario.Retired), "machines drained and removed")
-			if scenario.Spread > 0 {
-				Expect(result.Spread).To(BeNumerically("<=", scenario.Spread), "spread of units")
+			if scenario.MaxSpread > 0 {
+				Expect(result.OwnershipSpread).To(BeNumerically("<=", scenario.MaxSpread), "spread of units")
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 			run.scenario, err = Parse(string(text))
 		}
 		if err == nil {
-			run.result, err = Play(run.scenario)
+			run.result, err = Run(run.scenario)
 		}
 		run.err = err
 	})
@@ -112,7 +112,7 @@
 }
 
 func breaksRules(s *Scenario) bool {
-	result, err := Play(s)
+	result, err := Run(s)
 	return err != nil || len(result.Broken) > 0
 }
 
@@ -122,7 +122,7 @@
 	var mutex sync.Mutex
 	eachSeed(first, count, func(seed uint64) {
 		scenario := draw(seed)
-		result, err := Play(scenario)
+		result, err := Run(scenario)
 		if err == nil && len(result.Broken) == 0 {
 			return
 		}
