--- a/internal/system/command/people.go
+++ b/internal/system/command/inspect.go
@@ -100,18 +100,18 @@
 }
 
 // readOnlyDirectory is a directory that is never modified: files that a log creates in it are discarded.
-type readOnlyFolder struct{ *segment.OSDirectory }
+type readOnlyDirectory struct{ *segment.OSDirectory }
 
 // discardFile is a file that discards writes and has nothing to read.
 type discardFile struct{}
 
-func (discardFile) Write(data []byte) (int, error)         { return len(data), nil }
-func (discardFile) ReadAt([]byte, int64) (int, error)      { return 0, os.ErrClosed }
-func (discardFile) Close() error                           { return nil }
-func (discardFile) Sync() error                            { return nil }
-func (readOnlyFolder) Create(string) (segment.File, error) { return discardFile{}, nil }
-func (readOnlyFolder) Remove(string) error                 { return nil }
-func (readOnlyFolder) SyncDir() error                      { return nil }
+func (discardFile) Write(data []byte) (int, error)            { return len(data), nil }
+func (discardFile) ReadAt([]byte, int64) (int, error)         { return 0, os.ErrClosed }
+func (discardFile) Close() error                              { return nil }
+func (discardFile) Sync() error                               { return nil }
+func (readOnlyDirectory) Create(string) (segment.File, error) { return discardFile{}, nil }
+func (readOnlyDirectory) Remove(string) error                 { return nil }
+func (readOnlyDirectory) SyncDir() error                      { return nil }
 
 // openReadOnly opens an existing folder without modifying it.
 func openReadOnly(path string) (segment.Directory, error) {
@@ -119,7 +119,7 @@
 		return nil, &segment.FileError{Operation: "open", Name: path, Err: err}
 	}
 	folder, err := segment.OpenDirectory(path)
-	return readOnlyFolder{folder}, err
+	return readOnlyDirectory{folder}, err
 }
 
 func inspectMessages(command *cobra.Command, path string) error {
