--- a/internal/fleet/gang/gang.go
+++ b/internal/fleet/gang/gang.go
@@ -53,49 +53,49 @@
 type state uint8
 
 const (
-	waits state = iota // for its slots
-	sent
-	runs // all parts have begun
+	stateWaiting state = iota // for its slots
+	stateSent
+	stateRunning // all parts have begun
 )
 
 // gang is one under way.
 type gang struct {
 	memory.GangJob
-	kind   *Kind
-	at     state
-	hold   uint64 // its slots, under the present placement
-	p      place.Placement
-	by     int64 // its parts must have been sent, or all have begun
-	looked int64 // when it was placed last
-	ends   int64 // expected
-	came   int64
-	sent   int64
-	truth  float64 // by which its hosts' backlogs were taken
-	began  []bool
-	served []bool
+	kind       *Kind
+	state      state
+	holdID     uint64 // its slots, under the present placement
+	placement  place.Placement
+	giveUpAt   int64 // its parts must have been sent, or all have begun
+	placedAt   int64 // when it was placed last
+	endsAt     int64 // expected
+	arrivedAt  int64
+	sentAt     int64
+	waitFactor float64 // by which its hosts' backlogs were taken
+	began      []bool
+	served     []bool
 }
 
 // Part is one process's part in gangs. It must not be used by two goroutines at once.
 type Part struct {
-	o      Options
-	hosts  Hosts
-	holder *hold.Holder
-	lease  int64
-	kinds  map[int]*Kind
-	gangs  map[memory.ID]*gang
-	order  []memory.ID // of gangs, the oldest first
-	last   uint64
-	racks  map[[2]int]int
-	acts   []memory.GangAction
-	counts Counts
-	closed bool
-
-	saw, foresaw float64 // seconds that parts waited at their hosts, and were expected to
+	options     Options
+	hosts       Hosts
+	holder      *hold.Holder
+	lease       int64
+	kinds       map[int]*Kind
+	gangs       map[memory.ID]*gang
+	order       []memory.ID // of gangs, the oldest first
+	lastHold    uint64
+	rackNumbers map[[2]int]int
+	actions     []memory.GangAction
+	counts      Counts
+	closed      bool
+
+	observedWait, expectedWait float64 // seconds that parts waited at their hosts, and were expected to
 }
 
 // New makes the part of a process; its slots are those of a holder with that lease.
 func New(o Options, holder *hold.Holder, lease int64, hosts Hosts) *Part {
-	p := &Part{o: o, hosts: hosts, holder: holder, lease: lease, kinds: map[int]*Kind{}, gangs: map[memory.ID]*gang{}, racks: map[[2]int]int{}}
+	p := &Part{options: o, hosts: hosts, holder: holder, lease: lease, kinds: map[int]*Kind{}, gangs: map[memory.ID]*gang{}, rackNumbers: map[[2]int]int{}}
 	for i := range o.Kinds {
 		p.kinds[o.Kinds[i].Class] = &o.Kinds[i]
 	}
@@ -114,10 +114,10 @@
 // Open counts the gangs that wait for slots, of which parts were sent, and that run.
 func (p *Part) Open() (waiting, half, running int) {
 	for _, g := range p.gangs {
-		switch g.at {
-		case waits:
+		switch g.state {
+		case stateWaiting:
 			waiting++
-		case sent:
+		case stateSent:
 			half++
 		default:
 			running++
@@ -130,19 +130,19 @@
 
 // Arrive takes a message. One that has no placement worth its work is given up at once.
 func (p *Part) Arrive(now int64, j memory.GangJob) []memory.GangAction {
-	p.acts = p.acts[:0]
+	p.actions = p.actions[:0]
 	g := &gang{GangJob: j, kind: p.kinds[j.Class]}
 	p.counts.Arrived++
 	p.gangs[j.ID] = g
 	p.order = append(p.order, j.ID)
-	g.by, g.came = now+g.kind.Wait, now
-	if _, at := p.holder.Busy(); now-at > p.lease/freshPart {
+	g.giveUpAt, g.arrivedAt = now+g.kind.Wait, now
+	if _, at := p.holder.Busy(); now-at > p.lease/freshDivisor {
 		// Placed by old news most would ask for slots that others have; the answer is there with the next rounds.
 		p.holder.Look()
-	} else if !p.seek(now, g) {
+	} else if !p.tryPlace(now, g) {
 		p.giveUp(now, g, &p.counts.Nowhere)
 	}
-	return p.acts
+	return p.actions
 }
 
 // Close has no more gangs started: this process leaves the fleet, and slots can't be had any more. Those that run go on.
@@ -151,7 +151,7 @@
 // Round goes on with all gangs, once the holder has heard what there was to hear. A gang is started, or given up, here alone, so a
 // round comes at least as often as what a gang may be late by.
 func (p *Part) Round(now int64) []memory.GangAction {
-	p.acts = p.acts[:0]
+	p.actions = p.actions[:0]
 	for _, id := range p.order {
 		g := p.gangs[id]
 		if g == nil {
@@ -159,74 +159,74 @@
 		}
 		_, heard := p.holder.Busy()
 		switch {
-		case g.hold == 0 && heard <= g.came && now < g.came+p.lease/lookMost && !p.closed:
+		case g.holdID == 0 && heard <= g.arrivedAt && now < g.arrivedAt+p.lease/newsTimeoutDivisor && !p.closed:
 			// It waits for the news that it has asked for.
-		case g.hold == 0 && !p.seek(now, g):
+		case g.holdID == 0 && !p.tryPlace(now, g):
 			p.giveUp(now, g, &p.counts.Nowhere)
-		case g.at == waits && p.holder.Has(now+p.lease/sendPart, g.hold) && p.stands(now, g):
+		case g.state == stateWaiting && p.holder.Has(now+p.lease/sendMarginDivisor, g.holdID) && p.hostsAvailable(now, g):
 			p.start(now, g)
-		case g.at == waits && now >= g.by:
+		case g.state == stateWaiting && now >= g.giveUpAt:
 			p.giveUp(now, g, &p.counts.Waited)
-		case g.at == waits && (p.closed || now-g.looked >= lookAgain || p.conflicts(g)) && !p.seek(now, g):
+		case g.state == stateWaiting && (p.closed || now-g.placedAt >= rescoreInterval || p.conflictsSincePlacement(g)) && !p.tryPlace(now, g):
 			p.giveUp(now, g, &p.counts.Nowhere)
-		case g.at == sent && (now >= g.by || !p.holder.Has(now, g.hold)):
+		case g.state == stateSent && (now >= g.giveUpAt || !p.holder.Has(now, g.holdID)):
 			p.giveUp(now, g, &p.counts.Half)
 		}
 	}
-	p.tidy()
-	return p.acts
+	p.removeEnded()
+	return p.actions
 }
 
 const (
-	freshPart = 8         // news of others' slots is new for that part of a lease
-	lookMost  = 4         // a gang is placed without news after that part of a lease
-	sendPart  = 4         // a gang is sent while at least this part of its lease is left
-	lookAgain = 1_000_000 // a gang that waits is placed anew so often
+	freshDivisor       = 8         // news of others' slots is new for that part of a lease
+	newsTimeoutDivisor = 4         // a gang is placed without news after that part of a lease
+	sendMarginDivisor  = 4         // a gang is sent while at least this part of its lease is left
+	rescoreInterval    = 1_000_000 // a gang that waits is placed anew so often
 )
 
 // Parts that began teach how long a backlog really keeps one waiting.
 const (
-	learnKeep  = 0.99
-	learnFirst = 3.0 // seconds of waiting that weigh as much as what was seen
-	learnMost  = 4.0 // times
+	waitDecay     = 0.99
+	waitPrior     = 3.0 // seconds of waiting that weigh as much as what was seen
+	maxWaitFactor = 4.0 // times
 )
 
 // truth is how long parts wait at their hosts, as a multiple of what the module's law says. The law is for choosing between hosts
 // and may be wrong by a factor; of a gang the last of many starts counts, where a factor is the whole answer.
-func (p *Part) truth() float64 {
-	return min(max((p.saw+learnFirst)/(p.foresaw+learnFirst), 1/learnMost), learnMost)
+func (p *Part) waitFactor() float64 {
+	return min(max((p.observedWait+waitPrior)/(p.expectedWait+waitPrior), 1/maxWaitFactor), maxWaitFactor)
 }
 
 // start has the parts sent.
 func (p *Part) start(now int64, g *gang) {
-	n := len(g.p.Hosts)
-	g.sent = now
-	g.at, g.by, g.ends = sent, now+g.kind.Within, now+int64((g.p.Start+g.p.Run)*1e6)
+	n := len(g.placement.Hosts)
+	g.sentAt = now
+	g.state, g.giveUpAt, g.endsAt = stateSent, now+g.kind.Within, now+int64((g.placement.Start+g.placement.Run)*1e6)
 	g.began, g.served = make([]bool, n), make([]bool, n)
-	a := memory.GangAction{Kind: memory.GangStart, ID: g.ID, Within: g.kind.Within, Run: g.p.Run}
-	for _, h := range g.p.Hosts {
+	a := memory.GangAction{Kind: memory.GangStart, ID: g.ID, Within: g.kind.Within, Run: g.placement.Run}
+	for _, h := range g.placement.Hosts {
 		a.Hosts = append(a.Hosts, logic.WorkerID(h.ID))
 	}
 	c := &p.counts
 	c.Started++
-	c.Crosses, c.Late, c.Push, c.Price, c.Pieces = c.Crosses+g.p.Crosses, c.Late+g.p.Late, c.Push+g.p.Push, c.Price+g.p.Price, c.Pieces+g.p.Pieces
-	p.acts = append(p.acts, a)
+	c.Crosses, c.Late, c.Push, c.Price, c.Pieces = c.Crosses+g.placement.Crosses, c.Late+g.placement.Late, c.Push+g.placement.Push, c.Price+g.placement.Price, c.Pieces+g.placement.Pieces
+	p.actions = append(p.actions, a)
 }
 
 // giveUp ends a gang for a cause that is counted.
 func (p *Part) giveUp(now int64, g *gang, cause *int) {
 	*cause++
-	p.acts = append(p.acts, memory.GangAction{Kind: memory.GangGiveUp, ID: g.ID, After: p.after(now, g)})
+	p.actions = append(p.actions, memory.GangAction{Kind: memory.GangGiveUp, ID: g.ID, After: p.retryAfter(now, g)})
 	p.drop(g)
 }
 
 // drop lets go of a gang. Its slots go back with the next round.
 func (p *Part) drop(g *gang) {
-	p.holder.Drop(g.hold)
+	p.holder.Drop(g.holdID)
 	delete(p.gangs, g.ID)
 }
 
-func (p *Part) tidy() {
+func (p *Part) removeEnded() {
 	kept := p.order[:0]
 	for _, id := range p.order {
 		if p.gangs[id] != nil {
@@ -239,18 +239,18 @@
 // May tells whether a part that was to be sent may still be: its slots may not be its gang's own any more.
 func (p *Part) May(now int64, id memory.ID) bool {
 	g := p.gangs[id]
-	return g != nil && g.at != waits && (g.at == runs || p.holder.Has(now, g.hold))
+	return g != nil && g.state != stateWaiting && (g.state == stateRunning || p.holder.Has(now, g.holdID))
 }
 
 // Began takes the news that a part has begun.
 func (p *Part) Began(now int64, id memory.ID, rank int) {
 	g := p.gangs[id]
-	if g == nil || g.at != sent || rank >= len(g.began) {
+	if g == nil || g.state != stateSent || rank >= len(g.began) {
 		return
 	}
-	if h := g.p.Hosts[rank]; !g.began[rank] && h.After == 0 {
-		h.Backlog /= g.truth
-		p.saw, p.foresaw = p.saw*learnKeep+float64(now-g.sent)/1e6, p.foresaw*learnKeep+h.Wait()
+	if h := g.placement.Hosts[rank]; !g.began[rank] && h.After == 0 {
+		h.Backlog /= g.waitFactor
+		p.observedWait, p.expectedWait = p.observedWait*waitDecay+float64(now-g.sentAt)/1e6, p.expectedWait*waitDecay+h.Wait()
 	}
 	g.began[rank] = true
 	for _, b := range g.began {
@@ -258,20 +258,20 @@
 			return
 		}
 	}
-	g.at, g.ends = runs, now+int64(g.p.Run*1e6)
-	p.holder.Begin(g.hold, g.ends)
+	g.state, g.endsAt = stateRunning, now+int64(g.placement.Run*1e6)
+	p.holder.Begin(g.holdID, g.endsAt)
 }
 
 // Ended takes the end of a part. One that fails ends the gang.
 func (p *Part) Ended(now int64, id memory.ID, rank int, served bool) []memory.GangAction {
-	p.acts = p.acts[:0]
+	p.actions = p.actions[:0]
 	g := p.gangs[id]
-	if g == nil || g.at == waits || rank >= len(g.served) {
+	if g == nil || g.state == stateWaiting || rank >= len(g.served) {
 		return nil
 	}
 	if !served {
 		p.giveUp(now, g, &p.counts.Failed)
-		return p.acts
+		return p.actions
 	}
 	g.served[rank] = true
 	for _, s := range g.served {
@@ -280,9 +280,9 @@
 		}
 	}
 	p.counts.Served++
-	p.acts = append(p.acts, memory.GangAction{Kind: memory.GangServe, ID: id})
+	p.actions = append(p.actions, memory.GangAction{Kind: memory.GangServe, ID: id})
 	p.drop(g)
-	return p.acts
+	return p.actions
 }
 
 // Left takes the news that nobody waits for a gang any more.
--- a/internal/fleet/gang/place/bound.go
+++ b/internal/fleet/gang/place/bound.go
@@ -13,7 +13,7 @@
 	s := newSearch(hosts, j, t, &topology.Loads{}, w)
 	least := math.Inf(1)
 	for _, k := range s.sizes() {
-		s.size(k)
+		s.setParts(k)
 		paces, pushes, laws := make([]float64, 0, len(hosts)), make([]float64, 0, len(hosts)), make([]float64, 0, len(hosts))
 		for i := range hosts {
 			paces, pushes = append(paces, hosts[i].Pace), append(pushes, hosts[i].Push)
@@ -24,13 +24,13 @@
 		if j.Steps > 0 && len(s.edges) > 0 {
 			step = t.Alone(s.edges, j.Bytes, k)
 		}
-		run := s.work()*paces[k-1] + j.Steps*step
+		run := s.workPerPart()*paces[k-1] + j.Steps*step
 		slack := 0.0 // of the guess that has most
-		for _, e := range guesses {
-			slack = max(slack, j.Slack-run+max(j.Stretch*float64(k)/float64(j.Parts)*(e-1)*s.work(), 0)-min((e-1)*s.work()*paces[0], 0))
+		for _, e := range workFactors {
+			slack = max(slack, j.Slack-run+max(j.Stretch*float64(k)/float64(j.Parts)*(e-1)*s.workPerPart(), 0)-min((e-1)*s.workPerPart()*paces[0], 0))
 		}
 		for i := range hosts {
-			laws = append(laws, s.at(s.law(int32(i)), slack))
+			laws = append(laws, s.interpolate(s.startLaw(int32(i)), slack))
 		}
 		slices.SortFunc(laws, func(a, b float64) int { return cmp.Compare(b, a) })
 		sum, push := 0.0, 0.0
@@ -38,7 +38,7 @@
 			sum += laws[n]
 			push += pushes[n]
 		}
-		least = min(least, j.Worth*(1-j.LateWorth)*(1-math.Exp(sum))+(push+(j.Price+s.crowd)*float64(k))*run+j.Worth*w.Fails*run)
+		least = min(least, j.Worth*(1-j.LateWorth)*(1-math.Exp(sum))+(push+(j.Price+s.contentionPrice)*float64(k))*run+j.Worth*w.Fails*run)
 	}
 	return least
 }
--- a/internal/fleet/gang/place/candidates.go
+++ b/internal/fleet/gang/place/candidates.go
@@ -21,14 +21,14 @@
 		if hosts := s.racks[r].hosts; len(hosts) >= s.k {
 			c := 0.0
 			for _, i := range hosts[:s.k] {
-				c += s.keys[i]
+				c += s.costs[i]
 			}
-			alone = append(alone, sum{r, c + j.Worth*s.w.Pieces*float64(max(s.racks[r].free-s.k, 0))/float64(len(hosts))})
+			alone = append(alone, sum{r, c + j.Worth*s.weights.Pieces*float64(max(s.racks[r].free-s.k, 0))/float64(len(hosts))})
 		}
 	}
 	slices.SortFunc(alone, func(a, b sum) int { return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.rack, b.rack)) })
-	for _, a := range alone[:min(len(alone), racksMost)] {
-		s.try(s.racks[a.rack].hosts[:s.k])
+	for _, a := range alone[:min(len(alone), maxSingleRacks)] {
+		s.evaluate(s.racks[a.rack].hosts[:s.k])
 	}
 	var zones []int
 	for _, r := range s.racks {
@@ -36,27 +36,27 @@
 			zones = append(zones, r.zone)
 		}
 	}
-	if s.parts == nil {
-		for _, most := range s.qualities() {
-			s.parts = append(s.parts, s.goodOnes(most))
+	if s.subsets == nil {
+		for _, most := range s.costLimits() {
+			s.subsets = append(s.subsets, s.hostsUpTo(most))
 		}
 	}
-	for _, parts := range s.parts {
+	for _, parts := range s.subsets {
 		for _, z := range zones {
-			s.fewest(parts, z, false)
+			s.fewestRacks(parts, z, false)
 		}
 		if len(zones) > 1 {
-			s.fewest(parts, 0, true)
+			s.fewestRacks(parts, 0, true)
 		}
 	}
-	s.cheapest()
+	s.cheapestHosts()
 }
 
 // qualities are costs of a host alone up to which it is looked at, from some of the hosts.
-func (s *search) qualities() []float64 {
+func (s *search) costLimits() []float64 {
 	var sample []float64
-	for i := 0; i < len(s.keys); i += max(len(s.keys)/256, 1) {
-		sample = append(sample, s.keys[i])
+	for i := 0; i < len(s.costs); i += max(len(s.costs)/256, 1) {
+		sample = append(sample, s.costs[i])
 	}
 	slices.Sort(sample)
 	var out []float64
@@ -73,34 +73,34 @@
 }
 
 // part is some hosts of a rack, the best.
-type part struct{ rack, n int }
+type subset struct{ rack, n int }
 
 // goodOnes counts the hosts of each rack up to a cost, the racks with most first.
-func (s *search) goodOnes(most float64) (out []part) {
+func (s *search) hostsUpTo(most float64) (out []subset) {
 	for r := range s.racks {
 		n := 0
 		for _, i := range s.racks[r].hosts {
-			if s.keys[i] > most {
+			if s.costs[i] > most {
 				break
 			}
 			n++
 		}
 		if n > 0 {
-			out = append(out, part{r, n})
+			out = append(out, subset{r, n})
 		}
 	}
-	slices.SortFunc(out, func(a, b part) int {
+	slices.SortFunc(out, func(a, b subset) int {
 		if a.n != b.n {
 			return b.n - a.n
 		}
-		return s.order(s.racks[a.rack].hosts[0], s.racks[b.rack].hosts[0])
+		return s.compareHosts(s.racks[a.rack].hosts[0], s.racks[b.rack].hosts[0])
 	})
 	return out
 }
 
 // fewest takes whole racks, of a zone if one is named, those with most hosts first, and for the rest the rack that has just
 // enough.
-func (s *search) fewest(parts []part, zone int, any bool) {
+func (s *search) fewestRacks(parts []subset, zone int, any bool) {
 	var chosen []int32
 	for at := 0; at < len(parts) && len(chosen) < s.k; at++ {
 		p := parts[at]
@@ -122,31 +122,31 @@
 		chosen = append(chosen, s.racks[p.rack].hosts[:min(p.n, left)]...)
 	}
 	if len(chosen) == s.k {
-		s.try(chosen)
+		s.evaluate(chosen)
 	}
 }
 
 // cheapest takes the best hosts wherever they are.
-func (s *search) cheapest() {
+func (s *search) cheapestHosts() {
 	var chosen []int32
 	heads := make([]int, len(s.racks))
 	for range s.k {
 		best := int32(-1)
 		for r, at := range heads {
-			if hosts := s.racks[r].hosts; at < len(hosts) && (best < 0 || s.order(hosts[at], best) < 0) {
+			if hosts := s.racks[r].hosts; at < len(hosts) && (best < 0 || s.compareHosts(hosts[at], best) < 0) {
 				best = hosts[at]
 			}
 		}
 		chosen = append(chosen, best)
 		heads[s.rackOf[best]]++
 	}
-	s.byRack(chosen)
-	s.try(chosen)
+	s.sortByRack(chosen)
+	s.evaluate(chosen)
 }
 
-func (s *search) byRack(chosen []int32) {
+func (s *search) sortByRack(chosen []int32) {
 	slices.SortFunc(chosen, func(a, b int32) int {
 		ra, rb := s.rackOf[a], s.rackOf[b]
-		return cmp.Or(cmp.Compare(s.racks[ra].zone, s.racks[rb].zone), cmp.Compare(ra, rb), s.order(a, b))
+		return cmp.Or(cmp.Compare(s.racks[ra].zone, s.racks[rb].zone), cmp.Compare(ra, rb), s.compareHosts(a, b))
 	})
 }
--- a/internal/fleet/gang/place/place.go
+++ b/internal/fleet/gang/place/place.go
@@ -75,38 +75,38 @@
 
 // sooner is the share of its worth that a gang which takes all of its slack is worth less: of two that are in time the one that
 // is over first is better.
-const sooner = 0.001
+const durationWeight = 0.001
 
 // guesses are what the work may be, as multiples of what is told, each as likely.
-var guesses = [...]float64{0.75, 1, 1.3}
+var workFactors = [...]float64{0.75, 1, 1.3}
 
 // grid is how many times the law of a start is kept at.
-const grid = 12
+const gridPoints = 12
 
 // search is one search, with its scratch.
 type search struct {
-	hosts  []Host
-	job    Job
-	topo   *topology.Topology
-	others *topology.Loads
-	w      Weights
-	times  [grid]float64
-	laws   [][grid]float64 // log P(started by), of the hosts that were looked at
-	lawOf  []int32         // of each host: its place in laws, from 1 on
-	racks  []rack
-	rackOf []int32   // of each host: its place in racks
-	keys   []float64 // what each costs alone
-	crowd  float64   // worth of a slot-second to other gangs
-	parts  [][]part  // racks by their hosts up to some cost alone
-
-	k       int
-	edges   []pattern.Edge
-	orders  [][]int
-	traffic topology.Traffic
-	spots   []topology.Spot
-	looks   int // placements scored
-	best    Why
-	chosen  []int32 // that it is of
+	hosts           []Host
+	job             Job
+	topo            *topology.Topology
+	others          *topology.Loads
+	weights         Weights
+	times           [gridPoints]float64
+	startLaws       [][gridPoints]float64 // log P(started by), of the hosts that were looked at
+	lawOf           []int32               // of each host: its place in laws, from 1 on
+	racks           []rack
+	rackOf          []int32    // of each host: its place in racks
+	costs           []float64  // what each costs alone
+	contentionPrice float64    // worth of a slot-second to other gangs
+	subsets         [][]subset // racks by their hosts up to some cost alone
+
+	k         int
+	edges     []pattern.Edge
+	orders    [][]int
+	traffic   topology.Traffic
+	spots     []topology.Spot
+	evaluated int // placements scored
+	best      Why
+	chosen    []int32 // that it is of
 }
 
 // rack is the hosts of one, best first.
@@ -117,23 +117,23 @@
 }
 
 // floor is the logarithm that stands for no chance at all.
-const floor = -60
+const minLogChance = -60
 
 // law is the law of a host's start: the module's own of a backlog that is known to a factor (logic.LateChance).
-func (s *search) law(i int32) *[grid]float64 {
+func (s *search) startLaw(i int32) *[gridPoints]float64 {
 	if s.lawOf[i] == 0 {
-		var l [grid]float64
+		var l [gridPoints]float64
 		for g, t := range s.times {
-			l[g] = max(math.Log1p(-s.late(&s.hosts[i], t)), floor)
+			l[g] = max(math.Log1p(-s.lateChance(&s.hosts[i], t)), minLogChance)
 		}
-		s.laws = append(s.laws, l)
-		s.lawOf[i] = int32(len(s.laws))
+		s.startLaws = append(s.startLaws, l)
+		s.lawOf[i] = int32(len(s.startLaws))
 	}
-	return &s.laws[s.lawOf[i]-1]
+	return &s.startLaws[s.lawOf[i]-1]
 }
 
 // late is the chance that a part has not started by a time.
-func (s *search) late(h *Host, t float64) float64 {
+func (s *search) lateChance(h *Host, t float64) float64 {
 	if t < h.After {
 		return 1
 	}
@@ -141,16 +141,16 @@
 }
 
 // size sets how many parts are placed.
-func (s *search) size(k int) {
+func (s *search) setParts(k int) {
 	s.k, s.edges, s.orders = k, s.job.Pattern.Edges(k), s.job.Pattern.Orders(k)
 }
 
 // work is what each of k parts has to do.
-func (s *search) work() float64 { return s.job.Work * float64(s.job.Parts) / float64(s.k) }
+func (s *search) workPerPart() float64 { return s.job.Work * float64(s.job.Parts) / float64(s.k) }
 
 // step finds the order of the ranks on hosts that lie rack by rack, and gives it with the time of an exchange and the share of
 // the bytes that leave a rack.
-func (s *search) step(chosen []int32) (best, crosses float64, order []int) {
+func (s *search) exchangeTime(chosen []int32) (best, crosses float64, order []int) {
 	best = math.Inf(1)
 	for _, o := range s.orders {
 		s.spots = s.spots[:0]
@@ -175,28 +175,28 @@
 // score scores hosts, which lie rack by rack.
 func (s *search) score(chosen []int32) (w Why) {
 	pace, push := 0.0, 0.0
-	var sum [grid]float64
+	var sum [gridPoints]float64
 	for _, i := range chosen {
 		h := &s.hosts[i]
 		pace = max(pace, h.Pace)
 		push += h.Push
-		l := s.law(i)
+		l := s.startLaw(i)
 		for g := range sum {
 			sum[g] += l[g]
 		}
 	}
-	w.Step, w.Crosses, _ = s.step(chosen)
-	w.Run = s.work()*pace + s.job.Steps*w.Step
+	w.Step, w.Crosses, _ = s.exchangeTime(chosen)
+	w.Run = s.workPerPart()*pace + s.job.Steps*w.Step
 	// The mean of the last start, as far as the grid goes.
-	for g := 1; g < grid; g++ {
+	for g := 1; g < gridPoints; g++ {
 		w.Start += (s.times[g] - s.times[g-1]) * (1 - (math.Exp(sum[g-1])+math.Exp(sum[g]))/2)
 	}
 	// The work that is told is a guess: what a gang has more of it takes longer, and is late later.
-	for _, e := range guesses {
-		more := (e - 1) * s.work()
-		w.Chance += (1 - math.Exp(s.at(&sum, s.job.Slack-w.Run+(s.job.Stretch*float64(s.k)/float64(s.job.Parts)-pace)*more))) / float64(len(guesses))
+	for _, e := range workFactors {
+		more := (e - 1) * s.workPerPart()
+		w.Chance += (1 - math.Exp(s.interpolate(&sum, s.job.Slack-w.Run+(s.job.Stretch*float64(s.k)/float64(s.job.Parts)-pace)*more))) / float64(len(workFactors))
 	}
-	w.Late = s.job.Worth * ((1-s.job.LateWorth)*w.Chance + sooner*(w.Start+w.Run)/max(s.job.Slack, 1e-3))
+	w.Late = s.job.Worth * ((1-s.job.LateWorth)*w.Chance + durationWeight*(w.Start+w.Run)/max(s.job.Slack, 1e-3))
 	// A slot is taken from its own start to the end of all: who starts first waits for the last.
 	own := 0.0
 	for _, i := range chosen {
@@ -205,7 +205,7 @@
 	idle := max(w.Start-own/float64(s.k), 0)
 	w.Push = push * (w.Run + idle)
 	w.Price = s.job.Price * float64(s.k) * (w.Run + idle)
-	w.Crowd = s.crowd * float64(s.k) * (w.Run + idle)
+	w.Crowd = s.contentionPrice * float64(s.k) * (w.Run + idle)
 	racks := 0
 	for at := 0; at < len(chosen); {
 		r, n := s.rackOf[chosen[at]], 0
@@ -214,23 +214,23 @@
 		}
 		racks++
 		if left := s.racks[r].free - n; left > 0 {
-			w.Pieces += s.job.Worth * s.w.Pieces * float64(left) / float64(len(s.racks[r].hosts))
+			w.Pieces += s.job.Worth * s.weights.Pieces * float64(left) / float64(len(s.racks[r].hosts))
 		}
 	}
-	w.Risk = s.job.Worth * s.w.Fails * float64(racks) * w.Run
+	w.Risk = s.job.Worth * s.weights.Fails * float64(racks) * w.Run
 	return w
 }
 
 // at reads a law between its times; before the first there is no chance.
-func (s *search) at(l *[grid]float64, t float64) float64 {
+func (s *search) interpolate(l *[gridPoints]float64, t float64) float64 {
 	if t < s.times[0] {
-		return floor
+		return minLogChance
 	}
-	for g := 1; g < grid; g++ {
+	for g := 1; g < gridPoints; g++ {
 		if t <= s.times[g] {
 			f := (t - s.times[g-1]) / (s.times[g] - s.times[g-1])
 			return l[g-1] + f*(l[g]-l[g-1])
 		}
 	}
-	return l[grid-1]
+	return l[gridPoints-1]
 }
--- a/internal/fleet/gang/place/place_test.go
+++ b/internal/fleet/gang/place/place_test.go
@@ -42,11 +42,11 @@
 			rng := rand.New(rand.NewPCG(seed, uint64(p)))
 			hosts, j := fleet(rng, 12+rng.IntN(3), 3+rng.IntN(3)), job(3+rng.IntN(3), 3, p)
 			exact := newSearch(hosts, j, &links, &topology.Loads{}, weights)
-			exact.size(j.Parts)
+			exact.setParts(j.Parts)
 			exact.best.Late = 1e9
-			exact.all()
+			exact.exhaustive()
 			s := newSearch(hosts, j, &links, &topology.Loads{}, weights)
-			s.size(j.Parts)
+			s.setParts(j.Parts)
 			s.best.Late = 1e9
 			s.candidates()
 			s.improve()
--- a/internal/fleet/gang/place/search.go
+++ b/internal/fleet/gang/place/search.go
@@ -10,10 +10,10 @@
 
 // Bounds of a search.
 const (
-	exactMost = 3000 // placements up to which all are scored
-	racksMost = 6    // racks scored that can take the whole alone
-	passes    = 2    // of exchanging one host for another
-	sizesMost = 3    // numbers of parts that are tried
+	maxExact       = 3000 // placements up to which all are scored
+	maxSingleRacks = 6    // racks scored that can take the whole alone
+	exchangePasses = 2    // of exchanging one host for another
+	maxSizes       = 3    // numbers of parts that are tried
 )
 
 // Search finds a placement of the lowest score that it can; ok is false where there are not hosts for the least number of parts.
@@ -21,10 +21,10 @@
 func Search(hosts []Host, j Job, t *topology.Topology, others *topology.Loads, w Weights) (best Placement, ok bool) {
 	s := newSearch(hosts, j, t, others, w)
 	for _, k := range s.sizes() {
-		s.size(k)
+		s.setParts(k)
 		s.best, s.chosen = Why{Late: math.Inf(1)}, s.chosen[:0]
-		if few(len(hosts), k) {
-			s.all()
+		if fewPlacements(len(hosts), k) {
+			s.exhaustive()
 		} else {
 			s.candidates()
 			s.improve()
@@ -39,7 +39,7 @@
 // Fixed is the placement of hosts that were chosen by rank in another way.
 func Fixed(hosts []Host, j Job, t *topology.Topology, others *topology.Loads, w Weights) Placement {
 	s := newSearch(hosts, j, t, others, w)
-	s.size(len(hosts))
+	s.setParts(len(hosts))
 	s.orders = s.orders[:1]
 	for i := range hosts {
 		s.chosen = append(s.chosen, int32(i))
@@ -51,8 +51,8 @@
 // sizes are the numbers of parts worth a look: all, the least, and one between.
 func (s *search) sizes() (out []int) {
 	most, least := min(s.job.Parts, len(s.hosts)), max(s.job.Least, 1)
-	for n := range sizesMost {
-		if k := most - (most-least)*n/(sizesMost-1); most >= least && !slices.Contains(out, k) {
+	for n := range maxSizes {
+		if k := most - (most-least)*n/(maxSizes-1); most >= least && !slices.Contains(out, k) {
 			out = append(out, k)
 		}
 	}
@@ -61,14 +61,14 @@
 
 func newSearch(hosts []Host, j Job, t *topology.Topology, others *topology.Loads, w Weights) *search {
 	n := len(hosts)
-	s := &search{hosts: hosts, job: j, topo: t, others: others, w: w, lawOf: make([]int32, n),
-		rackOf: make([]int32, n), keys: make([]float64, n)}
+	s := &search{hosts: hosts, job: j, topo: t, others: others, weights: w, lawOf: make([]int32, n),
+		rackOf: make([]int32, n), costs: make([]float64, n)}
 	for g := range s.times {
 		// Closer together near the beginning, where laws change most.
-		x := float64(g) / (grid - 1)
+		x := float64(g) / (gridPoints - 1)
 		s.times[g] = max(j.Slack, 1e-3) * x * x
 	}
-	s.crowd = j.Worth * j.Crowd / s.least()
+	s.contentionPrice = j.Worth * j.Crowd / s.minSlotSeconds()
 	numbers := map[int]int32{}
 	for i := range hosts {
 		h := &hosts[i]
@@ -84,16 +84,16 @@
 			s.racks[r].free++
 		}
 		run := j.Work * h.Pace
-		s.keys[i] = j.Worth*(1-j.LateWorth)*s.late(h, j.Slack-run) + (h.Push+j.Price+s.crowd)*run + 1e-6*(h.Backlog+h.After)
+		s.costs[i] = j.Worth*(1-j.LateWorth)*s.lateChance(h, j.Slack-run) + (h.Push+j.Price+s.contentionPrice)*run + 1e-6*(h.Backlog+h.After)
 	}
 	for r := range s.racks {
-		slices.SortFunc(s.racks[r].hosts, s.order)
+		slices.SortFunc(s.racks[r].hosts, s.compareHosts)
 	}
 	return s
 }
 
 // least is the fewest slot-seconds that the whole takes.
-func (s *search) least() float64 {
+func (s *search) minSlotSeconds() float64 {
 	pace := math.Inf(1)
 	for i := range s.hosts {
 		pace = min(pace, s.hosts[i].Pace)
@@ -106,8 +106,8 @@
 }
 
 // order puts hosts by what each would cost alone.
-func (s *search) order(a, b int32) int {
-	switch ka, kb := s.keys[a], s.keys[b]; {
+func (s *search) compareHosts(a, b int32) int {
+	switch ka, kb := s.costs[a], s.costs[b]; {
 	case ka < kb:
 		return -1
 	case ka > kb:
@@ -117,16 +117,16 @@
 }
 
 // few tells whether there are so few ways to take k of n hosts that all can be scored.
-func few(n, k int) bool {
+func fewPlacements(n, k int) bool {
 	ways := 1.0
 	for i := range min(k, n-k) {
 		ways *= float64(n-i) / float64(i+1)
 	}
-	return ways <= exactMost
+	return ways <= maxExact
 }
 
 // all scores every choice of hosts.
-func (s *search) all() {
+func (s *search) exhaustive() {
 	var chosen []int32
 	// Rack by rack, as the orders of ranks want them.
 	var hosts []int32
@@ -136,7 +136,7 @@
 	var choose func(from int)
 	choose = func(from int) {
 		if len(chosen) == s.k {
-			s.try(chosen)
+			s.evaluate(chosen)
 			return
 		}
 		for i := from; i <= len(hosts)-(s.k-len(chosen)); i++ {
@@ -149,8 +149,8 @@
 }
 
 // try scores a choice and keeps it where it is the best.
-func (s *search) try(chosen []int32) bool {
-	s.looks++
+func (s *search) evaluate(chosen []int32) bool {
+	s.evaluated++
 	w := s.score(chosen)
 	if w.Total() >= s.best.Total() {
 		return false
@@ -164,19 +164,19 @@
 	if len(s.chosen) < s.k {
 		return
 	}
-	for range passes {
+	for range exchangePasses {
 		better := false
 		worst := slices.Clone(s.chosen)
-		slices.SortFunc(worst, func(a, b int32) int { return s.order(b, a) })
+		slices.SortFunc(worst, func(a, b int32) int { return s.compareHosts(b, a) })
 		for _, out := range worst[:min(len(worst), 16)] {
 			if !slices.Contains(s.chosen, out) {
 				continue
 			}
-			for _, in := range s.spare(out) {
+			for _, in := range s.replacements(out) {
 				chosen := slices.Clone(s.chosen)
 				chosen[slices.Index(chosen, out)] = in
-				s.byRack(chosen)
-				if s.try(chosen) {
+				s.sortByRack(chosen)
+				if s.evaluate(chosen) {
 					better = true
 					break
 				}
@@ -189,7 +189,7 @@
 }
 
 // spare lists hosts that could stand in for one: the best that is not taken, of its own rack and of the racks that are in use.
-func (s *search) spare(out int32) []int32 {
+func (s *search) replacements(out int32) []int32 {
 	var spare []int32
 	seen := map[int32]bool{}
 	for _, c := range append([]int32{out}, s.chosen...) {
@@ -211,13 +211,13 @@
 // placement is the best choice, with its ranks.
 func (s *search) placement() Placement {
 	p := Placement{Why: s.best, Hosts: make([]Host, s.k)}
-	step, _, order := s.step(s.chosen)
+	step, _, order := s.exchangeTime(s.chosen)
 	for at, rank := range order {
 		p.Hosts[rank] = s.hosts[s.chosen[at]]
 	}
 	p.Leaves, p.Zoned = make([]float64, s.k), make([]float64, s.k)
 	if step > 0 && p.Run > 0 {
-		s.traffic.Count(s.edges, s.job.Bytes, spots(p.Hosts))
+		s.traffic.Count(s.edges, s.job.Bytes, hostSpots(p.Hosts))
 		// Over the whole run, not while it exchanges alone: that is what others find on the links.
 		for rank := range p.Hosts {
 			p.Leaves[rank] = s.traffic.Leaves[rank] * s.job.Steps / p.Run
@@ -227,7 +227,7 @@
 	return p
 }
 
-func spots(hosts []Host) []topology.Spot {
+func hostSpots(hosts []Host) []topology.Spot {
 	out := make([]topology.Spot, len(hosts))
 	for i, h := range hosts {
 		out[i] = h.Spot
--- a/internal/fleet/gang/topology/topology.go
+++ b/internal/fleet/gang/topology/topology.go
@@ -54,7 +54,7 @@
 }
 
 // place finds or makes a number's place in a short list.
-func place(list []Share, number int) ([]Share, int) {
+func findOrAppend(list []Share, number int) ([]Share, int) {
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i].Number == number {
 			return list, i
@@ -79,8 +79,8 @@
 		racks: t.racks[:0], zones: t.zones[:0]}
 	for _, s := range spots {
 		var r, z int
-		t.Racks, r = place(t.Racks, s.Rack)
-		t.Zones, z = place(t.Zones, s.Zone)
+		t.Racks, r = findOrAppend(t.Racks, s.Rack)
+		t.Zones, z = findOrAppend(t.Zones, s.Zone)
 		t.racks, t.zones = append(t.racks, r), append(t.zones, z)
 	}
 	for _, e := range edges {
@@ -109,7 +109,7 @@
 }
 
 // least is the part of a link that a gang gets however much others have on it.
-const least = 0.1
+const minLinkShare = 0.1
 
 // Step is how long one exchange takes, in seconds: as long as the slowest link that it crosses, and the way there.
 func (t *Topology) Step(x *Traffic, others *Loads) float64 {
@@ -119,12 +119,12 @@
 	most := x.Host / t.Host
 	for _, s := range x.Racks {
 		if s.Bytes > 0 {
-			most = max(most, s.Bytes/max(t.Rack-others.Racks[s.Number], least*t.Rack))
+			most = max(most, s.Bytes/max(t.Rack-others.Racks[s.Number], minLinkShare*t.Rack))
 		}
 	}
 	for _, s := range x.Zones {
 		if s.Bytes > 0 {
-			most = max(most, s.Bytes/max(t.Zone-others.Zones[s.Number], least*t.Zone))
+			most = max(most, s.Bytes/max(t.Zone-others.Zones[s.Number], minLinkShare*t.Zone))
 		}
 	}
 	return most + [...]float64{t.Near, t.Apart, t.Far}[x.level]
--- a/internal/fleet/limit/covers.go
+++ b/internal/fleet/limit/covers.go
@@ -21,93 +21,93 @@
 }
 
 // deal is a limit's books while this process deals it.
-type deal struct {
+type limitDealer struct {
 	*rights.Dealer
 	covers *cover.Book
 }
 
 // begin opens the books of a post that has just come here, and asks the keepers what an earlier dealer may have given.
-func (p *Part) begin(now int64) {
-	p.since = p.seat.Since()
-	p.dealers, p.book = map[uint64]*deal{}, nil
-	if p.o.Room > 0 {
-		p.book = hold.NewBook(now, p.o.Lease, p.o.Room)
-		p.inherit(now)
+func (p *Part) startDealing(now int64) {
+	p.dealingSince = p.seat.Since()
+	p.dealers, p.slotBook = map[uint64]*limitDealer{}, nil
+	if p.options.Room > 0 {
+		p.slotBook = hold.NewBook(now, p.options.Lease, p.options.Room)
+		p.adoptSlots(now)
 	}
 	for _, o := range p.limits {
-		covers := cover.NewBook(now, len(p.o.Keepers))
-		p.dealers[o.number] = &deal{rights.NewDealer(now, o.Limit.Limit, &p.numbers, covers), covers}
+		covers := cover.NewBook(now, len(p.options.Keepers))
+		p.dealers[o.hash] = &limitDealer{rights.NewDealer(now, o.Limit.Limit, &p.sessionCounter, covers), covers}
 	}
-	p.turn(now, p.o.Self)
+	p.switchDealer(now, p.options.Self)
 }
 
 // cover asks and tells the keepers what is due.
-func (p *Part) cover(now int64) (out []*Message) {
+func (p *Part) coverMessages(now int64) (out []*Message) {
 	for _, o := range p.limits {
-		d := p.dealers[o.number]
+		d := p.dealers[o.hash]
 		if !d.covers.Settled() && now >= d.From() {
 			d.covers.Settle() // nothing of before can be in use
 		}
-		ask, tell := d.covers.Round(now, p.o.Lease/lookPart, p.o.Keepers)
+		ask, tell := d.covers.Round(now, p.options.Lease/retryDivisor, p.options.Keepers)
 		for _, k := range ask {
-			m := p.say(CoverAsk, lease.Owner{Name: k}, now)
-			m.Cover = &Cover{Limit: o.number}
+			m := p.newMessage(CoverAsk, lease.Owner{Name: k}, now)
+			m.Cover = &Cover{Limit: o.hash}
 			out = append(out, m)
 		}
 		table, version := d.covers.Told()
 		for _, k := range tell {
 			to, turn := d.covers.To(k)
-			m := p.say(CoverPut, to, version)
-			m.Cover = &Cover{Limit: o.number, Turn: turn, Table: table}
+			m := p.newMessage(CoverPut, to, version)
+			m.Cover = &Cover{Limit: o.hash, Turn: turn, Table: table}
 			out = append(out, m)
 		}
 	}
-	return p.own(now, out)
+	return p.handleLocal(now, out)
 }
 
 // own answers what is for this process itself, which is a keeper as well, and gives the rest.
-func (p *Part) own(now int64, out []*Message) []*Message {
+func (p *Part) handleLocal(now int64, out []*Message) []*Message {
 	return slices.DeleteFunc(out, func(m *Message) bool {
-		if m.To.Name != p.o.Self.Name {
+		if m.To.Name != p.options.Self.Name {
 			return false
 		}
-		if answer := p.keep(now, m); answer != nil {
-			p.covered(now, answer)
+		if answer := p.handleCoverRequest(now, m); answer != nil {
+			p.handleCoverAnswer(now, answer)
 		}
 		return true
 	})
 }
 
 // keep is the keeper's side of covers: it answers the one to whom the post is promised here, and nobody else.
-func (p *Part) keep(now int64, m *Message) *Message {
-	if p.seat == nil || m.Cover == nil || p.seat.Promised(now) != m.From || !slices.ContainsFunc(p.limits, func(o *own) bool { return o.number == m.Cover.Limit }) {
+func (p *Part) handleCoverRequest(now int64, m *Message) *Message {
+	if p.seat == nil || m.Cover == nil || p.seat.Promised(now) != m.From || !slices.ContainsFunc(p.limits, func(o *localLimit) bool { return o.hash == m.Cover.Limit }) {
 		p.refusals.Late++
 		return nil
 	}
-	s, turn := p.shelves[m.Cover.Limit], p.seat.Turn()
+	s, turn := p.coverStores[m.Cover.Limit], p.seat.Turn()
 	if s == nil {
 		s = &cover.Shelf{}
-		p.shelves[m.Cover.Limit] = s
+		p.coverStores[m.Cover.Limit] = s
 	}
 	if m.Kind == CoverPut && s.Put(turn, m.Cover.Turn, m.Number, m.Cover.Table) {
-		answer := p.say(CoverHas, m.From, m.Number)
+		answer := p.newMessage(CoverHas, m.From, m.Number)
 		answer.Cover = &Cover{Limit: m.Cover.Limit, Turn: turn}
 		return answer
 	}
-	answer := p.say(CoverIs, m.From, m.Number)
+	answer := p.newMessage(CoverIs, m.From, m.Number)
 	answer.Cover = &Cover{Limit: m.Cover.Limit, Turn: turn}
 	answer.Cover.Table, answer.Cover.Known = s.Look()
 	return answer
 }
 
 // covered takes a keeper's answer, at the dealer.
-func (p *Part) covered(now int64, m *Message) {
+func (p *Part) handleCoverAnswer(now int64, m *Message) {
 	if m.Cover == nil || p.seat == nil || !p.seat.Holds(now) {
 		return
 	}
 	d := p.dealers[m.Cover.Limit]
 	switch {
-	case d == nil || p.since != p.seat.Since():
+	case d == nil || p.dealingSince != p.seat.Since():
 	case m.Kind == CoverHas:
 		d.covers.Has(m.From, m.Cover.Turn, m.Number)
 	default:
@@ -130,11 +130,11 @@
 	if !held {
 		return nil
 	}
-	out = p.bequeath(now, heir)
-	p.seat.Free(now, p.o.Self, heir)
-	for _, k := range p.o.Keepers {
-		if k != p.o.Self.Name {
-			m := p.say(SeatFree, lease.Owner{Name: k}, now)
+	out = p.slotHandoverMessages(now, heir)
+	p.seat.Free(now, p.options.Self, heir)
+	for _, k := range p.options.Keepers {
+		if k != p.options.Self.Name {
+			m := p.newMessage(SeatFree, lease.Owner{Name: k}, now)
 			m.Dealer = heir
 			out = append(out, m, m) // twice, as it is said but once and a link may lose it
 		}
@@ -145,14 +145,14 @@
 			holders[who] = true
 		}
 	}
-	delete(holders, p.o.Self)
+	delete(holders, p.options.Self)
 	if heir.Name != "" {
-		for _, who := range slices.SortedFunc(maps.Keys(holders), ownerOrder) {
-			m := p.say(Elsewhere, who, now)
+		for _, who := range slices.SortedFunc(maps.Keys(holders), compareOwners) {
+			m := p.newMessage(Elsewhere, who, now)
 			m.Dealer = heir
 			out = append(out, m)
 		}
-		p.turn(now, heir)
+		p.switchDealer(now, heir)
 	}
 	p.dealers = nil
 	return out
--- a/internal/fleet/limit/hold/book.go
+++ b/internal/fleet/limit/hold/book.go
@@ -9,70 +9,70 @@
 )
 
 // membersMost bounds the members that a book keeps.
-const membersMost = 4096
+const maxMembers = 4096
 
 // Book is the dealer's: what is given of every host. It must not be used by two goroutines at once.
 type Book struct {
-	lease  int64
-	room   int   // slots of a host that gangs may have at once
-	from   int64 // nothing is given before: an earlier book's gifts may be in use
-	given  map[key]*set
-	claims map[key]*set // what waits, as of the last dealing
-	asks   map[lease.Owner]*ask
+	lease        int64
+	slotsPerHost int   // slots of a host that gangs may have at once
+	dealsFrom    int64 // nothing is given before: an earlier book's gifts may be in use
+	granted      map[setKey]*slotSet
+	reserved     map[setKey]*slotSet // what waits, as of the last dealing
+	reports      map[lease.Owner]*report
 }
 
 // set is slots that are given.
-type set struct {
-	spots []Spot
-	until int64 // by then its holder uses it no more, unless it runs
-	free  int64 // when its slots are expected to be free
+type slotSet struct {
+	spots      []Spot
+	validUntil int64 // by then its holder uses it no more, unless it runs
+	freeAt     int64 // when its slots are expected to be free
 }
 
 // ask is the latest that a member has told.
-type ask struct {
-	number int64
-	at     int64
-	items  []Item
-	look   bool
-	due    bool // it waits for an answer
+type report struct {
+	number     int64
+	at         int64
+	items      []Item
+	wantsBusy  bool
+	unanswered bool // it waits for an answer
 }
 
 // NewBook begins the book of a dealer that has just got the post.
 func NewBook(now, leaseFor int64, room int) *Book {
-	return &Book{lease: leaseFor, room: room, from: now + lapse(leaseFor), given: map[key]*set{}, asks: map[lease.Owner]*ask{}}
+	return &Book{lease: leaseFor, slotsPerHost: room, dealsFrom: now + withClockMargin(leaseFor), granted: map[setKey]*slotSet{}, reports: map[lease.Owner]*report{}}
 }
 
 // From is when it begins to give.
-func (b *Book) From() int64 { return b.from }
+func (b *Book) From() int64 { return b.dealsFrom }
 
 // Ask takes what a member tells. Number is the time of its asking, by its own clock; look says that it wants to know what others
 // have, though it wants nothing yet.
 func (b *Book) Ask(now int64, who lease.Owner, number int64, items []Item, look bool) {
-	old := b.asks[who]
+	old := b.reports[who]
 	switch {
 	case old != nil && number <= old.number:
 		return // overtaken; what it does not name may have been given since
-	case old == nil && (len(items) == 0 && !look || len(b.asks) >= membersMost):
+	case old == nil && (len(items) == 0 && !look || len(b.reports) >= maxMembers):
 		return
 	}
-	b.asks[who] = &ask{number, now, items, look, true}
-	for k := range b.given {
-		if k.who == who && !slices.ContainsFunc(items, func(i Item) bool { return i.ID == k.id }) {
-			delete(b.given, k)
+	b.reports[who] = &report{number, now, items, look, true}
+	for k := range b.granted {
+		if k.member == who && !slices.ContainsFunc(items, func(i Item) bool { return i.ID == k.id }) {
+			delete(b.granted, k)
 		}
 	}
 	for _, i := range items {
-		k := key{who, i.ID}
-		s := b.given[k]
-		if s == nil && (i.State == Runs || i.State == Has && now < b.from) {
+		k := setKey{who, i.ID}
+		s := b.granted[k]
+		if s == nil && (i.State == Runs || i.State == Has && now < b.dealsFrom) {
 			// A book before this one gave it.
-			s = &set{spots: i.Spots}
-			b.given[k] = s
+			s = &slotSet{spots: i.Spots}
+			b.granted[k] = s
 		}
 		if s != nil {
-			s.until, s.free = now+lapse(b.lease), now+i.Run
+			s.validUntil, s.freeAt = now+withClockMargin(b.lease), now+i.Run
 			if i.State == Runs {
-				s.free = now + max(i.Left, 0)
+				s.freeAt = now + max(i.Left, 0)
 			}
 		}
 	}
@@ -80,24 +80,24 @@
 
 // expire forgets what is given to those that have not been heard.
 func (b *Book) expire(now int64) {
-	for k, s := range b.given {
-		if now >= s.until {
-			delete(b.given, k)
+	for k, s := range b.granted {
+		if now >= s.validUntil {
+			delete(b.granted, k)
 		}
 	}
-	for who, a := range b.asks {
-		if now-a.at >= lapse(b.lease) {
-			delete(b.asks, who)
+	for who, a := range b.reports {
+		if now-a.at >= withClockMargin(b.lease) {
+			delete(b.reports, who)
 		}
 	}
 }
 
 // want is a set that somebody waits for.
-type want struct {
-	key
-	by    int64
-	run   int64
-	spots []Spot
+type waiting struct {
+	setKey
+	deadline int64
+	run      int64
+	spots    []Spot
 }
 
 // Deal gives what can be given, first to whom the least time is left, and answers all that have asked since it was last called.
@@ -105,57 +105,57 @@
 // waits until they are free, or its time is over.
 func (b *Book) Deal(now int64) map[lease.Owner]Answer {
 	b.expire(now)
-	var wants []want
-	for who, a := range b.asks {
+	var wants []waiting
+	for who, a := range b.reports {
 		for _, i := range a.items {
-			k := key{who, i.ID}
-			if i.State != Runs && b.given[k] == nil && now < a.at+i.Left && now >= b.from {
-				wants = append(wants, want{k, a.at + i.Left, i.Run, i.Spots})
+			k := setKey{who, i.ID}
+			if i.State != Runs && b.granted[k] == nil && now < a.at+i.Left && now >= b.dealsFrom {
+				wants = append(wants, waiting{k, a.at + i.Left, i.Run, i.Spots})
 			}
 		}
 	}
-	slices.SortFunc(wants, func(x, y want) int {
-		return cmp.Or(cmp.Compare(x.by, y.by), strings.Compare(x.who.Name, y.who.Name), cmp.Compare(x.who.Incarnation, y.who.Incarnation), cmp.Compare(x.id, y.id))
+	slices.SortFunc(wants, func(x, y waiting) int {
+		return cmp.Or(cmp.Compare(x.deadline, y.deadline), strings.Compare(x.member.Name, y.member.Name), cmp.Compare(x.member.Incarnation, y.member.Incarnation), cmp.Compare(x.id, y.id))
 	})
 	used, free := map[uint32]int{}, map[uint32]int64{}
-	for _, s := range b.given {
+	for _, s := range b.granted {
 		for _, p := range s.spots {
 			used[p.Host]++
-			free[p.Host] = max(free[p.Host], s.free)
+			free[p.Host] = max(free[p.Host], s.freeAt)
 		}
 	}
-	b.claims = map[key]*set{}
+	b.reserved = map[setKey]*slotSet{}
 	for _, w := range wants {
-		s, from := &set{spots: w.spots, until: now + lapse(b.lease)}, now
-		if slices.ContainsFunc(w.spots, func(p Spot) bool { return used[p.Host] >= b.room }) {
-			b.claims[w.key] = s
+		s, from := &slotSet{spots: w.spots, validUntil: now + withClockMargin(b.lease)}, now
+		if slices.ContainsFunc(w.spots, func(p Spot) bool { return used[p.Host] >= b.slotsPerHost }) {
+			b.reserved[w.setKey] = s
 			for _, p := range w.spots {
 				from = max(from, free[p.Host])
 			}
 		} else {
-			b.given[w.key] = s
+			b.granted[w.setKey] = s
 		}
-		s.free = from + w.run
+		s.freeAt = from + w.run
 		for _, p := range w.spots {
 			used[p.Host]++
-			free[p.Host] = max(free[p.Host], s.free)
+			free[p.Host] = max(free[p.Host], s.freeAt)
 		}
 	}
 	answers := map[lease.Owner]Answer{}
-	for who, a := range b.asks {
-		if !a.due {
+	for who, a := range b.reports {
+		if !a.unanswered {
 			continue
 		}
-		a.due = false
-		answer := Answer{Told: a.look}
+		a.unanswered = false
+		answer := Answer{Told: a.wantsBusy}
 		for _, i := range a.items {
-			if b.given[key{who, i.ID}] != nil {
+			if b.granted[setKey{who, i.ID}] != nil {
 				answer.Given = append(answer.Given, i.ID)
 			}
 			answer.Told = answer.Told || i.State == Want
 		}
 		if answer.Told {
-			answer.Busy = b.busy(now, who)
+			answer.Busy = b.busySlots(now, who)
 		}
 		answers[who] = answer
 	}
@@ -163,12 +163,12 @@
 }
 
 // busy lists the slots that others than one member have, or will get first.
-func (b *Book) busy(now int64, but lease.Owner) (out []Busy) {
-	for _, sets := range []map[key]*set{b.given, b.claims} {
+func (b *Book) busySlots(now int64, but lease.Owner) (out []Busy) {
+	for _, sets := range []map[setKey]*slotSet{b.granted, b.reserved} {
 		for k, s := range sets {
 			for _, p := range s.spots {
-				if k.who != but && len(out) < SpotsMost {
-					out = append(out, Busy{p, max(s.free-now, 0)})
+				if k.member != but && len(out) < SpotsMost {
+					out = append(out, Busy{p, max(s.freeAt-now, 0)})
 				}
 			}
 		}
@@ -180,15 +180,15 @@
 // Hand gives all that is given, for the dealer that follows; nothing where this book does not give yet, or there is too much to tell.
 func (b *Book) Hand(now int64) (out []Holding) {
 	b.expire(now)
-	if now < b.from {
+	if now < b.dealsFrom {
 		return nil
 	}
 	spots := 0
-	for who, a := range b.asks {
+	for who, a := range b.reports {
 		h := Holding{Who: who, Number: a.number}
 		for _, i := range a.items {
-			if s := b.given[key{who, i.ID}]; s != nil {
-				i.Left = s.free - now
+			if s := b.granted[setKey{who, i.ID}]; s != nil {
+				i.Left = s.freeAt - now
 				h.Items = append(h.Items, i)
 				spots += len(i.Spots)
 			}
@@ -209,22 +209,22 @@
 // Inherit takes what the dealer just before has given, and begins to give at once. The numbers of what members told that one go on:
 // one that told more before must not undo it. What the members have of those sets may have been renewed since.
 func (b *Book) Inherit(now int64, all []Holding) {
-	b.from = now
+	b.dealsFrom = now
 	for _, h := range all {
-		if a := b.asks[h.Who]; a != nil && a.number >= h.Number {
+		if a := b.reports[h.Who]; a != nil && a.number >= h.Number {
 			continue // it has told this one more
 		}
-		b.asks[h.Who] = &ask{number: h.Number, at: now, items: h.Items}
+		b.reports[h.Who] = &report{number: h.Number, at: now, items: h.Items}
 		for _, i := range h.Items {
-			b.given[key{h.Who, i.ID}] = &set{i.Spots, now + lapse(b.lease), now + max(i.Left, 0)}
+			b.granted[setKey{h.Who, i.ID}] = &slotSet{i.Spots, now + withClockMargin(b.lease), now + max(i.Left, 0)}
 		}
 	}
 }
 
 // Out counts the sets that are given, and their slots.
 func (b *Book) Out() (sets, slots int) {
-	for _, s := range b.given {
+	for _, s := range b.granted {
 		slots += len(s.spots)
 	}
-	return len(b.given), slots
+	return len(b.granted), slots
 }
--- a/internal/fleet/limit/hold/hold.go
+++ b/internal/fleet/limit/hold/hold.go
@@ -65,10 +65,10 @@
 // given: two clocks may run apart by so much.
 const LapseShare = 0.1
 
-func lapse(of int64) int64 { return of + int64(LapseShare*float64(of)) }
+func withClockMargin(of int64) int64 { return of + int64(LapseShare*float64(of)) }
 
 // key names a set of slots over the fleet.
-type key struct {
-	who lease.Owner
-	id  uint64
+type setKey struct {
+	member lease.Owner
+	id     uint64
 }
--- a/internal/fleet/limit/hold/hold_check_test.go
+++ b/internal/fleet/limit/hold/hold_check_test.go
@@ -50,7 +50,7 @@
 			if follows && n == times-1 {
 				w.book = NewBook(w.now, leaseFor, 1)
 				if w.broken == waits {
-					w.book.from = w.now
+					w.book.dealsFrom = w.now
 				}
 			}
 			i := check.Choose(len(w.asks) + 1)
@@ -59,7 +59,7 @@
 			}
 			a := w.asks[i]
 			w.asks = append(append([]said(nil), w.asks[:i]...), w.asks[i+1:]...)
-			if old := w.book.asks[people[a.who]]; old != nil && w.broken == inOrder {
+			if old := w.book.reports[people[a.who]]; old != nil && w.broken == inOrder {
 				old.number = a.number - 1
 			}
 			w.book.Ask(w.now, people[a.who], a.number, a.items, false)
@@ -102,7 +102,7 @@
 		if w.now < w.using[1-m.i] {
 			panic("one slot is in two hands")
 		}
-		w.using[m.i] = m.find(id).until
+		w.using[m.i] = m.find(id).grantedUntil
 	}
 }
 
--- a/internal/fleet/limit/hold/holder.go
+++ b/internal/fleet/limit/hold/holder.go
@@ -2,20 +2,20 @@
 
 // Holder is a member's side: what it wants and has. It must not be used by two goroutines at once.
 type Holder struct {
-	lease   int64
-	items   []*held
-	changed bool // since it was last told
-	asked   int64
-	silent  bool // nothing it has told has been answered
-	look    bool // it wants to know what others have
-	busy    []Busy
-	busyAt  int64
+	lease      int64
+	items      []*request
+	unsent     bool // since it was last told
+	askedAt    int64
+	unanswered bool // nothing it has told has been answered
+	wantsBusy  bool // it wants to know what others have
+	busy       []Busy
+	busyAt     int64
 }
 
-type held struct {
+type request struct {
 	Item
-	ends  int64 // Left is counted from here
-	until int64 // it has its slots until then; 0: it was never given them
+	endsAt       int64 // Left is counted from here
+	grantedUntil int64 // it has its slots until then; 0: it was never given them
 }
 
 // NewHolder makes the side of a member that has nothing.
@@ -30,12 +30,12 @@
 	if len(h.items) >= ItemsMost || n > SpotsMost {
 		return false
 	}
-	h.items = append(h.items, &held{Item: Item{ID: id, Spots: spots, Run: run}, ends: by})
-	h.changed = true
+	h.items = append(h.items, &request{Item: Item{ID: id, Spots: spots, Run: run}, endsAt: by})
+	h.unsent = true
 	return true
 }
 
-func (h *Holder) find(id uint64) *held {
+func (h *Holder) find(id uint64) *request {
 	for _, i := range h.items {
 		if i.ID == id {
 			return i
@@ -47,14 +47,14 @@
 // Has tells whether the slots are its own now.
 func (h *Holder) Has(now int64, id uint64) bool {
 	i := h.find(id)
-	return i != nil && now < i.until
+	return i != nil && now < i.grantedUntil
 }
 
 // Begin says that the parts run, and until about when.
 func (h *Holder) Begin(id uint64, ends int64) {
 	if i := h.find(id); i != nil {
-		i.State, i.ends = Runs, ends
-		h.changed = true
+		i.State, i.endsAt = Runs, ends
+		h.unsent = true
 	}
 }
 
@@ -63,46 +63,46 @@
 	for n, i := range h.items {
 		if i.ID == id {
 			h.items = append(h.items[:n:n], h.items[n+1:]...)
-			h.changed = true
+			h.unsent = true
 			return
 		}
 	}
 }
 
 // Look has it ask what others have.
-func (h *Holder) Look() { h.look = true }
+func (h *Holder) Look() { h.wantsBusy = true }
 
 // Ask gives what is to be told now, and whether it is to be told what others have; any is false where nothing need be said. What was
 // dropped is told by its absence.
 func (h *Holder) Ask(now int64) (items []Item, look, any bool) {
-	if !h.changed && !h.silent && !h.look && len(h.items) == 0 {
+	if !h.unsent && !h.unanswered && !h.wantsBusy && len(h.items) == 0 {
 		return nil, false, false
 	}
 	for _, i := range h.items {
 		if i.State != Runs {
 			i.State = Want
-			if now < i.until {
+			if now < i.grantedUntil {
 				i.State = Has
 			}
 		}
-		i.Left = i.ends - now
+		i.Left = i.endsAt - now
 		items = append(items, i.Item)
 	}
-	h.changed, h.silent, h.asked = false, true, now
-	return items, h.look, true
+	h.unsent, h.unanswered, h.askedAt = false, true, now
+	return items, h.wantsBusy, true
 }
 
 // Granted takes an answer to what was told at a time. What is given counts from then, not from now: the dealer heard of it
 // later.
 func (h *Holder) Granted(now, number int64, a Answer) {
-	h.silent = h.silent && number < h.asked
+	h.unanswered = h.unanswered && number < h.askedAt
 	for _, id := range a.Given {
 		if i := h.find(id); i != nil {
-			i.until = max(i.until, number+h.lease)
+			i.grantedUntil = max(i.grantedUntil, number+h.lease)
 		}
 	}
 	if a.Told {
-		h.busy, h.busyAt, h.look = a.Busy, now, false
+		h.busy, h.busyAt, h.wantsBusy = a.Busy, now, false
 	}
 }
 
--- a/internal/fleet/limit/holds.go
+++ b/internal/fleet/limit/holds.go
@@ -11,26 +11,26 @@
 // Slots of hosts that are held together: the dealer's book of them, a member's side, and their form in messages.
 
 // Holder is this member's side of slots that are held together.
-func (p *Part) Holder() *hold.Holder { return p.holder }
+func (p *Part) Holder() *hold.Holder { return p.slotHolder }
 
 // Lease is for how long a right is given, in microseconds.
-func (p *Part) Lease() int64 { return p.o.Lease }
+func (p *Part) Lease() int64 { return p.options.Lease }
 
 // Held tells what the dealer's book of slots has given, where this process is the dealer.
 func (p *Part) Held(now int64) (sets, slots int, deals bool) {
-	if p.book == nil || p.seat == nil || !p.seat.Holds(now) || p.since != p.seat.Since() {
+	if p.slotBook == nil || p.seat == nil || !p.seat.Holds(now) || p.dealingSince != p.seat.Since() {
 		return 0, 0, false
 	}
-	sets, slots = p.book.Out()
-	return sets, slots, now >= p.book.From()
+	sets, slots = p.slotBook.Out()
+	return sets, slots, now >= p.slotBook.From()
 }
 
 // hold answers what members have told of slots, in the messages that answer them.
-func (p *Part) hold(now int64, answers map[lease.Owner]*Message) {
+func (p *Part) answerSlotAsks(now int64, answers map[lease.Owner]*Message) {
 	for from, m := range answers {
-		p.book.Ask(now, from, m.Number, p.asks[from].Holds, p.asks[from].Look)
+		p.slotBook.Ask(now, from, m.Number, p.pendingAsks[from].Holds, p.pendingAsks[from].Look)
 	}
-	for who, a := range p.book.Deal(now) {
+	for who, a := range p.slotBook.Deal(now) {
 		if m := answers[who]; m != nil {
 			m.Held = &a
 		}
@@ -38,28 +38,28 @@
 }
 
 // heirloom is what a dealer that has left has given of slots, and by when at the earliest it left.
-type heirloom struct {
-	after int64 // on this process's clock: it has heard what this one said then
-	all   []hold.Holding
+type slotHandover struct {
+	notBefore int64 // on this process's clock: it has heard what this one said then
+	holdings  []hold.Holding
 }
 
 // bequeath tells the heir of the post what is given of slots.
-func (p *Part) bequeath(now int64, heir lease.Owner) []*Message {
-	if p.book == nil || p.since != p.seat.Since() || now < p.book.From() || p.words[heir.Name].who != heir {
+func (p *Part) slotHandoverMessages(now int64, heir lease.Owner) []*Message {
+	if p.slotBook == nil || p.dealingSince != p.seat.Since() || now < p.slotBook.From() || p.promises[heir.Name].from != heir {
 		return nil
 	}
-	m := p.say(SlotsOver, heir, p.words[heir.Name].at)
-	m.Table = p.book.Hand(now)
+	m := p.newMessage(SlotsOver, heir, p.promises[heir.Name].at)
+	m.Table = p.slotBook.Hand(now)
 	return []*Message{m, m} // it is said but once, and a link may lose it
 }
 
 // inherit has a book that begins take what the dealer just before left, if this is that one's heir. It left after it had heard a
 // word of this process's, and a dealer in between would have given nothing for a lease from then on.
-func (p *Part) inherit(now int64) {
-	if h := p.left; h != nil && p.since-h.after < p.o.Lease {
-		p.book.Inherit(now, h.all)
+func (p *Part) adoptSlots(now int64) {
+	if h := p.handover; h != nil && p.dealingSince-h.notBefore < p.options.Lease {
+		p.slotBook.Inherit(now, h.holdings)
 	}
-	p.left = nil
+	p.handover = nil
 }
 
 // appendHolds appends what a message says of slots: of an ask whether it looks, and the items, each an ID, a state, the time left, the run and its spots; of a
@@ -123,17 +123,17 @@
 }
 
 // holds reads what a message says of slots.
-func (r *reader) holds(m *Message) {
-	spot := func() hold.Spot { return hold.Spot{Host: r.uint32(), Rack: r.load(), Zone: r.load()} }
+func (r *reader) slots(m *Message) {
+	spot := func() hold.Spot { return hold.Spot{Host: r.uint32(), Rack: r.traffic(), Zone: r.traffic()} }
 	items := func(most int) (list []hold.Item) {
 		n, spots := int(r.byte()), 0
-		for i := 0; i < n && !r.bad; i++ {
+		for i := 0; i < n && !r.failed; i++ {
 			item := hold.Item{ID: r.uint64(), State: hold.State(r.byte()), Left: int64(r.uint64()), Run: int64(r.uint64())}
 			k := int(r.uint16())
-			if spots += k; n > hold.ItemsMost || spots > most || item.State > hold.Runs || item.Left > leftMost || item.Left < -leftMost || item.Run > leftMost || item.Run < 0 {
-				r.bad = true
+			if spots += k; n > hold.ItemsMost || spots > most || item.State > hold.Runs || item.Left > maxSlotTime || item.Left < -maxSlotTime || item.Run > maxSlotTime || item.Run < 0 {
+				r.failed = true
 			}
-			for j := 0; j < k && !r.bad; j++ {
+			for j := 0; j < k && !r.failed; j++ {
 				item.Spots = append(item.Spots, spot())
 			}
 			list = append(list, item)
@@ -146,9 +146,9 @@
 		m.Holds = items(hold.SpotsMost)
 	case SlotsOver:
 		n := int(r.uint16())
-		for i := 0; i < n && !r.bad; i++ {
+		for i := 0; i < n && !r.failed; i++ {
 			h := hold.Holding{}
-			h.Who.Name = string(r.take(min(int(r.byte()), nameMost)))
+			h.Who.Name = string(r.take(min(int(r.byte()), maxNameLength)))
 			h.Who.Incarnation, h.Number = r.uint64(), int64(r.uint64())
 			h.Items = items(hold.SpotsMost)
 			m.Table = append(m.Table, h)
@@ -159,25 +159,25 @@
 		}
 		m.Held = &hold.Answer{}
 		n := int(r.byte())
-		for i := 0; i < n && !r.bad; i++ {
+		for i := 0; i < n && !r.failed; i++ {
 			m.Held.Given = append(m.Held.Given, r.uint64())
 		}
 		m.Held.Told = r.byte() == 1
 		k := int(r.uint16())
-		for i := 0; i < k && k <= hold.SpotsMost && !r.bad; i++ {
+		for i := 0; i < k && k <= hold.SpotsMost && !r.failed; i++ {
 			m.Held.Busy = append(m.Held.Busy, hold.Busy{Spot: spot(), Left: int64(r.uint64())})
 		}
 	}
 }
 
 // leftMost bounds the time that a member may tell of its slots: a day.
-const leftMost = 86_400 * 1_000_000
+const maxSlotTime = 86_400 * 1_000_000
 
 // load is a figure of traffic, which is none below nothing or without end.
-func (r *reader) load() float32 {
+func (r *reader) traffic() float32 {
 	v := math.Float32frombits(r.uint32())
 	if !(v >= 0 && v < 1e15) {
-		r.bad = true
+		r.failed = true
 	}
 	return v
 }
--- a/internal/fleet/limit/holds_test.go
+++ b/internal/fleet/limit/holds_test.go
@@ -194,7 +194,7 @@
 		self, former, member := lease.Owner{Name: "n0", Incarnation: 2}, lease.Owner{Name: "n1", Incarnation: 1}, lease.Owner{Name: "m", Incarnation: 1}
 		p := New(0, Options{Self: self, Keepers: []string{"n0"}, Lease: leaseUs, Room: 1})
 		now := leaseUs + 1 // the post is its own from here on
-		p.o.Keepers = append(p.o.Keepers, "n1")
+		p.options.Keepers = append(p.options.Keepers, "n1")
 		p.Hear(now, &Message{Kind: SlotsOver, From: former, To: self, Number: now - c.late,
 			Table: []hold.Holding{{Who: member, Number: 7, Items: []hold.Item{{ID: 1, Run: sec, Left: sec, Spots: []hold.Spot{{Host: 1}}}}}}})
 		p.Round(now)
--- a/internal/fleet/limit/lease/lease.go
+++ b/internal/fleet/limit/lease/lease.go
@@ -17,8 +17,8 @@
 
 // Shares of the length.
 const (
-	marginPart = 10 // the holder stops so much of the length early: clocks of two machines run at most 10% apart
-	askPart    = 4  // asks are so much of the length apart, and ranks wait for each other so long
+	marginDivisor = 10 // the holder stops so much of the length early: clocks of two machines run at most 10% apart
+	askDivisor    = 4  // asks are so much of the length apart, and ranks wait for each other so long
 )
 
 // Seat is a keeper's view of the post: what it has promised, and what it was promised itself.
@@ -28,28 +28,28 @@
 	rank    int
 	length  int64
 
-	free     int64 // it promises nothing before
-	promised Owner
-	until    int64 // its promise counts till then
-	turn     int64 // how often it has promised the post to another than before
-
-	asked int64 // when it asked last; the number of that ask
-	again int64 // it asks no more before then
-	yes   map[string]bool
-	heir  Owner // the keeper that promised it last
-	holds int64 // it holds the post till then
-	since int64 // from when on, without a gap
-	left  bool  // it wants the post no more
+	promisesFrom  int64 // it promises nothing before
+	promised      Owner
+	promisedUntil int64 // its promise counts till then
+	turn          int64 // how often it has promised the post to another than before
+
+	askedAt      int64 // when it asked last; the number of that ask
+	askNotBefore int64 // it asks no more before then
+	promisedBy   map[string]bool
+	successor    Owner // the keeper that promised it last
+	heldUntil    int64 // it holds the post till then
+	heldSince    int64 // from when on, without a gap
+	resigned     bool  // it wants the post no more
 }
 
 // New makes the seat of one of the keepers, whose order is the same everywhere; length is in microseconds.
 func New(now int64, self Owner, keepers []string, length int64) *Seat {
-	return &Seat{self: self, keepers: keepers, rank: slices.Index(keepers, self.Name), length: length, free: now + length, yes: map[string]bool{}}
+	return &Seat{self: self, keepers: keepers, rank: slices.Index(keepers, self.Name), length: length, promisesFrom: now + length, promisedBy: map[string]bool{}}
 }
 
 // Ask takes an ask of a keeper and tells whether the post is promised to it for a length from now.
 func (s *Seat) Ask(now int64, who Owner) bool {
-	if now < s.free || !slices.Contains(s.keepers, who.Name) || now < s.until && who != s.promised {
+	if now < s.promisesFrom || !slices.Contains(s.keepers, who.Name) || now < s.promisedUntil && who != s.promised {
 		return false
 	}
 	s.promise(now, who)
@@ -60,32 +60,32 @@
 	if who != s.promised {
 		s.turn++
 	}
-	s.promised, s.until = who, now+s.length
+	s.promised, s.promisedUntil = who, now+s.length
 }
 
 // Free takes the word of one that has given up the post, for good, and would have another be the next: the promise to it is
 // one to the heir from now on.
 func (s *Seat) Free(now int64, from, heir Owner) {
-	if from != s.promised || now >= s.until {
+	if from != s.promised || now >= s.promisedUntil {
 		return
 	}
 	if s.promise(now, heir); !slices.Contains(s.keepers, heir.Name) {
-		s.until = now
+		s.promisedUntil = now
 	}
 }
 
 // Leave gives up the post, if this process has it, and never asks for it again.
-func (s *Seat) Leave() { s.left, s.holds = true, 0 }
+func (s *Seat) Leave() { s.resigned, s.heldUntil = true, 0 }
 
 // Heir is another keeper that promised it the post lately; the zero value where none did.
-func (s *Seat) Heir() Owner { return s.heir }
+func (s *Seat) Heir() Owner { return s.successor }
 
 // Turn changes whenever the post is promised here to another than before.
 func (s *Seat) Turn() int64 { return s.turn }
 
 // Promised tells to whom the post is promised here; the zero value is to nobody.
 func (s *Seat) Promised(now int64) Owner {
-	if now < s.until {
+	if now < s.promisedUntil {
 		return s.promised
 	}
 	return Owner{}
@@ -95,50 +95,50 @@
 // the post to another does not ask. Those of higher rank wait a little longer once a promise has lapsed, and once an ask has
 // brought no majority: where each of some keepers has promised the post to itself nobody would ever get it.
 func (s *Seat) Round(now int64) bool {
-	if s.left || s.asked > 0 && now-s.asked < s.length/askPart {
+	if s.resigned || s.askedAt > 0 && now-s.askedAt < s.length/askDivisor {
 		return false
 	}
-	if s.asked > 0 && !s.Holds(now) && s.promised == s.self && now < s.until {
+	if s.askedAt > 0 && !s.Holds(now) && s.promised == s.self && now < s.promisedUntil {
 		// It takes back its own word, and what others answer to that ask counts no more.
-		s.until, s.asked, s.again = now, 0, now+int64(s.rank)*s.length/askPart
+		s.promisedUntil, s.askedAt, s.askNotBefore = now, 0, now+int64(s.rank)*s.length/askDivisor
 	}
 	switch {
-	case now < s.again:
+	case now < s.askNotBefore:
 		return false
-	case !s.Holds(now) && s.promised != s.self && now < max(s.until, s.free)+int64(s.rank)*s.length/askPart:
+	case !s.Holds(now) && s.promised != s.self && now < max(s.promisedUntil, s.promisesFrom)+int64(s.rank)*s.length/askDivisor:
 		return false
 	case !s.Ask(now, s.self):
 		return false
 	}
-	s.asked = now
-	clear(s.yes)
+	s.askedAt = now
+	clear(s.promisedBy)
 	s.Yes(now, s.self, now)
 	return true
 }
 
 // Yes takes a keeper's promise, in answer to the ask of that number. Those to asks before the last come too late to count.
 func (s *Seat) Yes(now int64, from Owner, number int64) {
-	if s.left || number != s.asked || number == 0 || !slices.Contains(s.keepers, from.Name) {
+	if s.resigned || number != s.askedAt || number == 0 || !slices.Contains(s.keepers, from.Name) {
 		return
 	}
-	if s.yes[from.Name] = true; from != s.self {
-		s.heir = from
+	if s.promisedBy[from.Name] = true; from != s.self {
+		s.successor = from
 	}
-	if len(s.yes) <= len(s.keepers)/2 {
+	if len(s.promisedBy) <= len(s.keepers)/2 {
 		return
 	}
-	until := number + s.length - s.length/marginPart
+	until := number + s.length - s.length/marginDivisor
 	if until <= now {
 		return // it stood still meanwhile
 	}
 	if !s.Holds(now) {
-		s.since = now
+		s.heldSince = now
 	}
-	s.holds = until
+	s.heldUntil = until
 }
 
 // Holds tells whether the post is this process's now.
-func (s *Seat) Holds(now int64) bool { return now < s.holds }
+func (s *Seat) Holds(now int64) bool { return now < s.heldUntil }
 
 // Since is when it came to hold the post.
-func (s *Seat) Since() int64 { return s.since }
+func (s *Seat) Since() int64 { return s.heldSince }
--- a/internal/fleet/limit/lease/lease_test.go
+++ b/internal/fleet/limit/lease/lease_test.go
@@ -16,8 +16,8 @@
 		var seats []*Seat
 		for _, name := range names {
 			s := New(0, Owner{Name: name}, names, length)
-			s.promised, s.until = s.self, length+round // each has asked, and heard nothing yet
-			s.asked = length + 1
+			s.promised, s.promisedUntil = s.self, length+round // each has asked, and heard nothing yet
+			s.askedAt = length + 1
 			seats = append(seats, s)
 		}
 		type ask struct {
--- a/internal/fleet/limit/limit.go
+++ b/internal/fleet/limit/limit.go
@@ -23,7 +23,7 @@
 }
 
 // covers tells whether a job counts against the limit.
-func (l *Limit) covers(tenant, class int) bool {
+func (l *Limit) appliesTo(tenant, class int) bool {
 	return (l.Tenant < 0 || l.Tenant == tenant) && (l.Class < 0 || l.Class == class)
 }
 
@@ -38,60 +38,60 @@
 
 // Times in shares of the lease.
 const (
-	deafPart = 2  // a dealer that has not answered for half of a lease is left for the next keeper
-	lookPart = 8  // asks that brought no answer, or nothing, are so far apart
-	askPart  = 20 // and others at least so far
+	dealerTimeoutDivisor = 2  // a dealer that has not answered for half of a lease is left for the next keeper
+	retryDivisor         = 8  // asks that brought no answer, or nothing, are so far apart
+	askDivisor           = 20 // and others at least so far
 )
 
 // Part is one process's part in the limits of its fleet. It must not be used by two goroutines at once.
 type Part struct {
-	o       Options
-	seat    *lease.Seat // nil: it is no keeper
-	limits  []*own
-	dealers map[uint64]*deal         // while it has the post
-	shelves map[uint64]*cover.Shelf  // by limit, of a keeper
-	since   int64                    // of the post in which they deal
-	numbers uint64                   // of its sessions so far, in this post and before
-	asks    map[lease.Owner]*Message // that wait for an answer
-	book    *hold.Book               // of slots, while it has the post; nil: none are held
-	holder  *hold.Holder
-	words   map[string]word // of keepers, by name
-	left    *heirloom       // of a dealer that has left; nil: none did
-
-	dealer   lease.Owner // whom it asks
-	guess    int         // which keeper that is where nobody has said
-	answered int64       // when the dealer answered last, or another was chosen
-	asked    int64
-	nothing  bool // the last answer gave nothing: the dealer waits for the end of what was given before it
-	refusals Refusals
+	options        Options
+	seat           *lease.Seat // nil: it is no keeper
+	limits         []*localLimit
+	dealers        map[uint64]*limitDealer  // while it has the post
+	coverStores    map[uint64]*cover.Shelf  // by limit, of a keeper
+	dealingSince   int64                    // of the post in which they deal
+	sessionCounter uint64                   // of its sessions so far, in this post and before
+	pendingAsks    map[lease.Owner]*Message // that wait for an answer
+	slotBook       *hold.Book               // of slots, while it has the post; nil: none are held
+	slotHolder     *hold.Holder
+	promises       map[string]promise // of keepers, by name
+	handover       *slotHandover      // of a dealer that has left; nil: none did
+
+	dealer      lease.Owner // whom it asks
+	nextKeeper  int         // which keeper that is where nobody has said
+	answeredAt  int64       // when the dealer answered last, or another was chosen
+	askedAt     int64
+	emptyAnswer bool // the last answer gave nothing: the dealer waits for the end of what was given before it
+	refusals    Refusals
 }
 
 // Refusals counts what was heard and not taken.
 type Refusals struct{ Strange, Late, Full int }
 
 // word is when a keeper promised this process the post last, on its own clock.
-type word struct {
-	who lease.Owner
-	at  int64
+type promise struct {
+	from lease.Owner
+	at   int64
 }
 
 // own is a limit as this member has it.
-type own struct {
+type localLimit struct {
 	Limit
-	number uint64
+	hash   uint64
 	holder *rights.Holder
 }
 
 // New makes the part of a process that has just started.
 func New(now int64, o Options) *Part {
-	p := &Part{o: o, asks: map[lease.Owner]*Message{}, shelves: map[uint64]*cover.Shelf{}, answered: now, holder: hold.NewHolder(o.Lease), words: map[string]word{}}
+	p := &Part{options: o, pendingAsks: map[lease.Owner]*Message{}, coverStores: map[uint64]*cover.Shelf{}, answeredAt: now, slotHolder: hold.NewHolder(o.Lease), promises: map[string]promise{}}
 	if slices.Contains(o.Keepers, o.Self.Name) {
 		p.seat = lease.New(now, o.Self, o.Keepers, o.Lease)
 	}
 	for _, l := range o.Limits {
-		p.limits = append(p.limits, &own{l, number(l.Name), rights.NewHolder(now, l.Limit)})
+		p.limits = append(p.limits, &localLimit{l, limitHash(l.Name), rights.NewHolder(now, l.Limit)})
 	}
-	p.choose(now)
+	p.tryNextKeeper(now)
 	return p
 }
 
@@ -104,7 +104,7 @@
 			}
 			o.Amount, o.Burst, o.Floor, o.Refuse = l.Amount, l.Burst, l.Floor, l.Refuse
 			o.holder.Change(o.Limit.Limit)
-			if d := p.dealers[o.number]; d != nil {
+			if d := p.dealers[o.hash]; d != nil {
 				d.Change(now, o.Limit.Limit)
 			}
 		}
@@ -123,21 +123,21 @@
 )
 
 // coverMost is how many limits may count a job: of its tenant and of its class, each by the second and at once.
-const coverMost = 4
+const maxLimitsPerJob = 4
 
 // Places are those that an open job has taken; they are given back with Done.
-type Places [coverMost]struct {
-	own   *own
+type Places [maxLimitsPerJob]struct {
+	own   *localLimit
 	place rights.Place
 }
 
 // Enter says whether a job may start, and takes what it needs of the limits that count it: of all that have it, or of none
 // where one that has not refuses. A limit that has nothing for it counts that it was wanted.
 func (p *Part) Enter(now int64, tenant, class int) (v Verdict, took Places) {
-	var of [coverMost]*own
+	var of [maxLimitsPerJob]*localLimit
 	n := 0
 	for _, o := range p.limits {
-		if n < coverMost && o.covers(tenant, class) {
+		if n < maxLimitsPerJob && o.appliesTo(tenant, class) {
 			of[n] = o
 			n++
 		}
@@ -176,7 +176,7 @@
 // Longest is for how long a job of a class may be open by the limits that count it, microseconds; 0 is as long as it likes.
 func (p *Part) Longest(tenant, class int) (most int64) {
 	for _, o := range p.limits {
-		if o.Kind == rights.Open && o.covers(tenant, class) && (most == 0 || o.Linger < most) {
+		if o.Kind == rights.Open && o.appliesTo(tenant, class) && (most == 0 || o.Linger < most) {
 			most = o.Linger
 		}
 	}
@@ -206,7 +206,7 @@
 	var out []Status
 	for _, o := range p.limits {
 		s := Status{Limit: o.Limit, State: o.holder.State(now)}
-		if d := p.dealers[o.number]; d != nil && p.seat.Holds(now) && now >= d.From() {
+		if d := p.dealers[o.hash]; d != nil && p.seat.Holds(now) && now >= d.From() {
 			s.Deals = true
 			s.Out, s.Left, s.Holders = d.Books(now)
 		}
--- a/internal/fleet/limit/message.go
+++ b/internal/fleet/limit/message.go
@@ -31,7 +31,7 @@
 	CoverPut              // the dealer tells a cover, whose version is the number
 	CoverHas              // the keeper has it
 	SlotsOver             // a dealer that leaves tells its heir what is given of slots; the number is the heir's own, of its last word
-	kinds
+	kindCount
 )
 
 // Message is one from one process to another. Number is the time of an ask on the asker's clock, which answers repeat.
@@ -67,16 +67,16 @@
 const Version = 0x51
 
 const (
-	nameMost  = 128
-	itemsMost = 64   // limits of a fleet
-	tableMost = 4096 // processes in a cover
+	maxNameLength   = 128
+	maxLimits       = 64   // limits of a fleet
+	maxCoverEntries = 4096 // processes in a cover
 )
 
 // ErrForm tells that bytes are no message.
 var ErrForm = errors.New("limit: not a message")
 
 // number gives a limit's name as messages have it.
-func number(name string) uint64 {
+func limitHash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
@@ -130,31 +130,31 @@
 // Parse reads a message. Its counts are not checked here but where they are used.
 func Parse(b []byte) (*Message, error) {
 	r := reader{b: b}
-	if r.byte() != Version || r.bad {
+	if r.byte() != Version || r.failed {
 		return nil, fmt.Errorf("%w of version %#x", ErrForm, Version)
 	}
 	m := &Message{Kind: Kind(r.byte())}
 	for _, o := range []*lease.Owner{&m.From, &m.To, &m.Dealer} {
-		o.Name = string(r.take(min(int(r.byte()), nameMost)))
+		o.Name = string(r.take(min(int(r.byte()), maxNameLength)))
 		o.Incarnation = r.uint64()
 	}
 	m.Number, m.Clock = int64(r.uint64()), int64(r.uint64())
 	n := int(r.byte())
-	for i := 0; i < n && !r.bad; i++ {
+	for i := 0; i < n && !r.failed; i++ {
 		switch m.Kind {
 		case Ask:
 			m.Asks = append(m.Asks, ItemAsk{r.uint64(), rights.Ask{Session: r.uint64(), Spent: int64(r.uint64()), Returned: int64(r.uint64()), Old: int64(r.uint32()), Demand: r.float()}})
 		case Grant:
 			m.Grants = append(m.Grants, ItemGrant{r.uint64(), rights.Grant{To: m.To, Session: r.uint64(), Granted: int64(r.uint64()), Keep: int64(r.uint64())}})
 		default:
-			r.bad = true
+			r.failed = true
 		}
 	}
-	r.holds(m)
+	r.slots(m)
 	if m.Kind >= CoverAsk && m.Kind <= CoverHas {
 		m.Cover = r.cover()
 	}
-	if r.bad || len(r.b) > 0 || m.Kind >= kinds || n > itemsMost || m.From.Name == "" {
+	if r.failed || len(r.b) > 0 || m.Kind >= kindCount || n > maxLimits || m.From.Name == "" {
 		return nil, ErrForm
 	}
 	return m, nil
@@ -162,13 +162,13 @@
 
 // reader takes fields off the front of bytes; once there are too few it is bad and gives zeros.
 type reader struct {
-	b   []byte
-	bad bool
+	b      []byte
+	failed bool
 }
 
 func (r *reader) take(n int) []byte {
-	if r.bad || len(r.b) < n {
-		r.bad = true
+	if r.failed || len(r.b) < n {
+		r.failed = true
 		return nil
 	}
 	out := r.b[:n]
@@ -202,10 +202,10 @@
 func (r *reader) cover() *Cover {
 	c := &Cover{Limit: r.uint64(), Turn: int64(r.uint64()), Known: r.byte() == 1, Table: cover.Table{}}
 	n := r.uint32()
-	if n > tableMost {
-		r.bad = true
+	if n > maxCoverEntries {
+		r.failed = true
 	}
-	for i := uint32(0); i < n && !r.bad; i++ {
+	for i := uint32(0); i < n && !r.failed; i++ {
 		key := r.uint64()
 		c.Table[key] = int64(r.uint32())
 	}
--- a/internal/fleet/limit/play_test.go
+++ b/internal/fleet/limit/play_test.go
@@ -121,7 +121,7 @@
 	if s.broken == knows {
 		empty := &cover.Shelf{}
 		empty.Put(0, 0, 1, nil)
-		n.part.shelves[number(s.limits[0].Name)] = empty
+		n.part.coverStores[limitHash(s.limits[0].Name)] = empty
 	}
 }
 
@@ -179,9 +179,9 @@
 	switch {
 	case s.broken == "rights count from when they were asked for" && m.Kind == Grant:
 		m.Number = s.nodes[to].now(s.at)
-	case s.broken == keeps && m.Kind == CoverPut && s.nodes[to].part.shelves[m.Cover.Limit] != nil:
-		if _, some := s.nodes[to].part.shelves[m.Cover.Limit].Look(); some {
-			has := s.nodes[to].part.say(CoverHas, m.From, m.Number)
+	case s.broken == keeps && m.Kind == CoverPut && s.nodes[to].part.coverStores[m.Cover.Limit] != nil:
+		if _, some := s.nodes[to].part.coverStores[m.Cover.Limit].Look(); some {
+			has := s.nodes[to].part.newMessage(CoverHas, m.From, m.Number)
 			has.Cover = m.Cover
 			s.send(to, has)
 			return
--- a/internal/fleet/limit/rights/cover_check_test.go
+++ b/internal/fleet/limit/rights/cover_check_test.go
@@ -151,7 +151,7 @@
 	check.Touch(w)
 	w.ask(0, h)
 	if w.broken == passed2 {
-		h.last = 0
+		h.lastAnswered = 0
 	}
 	take()
 }
--- a/internal/fleet/limit/rights/dealer.go
+++ b/internal/fleet/limit/rights/dealer.go
@@ -37,7 +37,7 @@
 }
 
 // sum is how many rights there may be at once.
-func (l *Limit) sum() float64 {
+func (l *Limit) total() float64 {
 	if l.Kind == Rate {
 		return l.Burst
 	}
@@ -45,10 +45,10 @@
 }
 
 // outFor is how long the dealer counts what it has given, from when it heard the ask: clocks may run apart by a tenth.
-func (l *Limit) outFor() int64 { return l.Lease + l.Lease/10 }
+func (l *Limit) outstandingFor() int64 { return l.Lease + l.Lease/10 }
 
 // linger is how long after that a place may still be taken.
-func (l *Limit) linger() int64 {
+func (l *Limit) maxJobTime() int64 {
 	if l.Kind == Open {
 		return l.Linger
 	}
@@ -72,85 +72,85 @@
 }
 
 const (
-	holdersMost = 2048 // with as many of a dealer before, as many as a cover can have
-	ahead       = 2.0  // seconds of its demand that a holder of a rate is given
-	deviations  = 3.0  // standard deviations of what it uses (as of chance) that a holder is given beside the mean
-	demandMost  = 1e6
+	maxHolders    = 2048 // with as many of a dealer before, as many as a cover can have
+	rateLookahead = 2.0  // seconds of its demand that a holder of a rate is given
+	maxDeviations = 3.0  // standard deviations of what it uses (as of chance) that a holder is given beside the mean
+	maxDemand     = 1e6
 )
 
 // Dealer deals out one limit. Only one process may deal a limit at a time, and a new one only From the time at which
 // nothing of the one before can be in use, or once it has adopted what may be.
 type Dealer struct {
-	limit    Limit
-	from, at int64
-	left     float64 // rights that nobody holds
-	out      int64   // rights that somebody holds, or may
-	holders  map[lease.Owner]*account
-	sessions *uint64
-	rounds   uint64
+	limit           Limit
+	from, updatedAt int64
+	unallocated     float64 // rights that nobody holds
+	outstanding     int64   // rights that somebody holds, or may
+	holders         map[lease.Owner]*account
+	sessions        *uint64
+	rounds          uint64
 
-	cover  *cover.Book // nil: nobody else is told what each may hold
-	silent cover.Table // what those may hold, of dealers before, that have not told
-	over   int64       // when none of that can be in use any more
+	cover           *cover.Book // nil: nobody else is told what each may hold
+	unreported      cover.Table // what those may hold, of dealers before, that have not told
+	unreportedUntil int64       // when none of that can be in use any more
 }
 
 type account struct {
 	key                      uint64
 	session                  uint64
 	granted, spent, returned int64
-	old                      int64 // of dealers before, as it told
+	oldOpen                  int64 // of dealers before, as it told
 	demand                   float64
-	until                    int64
-	asked                    bool
+	validUntil               int64
+	awaitingGrant            bool
 }
 
-func (a *account) out() int64 { return a.granted - a.spent - a.returned + a.old }
+func (a *account) outstanding() int64 { return a.granted - a.spent - a.returned + a.oldOpen }
 
 // NewDealer makes a dealer that begins now, after one that may have dealt until now. Its sessions are numbered by a counter
 // that all dealers of a process share, so that no session is taken for one of before. The book of covers, if there is one, is
 // to be kept by the caller; what it does not allow is not given.
 func NewDealer(now int64, l Limit, sessions *uint64, covers *cover.Book) *Dealer {
-	from := now + l.outFor() + l.linger()
-	return &Dealer{limit: l, from: from, at: from, over: from, holders: map[lease.Owner]*account{}, sessions: sessions, cover: covers}
+	from := now + l.outstandingFor() + l.maxJobTime()
+	return &Dealer{limit: l, from: from, updatedAt: from, unreportedUntil: from, holders: map[lease.Owner]*account{}, sessions: sessions, cover: covers}
 }
 
 // Adopt has it deal from now on, as it knows by covers how much each may hold of dealers before: that is out until the
 // member has told, within a session of this dealer, what it still has, or until it can't be in use any more.
 func (d *Dealer) Adopt(now int64, covers cover.Table) {
 	if now < d.from {
-		d.from, d.at, d.silent = now, now, covers
-		d.out += covers.Sum()
+		d.from, d.updatedAt, d.unreported = now, now, covers
+		d.outstanding += covers.Sum()
 	}
 }
 
 // Change sets another amount, burst or floor. A holder of more than its part of it gives the rest back when it asks next.
 func (d *Dealer) Change(now int64, l Limit) {
-	d.flow(now)
+	d.advance(now)
 	l.Kind, l.Lease, l.Linger = d.limit.Kind, d.limit.Lease, d.limit.Linger
 	d.limit = l
 }
 
 // flow brings the books up to a time: rights come in at the rate as long as there are fewer than the sum, and what a holder
 // can't use any more is out no longer.
-func (d *Dealer) flow(now int64) {
-	if now >= d.over && d.silent != nil {
-		d.out -= d.silent.Sum()
-		d.silent = nil
+func (d *Dealer) advance(now int64) {
+	if now >= d.unreportedUntil && d.unreported != nil {
+		d.outstanding -= d.unreported.Sum()
+		d.unreported = nil
 	}
 	for who, a := range d.holders {
-		if now > a.until+d.limit.linger() {
-			d.out -= a.out()
+		if now > a.validUntil+d.limit.maxJobTime() {
+			d.outstanding -= a.outstanding()
 			delete(d.holders, who)
 		}
 	}
-	room := math.Max(d.limit.sum()-float64(d.out), 0)
+	room := math.Max(d.limit.total()-float64(d.outstanding), 0)
 	if d.limit.Kind == Open {
-		d.left = room
-	} else if now > d.at {
-		d.left += d.limit.Amount * float64(now-d.at) / 1e6
+		d.unallocated = room
+	} else if now > d.updatedAt {
+		d.unallocated += d.limit.Amount * float64(now-d.updatedAt) / 1e6
 	}
-	d.left = math.Min(d.left, room)
-	d.at = max(now, d.at)
+	d.unallocated = math.Min(d.unallocated, room)
+	d.updatedAt = max(now, d.updatedAt)
 }
 
 // Ask takes what a holder says. What it can't have been given it can't have spent: such counts are not believed.
@@ -158,69 +158,69 @@
 	if now < d.from || !(ask.Demand >= 0) {
 		return
 	}
-	d.flow(now)
+	d.advance(now)
 	a := d.holders[who]
 	if a == nil {
-		if len(d.holders) >= holdersMost {
+		if len(d.holders) >= maxHolders {
 			return
 		}
 		*d.sessions++
 		a = &account{key: cover.Key(who), session: *d.sessions}
 		d.holders[who] = a
 	}
-	a.asked, a.demand, a.until = true, min(ask.Demand, demandMost), now+d.limit.outFor()
+	a.awaitingGrant, a.demand, a.validUntil = true, min(ask.Demand, maxDemand), now+d.limit.outstandingFor()
 	if ask.Session != a.session || ask.Spent < 0 || ask.Spent > 0 && d.limit.Kind == Open || ask.Returned < 0 || ask.Spent+ask.Returned > a.granted || ask.Old < 0 {
 		return
 	}
 	// Within a session it holds nothing of dealers before but jobs that are open, and those only end.
-	if may, silent := d.silent[a.key]; silent {
-		a.old = min(ask.Old, may)
-		d.out -= may - a.old
-		delete(d.silent, a.key)
-	} else if ask.Old < a.old {
-		d.out -= a.old - ask.Old
-		a.old = ask.Old
+	if may, silent := d.unreported[a.key]; silent {
+		a.oldOpen = min(ask.Old, may)
+		d.outstanding -= may - a.oldOpen
+		delete(d.unreported, a.key)
+	} else if ask.Old < a.oldOpen {
+		d.outstanding -= a.oldOpen - ask.Old
+		a.oldOpen = ask.Old
 	}
 	spent, returned := max(ask.Spent, a.spent), max(ask.Returned, a.returned)
-	d.out -= spent - a.spent + returned - a.returned
-	d.left += float64(returned - a.returned)
+	d.outstanding -= spent - a.spent + returned - a.returned
+	d.unallocated += float64(returned - a.returned)
 	a.spent, a.returned = spent, returned
 }
 
 // Deal answers all that have asked since it did so last.
 func (d *Dealer) Deal(now int64) []Grant {
-	d.flow(now)
+	d.advance(now)
 	d.rounds++
 	all := slices.SortedFunc(maps.Keys(d.holders), func(a, b lease.Owner) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
-	keep := d.parts(now, all)
+	keep := d.shares(now, all)
 	var out []Grant
 	for i := range all {
 		// Who is first when there is little changes from round to round.
 		i = (i + int(d.rounds*7919%uint64(len(all)))) % len(all)
 		a := d.holders[all[i]]
-		if !a.asked {
+		if !a.awaitingGrant {
 			continue
 		}
-		a.asked = false
-		give := min(keep[i]-a.out(), int64(d.left))
+		a.awaitingGrant = false
+		give := min(keep[i]-a.outstanding(), int64(d.unallocated))
 		if d.cover != nil {
-			give = min(give, d.cover.Allowed(a.key)-a.out()-d.silent[a.key])
+			give = min(give, d.cover.Allowed(a.key)-a.outstanding()-d.unreported[a.key])
 		}
 		if give > 0 {
-			a.granted, d.out, d.left = a.granted+give, d.out+give, d.left-float64(give)
+			a.granted, d.outstanding, d.unallocated = a.granted+give, d.outstanding+give, d.unallocated-float64(give)
 		}
 		out = append(out, Grant{all[i], a.session, a.granted, keep[i]})
 	}
 	if d.cover != nil {
-		want := maps.Clone(d.silent)
+		want := maps.Clone(d.unreported)
 		if want == nil {
 			want = cover.Table{}
 		}
 		for i, who := range all {
 			a := d.holders[who]
-			want[a.key] = max(keep[i], a.out()+want[a.key])
+			want[a.key] = max(keep[i], a.outstanding()+want[a.key])
 		}
 		d.cover.Want(now, want)
 	}
@@ -230,23 +230,23 @@
 // parts says how many rights each may hold: what it is expected to use, and of what is left by that some more against
 // chance; where there are too few, its part in proportion to what it is expected to use. Parts are whole; whose fraction
 // counts changes slowly, so that nobody waits for ever.
-func (d *Dealer) parts(now int64, all []lease.Owner) []int64 {
+func (d *Dealer) shares(now int64, all []lease.Owner) []int64 {
 	uses, sum, chance := make([]float64, len(all)), 0.0, 0.0
 	for i, who := range all {
 		a := d.holders[who]
 		if uses[i] = a.demand; d.limit.Kind == Rate {
-			uses[i] *= ahead
+			uses[i] *= rateLookahead
 		}
-		if now > a.until {
+		if now > a.validUntil {
 			uses[i] = -1 // it is not there
 			continue
 		}
 		sum += uses[i]
 		chance += 1 + math.Sqrt(uses[i])
 	}
-	most := math.Floor(d.limit.sum())
+	most := math.Floor(d.limit.total())
 	scale := math.Min(1, most/math.Max(sum, 1e-9))
-	more := math.Max(0, math.Min(deviations, (most-sum)/math.Max(chance, 1)))
+	more := math.Max(0, math.Min(maxDeviations, (most-sum)/math.Max(chance, 1)))
 	out := make([]int64, len(all))
 	_, run := math.Modf(float64(now/d.limit.Lease) * 0.6180339887)
 	for i, u := range uses {
@@ -261,8 +261,8 @@
 
 // Books tells how many rights are out and left, and with how many holders.
 func (d *Dealer) Books(now int64) (out int64, left float64, holders int) {
-	d.flow(now)
-	return d.out, d.left, len(d.holders)
+	d.advance(now)
+	return d.outstanding, d.unallocated, len(d.holders)
 }
 
 // Holders gives those that have rights, or may.
--- a/internal/fleet/limit/rights/rights_check_test.go
+++ b/internal/fleet/limit/rights/rights_check_test.go
@@ -183,7 +183,7 @@
 		l := Limit{Kind: Rate, Amount: 1e-3, Burst: 2, Lease: 1000}
 		w := &world{now: 1, doubles: true}
 		w.dealer = NewDealer(-2000, l, new(uint64), nil)
-		w.dealer.left, w.dealer.at = 2, 1
+		w.dealer.unallocated, w.dealer.updatedAt = 2, 1
 		user := func() {
 			h := NewHolder(w.now, l)
 			for i := range 3 {
@@ -199,8 +199,8 @@
 			if w.taken > 2 {
 				return fmt.Errorf("%d jobs of 2 rights", w.taken)
 			}
-			if w.dealer.out < 0 || w.dealer.left+float64(w.dealer.out) > 2 {
-				return fmt.Errorf("%d out and %g left of 2", w.dealer.out, w.dealer.left)
+			if w.dealer.outstanding < 0 || w.dealer.unallocated+float64(w.dealer.outstanding) > 2 {
+				return fmt.Errorf("%d out and %g left of 2", w.dealer.outstanding, w.dealer.unallocated)
 			}
 			return nil
 		}
