--- a/internal/fleet/gang/gang.go
+++ b/internal/fleet/gang/gang.go
@@ -1,6 +1,12 @@
-// Package gang has messages of some classes run as gangs: parts at many hosts, all at once or not at all. Place finds the hosts,
-// limit/hold takes their slots together; this package takes a gang from its arrival to its end. It does no I/O and reads no
-// clock; times are microseconds on the caller's.
+// Package gang runs messages of some classes as gangs: a gang has parts at several hosts that run at the same
+// time, all or none (gang scheduling).
+//
+// Package place chooses the hosts and limit/hold reserves their slots together; a Part takes each gang from its
+// arrival to its end. The caller passes events to the Part, calls Round regularly, and carries out the actions
+// that both return. Pattern and topology describe how the parts communicate and what that costs.
+//
+// The package does no I/O and reads no clock; times are microseconds on the caller's clock unless stated
+// otherwise.
 package gang
 
 import (
@@ -12,70 +18,70 @@
 	"granitewing/logic"
 )
 
-// Kind is a class whose messages are gangs.
+// Kind is the settings of a class whose messages are gangs.
 type Kind struct {
 	Class        int
 	Parts, Least int
 	Pattern      pattern.Pattern
-	Bytes, Steps float64 // that a part sends in a step, and steps
-	Within       int64   // all parts have to begin within that of being sent, or none goes on
-	Wait         int64   // a gang waits for its slots at most so long
+	Bytes, Steps float64 // bytes that a part sends in each step, and the number of steps
+	Within       int64   // all parts must begin within this time of being sent, or the gang is given up
+	Wait         int64   // longest time that a gang waits for its slots
 }
 
-// Weights are what a placement costs beside lateness.
+// Weights are the costs of a placement other than a missed deadline.
 type Weights = place.Weights
 
-// Options are what the gangs of a process are placed by.
+// Options are the settings by which a process places gangs.
 type Options struct {
 	Kinds    []Kind
 	Topology topology.Topology
 	Weights  Weights
 	Room     int // slots of a host that gangs may have at once
 
-	// Choose finds a placement; nil is place.Search. Another is for comparison, and Blind says that it scores nothing, so that a
-	// gang which waits is placed anew only where it has to be.
+	// Choose finds a placement; nil means place.Search. Other functions are for comparison. Blind says that Choose
+	// does not score placements, so a waiting gang is placed anew only when its placement becomes unusable.
 	Blind  bool
 	Choose func([]place.Host, place.Job, *topology.Topology, *topology.Loads, Weights) (place.Placement, bool)
 }
 
-// Hosts tells of those that may be sent a part of some work in seconds.
+// Hosts passes the hosts to tell that may be sent a part with that work in seconds.
 type Hosts func(now int64, work float64, tell func(logic.View))
 
-// Counts is what became of gangs.
+// Counts are totals of gangs by outcome.
 type Counts struct {
 	Arrived, Started, Served      int
 	Nowhere, Waited, Half, Failed int // given up: no placement worth it; no slots in time; not all parts began in time; a part failed
 	Crosses                       float64
-	Late, Push, Price, Pieces     float64 // terms of the placements that were started, summed
+	Late, Push, Price, Pieces     float64 // sums of the score terms of all placements that were started
 }
 
-// state is how far a gang has come.
+// state is the progress of a gang.
 type state uint8
 
 const (
-	stateWaiting state = iota // for its slots
+	stateWaiting state = iota // waits for its slots
 	stateSent
 	stateRunning // all parts have begun
 )
 
-// gang is one under way.
+// gang is a gang that has not ended.
 type gang struct {
 	memory.GangJob
 	kind       *Kind
 	state      state
-	holdID     uint64 // its slots, under the present placement
+	holdID     uint64 // ID of its set of slots; a new placement has a new ID
 	placement  place.Placement
-	giveUpAt   int64 // its parts must have been sent, or all have begun
-	placedAt   int64 // when it was placed last
+	giveUpAt   int64 // when its parts must have been sent, or once sent, must all have begun
+	placedAt   int64 // when it was last placed or its placement checked
 	endsAt     int64 // expected
 	arrivedAt  int64
 	sentAt     int64
-	waitFactor float64 // by which its hosts' backlogs were taken
+	waitFactor float64 // factor applied to the hosts' backlogs in the placement
 	began      []bool
 	served     []bool
 }
 
-// Part is one process's part in gangs. It must not be used by two goroutines at once.
+// Part is one process's side of gang scheduling. It implements memory.Gangs and is not safe for concurrent use.
 type Part struct {
 	options     Options
 	hosts       Hosts
@@ -83,17 +89,17 @@
 	lease       int64
 	kinds       map[int]*Kind
 	gangs       map[memory.ID]*gang
-	order       []memory.ID // of gangs, the oldest first
+	order       []memory.ID // oldest first; may contain ended gangs until removeEnded
 	lastHold    uint64
 	rackNumbers map[[2]int]int
 	actions     []memory.GangAction
 	counts      Counts
 	closed      bool
 
-	observedWait, expectedWait float64 // seconds that parts waited at their hosts, and were expected to
+	observedWait, expectedWait float64 // decayed sums of seconds that parts waited at hosts, observed and predicted
 }
 
-// New makes the part of a process; its slots are those of a holder with that lease.
+// New returns the Part of a process. Its slots are reserved through holder, for a lease in microseconds.
 func New(o Options, holder *hold.Holder, lease int64, hosts Hosts) *Part {
 	p := &Part{options: o, hosts: hosts, holder: holder, lease: lease, kinds: map[int]*Kind{}, gangs: map[memory.ID]*gang{}, rackNumbers: map[[2]int]int{}}
 	for i := range o.Kinds {
@@ -102,16 +108,17 @@
 	return p
 }
 
-// Takes implements memory.Gangs, as the calls below do.
+// Takes reports whether messages of a class are gangs.
 func (p *Part) Takes(class int) bool { return p.kinds[class] != nil }
 
-// Parts is how many parts the gangs of a class have at most.
+// Parts returns the maximum number of parts of a class's gangs.
 func (p *Part) Parts(class int) int { return p.kinds[class].Parts }
 
-// Counts tells what became of gangs so far.
+// Counts returns the totals so far.
 func (p *Part) Counts() Counts { return p.counts }
 
-// Open counts the gangs that wait for slots, of which parts were sent, and that run.
+// Open counts the gangs that wait for slots, those whose parts were sent but have not all begun, and those that
+// run.
 func (p *Part) Open() (waiting, half, running int) {
 	for _, g := range p.gangs {
 		switch g.state {
@@ -126,9 +133,9 @@
 	return waiting, half, running
 }
 
-// The calls below return what is to be done, in order, valid until the next call.
+// The methods below return the actions to carry out, in order. The slice is valid until the next call.
 
-// Arrive takes a message. One that has no placement worth its work is given up at once.
+// Arrive takes a new message. It is given up at once if no placement is worth its work.
 func (p *Part) Arrive(now int64, j memory.GangJob) []memory.GangAction {
 	p.actions = p.actions[:0]
 	g := &gang{GangJob: j, kind: p.kinds[j.Class]}
@@ -137,7 +144,8 @@
 	p.order = append(p.order, j.ID)
 	g.giveUpAt, g.arrivedAt = now+g.kind.Wait, now
 	if _, at := p.holder.Busy(); now-at > p.lease/freshDivisor {
-		// Placed by old news most would ask for slots that others have; the answer is there with the next rounds.
+		// With an old list of others' slots most gangs would ask for slots that are taken. The new list arrives with the
+		// next rounds.
 		p.holder.Look()
 	} else if !p.tryPlace(now, g) {
 		p.giveUp(now, g, &p.counts.Nowhere)
@@ -145,11 +153,12 @@
 	return p.actions
 }
 
-// Close has no more gangs started: this process leaves the fleet, and slots can't be had any more. Those that run go on.
+// Close stops the start of further gangs: this process leaves the fleet and can't get slots any more. Running
+// gangs go on.
 func (p *Part) Close() { p.closed = true }
 
-// Round goes on with all gangs, once the holder has heard what there was to hear. A gang is started, or given up, here alone, so a
-// round comes at least as often as what a gang may be late by.
+// Round advances all gangs, after the holder has handled what it received. Gangs are started, and given up for
+// lack of time, only here, so the interval of rounds must not exceed the delay that a gang tolerates.
 func (p *Part) Round(now int64) []memory.GangAction {
 	p.actions = p.actions[:0]
 	for _, id := range p.order {
@@ -160,7 +169,7 @@
 		_, heard := p.holder.Busy()
 		switch {
 		case g.holdID == 0 && heard <= g.arrivedAt && now < g.arrivedAt+p.lease/newsTimeoutDivisor && !p.closed:
-			// It waits for the news that it has asked for.
+			// The requested list of others' slots has not arrived.
 		case g.holdID == 0 && !p.tryPlace(now, g):
 			p.giveUp(now, g, &p.counts.Nowhere)
 		case g.state == stateWaiting && p.holder.Has(now+p.lease/sendMarginDivisor, g.holdID) && p.hostsAvailable(now, g):
@@ -178,26 +187,28 @@
 }
 
 const (
-	freshDivisor       = 8         // news of others' slots is new for that part of a lease
-	newsTimeoutDivisor = 4         // a gang is placed without news after that part of a lease
-	sendMarginDivisor  = 4         // a gang is sent while at least this part of its lease is left
-	rescoreInterval    = 1_000_000 // a gang that waits is placed anew so often
+	freshDivisor       = 8         // the list of others' slots is recent for this part of a lease
+	newsTimeoutDivisor = 4         // a gang is placed without a recent list after this part of a lease
+	sendMarginDivisor  = 4         // a gang is sent only while at least this part of its lease is left
+	rescoreInterval    = 1_000_000 // interval in which the placement of a waiting gang is checked, microseconds
 )
 
-// Parts that began teach how long a backlog really keeps one waiting.
+// Parts that have begun show how long a backlog really keeps a part waiting. waitDecay is applied to both sums
+// with each part.
 const (
 	waitDecay     = 0.99
-	waitPrior     = 3.0 // seconds of waiting that weigh as much as what was seen
-	maxWaitFactor = 4.0 // times
+	waitPrior     = 3.0 // seconds added to both sums: the weight of the model against what was observed
+	maxWaitFactor = 4.0 // limit of the factor, in both directions
 )
 
-// truth is how long parts wait at their hosts, as a multiple of what the module's law says. The law is for choosing between hosts
-// and may be wrong by a factor; of a gang the last of many starts counts, where a factor is the whole answer.
+// waitFactor returns how long parts wait at their hosts, as a multiple of the module's start-time model. That
+// model serves to compare hosts and may be wrong by a factor. A gang starts with the last of many parts, so here
+// such a factor decides the result.
 func (p *Part) waitFactor() float64 {
 	return min(max((p.observedWait+waitPrior)/(p.expectedWait+waitPrior), 1/maxWaitFactor), maxWaitFactor)
 }
 
-// start has the parts sent.
+// start sends the parts of a gang.
 func (p *Part) start(now int64, g *gang) {
 	n := len(g.placement.Hosts)
 	g.sentAt = now
@@ -213,14 +224,14 @@
 	p.actions = append(p.actions, a)
 }
 
-// giveUp ends a gang for a cause that is counted.
+// giveUp ends a gang and counts the cause.
 func (p *Part) giveUp(now int64, g *gang, cause *int) {
 	*cause++
 	p.actions = append(p.actions, memory.GangAction{Kind: memory.GangGiveUp, ID: g.ID, After: p.retryAfter(now, g)})
 	p.drop(g)
 }
 
-// drop lets go of a gang. Its slots go back with the next round.
+// drop removes a gang. Its slots are returned with the next round.
 func (p *Part) drop(g *gang) {
 	p.holder.Drop(g.holdID)
 	delete(p.gangs, g.ID)
@@ -236,13 +247,13 @@
 	p.order = kept
 }
 
-// May tells whether a part that was to be sent may still be: its slots may not be its gang's own any more.
+// May reports whether a part may still be sent: the slots may no longer be its gang's.
 func (p *Part) May(now int64, id memory.ID) bool {
 	g := p.gangs[id]
 	return g != nil && g.state != stateWaiting && (g.state == stateRunning || p.holder.Has(now, g.holdID))
 }
 
-// Began takes the news that a part has begun.
+// Began handles the report that a part has begun.
 func (p *Part) Began(now int64, id memory.ID, rank int) {
 	g := p.gangs[id]
 	if g == nil || g.state != stateSent || rank >= len(g.began) {
@@ -262,7 +273,7 @@
 	p.holder.Begin(g.holdID, g.endsAt)
 }
 
-// Ended takes the end of a part. One that fails ends the gang.
+// Ended handles the end of a part. A part that fails ends the gang.
 func (p *Part) Ended(now int64, id memory.ID, rank int, served bool) []memory.GangAction {
 	p.actions = p.actions[:0]
 	g := p.gangs[id]
@@ -285,7 +296,7 @@
 	return p.actions
 }
 
-// Left takes the news that nobody waits for a gang any more.
+// Left handles the report that no client waits for a gang any more.
 func (p *Part) Left(id memory.ID) {
 	if g := p.gangs[id]; g != nil {
 		p.drop(g)
--- a/internal/fleet/gang/pattern/pattern.go
+++ b/internal/fleet/gang/pattern/pattern.go
@@ -1,10 +1,11 @@
-// Package pattern says which parts of a gang talk to each other at every step, and in which order its ranks are best laid on
-// hosts that stand rack by rack.
+// Package pattern describes which parts of a gang exchange data in each step, and in which orders ranks are best
+// assigned to hosts that are sorted by rack. Edges lists the pairs of a Pattern and Orders the orders worth
+// trying.
 package pattern
 
 import "fmt"
 
-// Pattern is how the parts of a gang exchange their borders.
+// Pattern is the pattern in which the parts of a gang exchange data.
 type Pattern uint8
 
 // The patterns.
@@ -17,7 +18,7 @@
 
 var names = [...]string{"ring", "halo", "all", "tree"}
 
-// Parse reads a pattern's name.
+// Parse returns the pattern of a name, or an error that lists the names.
 func Parse(name string) (Pattern, error) {
 	for i, n := range names {
 		if n == name {
@@ -29,13 +30,14 @@
 
 func (p Pattern) String() string { return names[p] }
 
-// Edge is a pair of ranks that talk; Share is the part of what a part sends in a step that goes each way.
+// Edge is a pair of ranks that exchange data. Share is the fraction of a part's bytes in a step that goes in each
+// direction.
 type Edge struct {
 	A, B  int
 	Share float64
 }
 
-// Grid is the sides of the grid that k parts form: the most even that has no gaps, the longer side first.
+// Grid returns the sides of a full grid of k parts, as even as possible, the longer side first.
 func Grid(k int) (rows, columns int) {
 	columns = 1
 	for c := 1; c*c <= k; c++ {
@@ -46,8 +48,8 @@
 	return k / columns, columns
 }
 
-// Edges lists the pairs of k ranks that talk, each once. What a part sends in a step is shared evenly among those that it
-// could have at most: one at a border sends less.
+// Edges lists the pairs of k ranks that exchange data, each once. The bytes that a part sends in a step are shared
+// evenly among the largest number of neighbours that a part can have, so a part at a border sends less.
 func (p Pattern) Edges(k int) (out []Edge) {
 	switch {
 	case k < 2:
@@ -81,8 +83,8 @@
 	return out
 }
 
-// Orders lists orders of k ranks worth trying: cut anywhere into runs, one for each rack, few pairs that talk are parted.
-// Which is best depends on where the runs are cut.
+// Orders lists orders of k ranks worth trying. If an order is cut anywhere into runs, one for each rack, few edges
+// cross a cut. Which order is best depends on where the cuts are.
 func (p Pattern) Orders(k int) [][]int {
 	plain := make([]int, k)
 	for i := range plain {
--- a/internal/fleet/gang/place/bound.go
+++ b/internal/fleet/gang/place/bound.go
@@ -8,7 +8,8 @@
 	"granitewing/internal/fleet/gang/topology"
 )
 
-// Bound is a score that no placement of the job can be under: each term at its least by itself, whatever the others need.
+// Bound returns a score that no placement of the job can be below. Each term is minimized by itself, without
+// regard to the others.
 func Bound(hosts []Host, j Job, t *topology.Topology, w Weights) float64 {
 	s := newSearch(hosts, j, t, &topology.Loads{}, w)
 	least := math.Inf(1)
@@ -25,7 +26,7 @@
 			step = t.Alone(s.edges, j.Bytes, k)
 		}
 		run := s.workPerPart()*paces[k-1] + j.Steps*step
-		slack := 0.0 // of the guess that has most
+		slack := 0.0 // the largest over the work factors
 		for _, e := range workFactors {
 			slack = max(slack, j.Slack-run+max(j.Stretch*float64(k)/float64(j.Parts)*(e-1)*s.workPerPart(), 0)-min((e-1)*s.workPerPart()*paces[0], 0))
 		}
--- a/internal/fleet/gang/place/candidates.go
+++ b/internal/fleet/gang/place/candidates.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// The choices that a search looks at first.
+// The choices with which a search starts.
 
-// candidates scores choices of which one is near the best: the racks that can take the whole alone; the fewest racks of a zone,
-// and of all, by hosts of several qualities; and the best hosts wherever they are.
+// candidates scores choices of which one is usually near the best: single racks that can take the whole gang; the
+// fewest racks of one zone, and of all zones, from hosts up to several cost limits; and the cheapest hosts
+// wherever they are.
 func (s *search) candidates() {
 	j := &s.job
 	type sum struct {
@@ -52,7 +53,7 @@
 	s.cheapestHosts()
 }
 
-// qualities are costs of a host alone up to which it is looked at, from some of the hosts.
+// costLimits returns limits on the cost of a host alone, from quantiles of a sample of the hosts.
 func (s *search) costLimits() []float64 {
 	var sample []float64
 	for i := 0; i < len(s.costs); i += max(len(s.costs)/256, 1) {
@@ -72,10 +73,10 @@
 	return out
 }
 
-// part is some hosts of a rack, the best.
+// subset is the first n hosts of a rack, the cheapest.
 type subset struct{ rack, n int }
 
-// goodOnes counts the hosts of each rack up to a cost, the racks with most first.
+// hostsUpTo counts the hosts of each rack up to a cost, and lists the racks with most such hosts first.
 func (s *search) hostsUpTo(most float64) (out []subset) {
 	for r := range s.racks {
 		n := 0
@@ -98,8 +99,8 @@
 	return out
 }
 
-// fewest takes whole racks, of a zone if one is named, those with most hosts first, and for the rest the rack that has just
-// enough.
+// fewestRacks takes whole racks with most hosts first, of one zone or of any, and for the rest the rack with the
+// fewest that suffice.
 func (s *search) fewestRacks(parts []subset, zone int, any bool) {
 	var chosen []int32
 	for at := 0; at < len(parts) && len(chosen) < s.k; at++ {
@@ -109,7 +110,7 @@
 		}
 		left := s.k - len(chosen)
 		if p.n >= left {
-			// Of those that have enough, the one that is left with least.
+			// Of the racks that have enough, the one with the fewest hosts left over.
 			for _, o := range parts[at+1:] {
 				if o.n < left {
 					break
@@ -126,7 +127,7 @@
 	}
 }
 
-// cheapest takes the best hosts wherever they are.
+// cheapestHosts takes the hosts with the lowest cost wherever they are.
 func (s *search) cheapestHosts() {
 	var chosen []int32
 	heads := make([]int, len(s.racks))
--- a/internal/fleet/gang/place/place.go
+++ b/internal/fleet/gang/place/place.go
@@ -1,6 +1,10 @@
-// Package place finds hosts for the parts of a gang, which run all at once and are slow when an exchange crosses racks. A
-// placement is scored as a whole, in worth as the settings count it: its lateness is that of the part that starts
-// last on the host that is slowest, its running time has the exchanges in it, and what it keeps others from counts too.
+// Package place chooses the hosts for the parts of a gang. The parts run all at once, and their exchanges are slow
+// when they cross racks.
+//
+// A placement is scored as a whole, in the units of worth of the settings. Its deadline risk is that of the part
+// that starts last, on the host that is slowest; its run time includes the exchanges; and it pays for the capacity
+// that it takes from others. Search returns the best placement found, Fixed scores a given one, and Bound gives a
+// lower bound of all scores.
 package place
 
 import (
@@ -11,18 +15,18 @@
 	"granitewing/logic"
 )
 
-// Host is one that can take a part. Times are seconds.
+// Host is a host that can take a part. Times are seconds.
 type Host struct {
 	ID uint32
 	topology.Spot
-	Backlog float64 // to drain
-	Room    float64 // backlog with which a part still starts at once
-	After   float64 // until another gang gives its slot up; 0: none has it
-	Pace    float64 // running time for a second of work
-	Push    float64 // worth that a slot-second taken here costs those that come after
+	Backlog float64 // work that is queued there
+	Room    float64 // headroom: backlog with which a part still starts at once
+	After   float64 // time until another gang's slot is free; 0: no other gang has it
+	Pace    float64 // run time for a second of work
+	Push    float64 // worth that a slot-second taken here costs later messages
 }
 
-// Wait is how long a part waits there for its start, in the mean of the module's law.
+// Wait returns how long a part is expected to wait for its start, by the module's start-time model.
 func (h *Host) Wait() float64 {
 	if h.Backlog <= 0 {
 		return 0
@@ -34,56 +38,56 @@
 // Job is a gang to be placed. Times are seconds.
 type Job struct {
 	Parts, Least int
-	Work         float64 // of each part where there are all; fewer have more each
+	Work         float64 // of each part if all are placed; fewer parts have more each
 	Steps        float64
 	Bytes        float64 // that a part sends in a step
 	Pattern      pattern.Pattern
-	Slack        float64 // until it is late
-	Stretch      float64 // seconds by which that is later for each second of work more than is told
+	Slack        float64 // time until the deadline
+	Stretch      float64 // seconds added to the deadline for each second of work beyond the stated work
 	Worth        float64
-	LateWorth    float64 // share that it still earns late
-	Price        float64 // worth of a slot-second that the fleet has no room for
-	Crowd        float64 // share of the slots for gangs that are taken: so likely this one keeps a like one waiting
+	LateWorth    float64 // share of the worth that is still earned after the deadline
+	Price        float64 // worth of a slot-second for which the fleet has no capacity
+	Crowd        float64 // share of the slots for gangs that are taken: the probability that this gang keeps a similar one waiting
 }
 
-// Weights of what a placement costs beside lateness.
+// Weights are the costs of a placement other than a missed deadline.
 type Weights struct {
-	Pieces float64 // share of the worth for a rack of whose hosts all but one stay free: the next gang has to cross its border
-	Fails  float64 // a rack's failures a second
+	Pieces float64 // share of the worth lost for a rack of which all hosts but one stay free: the next gang has to cross its border
+	Fails  float64 // failures of a rack a second
 }
 
-// Why is the score of a placement by its terms, in worth, and what it rests on.
+// Why is the score of a placement by its terms, in units of worth, and the figures behind them.
 type Why struct {
 	Late, Push, Price, Crowd, Pieces, Risk float64
 
-	Chance  float64 // of being late
+	Chance  float64 // probability of a missed deadline
 	Run     float64 // seconds from the last start to the end
-	Step    float64 // seconds that an exchange takes
-	Start   float64 // seconds until the last part starts, expected
+	Step    float64 // seconds of one exchange
+	Start   float64 // expected seconds until the last part starts
 	Crosses float64 // share of the bytes that leave a rack
 }
 
-// Total is the score: the lower the better.
+// Total returns the score; lower is better.
 func (w *Why) Total() float64 { return w.Late + w.Push + w.Price + w.Crowd + w.Pieces + w.Risk }
 
-// Placement is hosts by rank.
+// Placement is a list of hosts by rank, with its score.
 type Placement struct {
 	Hosts []Host
 	Why
 	Leaves, Zoned []float64 // bytes a second of each rank beyond its rack, and beyond its zone
 }
 
-// sooner is the share of its worth that a gang which takes all of its slack is worth less: of two that are in time the one that
-// is over first is better.
+// durationWeight is the share of its worth that a gang loses if it takes all of its slack. Of two placements in
+// time, the one that ends first is better.
 const durationWeight = 0.001
 
-// guesses are what the work may be, as multiples of what is told, each as likely.
+// workFactors are possible true amounts of work, as multiples of the stated work, equally likely.
 var workFactors = [...]float64{0.75, 1, 1.3}
 
-// grid is how many times the law of a start is kept at.
+// gridPoints is the number of times for which a host's start-time distribution is stored.
 const gridPoints = 12
 
-// search is one search, with its scratch.
+// search is the state of one search and its buffers.
 type search struct {
 	hosts           []Host
 	job             Job
@@ -91,13 +95,13 @@
 	others          *topology.Loads
 	weights         Weights
 	times           [gridPoints]float64
-	startLaws       [][gridPoints]float64 // log P(started by), of the hosts that were looked at
-	lawOf           []int32               // of each host: its place in laws, from 1 on
+	startLaws       [][gridPoints]float64 // log P(started by each of times), for hosts that were looked at
+	lawOf           []int32               // per host: index into startLaws plus 1; 0: not computed
 	racks           []rack
-	rackOf          []int32    // of each host: its place in racks
-	costs           []float64  // what each costs alone
+	rackOf          []int32    // per host: index into racks
+	costs           []float64  // per host: its cost alone
 	contentionPrice float64    // worth of a slot-second to other gangs
-	subsets         [][]subset // racks by their hosts up to some cost alone
+	subsets         [][]subset // racks with their hosts up to some cost alone
 
 	k         int
 	edges     []pattern.Edge
@@ -106,20 +110,21 @@
 	spots     []topology.Spot
 	evaluated int // placements scored
 	best      Why
-	chosen    []int32 // that it is of
+	chosen    []int32 // the choice with that score
 }
 
-// rack is the hosts of one, best first.
+// rack is the hosts of one rack, lowest cost first.
 type rack struct {
 	zone  int
 	free  int // hosts at which a part would start at once
 	hosts []int32
 }
 
-// floor is the logarithm that stands for no chance at all.
+// minLogChance stands for the logarithm of a probability of zero.
 const minLogChance = -60
 
-// law is the law of a host's start: the module's own of a backlog that is known to a factor (logic.LateChance).
+// startLaw returns the start-time distribution of a host. It is the module's own for a backlog that is known up to
+// a factor (logic.LateChance).
 func (s *search) startLaw(i int32) *[gridPoints]float64 {
 	if s.lawOf[i] == 0 {
 		var l [gridPoints]float64
@@ -132,7 +137,7 @@
 	return &s.startLaws[s.lawOf[i]-1]
 }
 
-// late is the chance that a part has not started by a time.
+// lateChance returns the probability that a part has not started by time t.
 func (s *search) lateChance(h *Host, t float64) float64 {
 	if t < h.After {
 		return 1
@@ -140,16 +145,16 @@
 	return min(logic.LateChance(t-h.After+h.Room, h.Backlog), 1)
 }
 
-// size sets how many parts are placed.
+// setParts sets the number of parts to place.
 func (s *search) setParts(k int) {
 	s.k, s.edges, s.orders = k, s.job.Pattern.Edges(k), s.job.Pattern.Orders(k)
 }
 
-// work is what each of k parts has to do.
+// workPerPart returns the work of each of k parts.
 func (s *search) workPerPart() float64 { return s.job.Work * float64(s.job.Parts) / float64(s.k) }
 
-// step finds the order of the ranks on hosts that lie rack by rack, and gives it with the time of an exchange and the share of
-// the bytes that leave a rack.
+// exchangeTime finds the best order of ranks on hosts that are sorted by rack. It returns the time of one
+// exchange, the share of bytes that leave a rack, and that order.
 func (s *search) exchangeTime(chosen []int32) (best, crosses float64, order []int) {
 	best = math.Inf(1)
 	for _, o := range s.orders {
@@ -172,7 +177,7 @@
 	return best, crosses, order
 }
 
-// score scores hosts, which lie rack by rack.
+// score scores a choice of hosts that are sorted by rack.
 func (s *search) score(chosen []int32) (w Why) {
 	pace, push := 0.0, 0.0
 	var sum [gridPoints]float64
@@ -187,17 +192,17 @@
 	}
 	w.Step, w.Crosses, _ = s.exchangeTime(chosen)
 	w.Run = s.workPerPart()*pace + s.job.Steps*w.Step
-	// The mean of the last start, as far as the grid goes.
+	// The expected last start, as far as the grid reaches.
 	for g := 1; g < gridPoints; g++ {
 		w.Start += (s.times[g] - s.times[g-1]) * (1 - (math.Exp(sum[g-1])+math.Exp(sum[g]))/2)
 	}
-	// The work that is told is a guess: what a gang has more of it takes longer, and is late later.
+	// The stated work is an estimate. With more work a gang runs longer, and its deadline moves by Stretch.
 	for _, e := range workFactors {
 		more := (e - 1) * s.workPerPart()
 		w.Chance += (1 - math.Exp(s.interpolate(&sum, s.job.Slack-w.Run+(s.job.Stretch*float64(s.k)/float64(s.job.Parts)-pace)*more))) / float64(len(workFactors))
 	}
 	w.Late = s.job.Worth * ((1-s.job.LateWorth)*w.Chance + durationWeight*(w.Start+w.Run)/max(s.job.Slack, 1e-3))
-	// A slot is taken from its own start to the end of all: who starts first waits for the last.
+	// A slot is taken from its own start until all parts end: those that start first wait for the last.
 	own := 0.0
 	for _, i := range chosen {
 		own += min(s.hosts[i].Wait()+s.hosts[i].After, w.Start)
@@ -221,7 +226,7 @@
 	return w
 }
 
-// at reads a law between its times; before the first there is no chance.
+// interpolate reads a distribution between the grid's times; before the first it returns minLogChance.
 func (s *search) interpolate(l *[gridPoints]float64, t float64) float64 {
 	if t < s.times[0] {
 		return minLogChance
--- a/internal/fleet/gang/place/search.go
+++ b/internal/fleet/gang/place/search.go
@@ -10,14 +10,14 @@
 
 // Bounds of a search.
 const (
-	maxExact       = 3000 // placements up to which all are scored
-	maxSingleRacks = 6    // racks scored that can take the whole alone
-	exchangePasses = 2    // of exchanging one host for another
-	maxSizes       = 3    // numbers of parts that are tried
+	maxExact       = 3000 // all placements are scored if there are no more than these
+	maxSingleRacks = 6    // racks tried that can take the whole gang alone
+	exchangePasses = 2    // passes of exchanging one host for another
+	maxSizes       = 3    // numbers of parts tried
 )
 
-// Search finds a placement of the lowest score that it can; ok is false where there are not hosts for the least number of parts.
-// Others is what other gangs have on the uplinks.
+// Search returns the placement with the lowest score that it finds. ok is false if there are fewer hosts than the
+// least number of parts. others is the traffic of other gangs on the uplinks.
 func Search(hosts []Host, j Job, t *topology.Topology, others *topology.Loads, w Weights) (best Placement, ok bool) {
 	s := newSearch(hosts, j, t, others, w)
 	for _, k := range s.sizes() {
@@ -36,7 +36,7 @@
 	return best, ok
 }
 
-// Fixed is the placement of hosts that were chosen by rank in another way.
+// Fixed scores a placement of given hosts, listed by rank.
 func Fixed(hosts []Host, j Job, t *topology.Topology, others *topology.Loads, w Weights) Placement {
 	s := newSearch(hosts, j, t, others, w)
 	s.setParts(len(hosts))
@@ -48,7 +48,7 @@
 	return s.placement()
 }
 
-// sizes are the numbers of parts worth a look: all, the least, and one between.
+// sizes returns the numbers of parts to try: all, the least, and one between.
 func (s *search) sizes() (out []int) {
 	most, least := min(s.job.Parts, len(s.hosts)), max(s.job.Least, 1)
 	for n := range maxSizes {
@@ -64,7 +64,7 @@
 	s := &search{hosts: hosts, job: j, topo: t, others: others, weights: w, lawOf: make([]int32, n),
 		rackOf: make([]int32, n), costs: make([]float64, n)}
 	for g := range s.times {
-		// Closer together near the beginning, where laws change most.
+		// Closer together near the start, where the distributions change most.
 		x := float64(g) / (gridPoints - 1)
 		s.times[g] = max(j.Slack, 1e-3) * x * x
 	}
@@ -92,7 +92,7 @@
 	return s
 }
 
-// least is the fewest slot-seconds that the whole takes.
+// minSlotSeconds returns the fewest slot-seconds that the whole gang takes.
 func (s *search) minSlotSeconds() float64 {
 	pace := math.Inf(1)
 	for i := range s.hosts {
@@ -105,7 +105,7 @@
 	return max(float64(s.job.Parts)*(s.job.Work*pace+s.job.Steps*step), 1e-6)
 }
 
-// order puts hosts by what each would cost alone.
+// compareHosts orders hosts by their cost alone, then by ID.
 func (s *search) compareHosts(a, b int32) int {
 	switch ka, kb := s.costs[a], s.costs[b]; {
 	case ka < kb:
@@ -116,7 +116,7 @@
 	return cmp.Compare(s.hosts[a].ID, s.hosts[b].ID)
 }
 
-// few tells whether there are so few ways to take k of n hosts that all can be scored.
+// fewPlacements reports whether there are few enough ways to take k of n hosts to score them all.
 func fewPlacements(n, k int) bool {
 	ways := 1.0
 	for i := range min(k, n-k) {
@@ -125,10 +125,10 @@
 	return ways <= maxExact
 }
 
-// all scores every choice of hosts.
+// exhaustive scores every choice of hosts.
 func (s *search) exhaustive() {
 	var chosen []int32
-	// Rack by rack, as the orders of ranks want them.
+	// Sorted by rack, as the orders of ranks need it.
 	var hosts []int32
 	for _, r := range s.racks {
 		hosts = append(hosts, r.hosts...)
@@ -148,7 +148,7 @@
 	choose(0)
 }
 
-// try scores a choice and keeps it where it is the best.
+// evaluate scores a choice and keeps it if it is the best. It reports whether it is.
 func (s *search) evaluate(chosen []int32) bool {
 	s.evaluated++
 	w := s.score(chosen)
@@ -159,7 +159,8 @@
 	return true
 }
 
-// improve exchanges the worst hosts of the best choice for others of its racks, and of the rack beside that is cheapest.
+// improve replaces the most expensive hosts of the best choice by others of the racks in use, as long as that
+// lowers the score.
 func (s *search) improve() {
 	if len(s.chosen) < s.k {
 		return
@@ -188,7 +189,8 @@
 	}
 }
 
-// spare lists hosts that could stand in for one: the best that is not taken, of its own rack and of the racks that are in use.
+// replacements lists candidates to replace a host: the cheapest unused one of its own rack, and of up to three
+// other racks in use.
 func (s *search) replacements(out int32) []int32 {
 	var spare []int32
 	seen := map[int32]bool{}
@@ -208,7 +210,7 @@
 	return spare
 }
 
-// placement is the best choice, with its ranks.
+// placement returns the best choice with its ranks assigned.
 func (s *search) placement() Placement {
 	p := Placement{Why: s.best, Hosts: make([]Host, s.k)}
 	step, _, order := s.exchangeTime(s.chosen)
@@ -218,7 +220,7 @@
 	p.Leaves, p.Zoned = make([]float64, s.k), make([]float64, s.k)
 	if step > 0 && p.Run > 0 {
 		s.traffic.Count(s.edges, s.job.Bytes, hostSpots(p.Hosts))
-		// Over the whole run, not while it exchanges alone: that is what others find on the links.
+		// Averaged over the whole run and not just the exchanges, since that is the load that others find on the links.
 		for rank := range p.Hosts {
 			p.Leaves[rank] = s.traffic.Leaves[rank] * s.job.Steps / p.Run
 			p.Zoned[rank] = s.traffic.Zoned[rank] * s.job.Steps / p.Run
--- a/internal/fleet/gang/seek.go
+++ b/internal/fleet/gang/seek.go
@@ -9,25 +9,27 @@
 	"granitewing/logic"
 )
 
-// Placing a gang by what is known: the module's view of the hosts, the slots that gangs of all dispatchers have, and what these
-// send over the uplinks.
+// Placement of a gang by what is known: the module's view of the hosts, the slots held by the gangs of all
+// dispatchers, and their traffic on the uplinks.
 
-// hopeless is the chance of being late beyond which a gang that is worth nothing late is not worth its work.
+// maxLateChance is the probability of a missed deadline above which a gang without value after its deadline is
+// refused.
 const maxLateChance = 0.95
 
-// Retry-After lies between these, in microseconds.
+// Bounds of Retry-After in microseconds.
 const (
 	minRetryAfter = 100_000
 	maxRetryAfter = 5_000_000
 )
 
-// uses is what gangs have at a host.
+// hostUse is what gangs hold at a host: its slots, and the traffic from them.
 type hostUse struct {
-	freeIn []int64 // until each slot is free
+	freeIn []int64 // microseconds until each slot is free
 	hold.Spot
 }
 
-// taken lists what gangs have at hosts: others by the dealer's word, this process's own by what it knows.
+// occupied returns what gangs hold at each host, without the gang but: of others from the dealer's last list, of
+// this process from its own state.
 func (p *Part) occupied(now int64, but *gang) map[uint32]*hostUse {
 	out := map[uint32]*hostUse{}
 	add := func(s hold.Spot, left int64) {
@@ -60,7 +62,8 @@
 	return out
 }
 
-// rack numbers racks: a list may use the same numbers in every zone.
+// rackNumber returns a number for a rack that is unique in the fleet. Inventories may use the same cell number in
+// several zones.
 func (p *Part) rackNumber(zone, cell int) int {
 	k := [2]int{zone, cell}
 	n, known := p.rackNumbers[k]
@@ -71,13 +74,13 @@
 	return n
 }
 
-// look gathers the hosts for a gang and what others have on the links.
+// gatherHosts returns the hosts for a gang, and the traffic of other gangs on the uplinks.
 func (p *Part) gatherHosts(now int64, g *gang) ([]place.Host, *topology.Loads) {
 	var out []place.Host
 	others := &topology.Loads{}
 	taken := p.occupied(now, g)
 	if len(p.rackNumbers) > maxRacks {
-		clear(p.rackNumbers) // of hosts long replaced
+		clear(p.rackNumbers) // they belong to replaced hosts
 	}
 	truth := p.waitFactor()
 	p.hosts(now, g.Work, func(v logic.View) {
@@ -95,16 +98,19 @@
 	return out, others
 }
 
-// racksMost bounds the racks that are numbered.
+// maxRacks bounds the racks that have numbers.
 const maxRacks = 1 << 16
 
-// soonest is the share of its expected run that a gang may take, its work being told by a guess.
+// minRunShare is the share of its expected run time that a gang may take at least, since its stated work is an
+// estimate.
 const minRunShare = 0.75
 
-// better is the share of its worth that another placement must save a gang that waits: each change is asked for anew.
+// minImprovement is the share of its worth that another placement must save a waiting gang, because each change
+// needs a new ask.
 const minImprovement = 0.02
 
-// seek places a gang, or looks whether its placement still does, and asks for the slots; false where there is none worth its work.
+// tryPlace places a gang, or checks its placement, and asks for the slots. It returns false if no placement is
+// worth the work.
 func (p *Part) tryPlace(now int64, g *gang) bool {
 	if p.closed {
 		return false
@@ -128,11 +134,11 @@
 	if !ok || notWorthRunning(g, &best) {
 		return false
 	}
-	// What it waits for is another set now, and the dealer's word on the former one must not be taken for it.
+	// The new set of slots needs a new ID, so that an answer for the former set is not taken for it.
 	p.holder.Drop(g.holdID)
 	p.lastHold++
 	g.placement, g.holdID, g.waitFactor = best, p.lastHold, p.waitFactor()
-	// Whoever has least time left is served first, and nobody waits for what would be late.
+	// The dealer serves the earliest deadline first, and no gang waits for slots that it would get too late.
 	last := g.Late
 	if g.LateWorth > 0 {
 		last = g.Deadline
@@ -148,12 +154,13 @@
 	return place.Search(hosts, j, &p.options.Topology, others, p.options.Weights)
 }
 
-// hopelessly tells whether a gang is not worth its work where it is placed.
+// notWorthRunning reports whether a gang is not worth its work with a placement.
 func notWorthRunning(g *gang, p *place.Placement) bool {
 	return p.Chance >= maxLateChance && g.LateWorth <= 0 || g.Worth-p.Late < p.Push+p.Price
 }
 
-// again scores a gang's placement by what is known now; nil where a host of it may not be sent to, or another gang got it first.
+// rescore scores a gang's placement by current knowledge. It returns nil if one of its hosts may not be sent parts
+// any more or another gang got it first.
 func (p *Part) rescore(g *gang, hosts []place.Host, j place.Job, others *topology.Loads) *place.Placement {
 	at := map[uint32]int{}
 	for i := range hosts {
@@ -171,10 +178,11 @@
 	return &fixed
 }
 
-// afterMore is by how many seconds more than when a gang was placed another may have a host for the placement to stand.
+// maxExtraWait is how many seconds later than at placement a host's slot may become free before the placement is
+// abandoned.
 const maxExtraWait = 0.2
 
-// crowd is the share of the slots for gangs that are taken.
+// occupiedShare returns the share of hosts whose slots for gangs are all taken.
 func (p *Part) occupiedShare(hosts []place.Host) float64 {
 	n := 0
 	for i := range hosts {
@@ -185,7 +193,8 @@
 	return float64(n) / float64(max(len(hosts), 1))
 }
 
-// conflicts tells whether the dealer has told since a gang was placed that another has one of its hosts.
+// conflictsSincePlacement reports whether the dealer has listed, since the gang was placed, a host of it as taken
+// by another.
 func (p *Part) conflictsSincePlacement(g *gang) bool {
 	list, at := p.holder.Busy()
 	if at <= g.placedAt {
@@ -196,7 +205,8 @@
 	})
 }
 
-// stands tells whether all hosts of a placement may still be sent a part. Where one may not, the gang is placed anew at once.
+// hostsAvailable reports whether all hosts of a placement may still be sent a part. If not, the gang is placed
+// anew at the next check.
 func (p *Part) hostsAvailable(now int64, g *gang) bool {
 	may := map[uint32]bool{}
 	p.hosts(now, g.Work, func(v logic.View) { may[uint32(v.ID)] = true })
@@ -207,7 +217,7 @@
 	return !gone
 }
 
-// spotsOf is what a placement takes, with what it sends beyond racks and zones.
+// slotsOf returns the slots of a placement, with the traffic beyond their racks and zones.
 func slotsOf(p *place.Placement) []hold.Spot {
 	out := make([]hold.Spot, len(p.Hosts))
 	for i, h := range p.Hosts {
@@ -216,7 +226,8 @@
 	return out
 }
 
-// after is when the client of a gang that is given up may come back: when as many slots are free as it needs at least.
+// retryAfter returns when the client of a gang that is given up may try again, in microseconds: once as many slots
+// are free as the gang needs at least.
 func (p *Part) retryAfter(now int64, g *gang) int64 {
 	var left []int64
 	for _, u := range p.occupied(now, g) {
--- a/internal/fleet/gang/topology/topology.go
+++ b/internal/fleet/gang/topology/topology.go
@@ -1,25 +1,27 @@
-// Package topology says how long a gang's parts take for one exchange: host, rack and zone have links, and what crosses one
-// shares it with all that cross it, other gangs included.
+// Package topology computes how long one exchange among the parts of a gang takes. Hosts, racks and zones have
+// links, and traffic shares a link with all that crosses it, including that of other gangs.
+//
+// Traffic counts the bytes that a step sends over each link, and Topology.Step turns them into seconds.
 package topology
 
 import "granitewing/internal/fleet/gang/pattern"
 
-// Topology is the links of a deployment: bytes a second each way, and the time to cross a level in seconds.
+// Topology is the links of a deployment: bandwidth in bytes a second in each direction, and delays in seconds.
 type Topology struct {
 	Host float64 // a host's own link
-	Rack float64 // a rack's uplink, for all of its hosts together
-	Zone float64 // a zone's uplink, for all of its racks together
+	Rack float64 // a rack's uplink, shared by its hosts
+	Zone float64 // a zone's uplink, shared by its racks
 
 	Near, Apart, Far float64 // delay within a rack, between racks of a zone, between zones
 }
 
-// Spot is where a host stands. Racks are numbered over all zones.
+// Spot is the location of a host. Rack numbers are unique across zones.
 type Spot struct{ Rack, Zone int }
 
-// Loads are bytes a second that other gangs have on uplinks, each way, by rack and by zone.
+// Loads is the traffic of other gangs on the uplinks, in bytes a second each way, by rack and by zone.
 type Loads struct{ Racks, Zones map[int]float64 }
 
-// Add puts traffic on the uplinks of a rack and of a zone.
+// Add adds traffic, in bytes a second, to the uplinks of a rack and of a zone.
 func (l *Loads) Add(s Spot, rack, zone float64) {
 	if l.Racks == nil {
 		l.Racks, l.Zones = map[int]float64{}, map[int]float64{}
@@ -32,28 +34,28 @@
 	}
 }
 
-// Share is what crosses one uplink.
+// Share is the traffic over one uplink.
 type Share struct {
 	Number int // of the rack or zone
 	Bytes  float64
 }
 
-// Traffic is what one step of a gang sends, in bytes. It may be used again: Count sets all of it.
+// Traffic is the bytes that one step of a gang sends. It can be reused: Count sets all fields.
 type Traffic struct {
-	Host         float64 // most that a host sends
+	Host         float64 // the most that any one host sends
 	Racks, Zones []Share
-	Crosses      float64 // leaves a rack, over all
+	Crosses      float64 // total that leaves a rack
 	Total        float64
-	Hosts        []float64 // what each rank sends, and what of that leaves its rack and its zone
+	Hosts        []float64 // per rank: the bytes that it sends; Leaves and Zoned are those beyond its rack and its zone
 	Leaves       []float64
 	Zoned        []float64
 
-	level int   // the farthest that any goes
-	racks []int // of each rank: its place in Racks, and in Zones
+	level int   // the farthest distance of any edge: 0 same rack, 1 same zone, 2 across zones
+	racks []int // per rank: its index in Racks; zones: in Zones
 	zones []int
 }
 
-// place finds or makes a number's place in a short list.
+// findOrAppend returns the index of a number in a short list, and appends it if it is missing.
 func findOrAppend(list []Share, number int) ([]Share, int) {
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i].Number == number {
@@ -72,7 +74,8 @@
 	return s
 }
 
-// Count counts what one step sends: bytes are what a part with all its neighbours sends, spots are where the ranks are.
+// Count computes the traffic of one step. bytes is what a part with all its neighbours sends; spots are the
+// locations of the ranks.
 func (t *Traffic) Count(edges []pattern.Edge, bytes float64, spots []Spot) {
 	n := len(spots)
 	*t = Traffic{Racks: t.Racks[:0], Zones: t.Zones[:0], Hosts: zeros(t.Hosts, n), Leaves: zeros(t.Leaves, n), Zoned: zeros(t.Zoned, n),
@@ -108,10 +111,11 @@
 	}
 }
 
-// least is the part of a link that a gang gets however much others have on it.
+// minLinkShare is the share of a link that a gang gets however much traffic others have on it.
 const minLinkShare = 0.1
 
-// Step is how long one exchange takes, in seconds: as long as the slowest link that it crosses, and the way there.
+// Step returns how long one exchange takes, in seconds: the time on the slowest link that it crosses plus the
+// delay.
 func (t *Topology) Step(x *Traffic, others *Loads) float64 {
 	if x.Total == 0 {
 		return 0
@@ -130,7 +134,7 @@
 	return most + [...]float64{t.Near, t.Apart, t.Far}[x.level]
 }
 
-// Alone is the least that one exchange takes wherever the parts are.
+// Alone returns the shortest time of one exchange, with all parts in one rack and no other traffic, in seconds.
 func (t *Topology) Alone(edges []pattern.Edge, bytes float64, parts int) float64 {
 	var x Traffic
 	x.Count(edges, bytes, make([]Spot, parts))
--- a/internal/fleet/limit/cover/book.go
+++ b/internal/fleet/limit/cover/book.go
@@ -2,36 +2,36 @@
 
 import "granitewing/internal/fleet/limit/lease"
 
-// Book is the dealer's side of one limit's covers.
+// Book is the dealer's side of the covers of one limit. It is not safe for concurrent use.
 type Book struct {
 	keepers   int
-	startedAt int64 // answers to asks before are of another term
+	startedAt int64 // answers to earlier asks belong to another term
 	replicas  map[string]replica
-	collected map[string]Table // what keepers knew, until it is settled
+	collected map[string]Table // tables that keepers reported, until the book is settled
 
 	settled   bool
 	table     Table // the table of that version
 	version   int64
 	acked     map[string]bool // keepers that have it
-	committed bool            // a majority of them has
-	allowed   Table           // what may be given: in no table that some keeper may have instead is it less
+	committed bool            // a majority of keepers has it
+	allowed   Table           // what may be granted: no more than any table that a keeper may have instead
 	sentAt    int64
-	catchUpAt int64 // when those that are behind were told last
+	catchUpAt int64 // when keepers that are behind were last sent the table
 }
 
-// place is a keeper as it answered last: which process it is, and the turn in which it takes tables.
+// replica is a keeper as of its last answer: the process, and the turn in which it accepts tables.
 type replica struct {
 	owner lease.Owner
 	turn  int64
 }
 
-// NewBook opens one at the beginning of a term, for so many keepers.
+// NewBook opens a book at the start of a term at time now, with the number of keepers.
 func NewBook(now int64, keepers int) *Book {
 	return &Book{keepers: keepers, startedAt: now, replicas: map[string]replica{}, collected: map[string]Table{}, acked: map[string]bool{}, allowed: Table{}, committed: true}
 }
 
-// Found takes what a keeper answers to the ask of that number: its turn, and the table that it knows, if it knows one. It
-// gives the most that each may hold by what a majority knows, once there is one.
+// Found handles a keeper's answer to the ask of that number: its turn, and its table if known. Once a majority has
+// reported tables, Found returns the most that each process may hold by any of them, and true.
 func (b *Book) Found(from lease.Owner, number, turn int64, t Table, known bool) (Table, bool) {
 	if number < b.startedAt {
 		return nil, false
@@ -56,18 +56,18 @@
 	return most, true
 }
 
-// Settle ends the search for what was dealt before: it is known, or its time is over.
+// Settle ends the search for earlier grants: they are known or have expired.
 func (b *Book) Settle() { b.settled, b.collected = true, nil }
 
-// Settled tells whether it has ended.
+// Settled reports whether the search has ended.
 func (b *Book) Settled() bool { return b.settled }
 
-// Allowed is how many rights a process may hold now.
+// Allowed returns how many rights a process may hold now.
 func (b *Book) Allowed(key uint64) int64 { return b.allowed[key] }
 
-// Want takes how many rights each is to hold at most, which is no less than it may hold already, and makes another table where that one
-// does not do. Only one table is on its way at a time; a cover is a quarter more than what is wanted, and stands until
-// that is more, or less than half.
+// Want takes the maximum number of rights that each process is to hold, which is no less than it may hold already,
+// and writes a new table if the current one does not fit. Only one table is sent at a time. An entry is a quarter
+// more than wanted, and is kept until the wanted number is higher, or less than half of it.
 func (b *Book) Want(now int64, want Table) {
 	if !b.settled || !b.committed {
 		return
@@ -97,9 +97,10 @@
 	}
 }
 
-// Round says which keepers to ask for their turn and what they know, and which to tell the table. What gets no answer is said
-// again after a gap; keepers that are behind where a majority is not, after eight. One that has not answered is asked as well: it
-// may be another process by now, which takes nothing that was written to the former one.
+// Round returns which keepers to ask for their turn and table, and which to send the table. Unanswered messages
+// are repeated after a gap; once a majority has the table, keepers that are behind get it every eight gaps. A
+// keeper that has not answered is also asked again, because it may have restarted and a new process ignores what
+// was addressed to the former one.
 func (b *Book) Round(now, gap int64, keepers []string) (ask, tell []string) {
 	switch {
 	case b.settled && b.committed && now-b.catchUpAt >= 8*gap:
@@ -124,16 +125,16 @@
 	return ask, tell
 }
 
-// Told is the table to tell, and its version.
+// Told returns the table to send and its version.
 func (b *Book) Told() (Table, int64) { return b.table, b.version }
 
-// To is the keeper of a name as it answered last.
+// To returns the process and the turn of the keeper of a name, as of its last answer.
 func (b *Book) To(name string) (who lease.Owner, turn int64) {
 	p := b.replicas[name]
 	return p.owner, p.turn
 }
 
-// Has takes a keeper's word that it has the table of a version.
+// Has handles a keeper's confirmation that it has the table of a version.
 func (b *Book) Has(from lease.Owner, turn, version int64) {
 	if version != b.version || b.replicas[from.Name] != (replica{from, turn}) {
 		return
--- a/internal/fleet/limit/cover/cover.go
+++ b/internal/fleet/limit/cover/cover.go
@@ -1,11 +1,14 @@
-// Package cover has the keepers of a fleet know, before a dealer gives a right, how many rights each member may hold at
-// most. So the next dealer, once it has what a majority of them knows, need not wait until nothing of before can be in use:
-// of a member that it has heard it knows what is, and of one that it has not it holds back no more than the cover.
+// Package cover stores at the keepers of a fleet how many rights of a limit each member may hold at most, before a
+// dealer grants them. A new dealer that has read this from a majority of keepers does not have to wait until
+// earlier grants have expired: of a member that has reported it knows what is held, and for the others it reserves
+// no more than the cover.
 //
-// A dealer gives nothing past the cover that a majority keeps. Any two majorities share a keeper, and a keeper takes a table
-// only from the one to whom it has promised the post, so the next dealer meets what the one before used at least once; where
-// keepers know different tables it goes by the most. A keeper that has just started knows nothing, and says so, until a
-// dealer has told it. The package does no I/O and reads no clock.
+// A dealer grants nothing beyond the table that a majority of keepers has. Any two majorities share a keeper, and
+// a keeper accepts a table only from the process to which it has promised the post, so the next dealer reads the
+// table that its predecessor used at least once. Where keepers have different tables it uses the highest entries.
+// A keeper that has just started reports that it knows no table until a dealer has sent one.
+//
+// A keeper runs a Shelf for each limit and the dealer a Book. The package does no I/O and reads no clock.
 package cover
 
 import (
@@ -15,10 +18,10 @@
 	"granitewing/internal/fleet/limit/lease"
 )
 
-// Table has the most rights that each process may hold, by its key. One that it does not have holds none.
+// Table is the maximum number of rights that each process may hold, by Key. A process without an entry holds none.
 type Table map[uint64]int64
 
-// Key is a process as tables have it.
+// Key returns the hash that identifies a process in tables.
 func Key(o lease.Owner) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(o.Name))
@@ -26,7 +29,7 @@
 	return h.Sum64()
 }
 
-// Sum is how many rights all of them may hold.
+// Sum returns the total of all entries.
 func (t Table) Sum() (n int64) {
 	for _, v := range t {
 		n += v
@@ -34,15 +37,15 @@
 	return n
 }
 
-// Shelf is where a keeper has the table of one limit.
+// Shelf stores the table of one limit at a keeper.
 type Shelf struct {
 	turn, version int64
 	known         bool
 	table         Table
 }
 
-// Put takes a table of the one to whom the post is promised here, if it was written within the turn in which it is; a later
-// one of the turn stays. It tells whether the keeper has this table or a later one.
+// Put stores a table if it was written for the keeper's current turn, which is now; a later version of the same
+// turn is kept. It reports whether the keeper now has this table or a later one.
 func (s *Shelf) Put(now, turn, version int64, t Table) bool {
 	if turn != now {
 		return false // of a promise that has ended meanwhile
@@ -53,5 +56,5 @@
 	return true
 }
 
-// Look gives the table, and whether it is known at all.
+// Look returns the table and whether one is known.
 func (s *Shelf) Look() (Table, bool) { return s.table, s.known }
--- a/internal/fleet/limit/covers.go
+++ b/internal/fleet/limit/covers.go
@@ -10,23 +10,25 @@
 	"granitewing/internal/fleet/limit/rights"
 )
 
-// Covers and the post's passing on: what keepers know of what a dealer has given, so that the next need not wait.
+// Covers and the transfer of the dealer's post. Keepers store what a dealer may have granted, so that its
+// successor can start without waiting for those grants to expire.
 
-// Cover is what a message says of one limit's cover.
+// Cover is the part of a message that concerns the cover of one limit.
 type Cover struct {
-	Limit uint64 // its name's hash
-	Turn  int64  // of the keeper's promise
-	Known bool   // the keeper knows what may be out
+	Limit uint64 // limitHash of the limit's name
+	Turn  int64  // the keeper's turn: it changes with each new promise of the post
+	Known bool   // the keeper knows what may be outstanding
 	Table cover.Table
 }
 
-// deal is a limit's books while this process deals it.
+// limitDealer is the dealer of one limit with its book of covers.
 type limitDealer struct {
 	*rights.Dealer
 	covers *cover.Book
 }
 
-// begin opens the books of a post that has just come here, and asks the keepers what an earlier dealer may have given.
+// startDealing opens new books when this process has just become the dealer. Each limit's covers are then
+// requested from the keepers, to learn what an earlier dealer may have granted.
 func (p *Part) startDealing(now int64) {
 	p.dealingSince = p.seat.Since()
 	p.dealers, p.slotBook = map[uint64]*limitDealer{}, nil
@@ -41,12 +43,12 @@
 	p.switchDealer(now, p.options.Self)
 }
 
-// cover asks and tells the keepers what is due.
+// coverMessages returns the requests and tables of covers that are due to the keepers.
 func (p *Part) coverMessages(now int64) (out []*Message) {
 	for _, o := range p.limits {
 		d := p.dealers[o.hash]
 		if !d.covers.Settled() && now >= d.From() {
-			d.covers.Settle() // nothing of before can be in use
+			d.covers.Settle() // all earlier grants have expired
 		}
 		ask, tell := d.covers.Round(now, p.options.Lease/retryDivisor, p.options.Keepers)
 		for _, k := range ask {
@@ -65,7 +67,8 @@
 	return p.handleLocal(now, out)
 }
 
-// own answers what is for this process itself, which is a keeper as well, and gives the rest.
+// handleLocal handles the messages that are addressed to this process itself, since the dealer is also a keeper,
+// and returns the others.
 func (p *Part) handleLocal(now int64, out []*Message) []*Message {
 	return slices.DeleteFunc(out, func(m *Message) bool {
 		if m.To.Name != p.options.Self.Name {
@@ -78,7 +81,8 @@
 	})
 }
 
-// keep is the keeper's side of covers: it answers the one to whom the post is promised here, and nobody else.
+// handleCoverRequest is the keeper's side of covers. It answers only the process to which the post is promised
+// here.
 func (p *Part) handleCoverRequest(now int64, m *Message) *Message {
 	if p.seat == nil || m.Cover == nil || p.seat.Promised(now) != m.From || !slices.ContainsFunc(p.limits, func(o *localLimit) bool { return o.hash == m.Cover.Limit }) {
 		p.refusals.Late++
@@ -100,7 +104,7 @@
 	return answer
 }
 
-// covered takes a keeper's answer, at the dealer.
+// handleCoverAnswer handles a keeper's answer at the dealer.
 func (p *Part) handleCoverAnswer(now int64, m *Message) {
 	if m.Cover == nil || p.seat == nil || !p.seat.Holds(now) {
 		return
@@ -118,8 +122,9 @@
 	}
 }
 
-// Leave gives the dealer's post up, for the keeper whose word came last, and says so to the keepers and to those that hold
-// rights, who ask that one from now on. What this process holds itself stays with it until its time is over.
+// Leave gives up the dealer's post in favour of the keeper whose promise came last. It returns messages for the
+// keepers and for all holders of rights, which then ask that successor. Rights that this process holds itself stay
+// valid until they expire.
 func (p *Part) Leave(now int64) (out []*Message) {
 	if p.seat == nil {
 		return nil
@@ -136,7 +141,7 @@
 		if k != p.options.Self.Name {
 			m := p.newMessage(SeatFree, lease.Owner{Name: k}, now)
 			m.Dealer = heir
-			out = append(out, m, m) // twice, as it is said but once and a link may lose it
+			out = append(out, m, m) // sent twice: the message is not repeated later and a link may lose it
 		}
 	}
 	holders := map[lease.Owner]bool{}
--- a/internal/fleet/limit/hold/book.go
+++ b/internal/fleet/limit/hold/book.go
@@ -8,50 +8,51 @@
 	"granitewing/internal/fleet/limit/lease"
 )
 
-// membersMost bounds the members that a book keeps.
+// maxMembers bounds the members in a book.
 const maxMembers = 4096
 
-// Book is the dealer's: what is given of every host. It must not be used by two goroutines at once.
+// Book is the dealer's side: which slots of each host are granted. It is not safe for concurrent use.
 type Book struct {
 	lease        int64
 	slotsPerHost int   // slots of a host that gangs may have at once
-	dealsFrom    int64 // nothing is given before: an earlier book's gifts may be in use
+	dealsFrom    int64 // nothing is granted before: grants of an earlier book may be in use
 	granted      map[setKey]*slotSet
-	reserved     map[setKey]*slotSet // what waits, as of the last dealing
+	reserved     map[setKey]*slotSet // sets that wait, as of the last Deal
 	reports      map[lease.Owner]*report
 }
 
-// set is slots that are given.
+// slotSet is the slots of a set, granted or waited for.
 type slotSet struct {
 	spots      []Spot
-	validUntil int64 // by then its holder uses it no more, unless it runs
-	freeAt     int64 // when its slots are expected to be free
+	validUntil int64 // the holder does not use the slots after this, unless its parts run
+	freeAt     int64 // when the slots are expected to be free
 }
 
-// ask is the latest that a member has told.
+// report is the latest report of a member.
 type report struct {
 	number     int64
 	at         int64
 	items      []Item
 	wantsBusy  bool
-	unanswered bool // it waits for an answer
+	unanswered bool // the report has not been answered
 }
 
-// NewBook begins the book of a dealer that has just got the post.
+// NewBook opens the book of a process that has just become the dealer. leaseFor is the length of the lease and
+// room the slots of a host that gangs may have at once.
 func NewBook(now, leaseFor int64, room int) *Book {
 	return &Book{lease: leaseFor, slotsPerHost: room, dealsFrom: now + withClockMargin(leaseFor), granted: map[setKey]*slotSet{}, reports: map[lease.Owner]*report{}}
 }
 
-// From is when it begins to give.
+// From returns when the book starts to grant.
 func (b *Book) From() int64 { return b.dealsFrom }
 
-// Ask takes what a member tells. Number is the time of its asking, by its own clock; look says that it wants to know what others
-// have, though it wants nothing yet.
+// Ask handles a member's report. number is the time when it was sent, on the member's clock; look asks for the
+// slots of others even if the member wants none itself.
 func (b *Book) Ask(now int64, who lease.Owner, number int64, items []Item, look bool) {
 	old := b.reports[who]
 	switch {
 	case old != nil && number <= old.number:
-		return // overtaken; what it does not name may have been given since
+		return // out of order: sets that it does not name may have been granted since
 	case old == nil && (len(items) == 0 && !look || len(b.reports) >= maxMembers):
 		return
 	}
@@ -65,7 +66,7 @@
 		k := setKey{who, i.ID}
 		s := b.granted[k]
 		if s == nil && (i.State == Runs || i.State == Has && now < b.dealsFrom) {
-			// A book before this one gave it.
+			// An earlier book granted it.
 			s = &slotSet{spots: i.Spots}
 			b.granted[k] = s
 		}
@@ -78,7 +79,7 @@
 	}
 }
 
-// expire forgets what is given to those that have not been heard.
+// expire removes the grants and reports of members that have not reported for a lease.
 func (b *Book) expire(now int64) {
 	for k, s := range b.granted {
 		if now >= s.validUntil {
@@ -92,7 +93,7 @@
 	}
 }
 
-// want is a set that somebody waits for.
+// waiting is a set that a member waits for.
 type waiting struct {
 	setKey
 	deadline int64
@@ -100,9 +101,9 @@
 	spots    []Spot
 }
 
-// Deal gives what can be given, first to whom the least time is left, and answers all that have asked since it was last called.
-// A set that can't be had yet keeps its slots from those behind it, so a large one is not passed over by small ones for ever: it
-// waits until they are free, or its time is over.
+// Deal grants the sets that can be had, those with the earliest deadline first, and answers all members that have
+// asked since the last call. A set that can't be granted yet keeps its slots from those behind it, so that small
+// sets don't pass a large one for ever. It waits until its slots are free or its time is over.
 func (b *Book) Deal(now int64) map[lease.Owner]Answer {
 	b.expire(now)
 	var wants []waiting
@@ -162,7 +163,7 @@
 	return answers
 }
 
-// busy lists the slots that others than one member have, or will get first.
+// busySlots lists the slots that members other than one have, or will get first.
 func (b *Book) busySlots(now int64, but lease.Owner) (out []Busy) {
 	for _, sets := range []map[setKey]*slotSet{b.granted, b.reserved} {
 		for k, s := range sets {
@@ -177,7 +178,8 @@
 	return out
 }
 
-// Hand gives all that is given, for the dealer that follows; nothing where this book does not give yet, or there is too much to tell.
+// Hand returns all grants for the next dealer. It returns nil if this book does not grant yet, or if there are
+// more than HandMost spots.
 func (b *Book) Hand(now int64) (out []Holding) {
 	b.expire(now)
 	if now < b.dealsFrom {
@@ -206,13 +208,14 @@
 	return out
 }
 
-// Inherit takes what the dealer just before has given, and begins to give at once. The numbers of what members told that one go on:
-// one that told more before must not undo it. What the members have of those sets may have been renewed since.
+// Inherit takes over the grants of the immediately preceding dealer, so that the book grants at once. The members'
+// report numbers go on, so that a delayed report to the former dealer undoes nothing. The members' leases may have
+// been renewed meanwhile, so each grant counts for a whole lease from now.
 func (b *Book) Inherit(now int64, all []Holding) {
 	b.dealsFrom = now
 	for _, h := range all {
 		if a := b.reports[h.Who]; a != nil && a.number >= h.Number {
-			continue // it has told this one more
+			continue // it has reported to this book already
 		}
 		b.reports[h.Who] = &report{number: h.Number, at: now, items: h.Items}
 		for _, i := range h.Items {
@@ -221,7 +224,7 @@
 	}
 }
 
-// Out counts the sets that are given, and their slots.
+// Out returns the number of granted sets and of their slots.
 func (b *Book) Out() (sets, slots int) {
 	for _, s := range b.granted {
 		slots += len(s.spots)
--- a/internal/fleet/limit/hold/hold.go
+++ b/internal/fleet/limit/hold/hold.go
@@ -1,73 +1,75 @@
-// Package hold gives out slots of hosts together, all or none, for a lease: the parts of a gang run at many hosts at once, and
-// where two gangs each had half of what they need, both would wait for ever. One book decides, the dealer's; a member tells it
-// all that it wants and has, anew each time, so a message that is lost, late, doubled or overtaken changes nothing twice. It
-// does no I/O and reads no clock; times are microseconds on the caller's.
+// Package hold reserves slots of several hosts together, all or none, for the length of a lease. The parts of a
+// gang run at many hosts at once, and two gangs that each had half of the slots they need would wait for ever.
+//
+// One Book decides, at the dealer. A Holder at each member reports everything that it wants and has with each ask,
+// so a message that is lost, late, duplicated or reordered changes nothing twice. The package does no I/O and
+// reads no clock; times are microseconds on the caller's clock.
 package hold
 
 import "granitewing/internal/fleet/limit/lease"
 
-// State is how far a holder has come.
+// State is the progress of a set of slots at its holder.
 type State uint8
 
 // The states.
 const (
-	Want State = iota // it has none of the slots
-	Has               // it was given all of them
-	Runs              // its parts run there; they go on where the lease ends, so the book counts them whatever it gave
+	Want State = iota // the holder has none of the slots
+	Has               // the holder was granted all of them
+	Runs              // its parts run; they go on when the lease ends, so the book counts them whatever it has granted
 )
 
-// Spot is a slot at a host. What a part sends beyond its rack and its zone, in bytes a second, tells others how full the
-// uplinks are.
+// Spot is one slot at a host. Rack and Zone are the bytes a second that its part sends beyond its rack and its
+// zone; from them others learn how full the uplinks are.
 type Spot struct {
 	Host       uint32
 	Rack, Zone float32
 }
 
-// Item is a set of slots that a member wants or has. Another set is another ID: an answer that was under way for the former one
-// must not be taken for this one.
+// Item is a set of slots that a member wants or has. Each new set needs a new ID: otherwise an answer under way
+// for the former set could be taken for the new one.
 type Item struct {
 	ID    uint64
 	State State
-	Left  int64 // until its parts must have begun, where it wants them; until they are done, where they run
-	Run   int64 // for how long its parts will run
+	Left  int64 // time until the parts must have begun (Want, Has), or until they are done (Runs)
+	Run   int64 // run time of the parts
 	Spots []Spot
 }
 
 // Busy is a slot that a gang has, or has asked for and will get first.
 type Busy struct {
 	Spot
-	Left int64 // until it is free, as holders expect
+	Left int64 // expected time until it is free
 }
 
-// Answer is what the book gives a member: which of the sets that it told are its own for a lease from when it asked, and what
-// all others have.
+// Answer is the book's answer to a member: the IDs of the sets that are its own for a lease from when it asked,
+// and the slots of all others.
 type Answer struct {
 	Given []uint64
-	Told  bool // Busy is told, to those that want something
+	Told  bool // Busy is set, for members that want something
 	Busy  []Busy
 }
 
-// Holding is what a book has given to one member, by what that told last.
+// Holding is what a book has granted to one member, as of the member's last report.
 type Holding struct {
 	Who    lease.Owner
-	Number int64 // of that telling
+	Number int64 // of that report
 	Items  []Item
 }
 
-// Bounds of what a member may tell.
+// Limits of a member's report.
 const (
 	ItemsMost = 32
-	SpotsMost = 2048 // of all its items
-	HandMost  = 4096 // spots of a book that is handed over
+	SpotsMost = 2048 // in all items together
+	HandMost  = 4096 // spots in a book that is handed over
 )
 
-// LapseShare is by how much longer than the lease the book counts what it gave, and a new one what an earlier one may have
-// given: two clocks may run apart by so much.
+// LapseShare is by how much longer than the lease the book counts its grants, and a new book those of an earlier
+// one, as a share of the lease: two clocks may differ in speed by this much.
 const LapseShare = 0.1
 
 func withClockMargin(of int64) int64 { return of + int64(LapseShare*float64(of)) }
 
-// key names a set of slots over the fleet.
+// setKey identifies a set of slots in the fleet.
 type setKey struct {
 	member lease.Owner
 	id     uint64
--- a/internal/fleet/limit/hold/holder.go
+++ b/internal/fleet/limit/hold/holder.go
@@ -1,27 +1,28 @@
 package hold
 
-// Holder is a member's side: what it wants and has. It must not be used by two goroutines at once.
+// Holder is the member's side: the sets of slots that it wants and has. It is not safe for concurrent use.
 type Holder struct {
 	lease      int64
 	items      []*request
-	unsent     bool // since it was last told
+	unsent     bool // changed since the last report
 	askedAt    int64
-	unanswered bool // nothing it has told has been answered
-	wantsBusy  bool // it wants to know what others have
+	unanswered bool // the last report has not been answered
+	wantsBusy  bool // the slots of others are to be requested
 	busy       []Busy
 	busyAt     int64
 }
 
 type request struct {
 	Item
-	endsAt       int64 // Left is counted from here
-	grantedUntil int64 // it has its slots until then; 0: it was never given them
+	endsAt       int64 // reference time of Left
+	grantedUntil int64 // the slots are its own until then; 0: they were never granted
 }
 
-// NewHolder makes the side of a member that has nothing.
+// NewHolder returns a Holder without any sets; leaseFor is the length of the lease.
 func NewHolder(leaseFor int64) *Holder { return &Holder{lease: leaseFor} }
 
-// Want asks for slots, all of them, by a time, for parts that will run for so long; false where it has too much to tell already.
+// Want asks for a set of slots, all or none, that must be in use by a time, for parts that run for a time. It
+// returns false, and asks for nothing, if the report would exceed ItemsMost or SpotsMost.
 func (h *Holder) Want(id uint64, spots []Spot, by, run int64) bool {
 	n := len(spots)
 	for _, i := range h.items {
@@ -44,13 +45,13 @@
 	return nil
 }
 
-// Has tells whether the slots are its own now.
+// Has reports whether the slots of a set are its own now.
 func (h *Holder) Has(now int64, id uint64) bool {
 	i := h.find(id)
 	return i != nil && now < i.grantedUntil
 }
 
-// Begin says that the parts run, and until about when.
+// Begin records that the parts run, and when they are expected to end.
 func (h *Holder) Begin(id uint64, ends int64) {
 	if i := h.find(id); i != nil {
 		i.State, i.endsAt = Runs, ends
@@ -58,7 +59,7 @@
 	}
 }
 
-// Drop gives the slots up, or wants them no more.
+// Drop gives up a set of slots, whether granted or not.
 func (h *Holder) Drop(id uint64) {
 	for n, i := range h.items {
 		if i.ID == id {
@@ -69,11 +70,11 @@
 	}
 }
 
-// Look has it ask what others have.
+// Look requests the slots of others with the next ask.
 func (h *Holder) Look() { h.wantsBusy = true }
 
-// Ask gives what is to be told now, and whether it is to be told what others have; any is false where nothing need be said. What was
-// dropped is told by its absence.
+// Ask returns what to report to the dealer now, and whether to request the slots of others; any is false if
+// nothing is due. A dropped set is reported by its absence.
 func (h *Holder) Ask(now int64) (items []Item, look, any bool) {
 	if !h.unsent && !h.unanswered && !h.wantsBusy && len(h.items) == 0 {
 		return nil, false, false
@@ -92,8 +93,8 @@
 	return items, h.wantsBusy, true
 }
 
-// Granted takes an answer to what was told at a time. What is given counts from then, not from now: the dealer heard of it
-// later.
+// Granted handles the answer to the report with that number, which is the time when it was sent. The lease counts
+// from then, not from now, because the dealer received the report later than that.
 func (h *Holder) Granted(now, number int64, a Answer) {
 	h.unanswered = h.unanswered && number < h.askedAt
 	for _, id := range a.Given {
@@ -106,5 +107,5 @@
 	}
 }
 
-// Busy lists the slots that others had when the dealer told of them last, and when that was.
+// Busy returns the slots that others had by the dealer's last list, and when that arrived.
 func (h *Holder) Busy() (list []Busy, at int64) { return h.busy, h.busyAt }
--- a/internal/fleet/limit/holds.go
+++ b/internal/fleet/limit/holds.go
@@ -8,15 +8,16 @@
 	"granitewing/internal/fleet/limit/lease"
 )
 
-// Slots of hosts that are held together: the dealer's book of them, a member's side, and their form in messages.
+// Slots of hosts that are held together for gangs: the dealer's book, the member's side, and the message encoding.
 
-// Holder is this member's side of slots that are held together.
+// Holder returns this member's side of slots that are held together.
 func (p *Part) Holder() *hold.Holder { return p.slotHolder }
 
-// Lease is for how long a right is given, in microseconds.
+// Lease returns how long a right is granted, in microseconds.
 func (p *Part) Lease() int64 { return p.options.Lease }
 
-// Held tells what the dealer's book of slots has given, where this process is the dealer.
+// Held returns how many sets and slots the dealer's book has granted and whether it grants now. All are zero
+// unless this process is the dealer.
 func (p *Part) Held(now int64) (sets, slots int, deals bool) {
 	if p.slotBook == nil || p.seat == nil || !p.seat.Holds(now) || p.dealingSince != p.seat.Since() {
 		return 0, 0, false
@@ -25,7 +26,7 @@
 	return sets, slots, now >= p.slotBook.From()
 }
 
-// hold answers what members have told of slots, in the messages that answer them.
+// answerSlotAsks passes the members' asks to the book of slots and stores its answers in their reply messages.
 func (p *Part) answerSlotAsks(now int64, answers map[lease.Owner]*Message) {
 	for from, m := range answers {
 		p.slotBook.Ask(now, from, m.Number, p.pendingAsks[from].Holds, p.pendingAsks[from].Look)
@@ -37,24 +38,25 @@
 	}
 }
 
-// heirloom is what a dealer that has left has given of slots, and by when at the earliest it left.
+// slotHandover is what a former dealer had granted when it left, with the earliest time at which it can have left.
 type slotHandover struct {
-	notBefore int64 // on this process's clock: it has heard what this one said then
+	notBefore int64 // on this process's clock: when it sent the promise that the former dealer had received
 	holdings  []hold.Holding
 }
 
-// bequeath tells the heir of the post what is given of slots.
+// slotHandoverMessages returns the messages that tell the successor which slots are granted.
 func (p *Part) slotHandoverMessages(now int64, heir lease.Owner) []*Message {
 	if p.slotBook == nil || p.dealingSince != p.seat.Since() || now < p.slotBook.From() || p.promises[heir.Name].from != heir {
 		return nil
 	}
 	m := p.newMessage(SlotsOver, heir, p.promises[heir.Name].at)
 	m.Table = p.slotBook.Hand(now)
-	return []*Message{m, m} // it is said but once, and a link may lose it
+	return []*Message{m, m} // sent twice: the message is not repeated later and a link may lose it
 }
 
-// inherit has a book that begins take what the dealer just before left, if this is that one's heir. It left after it had heard a
-// word of this process's, and a dealer in between would have given nothing for a lease from then on.
+// adoptSlots gives a new book the grants of the immediately preceding dealer, if that dealer chose this process as
+// its successor. That dealer left after it had received a promise from this process, and a dealer in between would
+// have granted nothing for a lease from then on. So a handover that is a lease old or older is dropped.
 func (p *Part) adoptSlots(now int64) {
 	if h := p.handover; h != nil && p.dealingSince-h.notBefore < p.options.Lease {
 		p.slotBook.Inherit(now, h.holdings)
@@ -62,8 +64,15 @@
 	p.handover = nil
 }
 
-// appendHolds appends what a message says of slots: of an ask whether it looks, and the items, each an ID, a state, the time left, the run and its spots; of a
-// grant whether there is an answer, the IDs, whether others' slots are told, and these; of a book that is handed over each member, its number and its items. Spots are a host and two 32 bit floats.
+// appendHolds appends the slots of a message, big endian.
+//
+// Ask: whether the member wants to know others' slots, and its items. An item is ID, state, time left, run time
+// and spots.
+// Grant: whether there is an answer; if so the granted IDs, whether others' slots follow, and these slots with
+// their time left.
+// SlotsOver: each member with its number and items.
+//
+// A spot is a host and two 32 bit floats.
 func appendHolds(b []byte, m *Message) []byte {
 	spot := func(s hold.Spot) {
 		b = binary.BigEndian.AppendUint32(b, s.Host)
@@ -122,7 +131,7 @@
 	return b
 }
 
-// holds reads what a message says of slots.
+// slots reads what appendHolds wrote.
 func (r *reader) slots(m *Message) {
 	spot := func() hold.Spot { return hold.Spot{Host: r.uint32(), Rack: r.traffic(), Zone: r.traffic()} }
 	items := func(most int) (list []hold.Item) {
@@ -170,10 +179,10 @@
 	}
 }
 
-// leftMost bounds the time that a member may tell of its slots: a day.
+// maxSlotTime bounds the times in an item: one day in microseconds.
 const maxSlotTime = 86_400 * 1_000_000
 
-// load is a figure of traffic, which is none below nothing or without end.
+// traffic reads a traffic rate, which must be finite and not negative.
 func (r *reader) traffic() float32 {
 	v := math.Float32frombits(r.uint32())
 	if !(v >= 0 && v < 1e15) {
--- a/internal/fleet/limit/lease/lease.go
+++ b/internal/fleet/limit/lease/lease.go
@@ -1,53 +1,59 @@
-// Package lease gives one of a few named keepers a post for a time, by the word of a majority of them, without a disk: two
-// hold it at no time, whatever is lost, late or doubled, and whichever process is stopped or started anew. It does no I/O
-// and reads no clock; times are microseconds on the caller's own clock, and only lengths are compared between processes.
+// Package lease elects one of a few named keepers to a post for a limited time, by a majority of them and without
+// stable storage. Two keepers never hold the post at once, whatever messages are lost, late or duplicated, and
+// whichever process pauses or restarts.
 //
-// A keeper promises the post to one asker for a length from when it hears the ask; the asker counts from when it asked,
-// which is before. A keeper that has just started promises nothing for a length, since it may have before. So a majority's
-// promises overlap in at least one keeper, and while the asker counts, each of them still holds.
+// A keeper promises the post to one candidate for a fixed length from when it receives the ask. The candidate
+// counts the length from when it asked, which is earlier. A keeper that has just started promises nothing for one
+// length, since an earlier incarnation may have promised. So two majorities share at least one keeper, and while
+// the candidate counts itself the holder, every promise to it is still valid.
+//
+// Each keeper runs one Seat. The package does no I/O and reads no clock. Times are microseconds on the caller's
+// own clock, and only lengths are compared between processes.
 package lease
 
 import "slices"
 
-// Owner is one process of a dispatcher: of one name a higher incarnation is a later one.
+// Owner is one incarnation of a process: of the same name, a higher incarnation started later.
 type Owner struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Shares of the length.
+// Divisors of the length.
 const (
-	marginDivisor = 10 // the holder stops so much of the length early: clocks of two machines run at most 10% apart
-	askDivisor    = 4  // asks are so much of the length apart, and ranks wait for each other so long
+	marginDivisor = 10 // the holder stops a tenth of the length early: clocks of two machines differ by at most 10% in speed
+	askDivisor    = 4  // interval of asks; keepers of each further rank wait as much longer
 )
 
-// Seat is a keeper's view of the post: what it has promised, and what it was promised itself.
+// Seat is a keeper's view of the post: its promise to others, and the promises that it has received. It is not
+// safe for concurrent use.
 type Seat struct {
 	self    Owner
 	keepers []string
 	rank    int
 	length  int64
 
-	promisesFrom  int64 // it promises nothing before
+	promisesFrom  int64 // no promise is given before
 	promised      Owner
-	promisedUntil int64 // its promise counts till then
-	turn          int64 // how often it has promised the post to another than before
+	promisedUntil int64 // when its promise ends
+	turn          int64 // number of times that it promised the post to another process than before
 
-	askedAt      int64 // when it asked last; the number of that ask
-	askNotBefore int64 // it asks no more before then
+	askedAt      int64 // time of the last ask, which is also its number
+	askNotBefore int64 // no ask is sent before
 	promisedBy   map[string]bool
-	successor    Owner // the keeper that promised it last
-	heldUntil    int64 // it holds the post till then
-	heldSince    int64 // from when on, without a gap
-	resigned     bool  // it wants the post no more
+	successor    Owner // the other keeper that promised it last
+	heldUntil    int64 // when its tenure ends
+	heldSince    int64 // start of its uninterrupted tenure
+	resigned     bool  // it does not want the post any more
 }
 
-// New makes the seat of one of the keepers, whose order is the same everywhere; length is in microseconds.
+// New returns the Seat of one of the keepers at its start. The order of keepers must be the same everywhere;
+// length is in microseconds.
 func New(now int64, self Owner, keepers []string, length int64) *Seat {
 	return &Seat{self: self, keepers: keepers, rank: slices.Index(keepers, self.Name), length: length, promisesFrom: now + length, promisedBy: map[string]bool{}}
 }
 
-// Ask takes an ask of a keeper and tells whether the post is promised to it for a length from now.
+// Ask handles the ask of a keeper, and reports whether the post is promised to it for a length from now.
 func (s *Seat) Ask(now int64, who Owner) bool {
 	if now < s.promisesFrom || !slices.Contains(s.keepers, who.Name) || now < s.promisedUntil && who != s.promised {
 		return false
@@ -63,8 +69,8 @@
 	s.promised, s.promisedUntil = who, now+s.length
 }
 
-// Free takes the word of one that has given up the post, for good, and would have another be the next: the promise to it is
-// one to the heir from now on.
+// Free handles the message of a process that has given up the post for good and names a successor. A promise to
+// that process becomes one to the successor.
 func (s *Seat) Free(now int64, from, heir Owner) {
 	if from != s.promised || now >= s.promisedUntil {
 		return
@@ -77,13 +83,13 @@
 // Leave gives up the post, if this process has it, and never asks for it again.
 func (s *Seat) Leave() { s.resigned, s.heldUntil = true, 0 }
 
-// Heir is another keeper that promised it the post lately; the zero value where none did.
+// Heir returns the other keeper that promised this one the post last, or the zero value if none did.
 func (s *Seat) Heir() Owner { return s.successor }
 
-// Turn changes whenever the post is promised here to another than before.
+// Turn returns a number that grows whenever the post is promised here to another process than before.
 func (s *Seat) Turn() int64 { return s.turn }
 
-// Promised tells to whom the post is promised here; the zero value is to nobody.
+// Promised returns the process to which the post is promised here, or the zero value if there is none.
 func (s *Seat) Promised(now int64) Owner {
 	if now < s.promisedUntil {
 		return s.promised
@@ -91,15 +97,16 @@
 	return Owner{}
 }
 
-// Round tells whether to ask the other keepers now; the number of the ask is now. Its own word comes first: who has promised
-// the post to another does not ask. Those of higher rank wait a little longer once a promise has lapsed, and once an ask has
-// brought no majority: where each of some keepers has promised the post to itself nobody would ever get it.
+// Round reports whether to ask the other keepers now; the number of that ask is now. The keeper needs its own
+// promise first: one that has promised the post to another does not ask. Keepers of higher rank wait longer after
+// a promise has expired, and after an ask that brought no majority: if several keepers had each promised the post
+// to themselves, none would ever get it.
 func (s *Seat) Round(now int64) bool {
 	if s.resigned || s.askedAt > 0 && now-s.askedAt < s.length/askDivisor {
 		return false
 	}
 	if s.askedAt > 0 && !s.Holds(now) && s.promised == s.self && now < s.promisedUntil {
-		// It takes back its own word, and what others answer to that ask counts no more.
+		// It withdraws its own promise, and answers to that ask no longer count.
 		s.promisedUntil, s.askedAt, s.askNotBefore = now, 0, now+int64(s.rank)*s.length/askDivisor
 	}
 	switch {
@@ -116,7 +123,7 @@
 	return true
 }
 
-// Yes takes a keeper's promise, in answer to the ask of that number. Those to asks before the last come too late to count.
+// Yes handles a keeper's promise in answer to the ask of that number. Answers to earlier asks don't count.
 func (s *Seat) Yes(now int64, from Owner, number int64) {
 	if s.resigned || number != s.askedAt || number == 0 || !slices.Contains(s.keepers, from.Name) {
 		return
@@ -129,7 +136,7 @@
 	}
 	until := number + s.length - s.length/marginDivisor
 	if until <= now {
-		return // it stood still meanwhile
+		return // the process was paused for longer than the promises last
 	}
 	if !s.Holds(now) {
 		s.heldSince = now
@@ -137,8 +144,8 @@
 	s.heldUntil = until
 }
 
-// Holds tells whether the post is this process's now.
+// Holds reports whether this process holds the post now.
 func (s *Seat) Holds(now int64) bool { return now < s.heldUntil }
 
-// Since is when it came to hold the post.
+// Since returns when this process came to hold the post.
 func (s *Seat) Since() int64 { return s.heldSince }
--- a/internal/fleet/limit/limit.go
+++ b/internal/fleet/limit/limit.go
@@ -1,7 +1,15 @@
-// Package limit holds a fleet of dispatchers to limits on the whole of it: a tenant's jobs a second, a class's jobs open at
-// once. A limit is a sum of rights; one process of a few named ones deals them out (lease says which, rights how), and a
-// member lets a job in only against a right that it holds. It does no I/O and reads no clock; times are microseconds on the
-// caller's clock.
+// Package limit enforces limits on a whole fleet of dispatchers, such as the jobs a second of a tenant or the
+// concurrently open jobs of a class.
+//
+// A limit is split into rights. One process at a time, the dealer, grants rights to the members of the fleet for
+// the length of a lease, and a member admits a job only against a right that it holds. Package lease elects the
+// dealer among a few named processes, the keepers. Package rights divides one limit into rights, package cover
+// lets a new dealer take over without waiting for old rights to expire, and package hold reserves slots of several
+// hosts at once for gangs.
+//
+// Each process runs one Part: it passes received messages to Hear, calls Round regularly and sends what both
+// return, and asks Enter before it starts a job and reports its end with Done. The package does no I/O and reads
+// no clock; all times are microseconds on the caller's clock.
 package limit
 
 import (
@@ -13,76 +21,78 @@
 	"granitewing/internal/fleet/limit/rights"
 )
 
-// Limit is one of the fleet.
+// Limit is one limit of the fleet and the jobs that it counts.
 type Limit struct {
 	Name   string
-	Tenant int // whose jobs it counts; -1: anyone's
-	Class  int // of which class; -1: any
+	Tenant int // tenant whose jobs the limit counts; -1: all tenants
+	Class  int // class whose jobs the limit counts; -1: all classes
 	Refuse bool
 	rights.Limit
 }
 
-// covers tells whether a job counts against the limit.
+// appliesTo reports whether a job of the tenant and class counts against the limit.
 func (l *Limit) appliesTo(tenant, class int) bool {
 	return (l.Tenant < 0 || l.Tenant == tenant) && (l.Class < 0 || l.Class == class)
 }
 
-// Options say whose part this is.
+// Options configure the Part of one process.
 type Options struct {
 	Self    lease.Owner
-	Keepers []string // of whom one deals; the same, in the same order, at every member
-	Lease   int64    // microseconds for which a right and the dealer's post are given
+	Keepers []string // names of the processes that may become dealer; same names and order at every member
+	Lease   int64    // how long a right and the dealer's post last, microseconds
 	Limits  []Limit
-	Room    int // slots of a host that may be held together with others; 0: none ever is
+	Room    int // slots of a host that gangs may hold at once; 0: slots are not held at all
 }
 
-// Times in shares of the lease.
+// Intervals as divisors of the lease.
 const (
-	dealerTimeoutDivisor = 2  // a dealer that has not answered for half of a lease is left for the next keeper
-	retryDivisor         = 8  // asks that brought no answer, or nothing, are so far apart
-	askDivisor           = 20 // and others at least so far
+	dealerTimeoutDivisor = 2  // a member tries the next keeper once the dealer has not answered for half a lease
+	retryDivisor         = 8  // interval of asks after one without an answer, or with an empty answer
+	askDivisor           = 20 // minimum interval of all other asks
 )
 
-// Part is one process's part in the limits of its fleet. It must not be used by two goroutines at once.
+// Part is one process's side of the fleet's limits: a member, and a keeper or the dealer if it is named as one. It
+// is not safe for concurrent use.
 type Part struct {
 	options        Options
-	seat           *lease.Seat // nil: it is no keeper
+	seat           *lease.Seat // nil: this process is not a keeper
 	limits         []*localLimit
-	dealers        map[uint64]*limitDealer  // while it has the post
-	coverStores    map[uint64]*cover.Shelf  // by limit, of a keeper
-	dealingSince   int64                    // of the post in which they deal
-	sessionCounter uint64                   // of its sessions so far, in this post and before
-	pendingAsks    map[lease.Owner]*Message // that wait for an answer
-	slotBook       *hold.Book               // of slots, while it has the post; nil: none are held
+	dealers        map[uint64]*limitDealer  // by limit hash; set while this process is the dealer
+	coverStores    map[uint64]*cover.Shelf  // by limit hash; used by a keeper
+	dealingSince   int64                    // when this process became the dealer to which dealers and slotBook belong
+	sessionCounter uint64                   // last session number; shared by all dealers of this process over all its terms
+	pendingAsks    map[lease.Owner]*Message // not yet answered
+	slotBook       *hold.Book               // set while this process is the dealer; nil: no slots are held
 	slotHolder     *hold.Holder
-	promises       map[string]promise // of keepers, by name
-	handover       *slotHandover      // of a dealer that has left; nil: none did
+	promises       map[string]promise // latest promise of the post by keeper name
+	handover       *slotHandover      // from the previous dealer; nil: none was received
 
-	dealer      lease.Owner // whom it asks
-	nextKeeper  int         // which keeper that is where nobody has said
-	answeredAt  int64       // when the dealer answered last, or another was chosen
+	dealer      lease.Owner // the process that this member asks for rights
+	nextKeeper  int         // index of the keeper to try next while the dealer is unknown
+	answeredAt  int64       // when the dealer last answered, or when another one was chosen
 	askedAt     int64
-	emptyAnswer bool // the last answer gave nothing: the dealer waits for the end of what was given before it
+	emptyAnswer bool // the last answer granted nothing: a new dealer waits until earlier grants have expired
 	refusals    Refusals
 }
 
-// Refusals counts what was heard and not taken.
+// Refusals counts ignored messages: Strange were meant for another process or not for a keeper, Late came out of
+// order or from a former dealer or owner of the post, Full exceeded the queue of asks.
 type Refusals struct{ Strange, Late, Full int }
 
-// word is when a keeper promised this process the post last, on its own clock.
+// promise records when a keeper last promised this process the post, on the keeper's clock.
 type promise struct {
 	from lease.Owner
 	at   int64
 }
 
-// own is a limit as this member has it.
+// localLimit is a limit with this member's holder of its rights.
 type localLimit struct {
 	Limit
 	hash   uint64
 	holder *rights.Holder
 }
 
-// New makes the part of a process that has just started.
+// New returns the Part of a process that has just started, at time now.
 func New(now int64, o Options) *Part {
 	p := &Part{options: o, pendingAsks: map[lease.Owner]*Message{}, coverStores: map[uint64]*cover.Shelf{}, answeredAt: now, slotHolder: hold.NewHolder(o.Lease), promises: map[string]promise{}}
 	if slices.Contains(o.Keepers, o.Self.Name) {
@@ -95,7 +105,8 @@
 	return p
 }
 
-// Change sets other amounts, bursts and floors of limits by their names; what else differs takes a new start.
+// Change sets new amounts, bursts, floors and refusal flags of existing limits by name. Other changes take a
+// restart.
 func (p *Part) Change(now int64, limits []Limit) {
 	for _, l := range limits {
 		for _, o := range p.limits {
@@ -111,28 +122,30 @@
 	}
 }
 
-// Verdict is what the limits say of a job.
+// Verdict is the decision of the limits on a job.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts of Enter.
 const (
-	Free   Verdict = iota // no limit counts it
-	Inside                // it has a right of each that does
-	Beyond                // it has not, and may run as one beyond its share
-	Refuse                // it has not, and is to be refused at once
+	Free   Verdict = iota // no limit counts the job
+	Inside                // every limit that counts the job had a right for it
+	Beyond                // some limit had no right; the job may run with the lower value of work beyond its share
+	Refuse                // some limit had no right and refuses such jobs
 )
 
-// coverMost is how many limits may count a job: of its tenant and of its class, each by the second and at once.
+// maxLimitsPerJob bounds the limits that count one job: its tenant's and its class's, each by rate and by
+// concurrency.
 const maxLimitsPerJob = 4
 
-// Places are those that an open job has taken; they are given back with Done.
+// Places are the rights and places that an open job occupies, one for each limit. Pass them to Done.
 type Places [maxLimitsPerJob]struct {
 	own   *localLimit
 	place rights.Place
 }
 
-// Enter says whether a job may start, and takes what it needs of the limits that count it: of all that have it, or of none
-// where one that has not refuses. A limit that has nothing for it counts that it was wanted.
+// Enter decides whether a job of a tenant and class may start, and takes a right or a place from each limit that
+// counts it and has one. If a limit without one refuses, nothing is taken. A limit without a right counts the
+// attempt as demand.
 func (p *Part) Enter(now int64, tenant, class int) (v Verdict, took Places) {
 	var of [maxLimitsPerJob]*localLimit
 	n := 0
@@ -164,7 +177,7 @@
 	return v, took
 }
 
-// Done takes the answer of a job.
+// Done releases the places of a job that was answered.
 func (p *Part) Done(now int64, took Places) {
 	for _, t := range took {
 		if t.own != nil {
@@ -173,7 +186,8 @@
 	}
 }
 
-// Longest is for how long a job of a class may be open by the limits that count it, microseconds; 0 is as long as it likes.
+// Longest returns how long a job of the tenant and class may stay open under the limits that count it, in
+// microseconds; 0 means without bound.
 func (p *Part) Longest(tenant, class int) (most int64) {
 	for _, o := range p.limits {
 		if o.Kind == rights.Open && o.appliesTo(tenant, class) && (most == 0 || o.Linger < most) {
@@ -183,15 +197,16 @@
 	return most
 }
 
-// Dealer tells whom this member asks, and whether it is the dealer itself.
+// Dealer returns the name of the process that this member asks for rights, and whether this process is the dealer.
 func (p *Part) Dealer(now int64) (name string, self bool) {
 	return p.dealer.Name, p.seat != nil && p.seat.Holds(now)
 }
 
-// Refusals tells what was heard and not taken.
+// Refusals returns the counts of ignored messages.
 func (p *Part) Refusals() Refusals { return p.refusals }
 
-// Status is a limit's state at this member, and at the dealer where it is one.
+// Status is the state of one limit at this member, and the dealer's books where this process deals: rights
+// outstanding (Out), unallocated (Left), and the number of holders.
 type Status struct {
 	Limit
 	rights.State
@@ -201,7 +216,7 @@
 	Holders int
 }
 
-// Status tells the state of each limit.
+// Status returns the state of each limit.
 func (p *Part) Status(now int64) []Status {
 	var out []Status
 	for _, o := range p.limits {
--- a/internal/fleet/limit/message.go
+++ b/internal/fleet/limit/message.go
@@ -15,76 +15,78 @@
 	"granitewing/internal/fleet/limit/rights"
 )
 
-// Kind says what a message is about.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of messages.
+// The message kinds.
 const (
-	SeatAsk   Kind = iota // a keeper asks another for the dealer's post
-	SeatYes               // it is promised
+	SeatAsk   Kind = iota // a keeper asks another keeper for a promise of the dealer's post
+	SeatYes               // a keeper promises the post
 	Ask                   // a member asks the dealer for rights
-	Grant                 // the dealer answers
-	Elsewhere             // a keeper that is not the dealer, or no more, tells who is, as far as it knows
-	SeatFree              // the holder of the post gives it up, for an heir
+	Grant                 // the dealer answers an Ask
+	Elsewhere             // a keeper that is not the dealer, or no longer, names the dealer that it knows of
+	SeatFree              // the dealer gives up its post in favour of a successor
 	CoverAsk              // the dealer asks a keeper what it knows of a limit's cover
-	CoverIs               // the keeper answers, with its turn
-	CoverPut              // the dealer tells a cover, whose version is the number
-	CoverHas              // the keeper has it
-	SlotsOver             // a dealer that leaves tells its heir what is given of slots; the number is the heir's own, of its last word
+	CoverIs               // a keeper answers with its turn and its table
+	CoverPut              // the dealer sends a table; Number is the table's version
+	CoverHas              // a keeper confirms that it has the table
+	SlotsOver             // a leaving dealer hands its granted slots over; Number is the time of the successor's last promise, on its clock
 	kindCount
 )
 
-// Message is one from one process to another. Number is the time of an ask on the asker's clock, which answers repeat.
+// Message is a message from one process to another. Number is the time of a request on the requester's clock, and
+// the answer repeats it; for covers and SlotsOver it is as told at the Kind.
 type Message struct {
 	Kind     Kind
-	From, To lease.Owner // To.Incarnation is 0 where it is not known
+	From, To lease.Owner // To.Incarnation is 0 if unknown
 	Number   int64
-	Clock    int64 // of a promise of the post: when it was given, on the promiser's clock
+	Clock    int64 // of SeatYes: when the promise was given, on the sender's clock
 	Asks     []ItemAsk
 	Grants   []ItemGrant
-	Dealer   lease.Owner // of Elsewhere, and the heir of SeatFree
-	Cover    *Cover      // of the kinds about covers
+	Dealer   lease.Owner // of Elsewhere: the dealer; of SeatFree: the successor
+	Cover    *Cover      // of the cover kinds
 
-	Holds []hold.Item // of an ask: slots that the member wants or has
-	Look  bool        // it wants to be told of others'
+	Holds []hold.Item // of Ask: slots that the member wants or has
+	Look  bool        // of Ask: the member wants to know the slots of others
 	Table []hold.Holding
-	Held  *hold.Answer // of a grant: the answer to that; nil where the dealer has no book of slots
+	Held  *hold.Answer // of Grant: the answer to Holds; nil if the dealer has no book of slots
 }
 
-// ItemAsk is what is asked of one limit.
+// ItemAsk is a holder's ask for one limit.
 type ItemAsk struct {
-	Limit uint64 // its name's hash
+	Limit uint64 // limitHash of the limit's name
 	rights.Ask
 }
 
-// ItemGrant is what is given of one limit.
+// ItemGrant is the dealer's grant of one limit.
 type ItemGrant struct {
 	Limit uint64
 	rights.Grant
 }
 
-// Version is a message's first byte; a report of the ledger begins with another.
+// Version is the first byte of a message. Reports of the ledger start with another byte, which tells the two apart.
 const Version = 0x51
 
 const (
 	maxNameLength   = 128
-	maxLimits       = 64   // limits of a fleet
-	maxCoverEntries = 4096 // processes in a cover
+	maxLimits       = 64   // in one message
+	maxCoverEntries = 4096 // processes in one cover table
 )
 
-// ErrForm tells that bytes are no message.
+// ErrForm is returned for bytes that are not a valid message.
 var ErrForm = errors.New("limit: not a message")
 
-// number gives a limit's name as messages have it.
+// limitHash identifies a limit in messages by the FNV-1a hash of its name.
 func limitHash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// Append appends a message's bytes, big endian: version, kind, the three processes, the number and the clock, and the items after
-// their number. Demand is a 32 bit float. Slots follow (appendHolds). A cover is the limit, the keeper's turn, whether it is known, and its entries after
-// their number.
+// Append appends the encoding of a message to b, big endian: version, kind, the three processes From, To and
+// Dealer, Number and Clock, then the count of asks or grants and these. Demand is a 32 bit float. Slots follow
+// (appendHolds), then a cover: limit, the keeper's turn, whether the table is known, the number of entries, and
+// the entries.
 func Append(b []byte, m *Message) []byte {
 	b = append(b, Version, byte(m.Kind))
 	for _, o := range []lease.Owner{m.From, m.To, m.Dealer} {
@@ -127,7 +129,8 @@
 	return b
 }
 
-// Parse reads a message. Its counts are not checked here but where they are used.
+// Parse decodes a message, or returns ErrForm. It does not check the counts in asks and grants; the dealer and the
+// holders do.
 func Parse(b []byte) (*Message, error) {
 	r := reader{b: b}
 	if r.byte() != Version || r.failed {
@@ -160,7 +163,7 @@
 	return m, nil
 }
 
-// reader takes fields off the front of bytes; once there are too few it is bad and gives zeros.
+// reader takes fields off the front of b. Once bytes are missing it has failed and returns zeros.
 type reader struct {
 	b      []byte
 	failed bool
--- a/internal/fleet/limit/rights/dealer.go
+++ b/internal/fleet/limit/rights/dealer.go
@@ -1,10 +1,14 @@
-// Package rights deals out a limit of the whole fleet as rights that members hold for a time: a right to start one job of
-// those that a limit counts by the second, or a place for one that is open. It does no I/O and reads no clock; times are
-// microseconds, the dealer's on its own clock and a holder's on its own.
+// Package rights divides a limit of the whole fleet into rights that members hold for the length of a lease. Of a
+// limit on a rate, a right allows one job to start. Of a limit on concurrency, a right is a place for one open
+// job.
 //
-// What a dealer and a holder tell each other are counts that only grow (given, spent, given back) within a session, so a
-// message that is lost, late, doubled or overtaken changes nothing twice. A holder counts the time of what it was given from
-// when it asked, the dealer from when it heard that, so the dealer counts a right as out for as long as it may be used.
+// The Dealer grants rights and a Holder at each member uses them. They exchange counts that only grow within a
+// session (granted, spent, returned), so a message that is lost, late, duplicated or reordered changes nothing
+// twice. A holder counts the lease of a grant from when it asked, the dealer from when it received that ask, so
+// the dealer counts a right as outstanding for as long as it may be used.
+//
+// The package does no I/O and reads no clock. Times are microseconds, the dealer's on its own clock and a holder's
+// on its own.
 package rights
 
 import (
@@ -17,26 +21,26 @@
 	"granitewing/internal/fleet/limit/lease"
 )
 
-// Kind says what a limit counts.
+// Kind is what a limit counts.
 type Kind uint8
 
 // The kinds of limits.
 const (
-	Rate Kind = iota // jobs started a second; a right is spent once
-	Open             // jobs open at once; a place comes back at the answer
+	Rate Kind = iota // jobs started a second; each right is spent once
+	Open             // jobs open at once; a place is released when its job is answered
 )
 
-// Limit is one of the whole fleet.
+// Limit holds the settings of one limit of the fleet.
 type Limit struct {
 	Kind   Kind
 	Amount float64 // jobs a second, or places
-	Burst  float64 // of a rate: rights that may be there unused at once, in jobs
-	Lease  int64   // for which a right counts from when it was asked for, microseconds
-	Linger int64   // for which a job may stay open that was begun at the end of that: the longest time to an answer
-	Floor  float64 // what one that holds nothing may do all the same; 0 is nothing
+	Burst  float64 // of a rate: rights that may exist unused at once, in jobs
+	Lease  int64   // how long a right is valid from when it was asked for, microseconds
+	Linger int64   // the longest time to an answer, microseconds: a job that starts at the end of the lease may stay open this long
+	Floor  float64 // of a rate: jobs a second that a member without rights may start; else: its places; 0: none
 }
 
-// sum is how many rights there may be at once.
+// total returns how many rights may exist at once.
 func (l *Limit) total() float64 {
 	if l.Kind == Rate {
 		return l.Burst
@@ -44,10 +48,11 @@
 	return l.Amount
 }
 
-// outFor is how long the dealer counts what it has given, from when it heard the ask: clocks may run apart by a tenth.
+// outstandingFor returns how long the dealer counts a grant as outstanding from when it received the ask. It is a
+// tenth longer than the lease, since clocks may differ in speed by a tenth.
 func (l *Limit) outstandingFor() int64 { return l.Lease + l.Lease/10 }
 
-// linger is how long after that a place may still be taken.
+// maxJobTime returns how long after the end of a lease its places may still be in use.
 func (l *Limit) maxJobTime() int64 {
 	if l.Kind == Open {
 		return l.Linger
@@ -55,42 +60,43 @@
 	return 0
 }
 
-// Ask is what a holder tells the dealer: counts of its session, and what it could use.
+// Ask is a holder's report to the dealer: the counts of its session, and its demand.
 type Ask struct {
-	Session         uint64 // 0: none with this dealer
+	Session         uint64 // 0: it has none with this dealer
 	Spent, Returned int64
-	Old             int64   // places taken in earlier sessions, by jobs that are open still
+	Old             int64   // places of earlier sessions whose jobs are still open
 	Demand          float64 // jobs a second, or places
 }
 
-// Grant is what the dealer tells a holder.
+// Grant is the dealer's answer to a holder.
 type Grant struct {
 	To      lease.Owner
 	Session uint64
-	Granted int64 // in all within the session
-	Keep    int64 // what it may keep unused (of places: hold); it gives the rest back
+	Granted int64 // total within the session
+	Keep    int64 // rights that the holder may keep unused (places: may hold); it returns the others
 }
 
 const (
-	maxHolders    = 2048 // with as many of a dealer before, as many as a cover can have
-	rateLookahead = 2.0  // seconds of its demand that a holder of a rate is given
-	maxDeviations = 3.0  // standard deviations of what it uses (as of chance) that a holder is given beside the mean
+	maxHolders    = 2048 // together with as many of an earlier dealer, this fills the largest cover table
+	rateLookahead = 2.0  // seconds of its demand that a holder of a rate is granted
+	maxDeviations = 3.0  // holders are granted up to this many standard deviations (of random demand) beyond their mean use
 	maxDemand     = 1e6
 )
 
-// Dealer deals out one limit. Only one process may deal a limit at a time, and a new one only From the time at which
-// nothing of the one before can be in use, or once it has adopted what may be.
+// Dealer grants the rights of one limit. Only one process may deal a limit at a time. A new dealer grants nothing
+// before From, when no grant of its predecessor can be in use any more, unless it has adopted what may be. It is
+// not safe for concurrent use.
 type Dealer struct {
 	limit           Limit
 	from, updatedAt int64
 	unallocated     float64 // rights that nobody holds
-	outstanding     int64   // rights that somebody holds, or may
+	outstanding     int64   // rights that somebody holds or may hold
 	holders         map[lease.Owner]*account
 	sessions        *uint64
 	rounds          uint64
 
-	cover           *cover.Book // nil: nobody else is told what each may hold
-	unreported      cover.Table // what those may hold, of dealers before, that have not told
+	cover           *cover.Book // nil: covers are not stored at keepers
+	unreported      cover.Table // what members that have not reported yet may hold from earlier dealers
 	unreportedUntil int64       // when none of that can be in use any more
 }
 
@@ -98,7 +104,7 @@
 	key                      uint64
 	session                  uint64
 	granted, spent, returned int64
-	oldOpen                  int64 // of dealers before, as it told
+	oldOpen                  int64 // grants of earlier dealers in use, as reported
 	demand                   float64
 	validUntil               int64
 	awaitingGrant            bool
@@ -106,16 +112,17 @@
 
 func (a *account) outstanding() int64 { return a.granted - a.spent - a.returned + a.oldOpen }
 
-// NewDealer makes a dealer that begins now, after one that may have dealt until now. Its sessions are numbered by a counter
-// that all dealers of a process share, so that no session is taken for one of before. The book of covers, if there is one, is
-// to be kept by the caller; what it does not allow is not given.
+// NewDealer returns a dealer that starts at time now, after a predecessor that may have dealt until now. The
+// dealers of one process share the counter of sessions, so that no session number is used twice. covers may be
+// nil; otherwise the caller exchanges it with the keepers, and the dealer grants nothing beyond what it allows.
 func NewDealer(now int64, l Limit, sessions *uint64, covers *cover.Book) *Dealer {
 	from := now + l.outstandingFor() + l.maxJobTime()
 	return &Dealer{limit: l, from: from, updatedAt: from, unreportedUntil: from, holders: map[lease.Owner]*account{}, sessions: sessions, cover: covers}
 }
 
-// Adopt has it deal from now on, as it knows by covers how much each may hold of dealers before: that is out until the
-// member has told, within a session of this dealer, what it still has, or until it can't be in use any more.
+// Adopt lets the dealer grant from now on, because covers state how much each member may hold from earlier
+// dealers. These rights count as outstanding until the member reports what it still has within a session of this
+// dealer, or until they can't be in use any more.
 func (d *Dealer) Adopt(now int64, covers cover.Table) {
 	if now < d.from {
 		d.from, d.updatedAt, d.unreported = now, now, covers
@@ -123,15 +130,16 @@
 	}
 }
 
-// Change sets another amount, burst or floor. A holder of more than its part of it gives the rest back when it asks next.
+// Change sets another amount, burst or floor. A holder of more than its new share returns the rest with its next
+// ask.
 func (d *Dealer) Change(now int64, l Limit) {
 	d.advance(now)
 	l.Kind, l.Lease, l.Linger = d.limit.Kind, d.limit.Lease, d.limit.Linger
 	d.limit = l
 }
 
-// flow brings the books up to a time: rights come in at the rate as long as there are fewer than the sum, and what a holder
-// can't use any more is out no longer.
+// advance updates the books to time now: rights accrue at the rate while fewer than the total exist, and expired
+// grants are no longer outstanding.
 func (d *Dealer) advance(now int64) {
 	if now >= d.unreportedUntil && d.unreported != nil {
 		d.outstanding -= d.unreported.Sum()
@@ -153,7 +161,7 @@
 	d.updatedAt = max(now, d.updatedAt)
 }
 
-// Ask takes what a holder says. What it can't have been given it can't have spent: such counts are not believed.
+// Ask handles a holder's report. Counts that exceed what the holder was granted are ignored.
 func (d *Dealer) Ask(now int64, who lease.Owner, ask Ask) {
 	if now < d.from || !(ask.Demand >= 0) {
 		return
@@ -172,7 +180,7 @@
 	if ask.Session != a.session || ask.Spent < 0 || ask.Spent > 0 && d.limit.Kind == Open || ask.Returned < 0 || ask.Spent+ask.Returned > a.granted || ask.Old < 0 {
 		return
 	}
-	// Within a session it holds nothing of dealers before but jobs that are open, and those only end.
+	// Within this session the holder has nothing of earlier dealers but open jobs, and their number only falls.
 	if may, silent := d.unreported[a.key]; silent {
 		a.oldOpen = min(ask.Old, may)
 		d.outstanding -= may - a.oldOpen
@@ -187,7 +195,7 @@
 	a.spent, a.returned = spent, returned
 }
 
-// Deal answers all that have asked since it did so last.
+// Deal answers all holders that have asked since the last call.
 func (d *Dealer) Deal(now int64) []Grant {
 	d.advance(now)
 	d.rounds++
@@ -197,7 +205,7 @@
 	keep := d.shares(now, all)
 	var out []Grant
 	for i := range all {
-		// Who is first when there is little changes from round to round.
+		// The order changes from round to round, so that nobody is always first when few rights are left.
 		i = (i + int(d.rounds*7919%uint64(len(all)))) % len(all)
 		a := d.holders[all[i]]
 		if !a.awaitingGrant {
@@ -227,9 +235,9 @@
 	return out
 }
 
-// parts says how many rights each may hold: what it is expected to use, and of what is left by that some more against
-// chance; where there are too few, its part in proportion to what it is expected to use. Parts are whole; whose fraction
-// counts changes slowly, so that nobody waits for ever.
+// shares returns how many rights each holder may hold. With enough rights that is its expected use plus a margin
+// against random demand, otherwise a share in proportion to its expected use. Shares are whole numbers. Which
+// holders are rounded up changes slowly, so that nobody waits for ever.
 func (d *Dealer) shares(now int64, all []lease.Owner) []int64 {
 	uses, sum, chance := make([]float64, len(all)), 0.0, 0.0
 	for i, who := range all {
@@ -238,7 +246,7 @@
 			uses[i] *= rateLookahead
 		}
 		if now > a.validUntil {
-			uses[i] = -1 // it is not there
+			uses[i] = -1 // has not been received from for a lease
 			continue
 		}
 		sum += uses[i]
@@ -259,14 +267,14 @@
 	return out
 }
 
-// Books tells how many rights are out and left, and with how many holders.
+// Books returns the number of rights outstanding, the rights unallocated, and the number of holders.
 func (d *Dealer) Books(now int64) (out int64, left float64, holders int) {
 	d.advance(now)
 	return d.outstanding, d.unallocated, len(d.holders)
 }
 
-// Holders gives those that have rights, or may.
+// Holders returns the processes that have rights, or may have.
 func (d *Dealer) Holders() []lease.Owner { return slices.Collect(maps.Keys(d.holders)) }
 
-// From is when it begins to deal.
+// From returns when the dealer starts to grant.
 func (d *Dealer) From() int64 { return d.from }
--- a/internal/fleet/limit/rights/holder.go
+++ b/internal/fleet/limit/rights/holder.go
@@ -6,60 +6,61 @@
 	"granitewing/internal/fleet/limit/lease"
 )
 
-// Holder is a member's side of one limit: what it may use, and what it tells the dealer.
+// Holder is a member's side of one limit: the rights that it may use, and the counts that it reports to the
+// dealer. It is not safe for concurrent use.
 type Holder struct {
 	limit Limit
 
 	dealer                   lease.Owner
 	session                  uint64
 	granted, spent, returned int64
-	open                     int64 // of this session's places
-	oldOpen                  int64 // and of earlier sessions'
-	lastAnswered             int64 // the latest ask that was answered
-	validUntil               int64 // it may use what it holds till then
+	open                     int64 // places of this session in use
+	oldOpen                  int64 // places of earlier sessions in use
+	lastAnswered             int64 // time of the latest ask that was answered
+	validUntil               int64 // rights may be used until then
 	keep                     int64
-	epoch                    uint64 // counts sessions, and floors between them, so that a place comes back to where it was taken
+	epoch                    uint64 // counts sessions, so that a place is returned to the session from which it was taken
 
-	askedAt                         int64 // when it asked last
-	changed                         bool  // since then something was used that it would have replaced
-	attempts                        int64 // jobs since then
+	askedAt                         int64 // time of the last ask
+	changed                         bool  // since the last ask a job came or a place was released, so that a new grant may be due
+	attempts                        int64 // jobs that wanted to start since the last ask
 	refused                         int64
-	released                        int64   // places that came back since then
-	heldSeconds                     float64 // and for how many seconds in all they were taken
-	rate                            float64 // jobs a second
-	meanHeld                        float64 // seconds for which a place is taken
+	released                        int64   // places released since the last ask
+	heldSeconds                     float64 // total time for which these places were held
+	rate                            float64 // average of jobs a second
+	meanHeld                        float64 // average seconds for which a place is held
 	floorTokens                     float64
 	floorAt                         int64
 	floorOpen                       int64
-	admitted, beyond, floorAdmitted int64 // in all: jobs let in, jobs beyond the limit, and of those let in those by the floor alone
+	admitted, beyond, floorAdmitted int64 // totals: jobs admitted, jobs without a right, and jobs admitted by the floor alone
 }
 
-// demandSpan is over how many seconds demand is averaged.
+// demandWindow is the time constant in seconds of the demand average.
 const demandWindow = 3.0
 
-// NewHolder makes one that holds nothing.
+// NewHolder returns a Holder of the limit without any rights.
 func NewHolder(now int64, l Limit) *Holder {
 	return &Holder{limit: l, floorAt: now, askedAt: now, meanHeld: 1}
 }
 
-// Change takes other settings; what counts of them here is the floor.
+// Change takes new settings. Only the floor matters to a holder.
 func (h *Holder) Change(l Limit) { h.limit.Floor = l.Floor }
 
 func (h *Holder) unused() int64 { return h.granted - h.spent - h.returned - h.open }
 
-// Place is one that a job has taken.
+// Place is a right or place that a job has taken.
 type Place struct {
 	epoch uint64
 	since int64
 	floor bool
 }
 
-// May tells whether a job may start now.
+// May reports whether a job may start now.
 func (h *Holder) May(now int64) bool {
 	return now < h.validUntil && h.unused() > 0 || h.belowFloor(now)
 }
 
-// belowFloor tells whether one that holds nothing for which it can vouch may start a job by the floor.
+// belowFloor reports whether a holder without valid rights may start a job under the floor.
 func (h *Holder) belowFloor(now int64) bool {
 	if now < h.validUntil || h.limit.Floor <= 0 {
 		return false
@@ -72,7 +73,7 @@
 	return h.floorTokens >= 1
 }
 
-// Take uses a right if there is one, and else counts that one was wanted.
+// Take takes a right for a job and reports whether there was one. Otherwise it counts the attempt as demand.
 func (h *Holder) Take(now int64) (Place, bool) {
 	h.attempts++
 	h.changed = true
@@ -100,7 +101,7 @@
 	return Place{}, false
 }
 
-// Done gives a place back once its job is answered; of a rate there is nothing to give back.
+// Done releases the place of a job that was answered. Rights of a rate are spent and don't come back.
 func (h *Holder) Done(now int64, p Place) {
 	if h.limit.Kind == Rate {
 		return
@@ -119,7 +120,8 @@
 	}
 }
 
-// Ask says what to tell a dealer now, or that nothing has to be told: half of its time is left and nothing was used.
+// Ask returns what to report to the dealer now. It reports false if nothing is due: more than half of the lease is
+// left, no job was refused, nothing is to be returned, and no use has to be replaced.
 func (h *Holder) Ask(now int64, dealer lease.Owner) (Ask, bool) {
 	here := dealer == h.dealer && h.session != 0
 	surplus := here && now < h.validUntil && min(h.granted-h.spent-h.returned-h.keep, h.unused()) > 0
@@ -141,8 +143,8 @@
 	return Ask{h.session, h.spent, h.returned, h.oldOpen, demand}, true
 }
 
-// learn brings what it is expected to use up to a time: jobs a second, and of places as many times the mean time for which
-// one is taken.
+// updateDemand updates the averages of demand since the last ask: jobs a second, and the mean time for which a
+// place is held. Their product is the expected number of places in use.
 func (h *Holder) updateDemand(now int64) {
 	span := float64(now-h.askedAt) / 1e6
 	if span > 0 {
@@ -155,9 +157,10 @@
 	h.askedAt, h.attempts, h.refused, h.released, h.heldSeconds, h.changed = now, 0, 0, 0, 0, false
 }
 
-// Granted takes a dealer's answer to what was asked at a time. An answer that is too old to be of use is none: it may be of a
-// dealer before this one, or of a session that is over. Once another session has answered, what an earlier one gave is not
-// taken up again: its dealer's book may have passed to the one after.
+// Granted handles the dealer's answer to the ask that was sent at time asked, on this holder's clock. Answers
+// older than a lease are ignored: they may be from an earlier dealer or of a session that is over. Once another
+// session has answered, grants of an earlier session are not taken up again, since its books may have passed to
+// the later dealer.
 func (h *Holder) Granted(now, asked int64, dealer lease.Owner, g Grant) {
 	if asked > now || asked+h.limit.Lease <= now || g.Session == 0 || g.Granted < 0 {
 		return
@@ -178,14 +181,15 @@
 	h.granted = max(h.granted, g.Granted)
 }
 
-// State is what a holder has, for its figures.
+// State is a holder's state for status and metrics: rights held, unused, and places open; then totals as counted
+// by the holder (Over: jobs beyond the limit; Low: jobs admitted by the floor alone).
 type State struct {
 	Held, Free, Open int64
 	Valid            bool
 	Taken, Over, Low int64
 }
 
-// State tells what it has.
+// State returns the state at time now.
 func (h *Holder) State(now int64) State {
 	return State{h.granted - h.spent - h.returned, h.unused(), h.open + h.oldOpen + h.floorOpen, now < h.validUntil, h.admitted, h.beyond, h.floorAdmitted}
 }
--- a/internal/fleet/limit/talk.go
+++ b/internal/fleet/limit/talk.go
@@ -9,15 +9,16 @@
 	"granitewing/internal/fleet/limit/lease"
 )
 
-// The talk between members, keepers and the dealer: what was heard is taken at once, what is to be said is said in rounds.
+// The protocol between members, keepers and the dealer. Received messages are handled at once; new requests and
+// the dealer's answers are sent in rounds.
 
-// asksMost is how many members' asks wait for the next round.
+// maxPendingAsks bounds the asks that wait for the next round.
 const maxPendingAsks = 4096
 
-// Hear takes a message that came to this process. It returns what must be answered at once, or nil.
+// Hear handles a received message. It returns the message to be sent in answer at once, or nil.
 func (p *Part) Hear(now int64, m *Message) *Message {
 	if m.To.Name != p.options.Self.Name || m.To.Incarnation != 0 && m.To.Incarnation != p.options.Self.Incarnation || m.From == p.options.Self {
-		p.refusals.Strange++ // for a former process of this name, or another's
+		p.refusals.Strange++ // for an earlier incarnation, or for another process
 		return nil
 	}
 	switch m.Kind {
@@ -42,7 +43,7 @@
 		if slices.Contains(p.options.Keepers, m.From.Name) && m.Number <= now {
 			p.handover = &slotHandover{m.Number, m.Table}
 			if p.slotBook != nil && p.seat.Holds(now) && p.dealingSince == p.seat.Since() && now < p.slotBook.From() {
-				p.adoptSlots(now) // the post was here before the word of what it has given
+				p.adoptSlots(now) // this process became dealer before the handover arrived
 			}
 		}
 	case CoverAsk, CoverPut:
@@ -51,7 +52,7 @@
 		p.handleCoverAnswer(now, m)
 	case Ask:
 		if old := p.pendingAsks[m.From]; p.seat == nil {
-			p.refusals.Strange++ // it is no keeper
+			p.refusals.Strange++ // this process is not a keeper
 		} else if old != nil && old.Number > m.Number {
 			p.refusals.Late++
 		} else if old == nil && len(p.pendingAsks) >= maxPendingAsks {
@@ -75,7 +76,7 @@
 
 func (p *Part) handleGrant(now int64, m *Message) {
 	if m.From.Name != p.dealer.Name {
-		p.refusals.Late++ // by one that was left; what it gave stays with it until its lease is over
+		p.refusals.Late++ // from a former dealer, whose earlier grants stay valid until their lease ends
 		return
 	}
 	p.dealer, p.answeredAt, p.emptyAnswer = m.From, now, len(m.Grants) == 0 && m.Held == nil
@@ -91,7 +92,7 @@
 	}
 }
 
-// choose turns to the keeper whose turn it is, where nobody has said who deals.
+// tryNextKeeper asks the next keeper in the list while the dealer is unknown.
 func (p *Part) tryNextKeeper(now int64) {
 	if len(p.options.Keepers) > 0 {
 		p.switchDealer(now, lease.Owner{Name: p.options.Keepers[p.nextKeeper%len(p.options.Keepers)]})
@@ -103,7 +104,7 @@
 	p.dealer, p.answeredAt, p.askedAt, p.emptyAnswer = to, now, 0, false
 }
 
-// Round says what to tell whom now.
+// Round returns the messages that are due now.
 func (p *Part) Round(now int64) []*Message {
 	var out []*Message
 	if p.seat != nil {
@@ -122,7 +123,8 @@
 	return out
 }
 
-// deal answers the members' asks, by a word on who deals where it is not this process.
+// answerAsks answers the members' asks at the dealer. A keeper that is not the dealer names the process to which
+// it promised the post.
 func (p *Part) answerAsks(now int64) []*Message {
 	defer clear(p.pendingAsks)
 	if !p.seat.Holds(now) {
@@ -177,7 +179,7 @@
 	return append(out, p.coverMessages(now)...)
 }
 
-// askers gives those that wait for an answer, in an order that a play repeats.
+// sortedAskers returns the processes with pending asks in a fixed order, so that a simulated run can be repeated.
 func (p *Part) sortedAskers() []lease.Owner {
 	return slices.SortedFunc(maps.Keys(p.pendingAsks), compareOwners)
 }
@@ -186,7 +188,7 @@
 	return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// ask says what this member wants of the dealer, if it wants anything.
+// askDealer returns this member's ask to the dealer, or nil if none is due.
 func (p *Part) askDealer(now int64) *Message {
 	deals := p.seat != nil && p.seat.Holds(now)
 	gap := p.options.Lease / askDivisor
