--- a/internal/fleet/gang/place/candidates.go
+++ b/internal/fleet/gang/place/candidates.go
@@ -38,8 +38,8 @@
 		}
 	}
 	if s.subsets == nil {
-		for _, most := range s.costLimits() {
-			s.subsets = append(s.subsets, s.hostsUpTo(most))
+		for _, maxCost := range s.costLimits() {
+			s.subsets = append(s.subsets, s.hostsUpTo(maxCost))
 		}
 	}
 	for _, parts := range s.subsets {
@@ -77,11 +77,11 @@
 type subset struct{ rack, n int }
 
 // hostsUpTo counts the hosts of each rack up to a cost, and lists the racks with most such hosts first.
-func (s *search) hostsUpTo(most float64) (out []subset) {
+func (s *search) hostsUpTo(maxCost float64) (out []subset) {
 	for r := range s.racks {
 		n := 0
 		for _, i := range s.racks[r].hosts {
-			if s.costs[i] > most {
+			if s.costs[i] > maxCost {
 				break
 			}
 			n++
--- a/internal/fleet/gang/place/place_test.go
+++ b/internal/fleet/gang/place/place_test.go
@@ -11,8 +11,8 @@
 
 var links = topology.Topology{Host: 1e9, Rack: 2e9, Zone: 4e9, Near: 1e-5, Apart: 5e-5, Far: 1e-3}
 
-// fleet draws hosts in racks of three zones, some of them with work.
-func fleet(rng *rand.Rand, hosts, racks int) (out []Host) {
+// randomHosts draws hosts in racks of three zones, some of them with a backlog.
+func randomHosts(rng *rand.Rand, hosts, racks int) (out []Host) {
 	for i := range hosts {
 		r := i % racks
 		h := Host{ID: uint32(i + 1), Spot: topology.Spot{Rack: r, Zone: r % 3}, Room: 0.5, Pace: 0.7 + 0.6*rng.Float64(), Push: 0.02 * rng.Float64()}
@@ -33,14 +33,14 @@
 
 var weights = Weights{Pieces: 0.01, Fails: 1e-4}
 
-// Where all placements can be scored the search by candidates is within a fiftieth of the gang's worth of the best in the mean,
-// and nothing is ever under the bound.
-func TestNearTheBest(t *testing.T) {
+// Where all placements can be scored, the candidate search is on average within a fiftieth of the gang's worth of
+// the best placement. No score is below the bound.
+func TestSearchNearOptimum(t *testing.T) {
 	for _, p := range []pattern.Pattern{pattern.Ring, pattern.Halo, pattern.All, pattern.Tree} {
 		worst, sum, gaps, n := 0.0, 0.0, 0.0, 0
 		for seed := range uint64(60) {
 			rng := rand.New(rand.NewPCG(seed, uint64(p)))
-			hosts, j := fleet(rng, 12+rng.IntN(3), 3+rng.IntN(3)), job(3+rng.IntN(3), 3, p)
+			hosts, j := randomHosts(rng, 12+rng.IntN(3), 3+rng.IntN(3)), job(3+rng.IntN(3), 3, p)
 			exact := newSearch(hosts, j, &links, &topology.Loads{}, weights)
 			exact.setParts(j.Parts)
 			exact.best.Late = 1e9
@@ -52,25 +52,26 @@
 			s.improve()
 			best, found := exact.best.Total(), s.best.Total()
 			if found < best-1e-9 {
-				t.Fatalf("%v, seed %d: %.4f where the best of all is %.4f", p, seed, found, best)
+				t.Fatalf("%v, seed %d: score %.4f below the best of all, %.4f", p, seed, found, best)
 			}
 			j.Least = j.Parts
 			if bound := Bound(hosts, j, &links, weights); bound > best+1e-9 {
-				t.Fatalf("%v, seed %d: a bound of %.4f, and %.4f was found", p, seed, bound, best)
+				t.Fatalf("%v, seed %d: bound %.4f above the best score, %.4f", p, seed, bound, best)
 			} else {
 				gaps += best - bound
 			}
 			worst, sum, n = max(worst, found-best), sum+found-best, n+1
 		}
-		t.Logf("%v: over the best by %.4f in the mean, %.4f at most; best over bound by %.3f in the mean", p, sum/float64(n), worst, gaps/float64(n))
+		t.Logf("%v: above the best by %.4f on average, %.4f at most; best above the bound by %.3f on average", p, sum/float64(n), worst, gaps/float64(n))
 		if sum/float64(n) > 0.02*10 || worst > 0.2*10 {
-			t.Errorf("%v: over the best by %.3f in the mean, %.3f at most, of a worth of 10", p, sum/float64(n), worst)
+			t.Errorf("%v: above the best by %.3f on average, %.3f at most, with a worth of 10", p, sum/float64(n), worst)
 		}
 	}
 }
 
-// A gang that fits into a rack stays there; of two racks that do it takes the one that it fills; one that fits nowhere crosses
-// as few borders as it can, and waits for a host rather than cross one where that is less late.
+// A gang that fits into a rack stays there, and of two such racks it takes the one that it fills. One that fits in
+// no rack crosses as few borders as it can, and it waits for a host rather than cross a border if that risks its
+// deadline less.
 func TestRacks(t *testing.T) {
 	rack := func(number, zone, n int, backlog float64) (out []Host) {
 		for i := range n {
@@ -87,13 +88,13 @@
 	for name, c := range map[string]struct {
 		hosts  []Host
 		parts  int
-		narrow bool        // uplinks, so that crossing one is late
+		narrow bool        // narrow uplinks, so that a gang that crosses one is late
 		want   map[int]int // parts by rack
 	}{
 		"the rack that it fills":      {join(rack(1, 0, 8, 0), rack(2, 0, 4, 0), rack(3, 1, 6, 0)), 4, false, map[int]int{2: 4}},
 		"two racks of a zone":         {join(rack(1, 0, 3, 0), rack(2, 1, 3, 0), rack(3, 0, 3, 0)), 6, false, map[int]int{1: 3, 3: 3}},
 		"a rack that is full of work": {join(rack(1, 0, 4, 60), rack(2, 0, 2, 0), rack(3, 0, 2, 0)), 4, false, map[int]int{2: 2, 3: 2}},
-		"a little wait for one rack":  {join(rack(1, 0, 4, 0.6), rack(2, 1, 2, 0), rack(3, 2, 2, 0)), 4, true, map[int]int{1: 4}},
+		"a short wait for one rack":   {join(rack(1, 0, 4, 0.6), rack(2, 1, 2, 0), rack(3, 2, 2, 0)), 4, true, map[int]int{1: 4}},
 	} {
 		on, j := links, job(c.parts, c.parts, pattern.Ring)
 		if c.narrow {
@@ -109,14 +110,15 @@
 		}
 	}
 	if _, ok := Search(rack(1, 0, 3, 0), job(4, 4, pattern.Ring), &links, &topology.Loads{}, weights); ok {
-		t.Error("four parts on three hosts")
+		t.Error("four parts were placed on three hosts")
 	}
 	if p, ok := Search(rack(1, 0, 3, 0), job(6, 3, pattern.Ring), &links, &topology.Loads{}, weights); !ok || len(p.Hosts) != 3 {
-		t.Errorf("%d parts where three are the least and there are three hosts", len(p.Hosts))
+		t.Errorf("%d parts placed on three hosts with a minimum of three", len(p.Hosts))
 	}
 }
 
-// Ranks that talk lie in the same rack where they can: fewer bytes cross than with ranks dealt out in turn.
+// Ranks that exchange data are in the same rack where possible: fewer bytes cross than with ranks assigned
+// round-robin.
 func TestRanks(t *testing.T) {
 	var hosts []Host
 	for i := range 64 {
@@ -131,13 +133,13 @@
 		}
 		x.Count(p.Edges(64), 1, turns)
 		if inTurn := x.Crosses / x.Total; got.Crosses > inTurn/3 {
-			t.Errorf("%v: %.3f of the bytes cross, %.3f in turn", p, got.Crosses, inTurn)
+			t.Errorf("%v: %.3f of the bytes cross racks, %.3f with round-robin ranks", p, got.Crosses, inTurn)
 		}
 	}
 }
 
 func BenchmarkSearch(b *testing.B) {
-	hosts := fleet(rand.New(rand.NewPCG(1, 1)), 10_000, 400)
+	hosts := randomHosts(rand.New(rand.NewPCG(1, 1)), 10_000, 400)
 	for _, parts := range []int{8, 64} {
 		for _, p := range []pattern.Pattern{pattern.Ring, pattern.All} {
 			b.Run(fmt.Sprint(p, parts), func(b *testing.B) {
--- a/internal/fleet/gang/seek.go
+++ b/internal/fleet/gang/seek.go
@@ -30,7 +30,7 @@
 
 // occupied returns what gangs hold at each host, without the gang but: of others from the dealer's last list, of
 // this process from its own state.
-func (p *Part) occupied(now int64, but *gang) map[uint32]*hostUse {
+func (p *Part) occupied(now int64, except *gang) map[uint32]*hostUse {
 	out := map[uint32]*hostUse{}
 	add := func(s hold.Spot, left int64) {
 		u := out[s.Host]
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, g := range p.gangs {
-		if g == but || g.holdID == 0 {
+		if g == except || g.holdID == 0 {
 			continue
 		}
 		ends := g.endsAt
@@ -119,17 +119,17 @@
 	k := g.kind
 	job := place.Job{Parts: k.Parts, Least: k.Least, Work: g.Work, Steps: k.Steps, Bytes: k.Bytes, Pattern: k.Pattern,
 		Slack: float64(g.Late-now) / 1e6, Stretch: g.Stretch, Worth: g.Worth, LateWorth: g.LateWorth, Price: g.Price, Crowd: p.occupiedShare(hosts)}
-	var old *place.Placement
+	var current *place.Placement
 	if g.holdID != 0 {
-		old = p.rescore(g, hosts, job, others)
+		current = p.rescore(g, hosts, job, others)
 	}
 	g.placedAt = now
-	if old != nil && p.options.Blind {
+	if current != nil && p.options.Blind {
 		return true
 	}
 	best, ok := p.findPlacement(hosts, job, others)
-	if old != nil && (!ok || old.Total() <= best.Total()+minImprovement*g.Worth) {
-		return !notWorthRunning(g, old)
+	if current != nil && (!ok || current.Total() <= best.Total()+minImprovement*g.Worth) {
+		return !notWorthRunning(g, current)
 	}
 	if !ok || notWorthRunning(g, &best) {
 		return false
@@ -166,15 +166,15 @@
 	for i := range hosts {
 		at[hosts[i].ID] = i
 	}
-	mine := make([]place.Host, len(g.placement.Hosts))
+	hostsByRank := make([]place.Host, len(g.placement.Hosts))
 	for rank, h := range g.placement.Hosts {
 		i, there := at[h.ID]
 		if !there || hosts[i].After > h.After+maxExtraWait {
 			return nil
 		}
-		mine[rank] = hosts[i]
+		hostsByRank[rank] = hosts[i]
 	}
-	fixed := place.Fixed(mine, j, &p.options.Topology, others, p.options.Weights)
+	fixed := place.Fixed(hostsByRank, j, &p.options.Topology, others, p.options.Weights)
 	return &fixed
 }
 
@@ -205,8 +205,8 @@
 	})
 }
 
-// hostsAvailable reports whether all hosts of a placement may still be sent a part. If not, the gang is placed
-// anew at the next check.
+// hostsAvailable reports whether all hosts of a placement may still be sent a part. If not, the gang becomes due
+// for a new placement at once.
 func (p *Part) hostsAvailable(now int64, g *gang) bool {
 	may := map[uint32]bool{}
 	p.hosts(now, g.Work, func(v logic.View) { may[uint32(v.ID)] = true })
--- a/internal/fleet/gang/topology/topology.go
+++ b/internal/fleet/gang/topology/topology.go
@@ -120,18 +120,18 @@
 	if x.Total == 0 {
 		return 0
 	}
-	most := x.Host / t.Host
+	slowest := x.Host / t.Host
 	for _, s := range x.Racks {
 		if s.Bytes > 0 {
-			most = max(most, s.Bytes/max(t.Rack-others.Racks[s.Number], minLinkShare*t.Rack))
+			slowest = max(slowest, s.Bytes/max(t.Rack-others.Racks[s.Number], minLinkShare*t.Rack))
 		}
 	}
 	for _, s := range x.Zones {
 		if s.Bytes > 0 {
-			most = max(most, s.Bytes/max(t.Zone-others.Zones[s.Number], minLinkShare*t.Zone))
+			slowest = max(slowest, s.Bytes/max(t.Zone-others.Zones[s.Number], minLinkShare*t.Zone))
 		}
 	}
-	return most + [...]float64{t.Near, t.Apart, t.Far}[x.level]
+	return slowest + [...]float64{t.Near, t.Apart, t.Far}[x.level]
 }
 
 // Alone returns the shortest time of one exchange, with all parts in one rack and no other traffic, in seconds.
--- a/internal/fleet/limit/cases_test.go
+++ b/internal/fleet/limit/cases_test.go
@@ -6,23 +6,23 @@
 	"granitewing/internal/fleet/limit/rights"
 )
 
-// busy is a fleet in which each asks for more than its part all the time.
-func busy(seed uint64, n int, limits []Limit, broken string) *stage {
-	s := newStage(seed, 0, limits)
-	s.broken = broken
-	s.people(n)
+// newBusyHarness returns a fleet in which every node always wants more than its share.
+func newBusyHarness(seed uint64, n int, limits []Limit, broken string) *harness {
+	s := newHarness(seed, 0, limits)
+	s.removedRule = broken
+	s.addNodes(n)
 	l := limits[0]
-	s.rate, s.hold = l.Amount*1.02, l.Linger
+	s.rate, s.maxJobTime = l.Amount*1.02, l.Linger
 	for i, w := range s.nodes {
 		w.load = 6 * l.Amount / float64(n)
-		s.arrivals(i)
+		s.scheduleArrivals(i)
 	}
 	return s
 }
 
-// keeperForgets cuts the dealer from a keeper, and has the third, whose word both need, start anew. Half of the members hear
-// the dealer alone.
-func (s *stage) keeperForgets() {
+// keeperRestarts cuts the dealer off from one keeper, and restarts the other, whose promise both need. Half of the
+// members reach only the dealer.
+func (s *harness) keeperRestarts() {
 	s.run(10 * sec)
 	s.cut = func(a, b int) bool {
 		a, b = min(a, b), max(a, b)
@@ -33,9 +33,9 @@
 	s.run(30 * sec)
 }
 
-// newcomersDeal has the dealer end while one keeper knows nothing of what it gave, and the other has just started. Jobs run
-// for long, so what it gave is in use still when the next dealer begins.
-func (s *stage) newcomersDeal() {
+// dealerEndsAmongNewKeepers ends the dealer while one keeper knows nothing of its grants and the other has just
+// restarted. Jobs run for long, so the grants are still in use when the next dealer starts.
+func (s *harness) dealerEndsAmongNewKeepers() {
 	s.cut = func(a, b int) bool { return a == 0 && b == 2 || a == 2 && b == 0 }
 	s.run(50 * sec)
 	s.kill(1, sec/20)
@@ -43,8 +43,9 @@
 	s.run(70 * sec)
 }
 
-// demandGrows has the dealer end once it has given far more than it did when the keepers first heard of it.
-func (s *stage) demandGrows() {
+// dealerEndsAfterGrowth ends the dealer once it has granted far more than when the keepers first received its
+// table.
+func (s *harness) dealerEndsAfterGrowth() {
 	for _, n := range s.nodes {
 		n.load /= 1000
 	}
@@ -57,11 +58,11 @@
 	s.run(80 * sec)
 }
 
-// unheard has half of the members hear late of what they are given, and then be heard no more.
-func (s *stage) unheard() {
+// membersUnreachable delays grants to half of the members, and then loses all their messages.
+func (s *harness) membersUnreachable() {
 	some := len(s.nodes) / 2
 	s.run(10 * sec)
-	s.late = func(from, to int) int64 {
+	s.extraDelay = func(from, to int) int64 {
 		if from < 3 && to >= some {
 			return 4 * sec / 5
 		}
@@ -72,167 +73,169 @@
 	s.run(20 * sec)
 }
 
-// Each rule is needed: a play that goes without it is over the bound before long.
-func TestFaultsWithoutARule(t *testing.T) {
-	drawn := func(seed uint64, rule string) *stage { return faulty(seed, atOnce(20, sec/2), rule) }
-	for rule, play := range map[string]func(seed uint64, rule string) *stage{
+// Each rule is needed: without it some run soon exceeds the limit.
+func TestFaultsWithRuleRemoved(t *testing.T) {
+	drawn := func(seed uint64, rule string) *harness { return runLimitFaults(seed, openLimit(20, sec/2), rule) }
+	for rule, play := range map[string]func(seed uint64, rule string) *harness{
 		"a later process has a higher incarnation": drawn,
 		"a majority of keepers":                    drawn,
-		"rights count from when they were asked for": func(seed uint64, rule string) *stage {
-			s := busy(seed, 12, atOnce(20, sec/10), rule)
+		"rights count from when they were asked for": func(seed uint64, rule string) *harness {
+			s := newBusyHarness(seed, 12, openLimit(20, sec/10), rule)
 			for _, n := range s.nodes {
 				n.load *= 8
 			}
-			s.unheard()
+			s.membersUnreachable()
 			return s
 		},
-		"a new keeper promises nothing for a lease": func(seed uint64, rule string) *stage {
-			s := busy(seed, 10, atOnce(20, sec/10), rule)
+		"a new keeper promises nothing for a lease": func(seed uint64, rule string) *harness {
+			s := newBusyHarness(seed, 10, openLimit(20, sec/10), rule)
 			for _, n := range s.nodes {
 				n.load *= 8
 			}
-			s.keeperForgets()
+			s.keeperRestarts()
 			return s
 		},
-		knows: func(seed uint64, rule string) *stage {
-			s := busy(seed, 10, atOnce(20, 20*sec), rule)
-			s.newcomersDeal()
+		ruleNewKeeperKnowsNothing: func(seed uint64, rule string) *harness {
+			s := newBusyHarness(seed, 10, openLimit(20, 20*sec), rule)
+			s.dealerEndsAmongNewKeepers()
 			return s
 		},
-		keeps: func(seed uint64, rule string) *stage {
-			s := busy(seed, 10, atOnce(20, 20*sec), rule)
-			s.demandGrows()
+		ruleConfirmOnlyStored: func(seed uint64, rule string) *harness {
+			s := newBusyHarness(seed, 10, openLimit(20, 20*sec), rule)
+			s.dealerEndsAfterGrowth()
 			return s
 		},
 	} {
 		t.Run(rule, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(40) {
-				if with := play(seed, ""); with.most > 20 {
-					t.Fatalf("seed %d: %d open with the rule", seed, with.most)
+				if with := play(seed, ""); with.maxOpen > 20 {
+					t.Fatalf("seed %d: %d open with the rule", seed, with.maxOpen)
 				}
-				if s := play(seed, rule); s.most > 20 {
-					t.Logf("seed %d: %d open where 20 may be", seed, s.most)
+				if s := play(seed, rule); s.maxOpen > 20 {
+					t.Logf("seed %d: %d open with a limit of 20", seed, s.maxOpen)
 					return
 				}
 			}
-			t.Error("no play is over the bound")
+			t.Error("no run exceeds the limit")
 		})
 	}
 }
 
-// The hard cases, each with a bound on the sum, and on how long it takes until the limit is used again.
-func TestHardCases(t *testing.T) {
+// Single faults, each with a bound on the total, on the use of the limit during the fault, and on the time until
+// the limit is used again.
+func TestFaultScenarios(t *testing.T) {
 	for name, c := range map[string]struct {
-		fault  func(s *stage) // from 10 s on
-		until  int64          // after it the limit is used nearly whole again, within the time from loss to full use
-		meanly float64        // share of the limit that is used meanwhile at least
+		fault  func(s *harness) // starts at 10 s
+		until  int64            // length of the fault; after the time from loss to full use the limit is nearly fully used again
+		meanly float64          // least share of the limit that is used meanwhile
 	}{
-		"half cut from half": {func(s *stage) {
+		"a partition into halves": {func(s *harness) {
 			s.cut = func(a, b int) bool { return (a%2 == 0) != (b%2 == 0) }
 			s.after(8*sec, func() { s.cut = nil })
 		}, 8 * sec, 0.2},
-		"a member stopped for three leases with rights":           {func(s *stage) { s.stop(17, 3*leaseUs) }, 3 * leaseUs, 0.7},
-		"the dealer stopped for three leases":                     {func(s *stage) { s.stop(s.dealer(), 3*leaseUs) }, 3 * leaseUs, 0.1},
-		"the dealer killed":                                       {func(s *stage) { s.kill(s.dealer(), 20*sec) }, leaseUs, 0},
-		"the dealer started anew":                                 {func(s *stage) { s.kill(s.dealer(), sec/5) }, leaseUs, 0},
-		"a member started anew with rights of the former one out": {func(s *stage) { s.kill(17, sec/5) }, sec / 5, 0.4},
-		"three in ten killed": {func(s *stage) {
+		"a member with rights paused for three leases":        {func(s *harness) { s.pause(17, 3*leaseUs) }, 3 * leaseUs, 0.7},
+		"the dealer paused for three leases":                  {func(s *harness) { s.pause(s.dealer(), 3*leaseUs) }, 3 * leaseUs, 0.1},
+		"the dealer killed":                                   {func(s *harness) { s.kill(s.dealer(), 20*sec) }, leaseUs, 0},
+		"the dealer restarted":                                {func(s *harness) { s.kill(s.dealer(), sec/5) }, leaseUs, 0},
+		"a member restarted while its rights are outstanding": {func(s *harness) { s.kill(17, sec/5) }, sec / 5, 0.4},
+		"three in ten killed": {func(s *harness) {
 			for i := range 9 {
 				s.kill(3+3*i, 20*sec)
 			}
 		}, leaseUs, 0.5},
-		"30% lost, 500 ms, doubled": {func(s *stage) {
-			s.loss, s.twice, s.delay, s.spread = 0.3, 0.2, sec/2, sec/5
-			s.after(8*sec, func() { s.loss, s.twice, s.delay, s.spread = 0, 0, sec/200, sec/50 })
+		"30% loss, 500 ms delay, duplicates": {func(s *harness) {
+			s.loss, s.duplicate, s.delay, s.jitter = 0.3, 0.2, sec/2, sec/5
+			s.after(8*sec, func() { s.loss, s.duplicate, s.delay, s.jitter = 0, 0, sec/200, sec/50 })
 		}, 8 * sec, 0.17},
-		"a keeper that forgets": {func(s *stage) {
+		"a keeper that restarts": {func(s *harness) {
 			s.cut = func(a, b int) bool { return a == 0 && b == 2 || a == 2 && b == 0 }
 			s.after(6*sec, func() { s.kill(1, sec/20) })
 			s.after(9*sec, func() { s.cut = nil })
 		}, 9 * sec, 0.2},
 	} {
-		for _, limits := range [][]Limit{perSecond(60), atOnce(60, sec)} {
+		for _, limits := range [][]Limit{rateLimit(60), openLimit(60, sec)} {
 			t.Run(limits[0].Name+" "+name, func(t *testing.T) {
 				t.Parallel()
-				s, l := busy(3, 30, limits, ""), limits[0]
+				s, l := newBusyHarness(3, 30, limits, ""), limits[0]
 				s.run(10 * sec)
 				c.fault(s)
-				s.in = 0
+				s.admitted = 0
 				s.run(10*sec + c.until)
 				may := func(us int64) float64 {
 					if l.Kind == rights.Open {
-						return l.Amount * 2 * float64(us) / 1e6 // a job takes half a second in the mean; the next comes a twelfth later
+						return l.Amount * 2 * float64(us) / 1e6 // a job takes half a second on average; the next arrives a twelfth of that later
 					}
 					return l.Amount * float64(us) / 1e6
 				}
-				if float64(s.in) < c.meanly*may(c.until) {
-					t.Errorf("%d in while it lasts, of %.0f", s.in, may(c.until))
+				if float64(s.admitted) < c.meanly*may(c.until) {
+					t.Errorf("%d admitted during the fault, of %.0f", s.admitted, may(c.until))
 				}
-				// What was out is counted for a lease and a job more, the post is given anew, the next dealer waits as long again.
+				// Outstanding rights are counted for a lease and a job longer, a new dealer is elected, and it waits as long
+				// again.
 				s.run(s.at + 4*leaseUs + 2*l.Linger)
-				s.in = 0
+				s.admitted = 0
 				s.run(s.at + 5*sec)
-				if float64(s.in) < 0.78*may(5*sec) {
-					t.Errorf("%d in afterwards, of %.0f", s.in, may(5*sec))
+				if float64(s.admitted) < 0.78*may(5*sec) {
+					t.Errorf("%d admitted afterwards, of %.0f", s.admitted, may(5*sec))
 				}
-				s.bounded(t)
+				s.checkBounds(t)
 			})
 		}
 	}
 }
 
-// A dealer that ends in order hands its post over: another deals within a second, with what the members hold of the former one
-// in its books, whatever the longest time to an answer. One that is killed is missed for as long as promises count, and of
-// its rights no more than its cover for longer.
+// A dealer that leaves in order hands its post over: its successor grants within a second, with the members'
+// rights from the former one in its books, however long jobs may run. One that is killed is replaced once the
+// promises to it expire, and only its rights within the cover are reserved for longer.
 func TestHandover(t *testing.T) {
-	for _, limits := range [][]Limit{perSecond(60), atOnce(60, 20*sec)} {
+	for _, limits := range [][]Limit{rateLimit(60), openLimit(60, 20*sec)} {
 		for _, c := range []struct {
 			name string
-			end  func(s *stage, i int)
+			end  func(s *harness, i int)
 			gap  int64
 		}{
-			{"in order", func(s *stage, i int) { s.resign(i, sec/5) }, sec},
-			{"killed", func(s *stage, i int) { s.kill(i, sec/5) }, leaseUs + leaseUs/4 + sec},
+			{"in order", func(s *harness, i int) { s.leave(i, sec/5) }, sec},
+			{"killed", func(s *harness, i int) { s.kill(i, sec/5) }, leaseUs + leaseUs/4 + sec},
 		} {
 			t.Run(limits[0].Name+" "+c.name, func(t *testing.T) {
 				t.Parallel()
-				s := busy(1, 30, limits, "")
+				s := newBusyHarness(1, 30, limits, "")
 				s.run(40 * sec)
 				c.end(s, s.dealer())
 				at := s.at
 				for deals := false; !deals; s.run(s.at + sec/100) {
 					if s.at > at+c.gap {
-						t.Fatalf("nobody deals %v us later", c.gap)
+						t.Fatalf("no dealer %v us later", c.gap)
 					}
 					for _, n := range s.nodes {
 						deals = deals || !n.down && n.part.Status(n.now(s.at))[0].Deals
 					}
 				}
-				t.Logf("dealt %d ms later", (s.at-at)/1000)
+				t.Logf("rights are granted %d ms later", (s.at-at)/1000)
 				s.run(s.at + 2*sec)
-				s.in = 0
+				s.admitted = 0
 				from := s.at
 				s.run(s.at + 5*sec)
 				per := limits[0].Amount
 				if limits[0].Kind == rights.Open {
-					per /= 10 // a job takes ten seconds in the mean
+					per /= 10 // a job takes ten seconds on average
 				}
-				t.Logf("%d in, of %.0f", s.in, per*float64(s.at-from)/1e6)
-				if least := 0.6 * per * float64(s.at-from) / 1e6; float64(s.in) < least {
-					t.Errorf("%d in afterwards, want %.0f", s.in, least)
+				t.Logf("%d admitted, of %.0f", s.admitted, per*float64(s.at-from)/1e6)
+				if least := 0.6 * per * float64(s.at-from) / 1e6; float64(s.admitted) < least {
+					t.Errorf("%d admitted afterwards, want %.0f", s.admitted, least)
 				}
-				s.bounded(t)
+				s.checkBounds(t)
 			})
 		}
 	}
 }
 
-// The keepers beside the dealer start anew one after the other, as in a release, and then a few want more: the dealer tells the new
-// processes what each may hold, and gives it.
-func TestKeepersAnew(t *testing.T) {
+// The keepers other than the dealer restart one after the other, as in a release, and then a few members want
+// more. The dealer must store its table at the new processes before it can grant that.
+func TestKeepersRestart(t *testing.T) {
 	t.Parallel()
-	s := busy(1, 30, atOnce(60, sec), "")
+	s := newBusyHarness(1, 30, openLimit(60, sec), "")
 	for _, n := range s.nodes {
 		n.load /= 100
 	}
@@ -248,73 +251,74 @@
 		n.load = 100
 	}
 	s.run(s.at + 10*sec)
-	s.in = 0
+	s.admitted = 0
 	s.run(s.at + 5*sec)
-	if s.in < 400 {
-		t.Errorf("%d in, of 600", s.in)
+	if s.admitted < 400 {
+		t.Errorf("%d admitted, of 600", s.admitted)
 	}
-	s.bounded(t)
+	s.checkBounds(t)
 }
 
-// dealer is the node that deals.
-func (s *stage) dealer() int {
+// dealer returns the index of the node that is the dealer.
+func (s *harness) dealer() int {
 	for i, n := range s.nodes {
 		if _, self := n.part.Dealer(n.now(s.at)); self {
 			return i
 		}
 	}
-	panic("nobody deals")
+	panic("no node is the dealer")
 }
 
-// A limit that is halved at half of the members, the dealer among them or not: the dealer's word counts, and the sum is
-// within the new limit once the jobs that were let in before are answered.
+// A limit is halved at half of the members, with or without the dealer. The dealer's setting counts, and the total
+// is within the new limit once the jobs admitted before are answered.
 func TestChange(t *testing.T) {
 	for name, odd := range map[string]int{"with the dealer": 0, "without the dealer": 1} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := busy(1, 30, atOnce(60, sec), "")
+			s := newBusyHarness(1, 30, openLimit(60, sec), "")
 			s.run(10 * sec)
 			with := s.dealer()
 			for i, n := range s.nodes {
 				if i%2 == (with+odd)%2 {
-					n.part.Change(n.now(s.at), atOnce(30, sec))
+					n.part.Change(n.now(s.at), openLimit(30, sec))
 				}
 			}
 			s.run(s.at + leaseUs + 2*sec)
-			s.most, s.in = s.open, 0
+			s.maxOpen, s.admitted = s.open, 0
 			s.run(s.at + 10*sec)
 			least, most := 25, 30
 			if odd == 1 {
 				least, most = 50, 60
 			}
-			if s.most < least || s.most > most {
-				t.Errorf("%d open, want %d to %d", s.most, least, most)
+			if s.maxOpen < least || s.maxOpen > most {
+				t.Errorf("%d open, want %d to %d", s.maxOpen, least, most)
 			}
 		})
 	}
 }
 
-// With a floor each that is cut off does its floor and no more, and a fleet without any keeper as many times that.
+// With a floor, each member that is cut off does its floor and no more. Without any keeper the fleet does the sum of all
+// floors.
 func TestFloor(t *testing.T) {
 	t.Parallel()
-	limits := atOnce(60, sec)
+	limits := openLimit(60, sec)
 	limits[0].Floor = 1
-	s := busy(1, 30, limits, "")
+	s := newBusyHarness(1, 30, limits, "")
 	s.run(10 * sec)
 	for i := range 3 {
 		s.kill(i, 100*sec)
 	}
 	s.run(10*sec + leaseUs + sec)
-	s.most = s.open
+	s.maxOpen = s.open
 	s.run(30 * sec)
-	if s.most > 27 || s.most < 20 {
-		t.Errorf("%d open; 27 are cut off and may have one each", s.most)
+	if s.maxOpen > 27 || s.maxOpen < 20 {
+		t.Errorf("%d open; 27 members are cut off and may have one each", s.maxOpen)
 	}
-	s = busy(1, 30, limits, "")
+	s = newBusyHarness(1, 30, limits, "")
 	s.run(10 * sec)
 	s.cut = func(a, b int) bool { return (a < 20) != (b < 20) }
 	s.run(30 * sec)
-	if s.most > 60+10 || s.most <= 60 {
-		t.Errorf("%d open; 60 may be, and one at each of 10 that are cut off", s.most)
+	if s.maxOpen > 60+10 || s.maxOpen <= 60 {
+		t.Errorf("%d open, want at most 60 and one at each of 10 members that are cut off", s.maxOpen)
 	}
 }
--- a/internal/fleet/limit/covers.go
+++ b/internal/fleet/limit/covers.go
@@ -115,8 +115,8 @@
 	case m.Kind == CoverHas:
 		d.covers.Has(m.From, m.Cover.Turn, m.Number)
 	default:
-		if most, known := d.covers.Found(m.From, m.Number, m.Cover.Turn, m.Cover.Table, m.Cover.Known); known {
-			d.Adopt(now, most)
+		if table, known := d.covers.Found(m.From, m.Number, m.Cover.Turn, m.Cover.Table, m.Cover.Known); known {
+			d.Adopt(now, table)
 			d.covers.Settle()
 		}
 	}
@@ -130,17 +130,17 @@
 		return nil
 	}
 	held := p.seat.Holds(now)
-	heir := p.seat.Heir()
+	successor := p.seat.Heir()
 	p.seat.Leave()
 	if !held {
 		return nil
 	}
-	out = p.slotHandoverMessages(now, heir)
-	p.seat.Free(now, p.options.Self, heir)
+	out = p.slotHandoverMessages(now, successor)
+	p.seat.Free(now, p.options.Self, successor)
 	for _, k := range p.options.Keepers {
 		if k != p.options.Self.Name {
 			m := p.newMessage(SeatFree, lease.Owner{Name: k}, now)
-			m.Dealer = heir
+			m.Dealer = successor
 			out = append(out, m, m) // sent twice: the message is not repeated later and a link may lose it
 		}
 	}
@@ -151,13 +151,13 @@
 		}
 	}
 	delete(holders, p.options.Self)
-	if heir.Name != "" {
+	if successor.Name != "" {
 		for _, who := range slices.SortedFunc(maps.Keys(holders), compareOwners) {
 			m := p.newMessage(Elsewhere, who, now)
-			m.Dealer = heir
+			m.Dealer = successor
 			out = append(out, m)
 		}
-		p.switchDealer(now, heir)
+		p.switchDealer(now, successor)
 	}
 	p.dealers = nil
 	return out
--- a/internal/fleet/limit/hold/book.go
+++ b/internal/fleet/limit/hold/book.go
@@ -164,11 +164,11 @@
 }
 
 // busySlots lists the slots that members other than one have, or will get first.
-func (b *Book) busySlots(now int64, but lease.Owner) (out []Busy) {
+func (b *Book) busySlots(now int64, except lease.Owner) (out []Busy) {
 	for _, sets := range []map[setKey]*slotSet{b.granted, b.reserved} {
 		for k, s := range sets {
 			for _, p := range s.spots {
-				if k.member != but && len(out) < SpotsMost {
+				if k.member != except && len(out) < SpotsMost {
 					out = append(out, Busy{p, max(s.freeAt-now, 0)})
 				}
 			}
--- a/internal/fleet/limit/hold/hold_check_test.go
+++ b/internal/fleet/limit/hold/hold_check_test.go
@@ -9,64 +9,66 @@
 	"granitewing/internal/fleet/limit/lease"
 )
 
-// Rules that a world can go without.
+// Rules that a scenario can remove.
 const (
-	fromAsk = "slots count from when they were asked for"
-	inOrder = "an ask that was overtaken is not taken"
-	newID   = "another set is another ID"
-	waits   = "a new book waits until nothing of before can be in use"
+	ruleLeaseFromAsk = "slots count from when they were asked for"
+	ruleInOrder      = "a reordered ask is ignored"
+	ruleNewID        = "a new set has a new ID"
+	ruleNewBookWaits = "a new book waits until earlier grants have expired"
 )
 
 const leaseFor = 10
 
-// world is a book, which another may follow, two members that want a slot of one host, the links between them, and one clock.
+// world is a book, which a new one may replace, two members that want a slot of one host, the links between them,
+// and one clock.
 type world struct {
-	now     int64
-	book    *Book
-	asks    []said
-	answers [2][]answer
-	using   [2]int64 // until when a member uses the slot
-	broken  string
+	now         int64
+	book        *Book
+	asks        []sentReport
+	answers     [2][]sentAnswer
+	usedUntil   [2]int64 // until when a member uses the slot
+	removedRule string
 }
 
-type said struct {
+type sentReport struct {
 	who    int
 	number int64
 	items  []Item
 }
 
-type answer struct {
+type sentAnswer struct {
 	number int64
 	Answer
 }
 
-var people = [2]lease.Owner{{Name: "a", Incarnation: 1}, {Name: "b", Incarnation: 1}}
+var members = [2]lease.Owner{{Name: "a", Incarnation: 1}, {Name: "b", Incarnation: 1}}
 
-// deal has the book take what comes and answer it, some times; before the last another takes its place, where one does.
+// deal lets the book handle a number of messages and answer them. With newBook, a new book replaces it before the
+// last.
 func (w *world) deal(times int, follows bool) func() {
 	return func() {
 		for n := range times {
 			check.Touch(w)
 			if follows && n == times-1 {
 				w.book = NewBook(w.now, leaseFor, 1)
-				if w.broken == waits {
+				if w.removedRule == ruleNewBookWaits {
 					w.book.dealsFrom = w.now
 				}
 			}
 			i := check.Choose(len(w.asks) + 1)
 			if i == len(w.asks) {
-				continue // nothing has come yet, or it is lost
+				continue // nothing has arrived, or it is lost
 			}
 			a := w.asks[i]
-			w.asks = append(append([]said(nil), w.asks[:i]...), w.asks[i+1:]...)
-			if old := w.book.reports[people[a.who]]; old != nil && w.broken == inOrder {
+			w.asks = append(append([]sentReport(nil), w.asks[:i]...), w.asks[i+1:]...)
+			if old := w.book.reports[members[a.who]]; old != nil && w.removedRule == ruleInOrder {
 				old.number = a.number - 1
 			}
-			w.book.Ask(w.now, people[a.who], a.number, a.items, false)
+			w.book.Ask(w.now, members[a.who], a.number, a.items, false)
 			for who, got := range w.book.Deal(w.now) {
-				for i := range people {
-					if people[i] == who {
-						w.answers[i] = append(w.answers[i], answer{a.number, got})
+				for i := range members {
+					if members[i] == who {
+						w.answers[i] = append(w.answers[i], sentAnswer{a.number, got})
 					}
 				}
 			}
@@ -74,7 +76,7 @@
 	}
 }
 
-// member asks, takes what comes and uses the slot if it has it.
+// member asks, handles answers, and uses the slot if it has it.
 type member struct {
 	*Holder
 	i int
@@ -83,7 +85,7 @@
 func (w *world) ask(m member) {
 	check.Touch(w)
 	if items, _, any := m.Ask(w.now); any {
-		w.asks = append(w.asks, said{m.i, w.now, items})
+		w.asks = append(w.asks, sentReport{m.i, w.now, items})
 	}
 }
 
@@ -92,48 +94,48 @@
 	if n := len(w.answers[m.i]); n > 0 {
 		if k := check.Choose(n + 1); k < n {
 			a := w.answers[m.i][k]
-			if w.broken == fromAsk {
+			if w.removedRule == ruleLeaseFromAsk {
 				a.number = w.now
 			}
 			m.Granted(w.now, a.number, a.Answer)
 		}
 	}
 	if m.Has(w.now, id) {
-		if w.now < w.using[1-m.i] {
-			panic("one slot is in two hands")
+		if w.now < w.usedUntil[1-m.i] {
+			panic("one slot has two holders")
 		}
-		w.using[m.i] = m.find(id).grantedUntil
+		w.usedUntil[m.i] = m.find(id).grantedUntil
 	}
 }
 
-// shape is what happens while two members want the same slot.
-type shape struct {
-	early     bool // the first has told before that it wanted nothing, and that may still be on its way
-	exchanges bool // it wants another host's first
-	follows   bool // another book follows
-	steps     int  // of the clock
-	each      int64
+// scenario is what happens while two members want the same slot.
+type scenario struct {
+	delayedAsk  bool // the first member has reported before that it wants nothing, and that report may still be under way
+	replacesSet bool // the first member wants a slot of another host first
+	newBook     bool // a new book replaces the first
+	steps       int  // of the clock
+	each        int64
 }
 
-func passed(c shape, broken string) check.Make {
+func twoMembers(c scenario, broken string) check.Make {
 	return func() ([]func(), func() error) {
-		w := &world{now: 100, broken: broken}
+		w := &world{now: 100, removedRule: broken}
 		w.book = NewBook(0, leaseFor, 1)
 		spot := func(h uint32) []Spot { return []Spot{{Host: h}} }
 		first := func() {
 			m, id := member{NewHolder(leaseFor), 0}, uint64(1)
-			if c.exchanges {
+			if c.replacesSet {
 				m.Want(id, spot(2), w.now+50, 5)
 				w.ask(m)
 				m.Drop(id)
-				if broken != newID {
+				if broken != ruleNewID {
 					id = 2
 				}
 				m.Want(id, spot(1), w.now+50, 5)
 			} else {
-				if c.early {
+				if c.delayedAsk {
 					check.Touch(w)
-					w.asks = append(w.asks, said{0, w.now - 1, nil})
+					w.asks = append(w.asks, sentReport{0, w.now - 1, nil})
 				}
 				m.Want(id, spot(1), w.now+50, 5)
 				w.ask(m)
@@ -153,27 +155,27 @@
 			}
 		}
 		deals := 2
-		if c.early || c.exchanges {
+		if c.delayedAsk || c.replacesSet {
 			deals = 3
 		}
-		return []func(){first, second, w.deal(deals, c.follows), clock}, nil
+		return []func(){first, second, w.deal(deals, c.newBook), clock}, nil
 	}
 }
 
-// A slot is never in two hands, whichever goroutine stands still for however long, and whatever the links do.
-func TestHeldInterleaved(t *testing.T) {
-	for without, c := range map[string]shape{
-		fromAsk: {steps: 2, each: 6},
-		inOrder: {early: true, steps: 1, each: 7},
-		newID:   {exchanges: true, steps: 1, each: 7},
-		waits:   {follows: true, steps: 2, each: 6},
+// A slot never has two holders, however long any goroutine pauses and whatever the links do.
+func TestSlotInterleaved(t *testing.T) {
+	for without, c := range map[string]scenario{
+		ruleLeaseFromAsk: {steps: 2, each: 6},
+		ruleInOrder:      {delayedAsk: true, steps: 1, each: 7},
+		ruleNewID:        {replacesSet: true, steps: 1, each: 7},
+		ruleNewBookWaits: {newBook: true, steps: 2, each: 6},
 	} {
-		r := check.Run(check.Default, passed(c, ""))
+		r := check.Run(check.Default, twoMembers(c, ""))
 		t.Log(r)
 		if r.Err != nil || !r.Whole {
 			t.Error(r)
 		}
-		broken := passed(c, without)
+		broken := twoMembers(c, without)
 		r = check.Run(check.Default, broken)
 		t.Logf("without %q: %v", without, r)
 		if r.Err == nil || check.Replay(r.Schedule, broken) == nil {
--- a/internal/fleet/limit/holds.go
+++ b/internal/fleet/limit/holds.go
@@ -45,11 +45,11 @@
 }
 
 // slotHandoverMessages returns the messages that tell the successor which slots are granted.
-func (p *Part) slotHandoverMessages(now int64, heir lease.Owner) []*Message {
-	if p.slotBook == nil || p.dealingSince != p.seat.Since() || now < p.slotBook.From() || p.promises[heir.Name].from != heir {
+func (p *Part) slotHandoverMessages(now int64, successor lease.Owner) []*Message {
+	if p.slotBook == nil || p.dealingSince != p.seat.Since() || now < p.slotBook.From() || p.promises[successor.Name].from != successor {
 		return nil
 	}
-	m := p.newMessage(SlotsOver, heir, p.promises[heir.Name].at)
+	m := p.newMessage(SlotsOver, successor, p.promises[successor.Name].at)
 	m.Table = p.slotBook.Hand(now)
 	return []*Message{m, m} // sent twice: the message is not repeated later and a link may lose it
 }
@@ -134,12 +134,12 @@
 // slots reads what appendHolds wrote.
 func (r *reader) slots(m *Message) {
 	spot := func() hold.Spot { return hold.Spot{Host: r.uint32(), Rack: r.traffic(), Zone: r.traffic()} }
-	items := func(most int) (list []hold.Item) {
+	items := func(maxSpots int) (list []hold.Item) {
 		n, spots := int(r.byte()), 0
 		for i := 0; i < n && !r.failed; i++ {
 			item := hold.Item{ID: r.uint64(), State: hold.State(r.byte()), Left: int64(r.uint64()), Run: int64(r.uint64())}
 			k := int(r.uint16())
-			if spots += k; n > hold.ItemsMost || spots > most || item.State > hold.Runs || item.Left > maxSlotTime || item.Left < -maxSlotTime || item.Run > maxSlotTime || item.Run < 0 {
+			if spots += k; n > hold.ItemsMost || spots > maxSpots || item.State > hold.Runs || item.Left > maxSlotTime || item.Left < -maxSlotTime || item.Run > maxSlotTime || item.Run < 0 {
 				r.failed = true
 			}
 			for j := 0; j < k && !r.failed; j++ {
--- a/internal/fleet/limit/lease/lease.go
+++ b/internal/fleet/limit/lease/lease.go
@@ -71,11 +71,11 @@
 
 // Free handles the message of a process that has given up the post for good and names a successor. A promise to
 // that process becomes one to the successor.
-func (s *Seat) Free(now int64, from, heir Owner) {
+func (s *Seat) Free(now int64, from, successor Owner) {
 	if from != s.promised || now >= s.promisedUntil {
 		return
 	}
-	if s.promise(now, heir); !slices.Contains(s.keepers, heir.Name) {
+	if s.promise(now, successor); !slices.Contains(s.keepers, successor.Name) {
 		s.promisedUntil = now
 	}
 }
--- a/internal/fleet/limit/limit.go
+++ b/internal/fleet/limit/limit.go
@@ -147,28 +147,28 @@
 // counts it and has one. If a limit without one refuses, nothing is taken. A limit without a right counts the
 // attempt as demand.
 func (p *Part) Enter(now int64, tenant, class int) (v Verdict, took Places) {
-	var of [maxLimitsPerJob]*localLimit
+	var counting [maxLimitsPerJob]*localLimit
 	n := 0
 	for _, o := range p.limits {
 		if n < maxLimitsPerJob && o.appliesTo(tenant, class) {
-			of[n] = o
+			counting[n] = o
 			n++
 		}
 	}
 	if n > 0 {
 		v = Inside
 	}
-	for i, o := range of[:n] {
+	for i, o := range counting[:n] {
 		if o.holder.May(now) {
 			continue
 		}
 		o.holder.Take(now)
-		of[i] = nil
+		counting[i] = nil
 		if v = Beyond; o.Refuse {
 			return Refuse, took
 		}
 	}
-	for i, o := range of[:n] {
+	for i, o := range counting[:n] {
 		if o != nil {
 			took[i].own = o
 			took[i].place, _ = o.holder.Take(now)
@@ -188,13 +188,13 @@
 
 // Longest returns how long a job of the tenant and class may stay open under the limits that count it, in
 // microseconds; 0 means without bound.
-func (p *Part) Longest(tenant, class int) (most int64) {
+func (p *Part) Longest(tenant, class int) (longest int64) {
 	for _, o := range p.limits {
-		if o.Kind == rights.Open && o.appliesTo(tenant, class) && (most == 0 || o.Linger < most) {
-			most = o.Linger
+		if o.Kind == rights.Open && o.appliesTo(tenant, class) && (longest == 0 || o.Linger < longest) {
+			longest = o.Linger
 		}
 	}
-	return most
+	return longest
 }
 
 // Dealer returns the name of the process that this member asks for rights, and whether this process is the dealer.
--- a/internal/fleet/limit/play_test.go
+++ b/internal/fleet/limit/play_test.go
@@ -10,7 +10,7 @@
 	"granitewing/internal/fleet/limit/lease"
 )
 
-var plays = flag.Int("plays", 5, "drawn schedules of faults that TestFaults plays")
+var faultRuns = flag.Int("plays", 5, "number of random fault schedules that TestFaults runs")
 
 const (
 	sec     = int64(1_000_000)
@@ -18,7 +18,7 @@
 	round   = sec / 10
 )
 
-// event is something that happens at a true time.
+// event is an action at a true time.
 type event struct {
 	at  int64
 	seq int
@@ -39,98 +39,98 @@
 	return x
 }
 
-// node is a process of the play; its clock has an offset and a pace of its own.
+// node is a simulated process; its clock has its own offset and speed.
 type node struct {
-	name    string
-	part    *Part
-	inc     uint64
-	offset  int64
-	pace    float64
-	down    bool
-	stopped bool
-	inbox   []*Message // while it is stopped
-	ended   []Places   // jobs that ended meanwhile
-	load    float64    // jobs a second
+	name        string
+	part        *Part
+	incarnation uint64
+	offset      int64
+	clockRate   float64
+	down        bool
+	paused      bool
+	inbox       []*Message // received while paused
+	ended       []Places   // jobs that ended while paused
+	load        float64    // jobs a second
 }
 
-func (n *node) now(at int64) int64 { return n.offset + int64(float64(at)*n.pace) }
+func (n *node) now(at int64) int64 { return n.offset + int64(float64(at)*n.clockRate) }
 
-// Rules that a play can go without.
+// Rules that a run can remove.
 const (
-	knows = "a keeper that has just started knows of no cover"
-	keeps = "a keeper says that it has a cover once it has it"
+	ruleNewKeeperKnowsNothing = "a keeper that has just started knows no cover"
+	ruleConfirmOnlyStored     = "a keeper confirms a cover only once it has stored it"
 )
 
-// stage plays many parts over links that fail, in virtual time.
-type stage struct {
-	rng    *rand.Rand
-	queue  events
-	seq    int
-	at     int64
-	nodes  []*node
-	limits []Limit
-	keep   []string
-	loss   float64
-	twice  float64
-	delay  int64
-	spread int64
-	cut    func(from, to int) bool
-	late   func(from, to int) int64 // beyond the delay of all links; nil: none
-	hold   int64                    // how long a job runs at most
-	broken string                   // the rule that this play goes without
-	room   int                      // slots of a host that may be held together
+// harness simulates many parts over faulty links in virtual time.
+type harness struct {
+	rng         *rand.Rand
+	queue       events
+	seq         int
+	at          int64
+	nodes       []*node
+	limits      []Limit
+	keepers     []string
+	loss        float64
+	duplicate   float64
+	delay       int64
+	jitter      int64
+	cut         func(from, to int) bool
+	extraDelay  func(from, to int) int64 // added to the delay of all links; nil: none
+	maxJobTime  int64                    // longest run time of a job
+	removedRule string                   // the rule that this run goes without
+	room        int                      // slots of a host that may be held together
 
-	wanted, in        int
-	over, rate, burst float64 // how far admissions are beyond the rate; the most so far is burst
-	open, most        int
+	wanted, admitted  int
+	over, rate, burst float64 // over is by how many jobs admissions exceed the rate now; burst is the maximum so far
+	open, maxOpen     int
 	messages          int
 	last              int64
 }
 
-func newStage(seed uint64, n int, limits []Limit) *stage {
-	s := &stage{rng: rand.New(rand.NewPCG(seed, 7)), limits: limits, delay: sec / 200, spread: sec / 50, hold: sec, keep: []string{"n0", "n1", "n2"}}
-	s.people(n)
+func newHarness(seed uint64, n int, limits []Limit) *harness {
+	s := &harness{rng: rand.New(rand.NewPCG(seed, 7)), limits: limits, delay: sec / 200, jitter: sec / 50, maxJobTime: sec, keepers: []string{"n0", "n1", "n2"}}
+	s.addNodes(n)
 	return s
 }
 
-func (s *stage) people(n int) {
+func (s *harness) addNodes(n int) {
 	for i := range n {
-		w := &node{name: fmt.Sprint("n", i), offset: s.rng.Int64N(1000 * sec), pace: 1 + (s.rng.Float64()-0.5)*0.04}
+		w := &node{name: fmt.Sprint("n", i), offset: s.rng.Int64N(1000 * sec), clockRate: 1 + (s.rng.Float64()-0.5)*0.04}
 		s.nodes = append(s.nodes, w)
 		s.start(w)
-		s.after(s.rng.Int64N(round), func() { s.rounds(i) })
+		s.after(s.rng.Int64N(round), func() { s.scheduleRounds(i) })
 	}
 }
 
-func (s *stage) start(n *node) {
-	if n.inc++; s.broken == "a later process has a higher incarnation" {
-		n.inc = 1
+func (s *harness) start(n *node) {
+	if n.incarnation++; s.removedRule == "a later process has a higher incarnation" {
+		n.incarnation = 1
 	}
-	n.down, n.stopped, n.inbox, n.ended = false, false, nil, nil
-	keep, since := s.keep, n.now(s.at)
-	switch s.broken {
+	n.down, n.paused, n.inbox, n.ended = false, false, nil, nil
+	keep, since := s.keepers, n.now(s.at)
+	switch s.removedRule {
 	case "a majority of keepers":
-		keep = s.keep[:1]
+		keep = s.keepers[:1]
 		if len(s.nodes) > 0 && n != s.nodes[0] {
-			keep = s.keep[1:2]
+			keep = s.keepers[1:2]
 		}
 	case "a new keeper promises nothing for a lease":
 		since -= leaseUs
 	}
-	n.part = New(since, Options{Self: lease.Owner{Name: n.name, Incarnation: n.inc}, Keepers: keep, Lease: leaseUs, Limits: s.limits, Room: s.room})
-	if s.broken == knows {
+	n.part = New(since, Options{Self: lease.Owner{Name: n.name, Incarnation: n.incarnation}, Keepers: keep, Lease: leaseUs, Limits: s.limits, Room: s.room})
+	if s.removedRule == ruleNewKeeperKnowsNothing {
 		empty := &cover.Shelf{}
 		empty.Put(0, 0, 1, nil)
 		n.part.coverStores[limitHash(s.limits[0].Name)] = empty
 	}
 }
 
-func (s *stage) after(us int64, do func()) {
+func (s *harness) after(us int64, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.at + us, s.seq, do})
 }
 
-func (s *stage) run(until int64) {
+func (s *harness) run(until int64) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(event)
 		s.at = e.at
@@ -139,15 +139,15 @@
 	s.at = until
 }
 
-func (s *stage) rounds(i int) {
-	s.after(round, func() { s.rounds(i) })
-	if n := s.nodes[i]; !n.down && !n.stopped {
+func (s *harness) scheduleRounds(i int) {
+	s.after(round, func() { s.scheduleRounds(i) })
+	if n := s.nodes[i]; !n.down && !n.paused {
 		s.send(i, n.part.Round(n.now(s.at))...)
 	}
 }
 
-// send carries messages as their bytes, over the link that the faults leave.
-func (s *stage) send(from int, out ...*Message) {
+// send encodes messages and delivers them subject to the faults of the link.
+func (s *harness) send(from int, out ...*Message) {
 	for _, m := range out {
 		s.messages++
 		to := -1
@@ -157,12 +157,12 @@
 		}
 		b := Append(nil, m)
 		for copies := 1; copies > 0; copies-- {
-			if copies == 1 && s.rng.Float64() < s.twice {
+			if copies == 1 && s.rng.Float64() < s.duplicate {
 				copies++
 			}
-			late := s.delay + s.rng.Int64N(s.spread)
-			if s.late != nil {
-				late += s.late(from, to)
+			late := s.delay + s.rng.Int64N(s.jitter)
+			if s.extraDelay != nil {
+				late += s.extraDelay(from, to)
 			}
 			s.after(late, func() {
 				got, err := Parse(b)
@@ -175,11 +175,11 @@
 	}
 }
 
-func (s *stage) deliver(to int, m *Message) {
+func (s *harness) deliver(to int, m *Message) {
 	switch {
-	case s.broken == "rights count from when they were asked for" && m.Kind == Grant:
+	case s.removedRule == "rights count from when they were asked for" && m.Kind == Grant:
 		m.Number = s.nodes[to].now(s.at)
-	case s.broken == keeps && m.Kind == CoverPut && s.nodes[to].part.coverStores[m.Cover.Limit] != nil:
+	case s.removedRule == ruleConfirmOnlyStored && m.Kind == CoverPut && s.nodes[to].part.coverStores[m.Cover.Limit] != nil:
 		if _, some := s.nodes[to].part.coverStores[m.Cover.Limit].Look(); some {
 			has := s.nodes[to].part.newMessage(CoverHas, m.From, m.Number)
 			has.Cover = m.Cover
@@ -189,7 +189,7 @@
 	}
 	switch n := s.nodes[to]; {
 	case n.down:
-	case n.stopped:
+	case n.paused:
 		n.inbox = append(n.inbox, m)
 	default:
 		if answer := n.part.Hear(n.now(s.at), m); answer != nil {
@@ -198,23 +198,23 @@
 	}
 }
 
-// stop has a process stand still; go on, and it takes what has come meanwhile in any order.
-func (s *stage) stop(i int, us int64) {
+// pause stops a process for a time. Afterwards it handles the messages that arrived meanwhile in random order.
+func (s *harness) pause(i int, us int64) {
 	n := s.nodes[i]
-	if n.down || n.stopped {
+	if n.down || n.paused {
 		return
 	}
-	n.stopped = true
-	inc := n.inc
+	n.paused = true
+	inc := n.incarnation
 	s.after(us, func() {
-		if n.inc != inc || n.down {
+		if n.incarnation != inc || n.down {
 			return
 		}
-		n.stopped = false
+		n.paused = false
 		inbox := n.inbox
 		n.inbox = nil
 		s.rng.Shuffle(len(inbox), func(a, b int) { inbox[a], inbox[b] = inbox[b], inbox[a] })
-		s.enter(n) // a client was first
+		s.offerJob(n) // a client comes first
 		for _, m := range inbox {
 			s.deliver(i, m)
 		}
@@ -225,55 +225,55 @@
 	})
 }
 
-func (s *stage) kill(i int, us int64) {
+func (s *harness) kill(i int, us int64) {
 	n := s.nodes[i]
 	n.down = true
-	inc := n.inc
+	inc := n.incarnation
 	s.after(us, func() {
-		if n.inc == inc && n.down {
+		if n.incarnation == inc && n.down {
 			s.start(n)
 		}
 	})
 }
 
-// resign has a process end in order, and start anew later.
-func (s *stage) resign(i int, us int64) {
-	if n := s.nodes[i]; !n.down && !n.stopped {
+// leave ends a process in order and restarts it later.
+func (s *harness) leave(i int, us int64) {
+	if n := s.nodes[i]; !n.down && !n.paused {
 		s.send(i, n.part.Leave(n.now(s.at))...)
 	}
 	s.kill(i, us)
 }
 
-// arrivals has jobs come to a node at its load.
-func (s *stage) arrivals(i int) {
+// scheduleArrivals lets jobs arrive at a node at its load.
+func (s *harness) scheduleArrivals(i int) {
 	n := s.nodes[i]
 	if n.load <= 0 {
 		return
 	}
 	s.after(int64(s.rng.ExpFloat64()/n.load*1e6), func() {
-		s.arrivals(i)
-		if !n.down && !n.stopped {
-			s.enter(n)
+		s.scheduleArrivals(i)
+		if !n.down && !n.paused {
+			s.offerJob(n)
 		}
 	})
 }
 
-func (s *stage) enter(n *node) {
+func (s *harness) offerJob(n *node) {
 	s.wanted++
 	v, places := n.part.Enter(n.now(s.at), 0, 0)
 	if v != Inside {
 		return
 	}
-	s.in++
-	s.rated()
+	s.admitted++
+	s.recordAdmission()
 	s.open++
-	s.most = max(s.most, s.open)
-	inc := n.inc
-	s.after(int64(s.rng.Float64()*float64(s.hold)), func() {
+	s.maxOpen = max(s.maxOpen, s.open)
+	inc := n.incarnation
+	s.after(int64(s.rng.Float64()*float64(s.maxJobTime)), func() {
 		s.open--
 		switch {
-		case n.inc != inc || n.down:
-		case n.stopped:
+		case n.incarnation != inc || n.down:
+		case n.paused:
 			n.ended = append(n.ended, places)
 		default:
 			n.part.Done(n.now(s.at), places)
@@ -281,8 +281,8 @@
 	})
 }
 
-// rated keeps how far admissions are beyond the rate, over the worst window that ends now.
-func (s *stage) rated() {
+// recordAdmission updates by how many jobs admissions exceed the rate, over the worst period that ends now.
+func (s *harness) recordAdmission() {
 	s.over = max(s.over-s.rate*float64(s.at-s.last)/1e6, 0) + 1
 	s.last = s.at
 	s.burst = max(s.burst, s.over)
--- a/internal/fleet/limit/rights/dealer.go
+++ b/internal/fleet/limit/rights/dealer.go
@@ -252,9 +252,9 @@
 		sum += uses[i]
 		chance += 1 + math.Sqrt(uses[i])
 	}
-	most := math.Floor(d.limit.total())
-	scale := math.Min(1, most/math.Max(sum, 1e-9))
-	more := math.Max(0, math.Min(maxDeviations, (most-sum)/math.Max(chance, 1)))
+	total := math.Floor(d.limit.total())
+	scale := math.Min(1, total/math.Max(sum, 1e-9))
+	more := math.Max(0, math.Min(maxDeviations, (total-sum)/math.Max(chance, 1)))
 	out := make([]int64, len(all))
 	_, run := math.Modf(float64(now/d.limit.Lease) * 0.6180339887)
 	for i, u := range uses {
--- a/internal/fleet/limit/talk.go
+++ b/internal/fleet/limit/talk.go
@@ -51,11 +51,11 @@
 	case CoverIs, CoverHas:
 		p.handleCoverAnswer(now, m)
 	case Ask:
-		if old := p.pendingAsks[m.From]; p.seat == nil {
+		if earlier := p.pendingAsks[m.From]; p.seat == nil {
 			p.refusals.Strange++ // this process is not a keeper
-		} else if old != nil && old.Number > m.Number {
+		} else if earlier != nil && earlier.Number > m.Number {
 			p.refusals.Late++
-		} else if old == nil && len(p.pendingAsks) >= maxPendingAsks {
+		} else if earlier == nil && len(p.pendingAsks) >= maxPendingAsks {
 			p.refusals.Full++
 		} else {
 			p.pendingAsks[m.From] = m
