--- a/internal/fleet/gang/gang.go
+++ b/internal/fleet/gang/gang.go
@@ -21,7 +21,7 @@
 // Kind is the settings of a class whose messages are gangs.
 type Kind struct {
 	Class        int
-	Parts, Least int
+	Parts, Least int // number of parts, and the least number with which a gang may run
 	Pattern      pattern.Pattern
 	Bytes, Steps float64 // bytes that a part sends in each step, and the number of steps
 	Within       int64   // all parts must begin within this time of being sent, or the gang is given up
@@ -50,8 +50,8 @@
 // Counts are totals of gangs by outcome.
 type Counts struct {
 	Arrived, Started, Served      int
-	Nowhere, Waited, Half, Failed int // given up: no placement worth it; no slots in time; not all parts began in time; a part failed
-	Crosses                       float64
+	Nowhere, Waited, Half, Failed int     // given up: no placement worth it; no slots in time; not all parts began in time; a part failed
+	Crosses                       float64 // sum of the shares of bytes that leave a rack, of all gangs started
 	Late, Push, Price, Pieces     float64 // sums of the score terms of all placements that were started
 }
 
--- a/internal/fleet/gang/pattern/pattern.go
+++ b/internal/fleet/gang/pattern/pattern.go
@@ -28,6 +28,7 @@
 	return 0, fmt.Errorf("no exchange %q; there are %v", name, names)
 }
 
+// String returns the name that Parse accepts.
 func (p Pattern) String() string { return names[p] }
 
 // Edge is a pair of ranks that exchange data. Share is the fraction of a part's bytes in a step that goes in each
--- a/internal/fleet/gang/place/candidates.go
+++ b/internal/fleet/gang/place/candidates.go
@@ -145,6 +145,7 @@
 	s.evaluate(chosen)
 }
 
+// sortByRack sorts hosts by zone, rack and cost.
 func (s *search) sortByRack(chosen []int32) {
 	slices.SortFunc(chosen, func(a, b int32) int {
 		ra, rb := s.rackOf[a], s.rackOf[b]
--- a/internal/fleet/gang/place/place.go
+++ b/internal/fleet/gang/place/place.go
@@ -37,14 +37,14 @@
 
 // Job is a gang to be placed. Times are seconds.
 type Job struct {
-	Parts, Least int
+	Parts, Least int     // number of parts, and the least number with which the gang may run
 	Work         float64 // of each part if all are placed; fewer parts have more each
-	Steps        float64
+	Steps        float64 // number of exchanges
 	Bytes        float64 // that a part sends in a step
 	Pattern      pattern.Pattern
 	Slack        float64 // time until the deadline
 	Stretch      float64 // seconds added to the deadline for each second of work beyond the stated work
-	Worth        float64
+	Worth        float64 // value if it completes in time
 	LateWorth    float64 // share of the worth that is still earned after the deadline
 	Price        float64 // worth of a slot-second for which the fleet has no capacity
 	Crowd        float64 // share of the slots for gangs that are taken: the probability that this gang keeps a similar one waiting
--- a/internal/fleet/gang/place/search.go
+++ b/internal/fleet/gang/place/search.go
@@ -59,6 +59,7 @@
 	return out
 }
 
+// newSearch prepares a search: it groups the hosts by rack and computes what each costs alone.
 func newSearch(hosts []Host, j Job, t *topology.Topology, others *topology.Loads, w Weights) *search {
 	n := len(hosts)
 	s := &search{hosts: hosts, job: j, topo: t, others: others, weights: w, lawOf: make([]int32, n),
--- a/internal/fleet/gang/seek.go
+++ b/internal/fleet/gang/seek.go
@@ -82,10 +82,10 @@
 	if len(p.rackNumbers) > maxRacks {
 		clear(p.rackNumbers) // they belong to replaced hosts
 	}
-	truth := p.waitFactor()
+	factor := p.waitFactor()
 	p.hosts(now, g.Work, func(v logic.View) {
 		h := place.Host{ID: uint32(v.ID), Spot: topology.Spot{Rack: p.rackNumber(v.Zone, v.Cell), Zone: v.Zone},
-			Backlog: v.Backlog * truth, Room: v.Room, Pace: v.Pace, Push: v.Push}
+			Backlog: v.Backlog * factor, Room: v.Room, Pace: v.Pace, Push: v.Push}
 		if u := taken[h.ID]; u != nil {
 			others.Add(h.Spot, float64(u.Rack), float64(u.Zone))
 			if over := len(u.freeIn) - p.options.Room; over >= 0 {
--- a/internal/fleet/limit/cases_test.go
+++ b/internal/fleet/limit/cases_test.go
@@ -7,9 +7,9 @@
 )
 
 // newBusyHarness returns a fleet in which every node always wants more than its share.
-func newBusyHarness(seed uint64, n int, limits []Limit, broken string) *harness {
+func newBusyHarness(seed uint64, n int, limits []Limit, removed string) *harness {
 	s := newHarness(seed, 0, limits)
-	s.removedRule = broken
+	s.removedRule = removed
 	s.addNodes(n)
 	l := limits[0]
 	s.rate, s.maxJobTime = l.Amount*1.02, l.Linger
@@ -60,25 +60,25 @@
 
 // membersUnreachable delays grants to half of the members, and then loses all their messages.
 func (s *harness) membersUnreachable() {
-	some := len(s.nodes) / 2
+	firstCutOff := len(s.nodes) / 2
 	s.run(10 * sec)
 	s.extraDelay = func(from, to int) int64 {
-		if from < 3 && to >= some {
+		if from < 3 && to >= firstCutOff {
 			return 4 * sec / 5
 		}
 		return 0
 	}
 	s.run(14 * sec)
-	s.cut = func(from, to int) bool { return from >= some && to < 3 }
+	s.cut = func(from, to int) bool { return from >= firstCutOff && to < 3 }
 	s.run(20 * sec)
 }
 
 // Each rule is needed: without it some run soon exceeds the limit.
 func TestFaultsWithRuleRemoved(t *testing.T) {
-	drawn := func(seed uint64, rule string) *harness { return runLimitFaults(seed, openLimit(20, sec/2), rule) }
-	for rule, play := range map[string]func(seed uint64, rule string) *harness{
-		"a later process has a higher incarnation": drawn,
-		"a majority of keepers":                    drawn,
+	randomFaults := func(seed uint64, rule string) *harness { return runLimitFaults(seed, openLimit(20, sec/2), rule) }
+	for rule, run := range map[string]func(seed uint64, rule string) *harness{
+		"a later process has a higher incarnation": randomFaults,
+		"a majority of keepers":                    randomFaults,
 		"rights count from when they were asked for": func(seed uint64, rule string) *harness {
 			s := newBusyHarness(seed, 12, openLimit(20, sec/10), rule)
 			for _, n := range s.nodes {
@@ -109,10 +109,10 @@
 		t.Run(rule, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(40) {
-				if with := play(seed, ""); with.maxOpen > 20 {
+				if with := run(seed, ""); with.maxOpen > 20 {
 					t.Fatalf("seed %d: %d open with the rule", seed, with.maxOpen)
 				}
-				if s := play(seed, rule); s.maxOpen > 20 {
+				if s := run(seed, rule); s.maxOpen > 20 {
 					t.Logf("seed %d: %d open with a limit of 20", seed, s.maxOpen)
 					return
 				}
--- a/internal/fleet/limit/hold/hold_check_test.go
+++ b/internal/fleet/limit/hold/hold_check_test.go
@@ -117,9 +117,9 @@
 	each        int64
 }
 
-func twoMembers(c scenario, broken string) check.Make {
+func twoMembers(c scenario, removed string) check.Make {
 	return func() ([]func(), func() error) {
-		w := &world{now: 100, removedRule: broken}
+		w := &world{now: 100, removedRule: removed}
 		w.book = NewBook(0, leaseFor, 1)
 		spot := func(h uint32) []Spot { return []Spot{{Host: h}} }
 		first := func() {
@@ -128,7 +128,7 @@
 				m.Want(id, spot(2), w.now+50, 5)
 				w.ask(m)
 				m.Drop(id)
-				if broken != ruleNewID {
+				if removed != ruleNewID {
 					id = 2
 				}
 				m.Want(id, spot(1), w.now+50, 5)
@@ -175,10 +175,10 @@
 		if r.Err != nil || !r.Whole {
 			t.Error(r)
 		}
-		broken := twoMembers(c, without)
-		r = check.Run(check.Default, broken)
+		mutation := twoMembers(c, without)
+		r = check.Run(check.Default, mutation)
 		t.Logf("without %q: %v", without, r)
-		if r.Err == nil || check.Replay(r.Schedule, broken) == nil {
+		if r.Err == nil || check.Replay(r.Schedule, mutation) == nil {
 			t.Errorf("without %q: %v", without, r)
 		}
 	}
--- a/internal/fleet/limit/holds.go
+++ b/internal/fleet/limit/holds.go
@@ -56,7 +56,8 @@
 
 // adoptSlots gives a new book the grants of the immediately preceding dealer, if that dealer chose this process as
 // its successor. That dealer left after it had received a promise from this process, and a dealer in between would
-// have granted nothing for a lease from then on. So a handover that is a lease old or older is dropped.
+// have granted nothing for a lease from then on. So the handover is dropped if this process became the dealer a lease
+// or more after that promise.
 func (p *Part) adoptSlots(now int64) {
 	if h := p.handover; h != nil && p.dealingSince-h.notBefore < p.options.Lease {
 		p.slotBook.Inherit(now, h.holdings)
--- a/internal/fleet/limit/holds_test.go
+++ b/internal/fleet/limit/holds_test.go
@@ -32,9 +32,9 @@
 	ends  int64 // when its slots are given back; 0: none are granted yet
 }
 
-func newSlotHarness(seed uint64, nodes int, broken string) *slotHarness {
+func newSlotHarness(seed uint64, nodes int, removed string) *slotHarness {
 	t := &slotHarness{harness: newHarness(seed, 0, nil), hosts: 12, sets: map[*Part][]*slotRequest{}}
-	t.removedRule, t.room = broken, 1
+	t.removedRule, t.room = removed, 1
 	t.addNodes(nodes)
 	for i := range t.nodes {
 		t.after(t.rng.Int64N(sec), func() { t.step(i) })
@@ -111,8 +111,8 @@
 	}
 }
 
-func runSlotFaults(seed uint64, broken string) *slotHarness {
-	t := newSlotHarness(seed, []int{12, 5, 30}[seed%3], broken)
+func runSlotFaults(seed uint64, removed string) *slotHarness {
+	t := newSlotHarness(seed, []int{12, 5, 30}[seed%3], removed)
 	t.scheduleFaults(60)
 	t.run(60 * sec)
 	return t
@@ -170,13 +170,13 @@
 			end(s, s.dealer())
 			s.acquired = 0
 			s.run(s.at + sec)
-			dealt := false
+			granted := false
 			for _, n := range s.nodes {
 				_, _, deals := n.part.Held(n.now(s.at))
-				dealt = dealt || deals && !n.down
+				granted = granted || deals && !n.down
 			}
-			if dealt != (name == "in order") {
-				t.Errorf("seed %d, %s: slots are granted a second later: %t", seed, name, dealt)
+			if granted != (name == "in order") {
+				t.Errorf("seed %d, %s: slots are granted a second later: %t", seed, name, granted)
 			}
 			s.run(s.at + 10*sec)
 			if s.doubleHeld > 0 || s.acquired < 5 {
@@ -221,11 +221,11 @@
 	m.From.Name, m.To.Name = "a", "b"
 	g := &Message{Kind: Grant, From: m.To, To: m.From, Held: &hold.Answer{Given: []uint64{7}, Told: true, Busy: []hold.Busy{{Spot: hold.Spot{Host: 4}, Left: 11}}}}
 	over := &Message{Kind: SlotsOver, From: m.To, To: m.From, Table: []hold.Holding{{Who: m.From, Number: 3, Items: m.Holds}}}
-	said := func(m *Message) string { return fmt.Sprintf("%+v %+v %+v %t", m.Holds, m.Held, m.Table, m.Look) }
+	describe := func(m *Message) string { return fmt.Sprintf("%+v %+v %+v %t", m.Holds, m.Held, m.Table, m.Look) }
 	for _, m := range []*Message{m, g, over} {
 		b := Append(nil, m)
 		got, err := Parse(b)
-		if err != nil || said(got) != said(m) {
+		if err != nil || describe(got) != describe(m) {
 			t.Errorf("%+v, %v", got, err)
 		}
 		for n := range b {
--- a/internal/fleet/limit/lease/lease.go
+++ b/internal/fleet/limit/lease/lease.go
@@ -30,7 +30,7 @@
 type Seat struct {
 	self    Owner
 	keepers []string
-	rank    int
+	rank    int // its index in keepers
 	length  int64
 
 	promisesFrom  int64 // no promise is given before
--- a/internal/fleet/limit/limit.go
+++ b/internal/fleet/limit/limit.go
@@ -23,10 +23,10 @@
 
 // Limit is one limit of the fleet and the jobs that it counts.
 type Limit struct {
-	Name   string
-	Tenant int // tenant whose jobs the limit counts; -1: all tenants
-	Class  int // class whose jobs the limit counts; -1: all classes
-	Refuse bool
+	Name   string // unique in the fleet
+	Tenant int    // tenant whose jobs the limit counts; -1: all tenants
+	Class  int    // class whose jobs the limit counts; -1: all classes
+	Refuse bool   // refuse jobs without a right; else they may run as work beyond the share
 	rights.Limit
 }
 
@@ -139,7 +139,7 @@
 
 // Places are the rights and places that an open job occupies, one for each limit. Pass them to Done.
 type Places [maxLimitsPerJob]struct {
-	own   *localLimit
+	limit *localLimit
 	place rights.Place
 }
 
@@ -170,7 +170,7 @@
 	}
 	for i, o := range counting[:n] {
 		if o != nil {
-			took[i].own = o
+			took[i].limit = o
 			took[i].place, _ = o.holder.Take(now)
 		}
 	}
@@ -180,8 +180,8 @@
 // Done releases the places of a job that was answered.
 func (p *Part) Done(now int64, took Places) {
 	for _, t := range took {
-		if t.own != nil {
-			t.own.holder.Done(now, t.place)
+		if t.limit != nil {
+			t.limit.holder.Done(now, t.place)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 type Status struct {
 	Limit
 	rights.State
-	Deals   bool
+	Deals   bool // this process is the dealer and grants now; the fields below are set
 	Out     int64
 	Left    float64
 	Holders int
--- a/internal/fleet/limit/limit_test.go
+++ b/internal/fleet/limit/limit_test.go
@@ -78,7 +78,7 @@
 // keepers.
 func (s *harness) scheduleFaults(seconds int) {
 	n := len(s.nodes)
-	some := func() map[int]bool {
+	randomNodes := func() map[int]bool {
 		out := map[int]bool{}
 		for range 1 + s.rng.IntN(n/2) {
 			out[s.rng.IntN(n)] = true
@@ -89,20 +89,20 @@
 		s.after(int64(at)*sec, func() {
 			span := int64((0.2 + 3*s.rng.Float64()) * float64(leaseUs))
 			for range 1 + s.rng.IntN(2) {
-				s.injectFault(some, span)
+				s.injectFault(randomNodes, span)
 			}
 			s.after(span, func() { s.cut, s.loss, s.duplicate, s.jitter = nil, 0, 0, sec/50 })
 		})
 	}
 }
 
-func (s *harness) injectFault(some func() map[int]bool, span int64) {
+func (s *harness) injectFault(randomNodes func() map[int]bool, span int64) {
 	n := len(s.nodes)
-	switch side := some(); s.rng.IntN(7) {
+	switch chosen := randomNodes(); s.rng.IntN(7) {
 	case 0: // a partition
-		s.cut = func(a, b int) bool { return side[a] != side[b] }
+		s.cut = func(a, b int) bool { return chosen[a] != chosen[b] }
 	case 1: // a partition in one direction
-		s.cut = func(a, b int) bool { return side[a] && !side[b] }
+		s.cut = func(a, b int) bool { return chosen[a] && !chosen[b] }
 	case 2: // between two keepers
 		a, b := s.rng.IntN(3), s.rng.IntN(3)
 		s.cut = func(x, y int) bool { return x == a && y == b || x == b && y == a }
@@ -116,7 +116,7 @@
 		} else {
 			s.leave(i, span/20)
 		}
-		for i := range side {
+		for i := range chosen {
 			s.kill(i, span/4)
 		}
 	case 6:
@@ -125,11 +125,11 @@
 }
 
 // runLimitFaults runs random faults against a fleet whose demand exceeds its limit.
-func runLimitFaults(seed uint64, limits []Limit, broken string) *harness {
+func runLimitFaults(seed uint64, limits []Limit, removed string) *harness {
 	// Every third run has few nodes with high demand, so that all places are always taken.
 	nodes := []int{30, 9, 100}[seed%3]
 	s := newHarness(seed, 0, limits)
-	s.removedRule = broken
+	s.removedRule = removed
 	s.addNodes(nodes)
 	l := limits[0]
 	s.rate, s.maxJobTime = l.Amount*1.02, l.Linger
--- a/internal/fleet/limit/message.go
+++ b/internal/fleet/limit/message.go
@@ -68,7 +68,7 @@
 const Version = 0x51
 
 const (
-	maxNameLength   = 128
+	maxNameLength   = 128  // bytes of a process name
 	maxLimits       = 64   // in one message
 	maxCoverEntries = 4096 // processes in one cover table
 )
--- a/internal/fleet/limit/play_test.go
+++ b/internal/fleet/limit/play_test.go
@@ -180,7 +180,7 @@
 	case s.removedRule == "rights count from when they were asked for" && m.Kind == Grant:
 		m.Number = s.nodes[to].now(s.at)
 	case s.removedRule == ruleConfirmOnlyStored && m.Kind == CoverPut && s.nodes[to].part.coverStores[m.Cover.Limit] != nil:
-		if _, some := s.nodes[to].part.coverStores[m.Cover.Limit].Look(); some {
+		if _, stored := s.nodes[to].part.coverStores[m.Cover.Limit].Look(); stored {
 			has := s.nodes[to].part.newMessage(CoverHas, m.From, m.Number)
 			has.Cover = m.Cover
 			s.send(to, has)
--- a/internal/fleet/limit/rights/cover_check_test.go
+++ b/internal/fleet/limit/rights/cover_check_test.go
@@ -166,10 +166,10 @@
 	w.startJob(h)
 }
 
-func runHandover(broken string) check.Make {
+func runHandover(removed string) check.Make {
 	return func() ([]func(), func() error) {
 		l := Limit{Kind: Open, Amount: 1, Lease: 1e6, Linger: 1e6}
-		w := &handover{now: 1, post: x, removedRule: broken}
+		w := &handover{now: 1, post: x, removedRule: removed}
 		for i, o := range []lease.Owner{x, y, z} {
 			w.keepers[i] = &keeper{Owner: o, promised: x, turn: 1}
 		}
@@ -187,7 +187,7 @@
 		w.x.Ask(w.now, a, Ask{Demand: 1})
 		w.x.Deal(w.now) // a's entry is sent to the keepers next
 		w.storeTable(w.x, x, w.keepers[0])
-		if broken == ruleMajorityStores {
+		if removed == ruleMajorityStores {
 			_, version := w.x.cover.Told()
 			for _, k := range w.keepers {
 				w.x.cover.Has(k.Owner, k.turn, version)
--- a/internal/fleet/limit/rights/dealer.go
+++ b/internal/fleet/limit/rights/dealer.go
@@ -62,8 +62,8 @@
 
 // Ask is a holder's report to the dealer: the counts of its session, and its demand.
 type Ask struct {
-	Session         uint64 // 0: it has none with this dealer
-	Spent, Returned int64
+	Session         uint64  // 0: it has none with this dealer
+	Spent, Returned int64   // totals within the session
 	Old             int64   // places of earlier sessions whose jobs are still open
 	Demand          float64 // jobs a second, or places
 }
@@ -76,6 +76,7 @@
 	Keep    int64 // rights that the holder may keep unused (places: may hold); it returns the others
 }
 
+// Bounds of what a dealer tracks and grants.
 const (
 	maxHolders    = 2048 // together with as many of an earlier dealer, this fills the largest cover table
 	rateLookahead = 2.0  // seconds of its demand that a holder of a rate is granted
@@ -100,6 +101,7 @@
 	unreportedUntil int64       // when none of that can be in use any more
 }
 
+// account is the dealer's record of one holder.
 type account struct {
 	key                      uint64
 	session                  uint64
@@ -151,13 +153,13 @@
 			delete(d.holders, who)
 		}
 	}
-	room := math.Max(d.limit.total()-float64(d.outstanding), 0)
+	headroom := math.Max(d.limit.total()-float64(d.outstanding), 0)
 	if d.limit.Kind == Open {
-		d.unallocated = room
+		d.unallocated = headroom
 	} else if now > d.updatedAt {
 		d.unallocated += d.limit.Amount * float64(now-d.updatedAt) / 1e6
 	}
-	d.unallocated = math.Min(d.unallocated, room)
+	d.unallocated = math.Min(d.unallocated, headroom)
 	d.updatedAt = max(now, d.updatedAt)
 }
 
@@ -181,7 +183,7 @@
 		return
 	}
 	// Within this session the holder has nothing of earlier dealers but open jobs, and their number only falls.
-	if may, silent := d.unreported[a.key]; silent {
+	if may, found := d.unreported[a.key]; found {
 		a.oldOpen = min(ask.Old, may)
 		d.outstanding -= may - a.oldOpen
 		delete(d.unreported, a.key)
@@ -239,22 +241,22 @@
 // against random demand, otherwise a share in proportion to its expected use. Shares are whole numbers. Which
 // holders are rounded up changes slowly, so that nobody waits for ever.
 func (d *Dealer) shares(now int64, all []lease.Owner) []int64 {
-	uses, sum, chance := make([]float64, len(all)), 0.0, 0.0
+	uses, sum, deviation := make([]float64, len(all)), 0.0, 0.0
 	for i, who := range all {
 		a := d.holders[who]
 		if uses[i] = a.demand; d.limit.Kind == Rate {
 			uses[i] *= rateLookahead
 		}
 		if now > a.validUntil {
-			uses[i] = -1 // has not been received from for a lease
+			uses[i] = -1 // it has not reported for a lease
 			continue
 		}
 		sum += uses[i]
-		chance += 1 + math.Sqrt(uses[i])
+		deviation += 1 + math.Sqrt(uses[i])
 	}
 	total := math.Floor(d.limit.total())
 	scale := math.Min(1, total/math.Max(sum, 1e-9))
-	more := math.Max(0, math.Min(maxDeviations, (total-sum)/math.Max(chance, 1)))
+	more := math.Max(0, math.Min(maxDeviations, (total-sum)/math.Max(deviation, 1)))
 	out := make([]int64, len(all))
 	_, run := math.Modf(float64(now/d.limit.Lease) * 0.6180339887)
 	for i, u := range uses {
--- a/internal/fleet/limit/rights/rights_check_test.go
+++ b/internal/fleet/limit/rights/rights_check_test.go
@@ -126,18 +126,18 @@
 
 // twoHolders lets two holders use one place while time passes in two steps of 4. right is the lease and job the
 // longest run time.
-func twoHolders(right, job int64, broken string) check.Make {
+func twoHolders(right, job int64, removed string) check.Make {
 	return func() ([]func(), func() error) {
 		l := Limit{Kind: Open, Amount: 1, Lease: right, Linger: job}
-		dealt := l
-		switch broken {
+		dealerLimit := l
+		switch removed {
 		case "a right is outstanding for as long as it may be used":
-			dealt.Lease = 1
+			dealerLimit.Lease = 1
 		case "a place is taken until the answer":
-			dealt.Linger = 0
+			dealerLimit.Linger = 0
 		}
-		w := &world{now: 100, removedRule: broken}
-		w.dealer = NewDealer(80, dealt, new(uint64), nil)
+		w := &world{now: 100, removedRule: removed}
+		w.dealer = NewDealer(80, dealerLimit, new(uint64), nil)
 		clock := func() {
 			for range 2 {
 				check.Touch(w)
@@ -168,10 +168,10 @@
 				t.Error(r)
 			}
 		}
-		broken := twoHolders(c.right, c.job, c.without)
-		r := check.Run(check.Default, broken)
+		mutation := twoHolders(c.right, c.job, c.without)
+		r := check.Run(check.Default, mutation)
 		t.Logf("without %q: %v", c.without, r)
-		if r.Err == nil || check.Replay(r.Schedule, broken) == nil {
+		if r.Err == nil || check.Replay(r.Schedule, mutation) == nil {
 			t.Errorf("without %q: %v", c.without, r)
 		}
 	}
--- a/internal/fleet/limit/talk.go
+++ b/internal/fleet/limit/talk.go
@@ -74,6 +74,7 @@
 	return &Message{Kind: kind, From: p.options.Self, To: to, Number: number}
 }
 
+// handleGrant handles the answer of the dealer to an ask.
 func (p *Part) handleGrant(now int64, m *Message) {
 	if m.From.Name != p.dealer.Name {
 		p.refusals.Late++ // from a former dealer, whose earlier grants stay valid until their lease ends
@@ -100,6 +101,7 @@
 	}
 }
 
+// switchDealer asks another process for rights from now on.
 func (p *Part) switchDealer(now int64, to lease.Owner) {
 	p.dealer, p.answeredAt, p.askedAt, p.emptyAnswer = to, now, 0, false
 }
