--- a/internal/fleet/gang/gang.go
+++ b/internal/fleet/gang/gang.go
@@ -49,8 +49,9 @@
 
 // Counts are totals of gangs by outcome.
 type Counts struct {
-	Arrived, Started, Served      int
-	Nowhere, Waited, Half, Failed int     // given up: no placement worth it; no slots in time; not all parts began in time; a part failed
+	Arrived, Started, Served int
+	// Gangs given up: no placement worth it; no slots in time; not all parts began in time; a part failed.
+	Nowhere, Waited, Half, Failed int
 	Crosses                       float64 // sum of the shares of bytes that leave a rack, of all gangs started
 	Late, Push, Price, Pieces     float64 // sums of the score terms of all placements that were started
 }
@@ -166,9 +167,9 @@
 		if g == nil {
 			continue
 		}
-		_, heard := p.holder.Busy()
+		_, listedAt := p.holder.Busy()
 		switch {
-		case g.holdID == 0 && heard <= g.arrivedAt && now < g.arrivedAt+p.lease/newsTimeoutDivisor && !p.closed:
+		case g.holdID == 0 && listedAt <= g.arrivedAt && now < g.arrivedAt+p.lease/newsTimeoutDivisor && !p.closed:
 			// The requested list of others' slots has not arrived.
 		case g.holdID == 0 && !p.tryPlace(now, g):
 			p.giveUp(now, g, &p.counts.Nowhere)
--- a/internal/fleet/gang/gang_test.go
+++ b/internal/fleet/gang/gang_test.go
@@ -238,7 +238,7 @@
 				t.Errorf("a part was sent to %s, which drains", c.Addr)
 			}
 			if len(c.Gang.Peers) != 3 || c.Gang.Peers[c.Gang.Rank] != c.Addr {
-				t.Errorf("part %d at %s is told %v", c.Gang.Rank, c.Addr, c.Gang.Peers)
+				t.Errorf("part %d at %s has the peers %v", c.Gang.Rank, c.Addr, c.Gang.Peers)
 			}
 		}
 	}
--- a/internal/fleet/gang/place/place.go
+++ b/internal/fleet/gang/place/place.go
@@ -47,12 +47,14 @@
 	Worth        float64 // value if it completes in time
 	LateWorth    float64 // share of the worth that is still earned after the deadline
 	Price        float64 // worth of a slot-second for which the fleet has no capacity
-	Crowd        float64 // share of the slots for gangs that are taken: the probability that this gang keeps a similar one waiting
+	Crowd        float64 // share of the slots for gangs that are taken, as the probability of delaying another gang
 }
 
 // Weights are the costs of a placement other than a missed deadline.
 type Weights struct {
-	Pieces float64 // share of the worth lost for a rack of which all hosts but one stay free: the next gang has to cross its border
+	// Pieces is the share of the worth lost for a rack of which all hosts but one stay free: the next gang has to cross
+	// its border.
+	Pieces float64
 	Fails  float64 // failures of a rack a second
 }
 
--- a/internal/fleet/limit/cases_test.go
+++ b/internal/fleet/limit/cases_test.go
@@ -127,7 +127,7 @@
 func TestFaultScenarios(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault  func(s *harness) // starts at 10 s
-		until  int64            // length of the fault; after the time from loss to full use the limit is nearly fully used again
+		until  int64            // length of the fault; full use is checked the time from loss to full use later
 		meanly float64          // least share of the limit that is used meanwhile
 	}{
 		"a partition into halves": {func(s *harness) {
@@ -164,7 +164,7 @@
 				s.run(10*sec + c.until)
 				may := func(us int64) float64 {
 					if l.Kind == rights.Open {
-						return l.Amount * 2 * float64(us) / 1e6 // a job takes half a second on average; the next arrives a twelfth of that later
+						return l.Amount * 2 * float64(us) / 1e6 // a job takes 1/2 s on average; the next comes 1/12 of that later
 					}
 					return l.Amount * float64(us) / 1e6
 				}
--- a/internal/fleet/limit/message.go
+++ b/internal/fleet/limit/message.go
@@ -29,13 +29,13 @@
 	CoverAsk              // the dealer asks a keeper what it knows of a limit's cover
 	CoverIs               // a keeper answers with its turn and its table
 	CoverPut              // the dealer sends a table; Number is the table's version
-	CoverHas              // a keeper confirms that it has the table
-	SlotsOver             // a leaving dealer hands its granted slots over; Number is the time of the successor's last promise, on its clock
+	CoverHas              // a keeper confirms that it has the table of that version
+	SlotsOver             // a leaving dealer hands its grants of slots over; Number is the Clock of the successor's last promise
 	kindCount
 )
 
 // Message is a message from one process to another. Number is the time of a request on the requester's clock, and
-// the answer repeats it; for covers and SlotsOver it is as told at the Kind.
+// the answer repeats it; for CoverPut, CoverHas and SlotsOver see there.
 type Message struct {
 	Kind     Kind
 	From, To lease.Owner // To.Incarnation is 0 if unknown
--- a/internal/fleet/limit/rights/dealer.go
+++ b/internal/fleet/limit/rights/dealer.go
@@ -36,7 +36,9 @@
 	Amount float64 // jobs a second, or places
 	Burst  float64 // of a rate: rights that may exist unused at once, in jobs
 	Lease  int64   // how long a right is valid from when it was asked for, microseconds
-	Linger int64   // the longest time to an answer, microseconds: a job that starts at the end of the lease may stay open this long
+	// Linger is the longest time to an answer, microseconds: a job that starts at the end of the lease may stay open this
+	// long.
+	Linger int64
 	Floor  float64 // of a rate: jobs a second that a member without rights may start; else: its places; 0: none
 }
 
@@ -80,7 +82,7 @@
 const (
 	maxHolders    = 2048 // together with as many of an earlier dealer, this fills the largest cover table
 	rateLookahead = 2.0  // seconds of its demand that a holder of a rate is granted
-	maxDeviations = 3.0  // holders are granted up to this many standard deviations (of random demand) beyond their mean use
+	maxDeviations = 3.0  // granted beyond mean use: at most this many standard deviations of random demand
 	maxDemand     = 1e6
 )
 
--- a/internal/fleet/limit/rights/holder.go
+++ b/internal/fleet/limit/rights/holder.go
@@ -22,7 +22,7 @@
 	epoch                    uint64 // counts sessions, so that a place is returned to the session from which it was taken
 
 	askedAt                         int64 // time of the last ask
-	changed                         bool  // since the last ask a job came or a place was released, so that a new grant may be due
+	changed                         bool  // a job came or a place was released since the last ask
 	attempts                        int64 // jobs that wanted to start since the last ask
 	refused                         int64
 	released                        int64   // places released since the last ask
