--- a/internal/fleet/gang/gang.go
+++ b/internal/fleet/gang/gang.go
@@ -1,6 +1,12 @@
-// Package gang has messages of some classes run as gangs: parts at many hosts, all at once or not at all. Place finds the hosts,
-// limit/hold takes their slots together; this package takes a gang from its arrival to its end. It does no I/O and reads no
-// clock; times are microseconds on the caller's.
+// Package gang runs messages of some classes as gangs: a gang has parts at several hosts that run at the same
+// time, all or none (gang scheduling).
+//
+// Package place chooses the hosts and limit/hold reserves their slots together; a Part takes each gang from its
+// arrival to its end. The caller passes events to the Part, calls Round regularly, and carries out the actions
+// that both return. Pattern and topology describe how the parts communicate and what that costs.
+//
+// The package does no I/O and reads no clock; times are microseconds on the caller's clock unless stated
+// otherwise.
 package gang
 
 import (
@@ -12,112 +18,114 @@
 	"granitewing/logic"
 )
 
-// Kind is a class whose messages are gangs.
+// Kind is the settings of a class whose messages are gangs.
 type Kind struct {
 	Class        int
-	Parts, Least int
+	Parts, Least int // number of parts, and the least number with which a gang may run
 	Pattern      pattern.Pattern
-	Bytes, Steps float64 // that a part sends in a step, and steps
-	Within       int64   // all parts have to begin within that of being sent, or none goes on
-	Wait         int64   // a gang waits for its slots at most so long
+	Bytes, Steps float64 // bytes that a part sends in each step, and the number of steps
+	Within       int64   // all parts must begin within this time of being sent, or the gang is given up
+	Wait         int64   // longest time that a gang waits for its slots
 }
 
-// Weights are what a placement costs beside lateness.
+// Weights are the costs of a placement other than a missed deadline.
 type Weights = place.Weights
 
-// Options are what the gangs of a process are placed by.
+// Options are the settings by which a process places gangs.
 type Options struct {
 	Kinds    []Kind
 	Topology topology.Topology
 	Weights  Weights
 	Room     int // slots of a host that gangs may have at once
 
-	// Choose finds a placement; nil is place.Search. Another is for comparison, and Blind says that it scores nothing, so that a
-	// gang which waits is placed anew only where it has to be.
+	// Choose finds a placement; nil means place.Search. Other functions are for comparison. Blind says that Choose
+	// does not score placements, so a waiting gang is placed anew only when its placement becomes unusable.
 	Blind  bool
 	Choose func([]place.Host, place.Job, *topology.Topology, *topology.Loads, Weights) (place.Placement, bool)
 }
 
-// Hosts tells of those that may be sent a part of some work in seconds.
+// Hosts passes the hosts to tell that may be sent a part with that work in seconds.
 type Hosts func(now int64, work float64, tell func(logic.View))
 
-// Counts is what became of gangs.
+// Counts are totals of gangs by outcome.
 type Counts struct {
-	Arrived, Started, Served      int
-	Nowhere, Waited, Half, Failed int // given up: no placement worth it; no slots in time; not all parts began in time; a part failed
-	Crosses                       float64
-	Late, Push, Price, Pieces     float64 // terms of the placements that were started, summed
+	Arrived, Started, Served int
+	// Gangs given up: no placement worth it; no slots in time; not all parts began in time; a part failed.
+	Nowhere, Waited, Half, Failed int
+	Crosses                       float64 // sum of the shares of bytes that leave a rack, of all gangs started
+	Late, Push, Price, Pieces     float64 // sums of the score terms of all placements that were started
 }
 
-// state is how far a gang has come.
+// state is the progress of a gang.
 type state uint8
 
 const (
-	waits state = iota // for its slots
-	sent
-	runs // all parts have begun
+	stateWaiting state = iota // waits for its slots
+	stateSent
+	stateRunning // all parts have begun
 )
 
-// gang is one under way.
+// gang is a gang that has not ended.
 type gang struct {
 	memory.GangJob
-	kind   *Kind
-	at     state
-	hold   uint64 // its slots, under the present placement
-	p      place.Placement
-	by     int64 // its parts must have been sent, or all have begun
-	looked int64 // when it was placed last
-	ends   int64 // expected
-	came   int64
-	sent   int64
-	truth  float64 // by which its hosts' backlogs were taken
-	began  []bool
-	served []bool
+	kind       *Kind
+	state      state
+	holdID     uint64 // ID of its set of slots; a new placement has a new ID
+	placement  place.Placement
+	giveUpAt   int64 // when its parts must have been sent, or once sent, must all have begun
+	placedAt   int64 // when it was last placed or its placement checked
+	endsAt     int64 // expected
+	arrivedAt  int64
+	sentAt     int64
+	waitFactor float64 // factor applied to the hosts' backlogs in the placement
+	began      []bool
+	served     []bool
 }
 
-// Part is one process's part in gangs. It must not be used by two goroutines at once.
+// Part is one process's side of gang scheduling. It implements memory.Gangs and is not safe for concurrent use.
 type Part struct {
-	o      Options
-	hosts  Hosts
-	holder *hold.Holder
-	lease  int64
-	kinds  map[int]*Kind
-	gangs  map[memory.ID]*gang
-	order  []memory.ID // of gangs, the oldest first
-	last   uint64
-	racks  map[[2]int]int
-	acts   []memory.GangAction
-	counts Counts
-	closed bool
-
-	saw, foresaw float64 // seconds that parts waited at their hosts, and were expected to
+	options     Options
+	hosts       Hosts
+	holder      *hold.Holder
+	lease       int64
+	kinds       map[int]*Kind
+	gangs       map[memory.ID]*gang
+	order       []memory.ID // oldest first; may contain ended gangs until removeEnded
+	lastHold    uint64
+	rackNumbers map[[2]int]int
+	actions     []memory.GangAction
+	counts      Counts
+	closed      bool
+
+	observedWait, expectedWait float64 // decayed sums of seconds that parts waited at hosts, observed and predicted
 }
 
-// New makes the part of a process; its slots are those of a holder with that lease.
+// New returns the Part of a process. Its slots are reserved through holder, for a lease in microseconds.
 func New(o Options, holder *hold.Holder, lease int64, hosts Hosts) *Part {
-	p := &Part{o: o, hosts: hosts, holder: holder, lease: lease, kinds: map[int]*Kind{}, gangs: map[memory.ID]*gang{}, racks: map[[2]int]int{}}
+	p := &Part{options: o, hosts: hosts, holder: holder, lease: lease, kinds: map[int]*Kind{}, gangs: map[memory.ID]*gang{}, rackNumbers: map[[2]int]int{}}
 	for i := range o.Kinds {
 		p.kinds[o.Kinds[i].Class] = &o.Kinds[i]
 	}
 	return p
 }
 
-// Takes implements memory.Gangs, as the calls below do.
+// Takes reports whether messages of a class are gangs.
 func (p *Part) Takes(class int) bool { return p.kinds[class] != nil }
 
-// Parts is how many parts the gangs of a class have at most.
+// Parts returns the maximum number of parts of a class's gangs.
 func (p *Part) Parts(class int) int { return p.kinds[class].Parts }
 
-// Counts tells what became of gangs so far.
+// Counts returns the totals so far.
 func (p *Part) Counts() Counts { return p.counts }
 
-// Open counts the gangs that wait for slots, of which parts were sent, and that run.
+// Open counts the gangs that wait for slots, those whose parts were sent but have not all begun, and those that
+// run.
 func (p *Part) Open() (waiting, half, running int) {
 	for _, g := range p.gangs {
-		switch g.at {
-		case waits:
+		switch g.state {
+		case stateWaiting:
 			waiting++
-		case sent:
+		case stateSent:
 			half++
 		default:
 			running++
@@ -126,107 +134,111 @@
 	return waiting, half, running
 }
 
-// The calls below return what is to be done, in order, valid until the next call.
+// The methods below return the actions to carry out, in order. The slice is valid until the next call.
 
-// Arrive takes a message. One that has no placement worth its work is given up at once.
+// Arrive takes a new message. It is given up at once if no placement is worth its work.
 func (p *Part) Arrive(now int64, j memory.GangJob) []memory.GangAction {
-	p.acts = p.acts[:0]
+	p.actions = p.actions[:0]
 	g := &gang{GangJob: j, kind: p.kinds[j.Class]}
 	p.counts.Arrived++
 	p.gangs[j.ID] = g
 	p.order = append(p.order, j.ID)
-	g.by, g.came = now+g.kind.Wait, now
-	if _, at := p.holder.Busy(); now-at > p.lease/freshPart {
-		// Placed by old news most would ask for slots that others have; the answer is there with the next rounds.
+	g.giveUpAt, g.arrivedAt = now+g.kind.Wait, now
+	if _, at := p.holder.Busy(); now-at > p.lease/freshDivisor {
+		// With an old list of others' slots most gangs would ask for slots that are taken. The new list arrives with the
+		// next rounds.
 		p.holder.Look()
-	} else if !p.seek(now, g) {
+	} else if !p.tryPlace(now, g) {
 		p.giveUp(now, g, &p.counts.Nowhere)
 	}
-	return p.acts
+	return p.actions
 }
 
-// Close has no more gangs started: this process leaves the fleet, and slots can't be had any more. Those that run go on.
+// Close stops the start of further gangs: this process leaves the fleet and can't get slots any more. Running
+// gangs go on.
 func (p *Part) Close() { p.closed = true }
 
-// Round goes on with all gangs, once the holder has heard what there was to hear. A gang is started, or given up, here alone, so a
-// round comes at least as often as what a gang may be late by.
+// Round advances all gangs, after the holder has handled what it received. Gangs are started, and given up for
+// lack of time, only here, so the interval of rounds must not exceed the delay that a gang tolerates.
 func (p *Part) Round(now int64) []memory.GangAction {
-	p.acts = p.acts[:0]
+	p.actions = p.actions[:0]
 	for _, id := range p.order {
 		g := p.gangs[id]
 		if g == nil {
 			continue
 		}
-		_, heard := p.holder.Busy()
+		_, listedAt := p.holder.Busy()
 		switch {
-		case g.hold == 0 && heard <= g.came && now < g.came+p.lease/lookMost && !p.closed:
-			// It waits for the news that it has asked for.
-		case g.hold == 0 && !p.seek(now, g):
+		case g.holdID == 0 && listedAt <= g.arrivedAt && now < g.arrivedAt+p.lease/newsTimeoutDivisor && !p.closed:
+			// The requested list of others' slots has not arrived.
+		case g.holdID == 0 && !p.tryPlace(now, g):
 			p.giveUp(now, g, &p.counts.Nowhere)
-		case g.at == waits && p.holder.Has(now+p.lease/sendPart, g.hold) && p.stands(now, g):
+		case g.state == stateWaiting && p.holder.Has(now+p.lease/sendMarginDivisor, g.holdID) && p.hostsAvailable(now, g):
 			p.start(now, g)
-		case g.at == waits && now >= g.by:
+		case g.state == stateWaiting && now >= g.giveUpAt:
 			p.giveUp(now, g, &p.counts.Waited)
-		case g.at == waits && (p.closed || now-g.looked >= lookAgain || p.conflicts(g)) && !p.seek(now, g):
+		case g.state == stateWaiting && (p.closed || now-g.placedAt >= rescoreInterval || p.conflictsSincePlacement(g)) && !p.tryPlace(now, g):
 			p.giveUp(now, g, &p.counts.Nowhere)
-		case g.at == sent && (now >= g.by || !p.holder.Has(now, g.hold)):
+		case g.state == stateSent && (now >= g.giveUpAt || !p.holder.Has(now, g.holdID)):
 			p.giveUp(now, g, &p.counts.Half)
 		}
 	}
-	p.tidy()
-	return p.acts
+	p.removeEnded()
+	return p.actions
 }
 
 const (
-	freshPart = 8         // news of others' slots is new for that part of a lease
-	lookMost  = 4         // a gang is placed without news after that part of a lease
-	sendPart  = 4         // a gang is sent while at least this part of its lease is left
-	lookAgain = 1_000_000 // a gang that waits is placed anew so often
+	freshDivisor       = 8         // the list of others' slots is recent for this part of a lease
+	newsTimeoutDivisor = 4         // a gang is placed without a recent list after this part of a lease
+	sendMarginDivisor  = 4         // a gang is sent only while at least this part of its lease is left
+	rescoreInterval    = 1_000_000 // interval in which the placement of a waiting gang is checked, microseconds
 )
 
-// Parts that began teach how long a backlog really keeps one waiting.
+// Parts that have begun show how long a backlog really keeps a part waiting. waitDecay is applied to both sums
+// with each part.
 const (
-	learnKeep  = 0.99
-	learnFirst = 3.0 // seconds of waiting that weigh as much as what was seen
-	learnMost  = 4.0 // times
+	waitDecay     = 0.99
+	waitPrior     = 3.0 // seconds added to both sums: the weight of the model against what was observed
+	maxWaitFactor = 4.0 // limit of the factor, in both directions
 )
 
-// truth is how long parts wait at their hosts, as a multiple of what the module's law says. The law is for choosing between hosts
-// and may be wrong by a factor; of a gang the last of many starts counts, where a factor is the whole answer.
-func (p *Part) truth() float64 {
-	return min(max((p.saw+learnFirst)/(p.foresaw+learnFirst), 1/learnMost), learnMost)
+// waitFactor returns how long parts wait at their hosts, as a multiple of the module's start-time model. That
+// model serves to compare hosts and may be wrong by a factor. A gang starts with the last of many parts, so here
+// such a factor decides the result.
+func (p *Part) waitFactor() float64 {
+	return min(max((p.observedWait+waitPrior)/(p.expectedWait+waitPrior), 1/maxWaitFactor), maxWaitFactor)
 }
 
-// start has the parts sent.
+// start sends the parts of a gang.
 func (p *Part) start(now int64, g *gang) {
-	n := len(g.p.Hosts)
-	g.sent = now
-	g.at, g.by, g.ends = sent, now+g.kind.Within, now+int64((g.p.Start+g.p.Run)*1e6)
+	n := len(g.placement.Hosts)
+	g.sentAt = now
+	g.state, g.giveUpAt, g.endsAt = stateSent, now+g.kind.Within, now+int64((g.placement.Start+g.placement.Run)*1e6)
 	g.began, g.served = make([]bool, n), make([]bool, n)
-	a := memory.GangAction{Kind: memory.GangStart, ID: g.ID, Within: g.kind.Within, Run: g.p.Run}
-	for _, h := range g.p.Hosts {
+	a := memory.GangAction{Kind: memory.GangStart, ID: g.ID, Within: g.kind.Within, Run: g.placement.Run}
+	for _, h := range g.placement.Hosts {
 		a.Hosts = append(a.Hosts, logic.WorkerID(h.ID))
 	}
 	c := &p.counts
 	c.Started++
-	c.Crosses, c.Late, c.Push, c.Price, c.Pieces = c.Crosses+g.p.Crosses, c.Late+g.p.Late, c.Push+g.p.Push, c.Price+g.p.Price, c.Pieces+g.p.Pieces
-	p.acts = append(p.acts, a)
+	c.Crosses, c.Late, c.Push, c.Price, c.Pieces = c.Crosses+g.placement.Crosses, c.Late+g.placement.Late, c.Push+g.placement.Push, c.Price+g.placement.Price, c.Pieces+g.placement.Pieces
+	p.actions = append(p.actions, a)
 }
 
-// giveUp ends a gang for a cause that is counted.
+// giveUp ends a gang and counts the cause.
 func (p *Part) giveUp(now int64, g *gang, cause *int) {
 	*cause++
-	p.acts = append(p.acts, memory.GangAction{Kind: memory.GangGiveUp, ID: g.ID, After: p.after(now, g)})
+	p.actions = append(p.actions, memory.GangAction{Kind: memory.GangGiveUp, ID: g.ID, After: p.retryAfter(now, g)})
 	p.drop(g)
 }
 
-// drop lets go of a gang. Its slots go back with the next round.
+// drop removes a gang. Its slots are returned with the next round.
 func (p *Part) drop(g *gang) {
-	p.holder.Drop(g.hold)
+	p.holder.Drop(g.holdID)
 	delete(p.gangs, g.ID)
 }
 
-func (p *Part) tidy() {
+func (p *Part) removeEnded() {
 	kept := p.order[:0]
 	for _, id := range p.order {
 		if p.gangs[id] != nil {
@@ -236,21 +248,21 @@
 	p.order = kept
 }
 
-// May tells whether a part that was to be sent may still be: its slots may not be its gang's own any more.
+// May reports whether a part may still be sent: the slots may no longer be its gang's.
 func (p *Part) May(now int64, id memory.ID) bool {
 	g := p.gangs[id]
-	return g != nil && g.at != waits && (g.at == runs || p.holder.Has(now, g.hold))
+	return g != nil && g.state != stateWaiting && (g.state == stateRunning || p.holder.Has(now, g.holdID))
 }
 
-// Began takes the news that a part has begun.
+// Began handles the report that a part has begun.
 func (p *Part) Began(now int64, id memory.ID, rank int) {
 	g := p.gangs[id]
-	if g == nil || g.at != sent || rank >= len(g.began) {
+	if g == nil || g.state != stateSent || rank >= len(g.began) {
 		return
 	}
-	if h := g.p.Hosts[rank]; !g.began[rank] && h.After == 0 {
-		h.Backlog /= g.truth
-		p.saw, p.foresaw = p.saw*learnKeep+float64(now-g.sent)/1e6, p.foresaw*learnKeep+h.Wait()
+	if h := g.placement.Hosts[rank]; !g.began[rank] && h.After == 0 {
+		h.Backlog /= g.waitFactor
+		p.observedWait, p.expectedWait = p.observedWait*waitDecay+float64(now-g.sentAt)/1e6, p.expectedWait*waitDecay+h.Wait()
 	}
 	g.began[rank] = true
 	for _, b := range g.began {
@@ -258,20 +270,20 @@
 			return
 		}
 	}
-	g.at, g.ends = runs, now+int64(g.p.Run*1e6)
-	p.holder.Begin(g.hold, g.ends)
+	g.state, g.endsAt = stateRunning, now+int64(g.placement.Run*1e6)
+	p.holder.Begin(g.holdID, g.endsAt)
 }
 
-// Ended takes the end of a part. One that fails ends the gang.
+// Ended handles the end of a part. A part that fails ends the gang.
 func (p *Part) Ended(now int64, id memory.ID, rank int, served bool) []memory.GangAction {
-	p.acts = p.acts[:0]
+	p.actions = p.actions[:0]
 	g := p.gangs[id]
-	if g == nil || g.at == waits || rank >= len(g.served) {
+	if g == nil || g.state == stateWaiting || rank >= len(g.served) {
 		return nil
 	}
 	if !served {
 		p.giveUp(now, g, &p.counts.Failed)
-		return p.acts
+		return p.actions
 	}
 	g.served[rank] = true
 	for _, s := range g.served {
@@ -280,12 +292,12 @@
 		}
 	}
 	p.counts.Served++
-	p.acts = append(p.acts, memory.GangAction{Kind: memory.GangServe, ID: id})
+	p.actions = append(p.actions, memory.GangAction{Kind: memory.GangServe, ID: id})
 	p.drop(g)
-	return p.acts
+	return p.actions
 }
 
-// Left takes the news that nobody waits for a gang any more.
+// Left handles the report that no client waits for a gang any more.
 func (p *Part) Left(id memory.ID) {
 	if g := p.gangs[id]; g != nil {
 		p.drop(g)
