--- a/internal/lab/arrive/arrive.go
+++ b/internal/lab/arrive/arrive.go
@@ -1,5 +1,8 @@
-// Package arrive makes arrivals that wait for no answer: renewal processes whose time runs as fast as a rate programme
-// says, drawn from a seed.
+// Package arrive draws open-loop arrival times from a seed: they do not depend on answers.
+//
+// A Programme describes the arrival rate over time and a Process the distribution of the gaps. Times combines them: the
+// process is a renewal process with mean gap 1, on a time axis that runs as fast as the programme's rate. Zipf draws
+// ranks, and Burstiness measures recorded arrivals.
 package arrive
 
 import (
@@ -12,33 +15,33 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Step is one part of a rate programme. Rates are jobs a second.
+// Step is one part of a rate programme. Rates are in jobs per second.
 type Step struct {
 	Kind   string        `sexp:",head"`
 	For    time.Duration `sexp:"for,required" min:"0"`
-	Rate   float64       `sexp:"rate,required" min:"0"`      // at the start of a ramp, between bursts, in the middle of a wave
+	Rate   float64       `sexp:"rate,required" min:"0"`      // at the start of a ramp, between bursts, mean of a wave
 	To     float64       `sexp:"to" min:"0"`                 // at the end of a ramp, within bursts, at the crest of a wave
-	Every  time.Duration `sexp:"every" min:"0.001"`          // from burst to burst, or from crest to crest
-	Lasts  time.Duration `sexp:"lasts" min:"0"`              // of a burst
-	Repeat int           `sexp:"repeat" min:"1" max:"10000"` // how often the step is played; default once
+	Every  time.Duration `sexp:"every" min:"0.001"`          // period of bursts or of a wave
+	Lasts  time.Duration `sexp:"lasts" min:"0"`              // length of a burst
+	Repeat int           `sexp:"repeat" min:"1" max:"10000"` // how often the step is run; default 1
 }
 
 // SetDefaults implements settings.Defaulter.
 func (s *Step) SetDefaults() { s.Repeat = 1 }
 
-// Check implements settings.Checker.
+// Check implements settings.Checker. It reports values that do not fit the kind of the step.
 func (s *Step) Check() error {
 	switch s.Kind {
 	case "burst":
 		if s.Every <= 0 || s.Lasts <= 0 || s.Lasts > s.Every {
-			return fmt.Errorf("a burst wants every and lasts, the second no longer than the first")
+			return fmt.Errorf("a burst wants every and lasts above 0, with lasts no longer than every")
 		}
 	case "wave":
 		if s.Every <= 0 {
 			return fmt.Errorf("a wave wants every")
 		}
 		if s.To < s.Rate || s.To > 2*s.Rate {
-			return fmt.Errorf("a wave's crest lies between its middle and twice that")
+			return fmt.Errorf("a wave wants a to between rate and twice rate")
 		}
 	}
 	if s.For <= 0 {
@@ -47,7 +50,7 @@
 	return nil
 }
 
-// rate is the rate at t seconds from the step's start.
+// rate returns the rate at t seconds from the step's start.
 func (s *Step) rate(t float64) float64 {
 	switch s.Kind {
 	case "ramp":
@@ -62,8 +65,9 @@
 	return s.Rate
 }
 
-// mass is the expected number of arrivals within t seconds from the step's start, the integral of rate.
-func (s *Step) mass(t float64) float64 {
+// expectedArrivals returns the expected number of arrivals within t seconds from the step's start, which is the
+// integral of rate.
+func (s *Step) expectedArrivals(t float64) float64 {
 	switch s.Kind {
 	case "ramp":
 		return s.Rate*t + (s.To-s.Rate)*t*t/(2*s.For.Seconds())
@@ -83,7 +87,7 @@
 // Programme is a sequence of steps.
 type Programme []Step
 
-// Length is how long all steps take.
+// Length returns the duration of all steps with their repeats.
 func (p Programme) Length() time.Duration {
 	var sum time.Duration
 	for _, s := range p {
@@ -92,7 +96,7 @@
 	return sum
 }
 
-// Rate is the rate at a time from the start, 0 beyond the end.
+// Rate returns the rate at a time from the start, or 0 beyond the end.
 func (p Programme) Rate(at time.Duration) float64 {
 	for i := range p {
 		for range max(p[i].Repeat, 1) {
@@ -105,62 +109,64 @@
 	return 0
 }
 
-// Mass is the expected number of arrivals in all.
+// Mass returns the expected number of arrivals of the whole programme.
 func (p Programme) Mass() float64 {
 	sum := 0.0
 	for i := range p {
-		sum += p[i].mass(p[i].For.Seconds()) * float64(max(p[i].Repeat, 1))
+		sum += p[i].expectedArrivals(p[i].For.Seconds()) * float64(max(p[i].Repeat, 1))
 	}
 	return sum
 }
 
-// walk finds the times at which the expected number of arrivals reaches ever larger figures.
-type walk struct {
-	steps  Programme
-	step   int
-	played int
-	begun  float64 // seconds before this step
-	passed float64 // mass before this step
+// arrivalClock inverts the expected number of arrivals of a programme: it returns the times at which that number
+// reaches given values, which must not decrease.
+type arrivalClock struct {
+	steps          Programme
+	step           int
+	repeats        int
+	stepStart      float64 // start of this step in seconds
+	arrivalsBefore float64 // expected arrivals before this step
 }
 
-// at gives the time in seconds; false beyond the end.
-func (w *walk) at(mass float64) (float64, bool) {
+// timeOf returns the time in seconds, or false if it is beyond the end of the programme.
+func (w *arrivalClock) timeOf(mass float64) (float64, bool) {
 	for w.step < len(w.steps) {
 		s := &w.steps[w.step]
 		length := s.For.Seconds()
-		whole := s.mass(length)
-		if left := mass - w.passed; left < whole {
-			// mass never falls with time, so halving finds the place; 60 halvings leave less than a nanosecond.
+		whole := s.expectedArrivals(length)
+		if left := mass - w.arrivalsBefore; left < whole {
+			// expectedArrivals does not decrease with time, so bisection finds the time; 60 steps leave an error below
+			// a nanosecond.
 			lo, hi := 0.0, length
 			for range 60 {
-				if mid := (lo + hi) / 2; s.mass(mid) <= left {
+				if mid := (lo + hi) / 2; s.expectedArrivals(mid) <= left {
 					lo = mid
 				} else {
 					hi = mid
 				}
 			}
-			return w.begun + hi, true
+			return w.stepStart + hi, true
 		}
-		w.begun += length
-		w.passed += whole
-		if w.played++; w.played >= max(s.Repeat, 1) {
-			w.step, w.played = w.step+1, 0
+		w.stepStart += length
+		w.arrivalsBefore += whole
+		if w.repeats++; w.repeats >= max(s.Repeat, 1) {
+			w.step, w.repeats = w.step+1, 0
 		}
 	}
 	return 0, false
 }
 
-// Process is how arrivals spread about their rate: gaps with mean 1 in a time that runs with the rate.
+// Process is the distribution of the gaps between arrivals, with mean 1 on a time axis that runs with the rate.
 type Process struct {
 	Kind  string  `sexp:",arg" one-of:"poisson|uniform|gamma|weibull|even"`
-	Shape float64 `sexp:"shape" min:"0.05" max:"100"` // of gamma and weibull: below 1 arrivals come in clusters, above 1 evenly
+	Shape float64 `sexp:"shape" min:"0.05" max:"100"` // of gamma and weibull: below 1 clustered, above 1 evenly
 }
 
 // SetDefaults implements settings.Defaulter.
 func (p *Process) SetDefaults() { p.Kind, p.Shape = "poisson", 1 }
 
-// gaps gives a source of gaps.
-func (p Process) gaps(rng *rand.Rand) func() float64 {
+// gapSource returns a function that draws gaps.
+func (p Process) gapSource(rng *rand.Rand) func() float64 {
 	src := rand.NewPCG(rng.Uint64(), rng.Uint64())
 	switch p.Kind {
 	case "uniform":
@@ -175,18 +181,18 @@
 	return distuv.Exponential{Rate: 1, Src: src}.Rand
 }
 
-// Times gives the arrivals of a programme as offsets from its start, in order. The first gap of an even process is
-// half a gap, so that arrivals lie in the middles of their shares.
+// Times draws the arrivals of a programme as offsets from its start, in order. The first gap of an even process is
+// halved, so that each arrival lies in the middle of its interval.
 func Times(p Programme, proc Process, rng *rand.Rand) []time.Duration {
-	w := walk{steps: p}
-	gap := proc.gaps(rng)
+	w := arrivalClock{steps: p}
+	gap := proc.gapSource(rng)
 	var out []time.Duration
 	mass := gap()
 	if proc.Kind == "even" {
 		mass /= 2
 	}
 	for {
-		t, ok := w.at(mass)
+		t, ok := w.timeOf(mass)
 		if !ok {
 			return out
 		}
@@ -195,27 +201,28 @@
 	}
 }
 
-// Zipf draws ranks 1 to n with a weight of rank^-s, from a table.
-type Zipf struct{ sums []float64 }
+// Zipf draws ranks 1 to n with probabilities proportional to rank^-s, from a table of cumulative weights.
+type Zipf struct{ cumulative []float64 }
 
-// NewZipf makes a source of ranks.
+// NewZipf returns a source of ranks 1 to n with exponent s.
 func NewZipf(n int, s float64) *Zipf {
-	z := &Zipf{sums: make([]float64, n)}
+	z := &Zipf{cumulative: make([]float64, n)}
 	sum := 0.0
 	for i := range n {
 		sum += math.Pow(float64(i+1), -s)
-		z.sums[i] = sum
+		z.cumulative[i] = sum
 	}
 	return z
 }
 
-// Draw gives a rank.
+// Draw draws a rank.
 func (z *Zipf) Draw(rng *rand.Rand) int {
-	return sort.SearchFloat64s(z.sums, rng.Float64()*z.sums[len(z.sums)-1]) + 1
+	return sort.SearchFloat64s(z.cumulative, rng.Float64()*z.cumulative[len(z.cumulative)-1]) + 1
 }
 
-// Burstiness is the coefficient of variation of the gaps between times, 1 for a Poisson process at an even rate, and
-// the index of dispersion of counts in windows of a second.
+// Burstiness returns the coefficient of variation of the gaps between times, which is 1 for a Poisson process of
+// constant rate, and the index of dispersion of the counts in windows of one second. Both are 0 for fewer than three
+// times.
 func Burstiness(times []time.Duration) (variation, dispersion float64) {
 	if len(times) < 3 {
 		return 0, 0
--- a/internal/lab/arrive/arrive_test.go
+++ b/internal/lab/arrive/arrive_test.go
@@ -21,7 +21,7 @@
 }
 
 // The expected number of arrivals is the integral of the rate.
-func TestMassIsTheIntegralOfRate(t *testing.T) {
+func TestExpectedArrivalsAreTheIntegralOfRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawStep(t)
 		const steps = 20_000
@@ -29,15 +29,15 @@
 		for i := range steps {
 			sum += s.rate((float64(i)+0.5)*dt) * dt
 		}
-		// Where bursts begin the sum is off by at most a step.
-		if got := s.mass(s.For.Seconds()); math.Abs(got-sum) > 1e-3*sum+5*dt*s.To*(1+s.For.Seconds()/s.Every.Seconds()) {
+		// The sum is off by at most one integration step at the start of each burst.
+		if got := s.expectedArrivals(s.For.Seconds()); math.Abs(got-sum) > 1e-3*sum+5*dt*s.To*(1+s.For.Seconds()/s.Every.Seconds()) {
 			t.Fatalf("%+v: mass %g, integral %g", s, got, sum)
 		}
 	})
 }
 
-// Arrivals come in order within the programme, the same for the same seed, and as an even process exactly as many as
-// the programme's mass.
+// Arrivals are sorted and within the programme, the same for the same seed, and for an even process as many as the
+// programme's expected number.
 func TestTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Programme{drawStep(t), drawStep(t)}
@@ -56,7 +56,7 @@
 	})
 }
 
-// Each process keeps the rate, and its gaps vary as its distribution's do.
+// Each process keeps the rate, and the variation of its gaps is that of its distribution.
 func TestProcesses(t *testing.T) {
 	p := Programme{{Kind: "constant", For: 100 * time.Second, Rate: 500, Repeat: 1}}
 	for _, c := range []struct {
@@ -72,12 +72,12 @@
 			t.Errorf("%v: %d arrivals of 50,000", c.proc, len(times))
 		}
 		if v, _ := Burstiness(times); math.Abs(v-c.variation) > 0.06*max(c.variation, 0.1) {
-			t.Errorf("%v: gaps vary by %.3f, want %.3f", c.proc, v, c.variation)
+			t.Errorf("%v: coefficient of variation of gaps %.3f, want %.3f", c.proc, v, c.variation)
 		}
 	}
 }
 
-// A thing of rank k is drawn in proportion to k^-s.
+// Rank k is drawn in proportion to k^-s.
 func TestZipf(t *testing.T) {
 	z := NewZipf(10, 1)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -93,11 +93,12 @@
 	}
 }
 
-func TestSteps(t *testing.T) {
+// Check rejects steps with invalid values, and Rate follows the steps and their repeats.
+func TestProgramme(t *testing.T) {
 	for _, s := range []Step{{Kind: "burst", For: 1}, {Kind: "burst", For: 1, Every: 1, Lasts: 2}, {Kind: "wave", For: 1}, {Kind: "wave", For: 1, Every: 1, Rate: 2, To: 1},
 		{Kind: "wave", For: 1, Every: 1, Rate: 2, To: 5}, {Kind: "constant"}} {
 		if s.Check() == nil {
-			t.Errorf("%+v was taken", s)
+			t.Errorf("%+v was accepted", s)
 		}
 	}
 	p := Programme{{Kind: "constant", For: time.Second, Rate: 5, Repeat: 2}, {Kind: "ramp", For: 2 * time.Second, Rate: 10, To: 20, Repeat: 1}}
--- a/internal/lab/model/directory.go
+++ b/internal/lab/model/directory.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Phase is what discovery says of a host.
+// Phase is the phase of a host in discovery's list.
 type Phase string
 
 // The phases of a host.
@@ -20,72 +20,75 @@
 	Cell    int
 	Phase   Phase
 	Size    float64
-	UpSince int64 // microseconds; 0 = long ago
+	UpSince int64 // microseconds of the day at which the process started; 0 = before the day
 }
 
-// Directory is discovery's list. What changes is told only after a lag, and in the order in which it changed.
+// Directory is discovery's list. It publishes changes after a lag, in the order in which they happened. Times are in
+// microseconds.
 type Directory struct {
-	revision int64
-	entries  []entry // the list as told, by the revision of their latest change
-	pending  []pending
-	last     int64 // when the latest pending change is told
-	stale    bool
+	revision        int64
+	entries         []publishedEntry // the published list, by the revision of the latest change
+	pending         []pendingChange
+	lastPublication int64 // when the latest change is published
+	stale           bool  // no changes are published
 }
 
-type entry struct {
+// publishedEntry is a published member with the revision of its latest change.
+type publishedEntry struct {
 	Member
 	revision int64
 }
 
-type pending struct {
-	at int64
+// pendingChange is a change that is not published yet.
+type pendingChange struct {
+	publishAt int64
 	Member
 }
 
-// NewDirectory makes a list that all have heard.
+// NewDirectory returns a list that is published as revision 1.
 func NewDirectory(members []Member) *Directory {
 	d := &Directory{revision: 1}
 	for _, m := range members {
-		d.entries = append(d.entries, entry{m, 1})
+		d.entries = append(d.entries, publishedEntry{m, 1})
 	}
 	return d
 }
 
-// Change takes an entry that is told after lag.
+// Change replaces the entry of a member. The change is published after lag, but not before earlier changes.
 func (d *Directory) Change(now, lag int64, m Member) {
-	d.last = max(d.last, now+lag)
-	d.pending = append(d.pending, pending{d.last, m})
+	d.lastPublication = max(d.lastPublication, now+lag)
+	d.pending = append(d.pending, pendingChange{d.lastPublication, m})
 }
 
-// Stale keeps the list as it was told so far, or lets go of what has changed since.
+// Stale stops the publication of changes, or resumes it.
 func (d *Directory) Stale(on bool) { d.stale = on }
 
-// Next is when something is to be told.
+// Next returns when the next change is due for publication, or Never.
 func (d *Directory) Next() int64 {
 	if d.stale || len(d.pending) == 0 {
 		return Never
 	}
-	return d.pending[0].at
+	return d.pending[0].publishAt
 }
 
-// Advance applies what is due and tells whether anything was.
+// Advance publishes the changes that are due and reports whether there were any.
 func (d *Directory) Advance(now int64) bool {
 	changed := false
-	for !d.stale && len(d.pending) > 0 && d.pending[0].at <= now {
+	for !d.stale && len(d.pending) > 0 && d.pending[0].publishAt <= now {
 		d.revision++
 		m := d.pending[0].Member
 		d.pending = d.pending[1:]
-		d.entries = slices.DeleteFunc(d.entries, func(e entry) bool { return e.ID == m.ID })
-		d.entries = append(d.entries, entry{m, d.revision})
+		d.entries = slices.DeleteFunc(d.entries, func(e publishedEntry) bool { return e.ID == m.ID })
+		d.entries = append(d.entries, publishedEntry{m, d.revision})
 		changed = true
 	}
 	return changed
 }
 
-// Revision is the number of the list as told.
+// Revision returns the revision of the published list.
 func (d *Directory) Revision() int64 { return d.revision }
 
-// All gives the whole list without those gone.
+// All returns the whole published list without the members that are gone.
 func (d *Directory) All() []Member {
 	var out []Member
 	for _, e := range d.entries {
@@ -96,8 +99,8 @@
 	return out
 }
 
-// Since gives what changed after a revision; complete says that it is the whole list instead, for a revision that was
-// never told.
+// Since returns the members that changed after a revision. For a revision that was never published it returns the whole
+// list instead, and complete is true.
 func (d *Directory) Since(revision int64) (members []Member, complete bool) {
 	if revision < 1 || revision > d.revision {
 		return d.All(), true
--- a/internal/lab/model/fate.go
+++ b/internal/lab/model/fate.go
@@ -1,52 +1,53 @@
 package model
 
-// What happens to a host from outside.
+// This file holds the external events of a host: crash, restart, slowness, errors and drain.
 
-// kill ends the process: whoever waits hears nothing from here.
+// kill ends the process. It produces no notes for the attempts that are lost.
 func (h *Host) kill() {
 	for _, r := range append(h.running, h.waiting...) {
 		h.counts.Failed++
-		h.drop(r)
+		h.abandon(r)
 	}
-	h.running, h.waiting, h.down, h.got, h.sets = nil, nil, true, nil, nil
+	h.running, h.waiting, h.down, h.coldOffers, h.cachedSets = nil, nil, true, nil, nil
 }
 
-// Crash ends the process.
+// Crash kills the process. It produces no notes; the driver has to fail the attempts.
 func (h *Host) Crash(now int64) {
 	h.advance(now)
 	h.kill()
 }
 
-// Restart starts the process anew, cold.
+// Restart starts a new process, which has to warm up.
 func (h *Host) Restart(now int64) {
 	h.kill()
-	h.down, h.drains, h.errors, h.slow, h.now, h.upSince = false, false, false, 1, now, now
-	h.heat(true)
+	h.down, h.draining, h.answersErrors, h.slowdown, h.now, h.upSince = false, false, false, 1, now, now
+	h.startWarmUp(true)
 }
 
-// Slow makes it slower by a factor; 1 is its own pace.
+// Slow makes the host slower by a factor; 1 is its normal speed. It returns the notes due until now, like Advance.
 func (h *Host) Slow(now int64, factor float64) []Note {
 	notes := h.Advance(now)
-	h.slow = max(factor, 1e-3)
-	h.pace()
+	h.slowdown = max(factor, 1e-3)
+	h.updateRate()
 	return notes
 }
 
-// Errors lets it answer each new job with an error, or no more.
-func (h *Host) Errors(on bool) { h.errors = on }
+// Errors makes the host answer each new job with an error, or stops that.
+func (h *Host) Errors(on bool) { h.answersErrors = on }
 
-// Drain lets it complete what it has; what has not started goes back where it hands such jobs back.
+// Drain starts a drain: the host completes the jobs it has. If Machine.Returns is set, it returns waiting jobs
+// unstarted.
 func (h *Host) Drain(now int64) []Note {
 	h.notes = h.notes[:0]
 	h.advance(now)
-	h.drains = true
+	h.draining = true
 	if h.Returns {
 		for _, r := range h.waiting {
-			h.note(r, Returned, 0)
-			h.drop(r)
+			h.addNote(r, Returned, 0)
+			h.abandon(r)
 		}
 		h.waiting = nil
-		h.pace()
+		h.updateRate()
 	}
 	return h.notes
 }
--- a/internal/lab/model/gang.go
+++ b/internal/lab/model/gang.go
@@ -6,27 +6,29 @@
 	"granitewing/internal/fleet/gang/pattern"
 )
 
-// Gangs at the laboratory's hosts: a part holds its slots from its start on, and runs once all parts of its gang have begun. The
-// gang ends everywhere at once; one that is not whole in time, or loses a part, ends as failed.
+// This file models gangs, that is jobs whose parts run at several hosts at once. A part holds its slots from its start
+// on, and runs once all parts of its gang have started. The gang ends at all hosts at once. It fails if its parts have
+// not all started in time, or if it loses a part.
 
-// Gang is what the hosts know of a class whose jobs run in parts.
+// Gang describes a class whose jobs run in parts.
 type Gang struct {
-	Parts   int // at full size; with fewer each has more work
-	Pattern pattern.Pattern
-	Bytes   float64 // that a part sends in a step
-	Steps   float64
+	Parts   int             // at full size; with fewer parts each has more work
+	Pattern pattern.Pattern // of the communication between the parts
+	Bytes   float64         // that a part sends in a step
+	Steps   float64         // exchanges per run
 }
 
-// Part is what a dispatcher tells of one.
+// Part describes one part of a gang in an attempt.
 type Part struct {
 	Name  string // of the gang, the same for all of its parts
 	Rank  int
 	Parts int
-	By    int64 // all parts have to begin by then
+	By    int64 // all parts have to start by this time
 	*Gang
 }
 
-// Links are what hosts' parts exchange over: bytes a second, all that cross a link sharing it.
+// Links holds the bandwidths of the links of a host, rack and zone, in bytes per second. All traffic over a link shares
+// its bandwidth.
 type Links struct{ Host, Rack, Zone float64 }
 
 // Ending is the end of a part at a host.
@@ -36,152 +38,158 @@
 	OK      bool
 }
 
-// member is a part that has begun.
-type member struct {
-	h       *Host
+// startedPart is a part that has started.
+type startedPart struct {
+	host    *Host
 	attempt uint64
 	rank    int
 }
 
-// ensemble is a gang of which a part has begun.
-type ensemble struct {
-	name    string
-	kind    *Gang
-	parts   int
-	work    float64 // microseconds of each part on a core of speed 1
-	by      int64
-	half    int64 // since when some and not all parts have begun; Never: none or all
-	members []member
-	whole   bool
-	broken  bool
-	left    float64 // share of its run
-	speed   float64 // share a microsecond
+// runningGang is a gang of which at least one part has started.
+type runningGang struct {
+	name          string
+	kind          *Gang
+	parts         int
+	work          float64 // of each part, in microseconds on a core of speed 1
+	startDeadline int64   // all parts have to start by this time
+	partialSince  int64   // since when some but not all parts have started; Never if all have
+	members       []startedPart
+	allStarted    bool    // all parts have started
+	ended         bool    // completed or failed
+	shareLeft     float64 // share of its run that is left
+	shareRate     float64 // share of its run per microsecond
 }
 
-// GangReport is what the hosts saw of gangs.
+// GangReport holds the figures of gangs as the hosts observed them.
 type GangReport struct {
-	Whole       int     `json:"whole"` // gangs of which all parts began
-	Broken      int     `json:"broken"`
-	Half        int     `json:"half"`           // of which some parts began, and all never did
-	Doubled     int     `json:"doubled"`        // parts begun while the same part of the same gang was out
-	LongestHalf float64 `json:"longest_half_s"` // until the moment at which the hosts had to end it
-	LatestEnd   float64 `json:"latest_end_s"`   // longest that the hosts came after that moment, as their emulation was held up
-	Step        float64 `json:"step_ms"`        // mean time of an exchange, over the runs that ended
-	Run         float64 `json:"run_s"`          // mean
+	Whole       int     `json:"whole"`          // gangs of which all parts started
+	Broken      int     `json:"broken"`         // gangs that lost a part after all had started
+	Half        int     `json:"half"`           // gangs of which some parts started, but never all
+	Doubled     int     `json:"doubled"`        // parts started while the same part of the same gang was running
+	LongestHalf float64 `json:"longest_half_s"` // longest time that a gang was partly started, up to its deadline
+	LatestEnd   float64 `json:"latest_end_s"`   // longest delay past the deadline, as the emulation was held up
+	Step        float64 `json:"step_ms"`        // mean time of an exchange, over the gangs that completed
+	Run         float64 `json:"run_s"`          // mean run time of the gangs that completed
 	Crossed     float64 `json:"crossed"`        // share of bytes that left a rack
-	Spans       float64 `json:"racks"`          // that a gang is in, in the mean
+	Spans       float64 `json:"racks"`          // mean number of racks that a gang spans
 }
 
-// Fabric is what all hosts of a deployment exchange over.
+// Fabric is the network over which the parts of gangs exchange data, with all gangs that run at the hosts of a
+// deployment.
 type Fabric struct {
 	Links
-	now     int64
-	gangs   []*ensemble
-	report  GangReport
-	ran     int
-	steps   float64
-	runs    float64
-	crossed float64
-	total   float64
-	spans   int
+	now    int64
+	gangs  []*runningGang
+	report GangReport
+	// Sums over the gangs that completed.
+	completedRuns   int
+	exchangeSeconds float64 // of one exchange of each
+	runSeconds      float64
+	crossedBytes    float64 // that left a rack
+	totalBytes      float64
+	rackCount       int
 }
 
-// NewFabric makes one without gangs.
+// NewFabric returns a fabric without gangs.
 func NewFabric(l Links) *Fabric { return &Fabric{Links: l} }
 
-func (f *Fabric) find(name string) *ensemble {
-	for _, e := range f.gangs {
-		if e.name == name {
-			return e
+func (f *Fabric) find(name string) *runningGang {
+	for _, g := range f.gangs {
+		if g.name == name {
+			return g
 		}
 	}
 	return nil
 }
 
-// began takes a part that holds its slots now.
-func (f *Fabric) began(h *Host, r *run) {
-	f.pass(h.now)
-	e := f.find(r.Part.Name)
-	if e == nil {
-		e = &ensemble{name: r.Part.Name, kind: r.Part.Gang, parts: r.Part.Parts, work: r.Work * float64(r.Part.Gang.Parts) / float64(r.Part.Parts), by: r.Part.By, half: f.now, left: 1}
-		f.gangs = append(f.gangs, e)
+// partStarted adds a part that has started, that is, holds its slots.
+func (f *Fabric) partStarted(h *Host, r *task) {
+	f.elapse(h.now)
+	g := f.find(r.Part.Name)
+	if g == nil {
+		g = &runningGang{name: r.Part.Name, kind: r.Part.Gang, parts: r.Part.Parts, work: r.Work * float64(r.Part.Gang.Parts) / float64(r.Part.Parts), startDeadline: r.Part.By, partialSince: f.now, shareLeft: 1}
+		f.gangs = append(f.gangs, g)
 	}
-	if slices.ContainsFunc(e.members, func(m member) bool { return m.rank == r.Part.Rank }) {
+	if slices.ContainsFunc(g.members, func(m startedPart) bool { return m.rank == r.Part.Rank }) {
 		f.report.Doubled++
 	}
-	e.members = append(e.members, member{h, r.Attempt, r.Part.Rank})
-	e.by = min(e.by, r.Part.By)
-	if len(e.members) == e.parts && !e.broken {
-		f.endHalf(e)
-		e.whole = true
+	g.members = append(g.members, startedPart{h, r.Attempt, r.Part.Rank})
+	g.startDeadline = min(g.startDeadline, r.Part.By)
+	if len(g.members) == g.parts && !g.ended {
+		f.endPartialStart(g)
+		g.allStarted = true
 		f.report.Whole++
-		f.pace()
+		f.updateRates()
 	}
 }
 
-// gone takes a part that has left, whatever the cause.
-func (f *Fabric) gone(h *Host, r *run) {
-	f.pass(h.now)
-	for i, e := range f.gangs {
-		k := slices.IndexFunc(e.members, func(m member) bool { return m.attempt == r.Attempt && m.h == h })
+// partEnded removes a part that has ended for any reason.
+func (f *Fabric) partEnded(h *Host, r *task) {
+	f.elapse(h.now)
+	for i, g := range f.gangs {
+		k := slices.IndexFunc(g.members, func(m startedPart) bool { return m.attempt == r.Attempt && m.host == h })
 		if k < 0 {
 			continue
 		}
-		e.members = slices.Delete(e.members, k, k+1)
-		if e.whole && !e.broken && e.left > 0 {
-			e.broken = true
+		g.members = slices.Delete(g.members, k, k+1)
+		if g.allStarted && !g.ended && g.shareLeft > 0 {
+			g.ended = true
 			f.report.Broken++
 		}
-		if len(e.members) == 0 {
-			if !e.whole {
+		if len(g.members) == 0 {
+			if !g.allStarted {
 				f.report.Half++
 			}
-			f.endHalf(e)
+			f.endPartialStart(g)
 			f.gangs = slices.Delete(f.gangs, i, i+1)
 		}
-		f.pace()
+		f.updateRates()
 		return
 	}
 }
 
-func (f *Fabric) endHalf(e *ensemble) {
-	if e.half != Never {
-		f.report.noteHalf(e, f.now)
-		e.half = Never
+// endPartialStart ends the time in which a gang is partly started, if it is.
+func (f *Fabric) endPartialStart(g *runningGang) {
+	if g.partialSince != Never {
+		f.report.recordPartialStart(g, f.now)
+		g.partialSince = Never
 	}
 }
 
-// noteHalf books how long a gang has stood half begun until the hosts had to end it, and how late they came to that.
-func (r *GangReport) noteHalf(e *ensemble, now int64) {
-	r.LongestHalf = max(r.LongestHalf, float64(min(now, e.by)-e.half)/1e6)
-	r.LatestEnd = max(r.LatestEnd, float64(now-e.by)/1e6)
+// recordPartialStart records how long a gang was partly started, up to its deadline, and how far past the deadline the
+// hosts ended it.
+func (r *GangReport) recordPartialStart(g *runningGang, now int64) {
+	r.LongestHalf = max(r.LongestHalf, float64(min(now, g.startDeadline)-g.partialSince)/1e6)
+	r.LatestEnd = max(r.LatestEnd, float64(now-g.startDeadline)/1e6)
 }
 
-func (f *Fabric) pass(now int64) {
+// elapse moves time on to now and updates the progress of all gangs.
+func (f *Fabric) elapse(now int64) {
 	if now <= f.now {
 		return
 	}
-	for _, e := range f.gangs {
-		if e.whole {
-			e.left -= e.speed * float64(now-f.now)
+	for _, g := range f.gangs {
+		if g.allStarted {
+			g.shareLeft -= g.shareRate * float64(now-f.now)
 		}
 	}
 	f.now = now
 }
 
-// crossing is what a gang's step sends over each rack's and zone's uplink, and in all.
-func crossing(e *ensemble) (racks, zones map[[2]int]float64, hosts []float64, total, crossed float64) {
-	racks, zones, hosts = map[[2]int]float64{}, map[[2]int]float64{}, make([]float64, e.parts)
-	at := make([]*Host, e.parts)
-	for _, m := range e.members {
-		at[m.rank] = m.h
+// exchangeTraffic returns the bytes that one exchange of a gang sends over the uplink of each rack and zone and the
+// link of each host, in total, and in total between racks.
+func exchangeTraffic(g *runningGang) (racks, zones map[[2]int]float64, hosts []float64, total, crossed float64) {
+	racks, zones, hosts = map[[2]int]float64{}, map[[2]int]float64{}, make([]float64, g.parts)
+	at := make([]*Host, g.parts)
+	for _, m := range g.members {
+		at[m.rank] = m.host
 	}
-	for _, x := range e.kind.Pattern.Edges(e.parts) {
+	for _, x := range g.kind.Pattern.Edges(g.parts) {
 		a, b := at[x.A], at[x.B]
 		if a == nil || b == nil {
 			continue
 		}
-		v := x.Share * e.kind.Bytes
+		v := x.Share * g.kind.Bytes
 		hosts[x.A] += v
 		hosts[x.B] += v
 		total += 2 * v
@@ -199,12 +207,12 @@
 	return racks, zones, hosts, total, crossed
 }
 
-// pace finds how fast each gang runs beside the others: whoever crosses a link waits for all that do.
-func (f *Fabric) pace() {
+// updateRates updates the speed of each gang. A gang that uses a link waits for all traffic on it.
+func (f *Fabric) updateRates() {
 	racks, zones := map[[2]int]float64{}, map[[2]int]float64{}
-	for _, e := range f.gangs {
-		if e.whole && !e.broken {
-			r, z, _, _, _ := crossing(e)
+	for _, g := range f.gangs {
+		if g.allStarted && !g.ended {
+			r, z, _, _, _ := exchangeTraffic(g)
 			for k, v := range r {
 				racks[k] += v
 			}
@@ -213,16 +221,18 @@
 			}
 		}
 	}
-	for _, e := range f.gangs {
-		if !e.whole || e.broken {
+	for _, g := range f.gangs {
+		if !g.allStarted || g.ended {
 			continue
 		}
-		r, z, hosts, _, _ := crossing(e)
-		e.speed = 1 / max(f.length(e, f.step(r, z, hosts, racks, zones)), 1)
+		r, z, hosts, _, _ := exchangeTraffic(g)
+		g.shareRate = 1 / max(f.runTime(g, f.exchangeTime(r, z, hosts, racks, zones)), 1)
 	}
 }
 
-func (f *Fabric) step(r, z map[[2]int]float64, hosts []float64, racks, zones map[[2]int]float64) float64 {
+// exchangeTime returns the time of an exchange in seconds. r, z and hosts are the gang's own bytes by rack, zone and
+// host; racks and zones are the bytes of all gangs.
+func (f *Fabric) exchangeTime(r, z map[[2]int]float64, hosts []float64, racks, zones map[[2]int]float64) float64 {
 	step := slices.Max(hosts) / f.Host
 	for k := range r {
 		step = max(step, racks[k]/f.Rack)
@@ -233,109 +243,111 @@
 	return step
 }
 
-// length is how long a gang runs at its present pace, in microseconds.
-func (f *Fabric) length(e *ensemble, step float64) float64 {
+// runTime returns the run time of a gang at the present rates, in microseconds. step is the time of an exchange in
+// seconds.
+func (f *Fabric) runTime(g *runningGang, step float64) float64 {
 	rate := 1e9
-	for _, m := range e.members {
-		rate = min(rate, m.h.rates)
+	for _, m := range g.members {
+		rate = min(rate, m.host.slotRate)
 	}
-	return e.work/max(rate, 1e-6) + e.kind.Steps*step*1e6
+	return g.work/max(rate, 1e-6) + g.kind.Steps*step*1e6
 }
 
-// Next is when a gang ends unless something comes before.
+// Next returns when the next gang ends if no part starts or ends before, or Never.
 func (f *Fabric) Next() int64 {
 	next := int64(Never)
-	for _, e := range f.gangs {
+	for _, g := range f.gangs {
 		switch {
-		case e.broken:
+		case g.ended:
 			next = min(next, f.now)
-		case e.whole:
-			next = min(next, f.now+max(int64(e.left/e.speed)+1, 0))
+		case g.allStarted:
+			next = min(next, f.now+max(int64(g.shareLeft/g.shareRate)+1, 0))
 		default:
-			next = min(next, e.by)
+			next = min(next, g.startDeadline)
 		}
 	}
 	return next
 }
 
-// Advance lets time pass and gives the parts that end with it. Each is to be ended at its host, by Finish, before the next call.
+// Advance moves time on to now and returns the parts that end. The caller has to end each at its host by Host.Finish
+// before the next call.
 func (f *Fabric) Advance(now int64) (out []Ending) {
-	f.pass(now)
-	for _, e := range f.gangs {
-		done := e.whole && !e.broken && e.left <= tiny
-		if !e.broken && !done && (e.whole || now < e.by) {
+	f.elapse(now)
+	for _, g := range f.gangs {
+		done := g.allStarted && !g.ended && g.shareLeft <= workTolerance
+		if !g.ended && !done && (g.allStarted || now < g.startDeadline) {
 			continue
 		}
 		if done {
-			racks, zones, hosts, total, crossed := crossing(e)
-			step := f.step(racks, zones, hosts, racks, zones)
-			f.ran++
-			f.steps, f.runs, f.total, f.crossed = f.steps+step, f.runs+f.length(e, step)/1e6, f.total+total, f.crossed+crossed
+			racks, zones, hosts, total, crossed := exchangeTraffic(g)
+			step := f.exchangeTime(racks, zones, hosts, racks, zones)
+			f.completedRuns++
+			f.exchangeSeconds, f.runSeconds, f.totalBytes, f.crossedBytes = f.exchangeSeconds+step, f.runSeconds+f.runTime(g, step)/1e6, f.totalBytes+total, f.crossedBytes+crossed
 			seen := map[[2]int]bool{}
-			for _, m := range e.members {
-				seen[[2]int{m.h.Zone, m.h.Cell}] = true
+			for _, m := range g.members {
+				seen[[2]int{m.host.Zone, m.host.Cell}] = true
 			}
-			f.spans += len(seen)
+			f.rackCount += len(seen)
 		}
-		e.broken = true // for the rest of it: no member that ends now ends the others again
+		g.ended = true // so that the ends of its members are not counted as a lost part
 		if done {
-			e.left = 0
+			g.shareLeft = 0
 		}
-		for _, m := range e.members {
-			out = append(out, Ending{m.h, m.attempt, done})
+		for _, m := range g.members {
+			out = append(out, Ending{m.host, m.attempt, done})
 		}
 	}
 	return out
 }
 
-// Report tells what was seen so far.
+// Report returns the figures so far.
 func (f *Fabric) Report() *GangReport {
 	r := f.report
-	for _, e := range f.gangs {
-		if e.half != Never {
-			r.noteHalf(e, f.now)
+	for _, g := range f.gangs {
+		if g.partialSince != Never {
+			r.recordPartialStart(g, f.now)
 		}
 	}
-	if f.ran > 0 {
-		r.Step, r.Run, r.Spans = f.steps/float64(f.ran)*1e3, f.runs/float64(f.ran), float64(f.spans)/float64(f.ran)
-		r.Crossed = f.crossed / max(f.total, 1)
+	if f.completedRuns > 0 {
+		r.Step, r.Run, r.Spans = f.exchangeSeconds/float64(f.completedRuns)*1e3, f.runSeconds/float64(f.completedRuns), float64(f.rackCount)/float64(f.completedRuns)
+		r.Crossed = f.crossedBytes / max(f.totalBytes, 1)
 	}
 	return &r
 }
 
-// Finish ends a part whose gang has ended.
+// Finish ends a part whose gang has ended, as done or failed. It returns notes like Advance.
 func (h *Host) Finish(now int64, attempt uint64, ok bool) []Note {
 	h.notes = h.notes[:0]
 	h.advance(now)
-	i := slices.IndexFunc(h.running, func(r *run) bool { return r.Attempt == attempt })
+	i := slices.IndexFunc(h.running, func(r *task) bool { return r.Attempt == attempt })
 	if i < 0 {
 		return h.notes
 	}
 	r := h.running[i]
 	h.running = slices.Delete(h.running, i, i+1)
 	if ok {
-		r.left = 0
-		h.note(r, Done, 1)
+		r.workLeft = 0
+		h.addNote(r, Done, 1)
 	} else {
-		h.note(r, Failed, 0)
+		h.addNote(r, Failed, 0)
 	}
-	h.settle(r, ok)
-	h.fabric.gone(h, r)
-	h.fill()
+	h.updateCell(r, ok)
+	h.fabric.partEnded(h, r)
+	h.startWaiting()
 	return h.notes
 }
 
-// Exchange has its parts exchange over a fabric.
+// Exchange sets the fabric over which the host's gang parts exchange data.
 func (h *Host) Exchange(f *Fabric) { h.fabric = f }
 
-// overdue hands back the parts that have not begun in time: their gang does not wait for them any more.
-func (h *Host) overdue() {
-	h.waiting = slices.DeleteFunc(h.waiting, func(r *run) bool {
+// returnOverdueParts returns the waiting parts that have not started by their deadline; their gang has failed.
+func (h *Host) returnOverdueParts() {
+	h.waiting = slices.DeleteFunc(h.waiting, func(r *task) bool {
 		if r.Part == nil || h.now < r.Part.By {
 			return false
 		}
-		h.note(r, Returned, 0)
-		h.drop(r)
+		h.addNote(r, Returned, 0)
+		h.abandon(r)
 		return true
 	})
 }
--- a/internal/lab/model/host.go
+++ b/internal/lab/model/host.go
@@ -1,5 +1,10 @@
-// Package model is the laboratory's model of south side hosts and of discovery: state machines that are fed times and
-// events and know neither socket nor clock. Drivers play them on real sockets (emulate) and in virtual time (virtual).
+// Package model models the hosts that run jobs, their racks, the network between them and discovery, as state machines
+// without sockets or clocks. All times are in microseconds and passed in by the caller.
+//
+// A Host takes attempts by Offer and Cancel, advances by Advance up to the time that Next returns, and reports what
+// happens to its attempts as Notes. A Cell drops repeats of idempotent jobs within a rack, a Store limits fetches of
+// data sets, a Fabric models the data exchange of gangs, and a Directory is discovery's list. Two drivers run these
+// models: package emulate on real sockets and package virtual in virtual time.
 package model
 
 import (
@@ -7,165 +12,167 @@
 	"slices"
 )
 
-// Never stands for a time that does not come. Times are microseconds.
+// Never is the time of an event that does not happen.
 const Never = math.MaxInt64
 
-// warmSteps is how many steps a host takes from cold to warm; between two its capacity stands still.
-const warmSteps = 50
+// warmUpSteps is the number of steps in which a host warms up; its capacity is constant between two steps.
+const warmUpSteps = 50
 
-// Machine is what a host is. Durations are microseconds; work is counted in microseconds on one core of speed 1.
+// Machine describes a host. Durations are in microseconds; work is in microseconds on one core of speed 1.
 type Machine struct {
 	Name     string
 	Zone     int
 	Kind     int
 	Cell     int
 	Cores    float64
-	Speed    float64 // of a core; 1 is the yardstick
-	Slots    float64 // of jobs in work
-	Memory   float64 // units for jobs in work; 0 = not counted
-	Queue    int     // jobs that wait at most; beyond them one is turned away unseen
-	Backfill bool    // whatever fits first starts; else the first waits until it fits
-	Knee     int     // jobs held from which on the host loses efficiency; 0 = never
-	Thrash   float64 // efficiency lost for each job held beyond the knee, as a share of what is left
-	Start    float64 // share of its capacity that a cold host has
-	WarmUp   int64   // until it is warm
-	Window   int64   // over which the work that a cold host gets is counted
-	Multiple float64 // of its present capacity; beyond it a cold host falls over; 0 = it never does
-	Sets     int     // data sets kept; 0 = jobs need none
-	Fetch    int64   // that fetching one takes from an idle store
-	Progress int64   // between notes of progress; 0 = none
-	Returns  bool    // a draining host hands back what has not started
+	Speed    float64 // of a core, relative to the reference speed 1
+	Slots    float64 // for running jobs
+	Memory   float64 // units for running jobs; 0 = not limited
+	Queue    int     // waiting jobs at most; beyond them a job is refused unstarted
+	Backfill bool    // a waiting job that fits may start before earlier ones that don't; else they start in order
+	Knee     int     // jobs held above which the host loses efficiency; 0 = never
+	Thrash   float64 // share of the remaining efficiency that each job above the knee costs
+	Start    float64 // share of its capacity that a cold host has at its start
+	WarmUp   int64   // time from the start until the host is warm
+	Window   int64   // time over which the work offered to a cold host is summed
+	Multiple float64 // a cold host collapses if that sum exceeds its present capacity times this; 0 = never
+	Sets     int     // data sets that fit in the cache; 0 = jobs need none
+	Fetch    int64   // time to fetch one from an idle store
+	Progress int64   // time between progress notes; 0 = none
+	Returns  bool    // a draining host returns jobs that have not started
 }
 
 // Job is one attempt as a host sees it.
 type Job struct {
-	Attempt uint64 // handle of the attempt, never used twice
-	Key     string // under which the hosts of a cell drop repeats; empty where none are dropped
-	Work    float64
+	Attempt uint64  // identifier of the attempt, never used twice
+	Key     string  // idempotency key by which the hosts of a cell drop repeats; empty = none are dropped
+	Work    float64 // microseconds on one core of speed 1
 	Slots   float64
 	Memory  float64
 	Set     uint64 // data set needed; 0 = none
-	Part    *Part  // of a gang; nil where it is none
+	Part    *Part  // of a gang; nil if the job is not a gang part
 }
 
-// NoteKind says what a note tells.
+// NoteKind is the kind of a note.
 type NoteKind uint8
 
-// The kinds of notes. After Done, Full, Failed, Returned and Lost nothing more is said of an attempt.
+// The kinds of notes. Done, Repeat, Full, Failed, Returned and Lost are the last note of an attempt.
 const (
-	Taken NoteKind = iota
-	Started
-	Running  // Share
-	Done     // the job ran to its end
-	Repeat   // the cell ran it already, and it is not run again
-	Full     // turned away unseen
-	Failed   // an error; it may have run
-	Returned // handed back unstarted
-	Lost     // killed; it may have run
+	Taken    NoteKind = iota // accepted; it runs or waits
+	Started                  // holds its slots
+	Running                  // progress; Note.Share is set
+	Done                     // the job ran to its end
+	Repeat                   // the cell ran the job already and does not run it again
+	Full                     // refused unstarted
+	Failed                   // an error; it may have run
+	Returned                 // returned unstarted after it was taken
+	Lost                     // the process was killed; it may have run
 )
 
-// Note is something that a host tells of an attempt.
+// Note reports a change of an attempt at a host.
 type Note struct {
 	Attempt uint64
 	At      int64
 	Kind    NoteKind
-	Share   float64
+	Share   float64 // of the work that is done
 }
 
-// run is an attempt that a host holds.
-type run struct {
+// task is an attempt that a host holds.
+type task struct {
 	Job
-	fetching bool
-	fetch    float64 // of the store's time left
-	left     float64 // of the work
-	started  bool
-	progress int64 // when the next note is due
+	fetching     bool
+	fetchLeft    float64 // time left of the fetch
+	workLeft     float64 // work left
+	started      bool
+	nextProgress int64 // when the next progress note is due
 }
 
-// Host is one host's state.
+// Host is the state of one host. It is not safe for concurrent use.
 type Host struct {
 	Machine
-	cell    *Cell
-	store   *Store
-	fabric  *Fabric
-	now     int64
-	upSince int64
-	cold    bool
-	warmed  int64 // when the next step of warming is due
-	slow    float64
-	errors  bool
-	drains  bool
-	down    bool
-	running []*run
-	waiting []*run
-	sets    []uint64 // kept, the latest used last
-	got     []offer  // to a cold host, within the window
-	notes   []Note
-	falls   int
-	counts  Counts
-	rates   float64 // work done in a microsecond on one slot, while nothing changes
+	cell           *Cell
+	store          *Store
+	fabric         *Fabric
+	now            int64
+	upSince        int64
+	cold           bool
+	nextWarmUpStep int64   // when the next step of the warm-up is due
+	slowdown       float64 // factor by which the host is slower
+	answersErrors  bool    // answers each new job with an error
+	draining       bool
+	down           bool
+	running        []*task
+	waiting        []*task
+	cachedSets     []uint64    // cached data sets, the most recently used last
+	coldOffers     []coldOffer // work offered while cold, within the window
+	notes          []Note
+	collapses      int
+	counts         Counts
+	slotRate       float64 // work done in a microsecond on one slot, until the next event
 }
 
-// Counts is what became of the attempts that a host was offered, and what it did for them.
+// Counts counts the outcomes of the attempts that a host was offered, and its work for them.
 type Counts struct {
 	Offered   int     `json:"offered"`
 	Done      int     `json:"done"`
-	Refused   int     `json:"refused"`      // turned away or handed back unstarted
+	Refused   int     `json:"refused"`      // refused, or returned unstarted
 	Failed    int     `json:"failed"`       // answered with an error, or lost with the process
-	Unstarted int     `json:"called_off"`   // by their dispatchers, while they waited
-	Stopped   int     `json:"stopped"`      // by their dispatchers, while they ran or fetched
-	Waited    int     `json:"waited"`       // did not begin when they came
+	Unstarted int     `json:"called_off"`   // cancelled by their dispatchers while they waited
+	Stopped   int     `json:"stopped"`      // cancelled by their dispatchers while they ran or fetched
+	Waited    int     `json:"waited"`       // did not start on arrival
 	Fetched   int     `json:"fetched"`      // needed their data set first
-	Work      float64 `json:"work_us"`      // done in all, on a core of speed 1
-	Vain      float64 `json:"vain_work_us"` // of that, for attempts that did not come to their end
+	Work      float64 `json:"work_us"`      // all work done, in microseconds on a core of speed 1
+	Vain      float64 `json:"vain_work_us"` // of that, for attempts that did not run to their end
 }
 
-// Add sums.
+// Add adds the counts of o.
 func (c *Counts) Add(o Counts) {
 	c.Offered, c.Done, c.Refused, c.Failed = c.Offered+o.Offered, c.Done+o.Done, c.Refused+o.Refused, c.Failed+o.Failed
 	c.Unstarted, c.Stopped, c.Waited, c.Fetched = c.Unstarted+o.Unstarted, c.Stopped+o.Stopped, c.Waited+o.Waited, c.Fetched+o.Fetched
 	c.Work, c.Vain = c.Work+o.Work, c.Vain+o.Vain
 }
 
-type offer struct {
+// coldOffer is work offered to a cold host.
+type coldOffer struct {
 	at   int64
 	work float64
 }
 
-// NewHost makes a host that has been up since a time, cold then or not.
+// NewHost returns a host that has been up since now. cold says whether it has to warm up first.
 func NewHost(m Machine, cell *Cell, store *Store, now int64, cold bool) *Host {
-	h := &Host{Machine: m, cell: cell, store: store, now: now, upSince: now, slow: 1}
-	h.heat(cold)
+	h := &Host{Machine: m, cell: cell, store: store, now: now, upSince: now, slowdown: 1}
+	h.startWarmUp(cold)
 	return h
 }
 
-func (h *Host) heat(cold bool) {
-	h.cold, h.warmed = cold && h.WarmUp > 0, Never
+// startWarmUp starts the warm-up, or marks the host as warm.
+func (h *Host) startWarmUp(cold bool) {
+	h.cold, h.nextWarmUpStep = cold && h.WarmUp > 0, Never
 	if h.cold {
-		h.warmed = h.now + max(h.WarmUp/warmSteps, 1)
+		h.nextWarmUpStep = h.now + max(h.WarmUp/warmUpSteps, 1)
 	}
-	h.pace()
+	h.updateRate()
 }
 
-// Keep puts data sets there as of old, the latest last.
+// Keep fills the cache with data sets, the most recently used last.
 func (h *Host) Keep(sets []uint64) {
 	if h.Sets > 0 {
-		h.sets = append(h.sets, sets[max(len(sets)-h.Sets, 0):]...)
+		h.cachedSets = append(h.cachedSets, sets[max(len(sets)-h.Sets, 0):]...)
 	}
 }
 
-// Held is how many jobs are in work or waiting.
+// Held returns the number of running and waiting jobs.
 func (h *Host) Held() int { return len(h.running) + len(h.waiting) }
 
-// Falls is how often it fell over.
-func (h *Host) Falls() int { return h.falls }
+// Falls returns how often the host collapsed.
+func (h *Host) Falls() int { return h.collapses }
 
-// Counts tells what became of its attempts so far.
+// Counts returns the counts so far.
 func (h *Host) Counts() Counts { return h.counts }
 
-// Free is how many slots have no job, 0 where it takes none.
+// Free returns the number of free slots, 0 if the host takes no jobs.
 func (h *Host) Free() float64 {
-	if h.down || h.drains || h.errors {
+	if h.down || h.draining || h.answersErrors {
 		return 0
 	}
 	free := h.Slots
@@ -175,10 +182,10 @@
 	return free
 }
 
-// Cold tells whether it still warms up.
+// Cold reports whether the host still warms up.
 func (h *Host) Cold() bool { return h.cold }
 
-// Queued counts the jobs that wait unstarted: those that want one slot, and those that want more.
+// Queued returns the numbers of waiting jobs: those that need one slot, and those that need more.
 func (h *Host) Queued() (one, more int) {
 	for _, r := range h.waiting {
 		if r.Slots > 1 {
@@ -190,52 +197,52 @@
 	return one, more
 }
 
-// Down tells whether the process is gone.
+// Down reports whether the process has ended.
 func (h *Host) Down() bool { return h.down }
 
-// UpSince is when its process last started.
+// UpSince returns when the process last started.
 func (h *Host) UpSince() int64 { return h.upSince }
 
-// share is the part of its capacity that it has reached.
-func (h *Host) share() float64 {
+// warmUpFactor returns the warm-up factor: the share of its full capacity that the host has reached.
+func (h *Host) warmUpFactor() float64 {
 	if !h.cold {
 		return 1
 	}
-	steps := float64((h.now - h.upSince) * warmSteps / h.WarmUp)
-	return h.Start + (1-h.Start)*min(steps/warmSteps, 1)
+	steps := float64((h.now - h.upSince) * warmUpSteps / h.WarmUp)
+	return h.Start + (1-h.Start)*min(steps/warmUpSteps, 1)
 }
 
-// Capacity is the work that all cores do in a microsecond now.
-func (h *Host) Capacity() float64 { return h.Cores * h.Speed * h.share() / h.slow }
+// Capacity returns the work that all cores do in a microsecond at present.
+func (h *Host) Capacity() float64 { return h.Cores * h.Speed * h.warmUpFactor() / h.slowdown }
 
-// pace sets the rate at which each slot works until something changes.
-func (h *Host) pace() {
+// updateRate updates the rate at which each slot works until the next event.
+func (h *Host) updateRate() {
 	busy := 0.0
 	for _, r := range h.running {
 		if !r.fetching {
 			busy += r.Slots
 		}
 	}
-	rate := h.Speed * h.share() / h.slow
+	rate := h.Speed * h.warmUpFactor() / h.slowdown
 	if busy > h.Cores {
 		rate *= h.Cores / busy
 	}
 	if over := h.Held() - h.Knee; h.Knee > 0 && over > 0 {
 		rate *= math.Pow(1-h.Thrash, float64(over))
 	}
-	h.rates = rate
+	h.slotRate = rate
 }
 
-// Next is when something happens unless something comes before.
+// Next returns the time of the next event if there are no calls before it, or Never.
 func (h *Host) Next() int64 {
 	if h.down {
 		return Never
 	}
-	next := h.warmed
+	next := h.nextWarmUpStep
 	for _, r := range h.running {
-		next = min(next, h.due(r))
+		next = min(next, h.completionTime(r))
 		if h.Progress > 0 {
-			next = min(next, r.progress)
+			next = min(next, r.nextProgress)
 		}
 	}
 	for _, r := range h.waiting {
@@ -246,11 +253,11 @@
 	return next
 }
 
-// due is when a running job's fetch or work is over at the present pace.
-func (h *Host) due(r *run) int64 {
-	left := r.fetch
+// completionTime returns when the fetch or work of a running job completes at the present rate.
+func (h *Host) completionTime(r *task) int64 {
+	left := r.fetchLeft
 	if !r.fetching {
-		left = r.left / h.rates
+		left = r.workLeft / h.slotRate
 	}
 	if left > 1e15 || r.Part != nil {
 		return Never
@@ -258,27 +265,28 @@
 	return h.now + max(int64(math.Ceil(left)), 0)
 }
 
-// Advance lets time pass and gives what the host tells of it, valid until the next call.
+// Advance moves time on to now and returns the notes until then, valid until the next call.
 func (h *Host) Advance(now int64) []Note {
 	h.notes = h.notes[:0]
 	h.advance(now)
 	return h.notes
 }
 
+// advance processes all events up to now and adds their notes.
 func (h *Host) advance(now int64) {
 	for !h.down {
 		next := h.Next()
 		if next > now {
 			break
 		}
-		h.pass(next)
-		h.happen()
+		h.elapse(next)
+		h.processDueEvents()
 	}
-	h.pass(max(now, h.now))
+	h.elapse(max(now, h.now))
 }
 
-// pass moves time on without an event.
-func (h *Host) pass(to int64) {
+// elapse moves time on to a point with no event before it.
+func (h *Host) elapse(to int64) {
 	dt := float64(to - h.now)
 	h.now = to
 	if dt <= 0 || h.down {
@@ -286,45 +294,47 @@
 	}
 	for _, r := range h.running {
 		if r.fetching {
-			r.fetch -= dt
+			r.fetchLeft -= dt
 		} else if r.Part == nil {
-			r.left -= dt * h.rates
+			r.workLeft -= dt * h.slotRate
 		}
 	}
 }
 
-// tiny is less work than a microsecond of the slowest host, and covers rounding.
-const tiny = 1e-6
+// workTolerance is a rounding tolerance for work and time left; it is less work than the slowest host does in a
+// microsecond.
+const workTolerance = 1e-6
 
-// happen does all that is due now.
-func (h *Host) happen() {
-	if h.now >= h.warmed {
-		if h.warmed = h.now + max(h.WarmUp/warmSteps, 1); h.now-h.upSince >= h.WarmUp {
-			h.cold, h.warmed, h.got = false, Never, nil
+// processDueEvents processes all events that are due now.
+func (h *Host) processDueEvents() {
+	if h.now >= h.nextWarmUpStep {
+		if h.nextWarmUpStep = h.now + max(h.WarmUp/warmUpSteps, 1); h.now-h.upSince >= h.WarmUp {
+			h.cold, h.nextWarmUpStep, h.coldOffers = false, Never, nil
 		}
 	}
-	h.overdue()
-	h.running = slices.DeleteFunc(h.running, func(r *run) bool {
+	h.returnOverdueParts()
+	h.running = slices.DeleteFunc(h.running, func(r *task) bool {
 		switch {
 		case r.Part != nil:
 			return false
-		case r.fetching && r.fetch <= tiny:
-			h.fetched(r)
-		case !r.fetching && r.left <= tiny:
-			h.note(r, Done, 1)
-			h.settle(r, true)
+		case r.fetching && r.fetchLeft <= workTolerance:
+			h.finishFetch(r)
+		case !r.fetching && r.workLeft <= workTolerance:
+			h.addNote(r, Done, 1)
+			h.updateCell(r, true)
 			return true
 		}
-		if h.Progress > 0 && h.now >= r.progress {
-			r.progress = h.now + h.Progress
-			h.note(r, Running, 1-r.left/r.Work)
+		if h.Progress > 0 && h.now >= r.nextProgress {
+			r.nextProgress = h.now + h.Progress
+			h.addNote(r, Running, 1-r.workLeft/r.Work)
 		}
 		return false
 	})
-	h.fill()
+	h.startWaiting()
 }
 
-func (h *Host) note(r *run, kind NoteKind, share float64) {
+// addNote adds a note and updates the counts.
+func (h *Host) addNote(r *task, kind NoteKind, share float64) {
 	h.notes = append(h.notes, Note{Attempt: r.Attempt, At: h.now, Kind: kind, Share: share})
 	switch kind {
 	case Done:
@@ -339,24 +349,25 @@
 	}
 }
 
-// settle tells the cell what became of a keyed job.
-func (h *Host) settle(r *run, done bool) {
+// updateCell updates the cell with the outcome of a keyed job. A job that did not complete may be repeated.
+func (h *Host) updateCell(r *task, done bool) {
 	if r.Key == "" || h.cell == nil {
 		return
 	}
-	if k, known := h.cell.seen[r.Key]; known && !done {
-		delete(h.cell.seen, r.Key)
+	if k, known := h.cell.states[r.Key]; known && !done {
+		delete(h.cell.states, r.Key)
 	} else if known {
 		k.done = true
-		h.cell.seen[r.Key] = k
+		h.cell.states[r.Key] = k
 	}
 }
 
-// Cancel stops an attempt whose dispatcher has given it up.
+// Cancel stops an attempt whose dispatcher has given it up. It returns notes like Advance; there is none for the
+// attempt itself.
 func (h *Host) Cancel(now int64, attempt uint64) []Note {
 	h.notes = h.notes[:0]
 	h.advance(now)
-	gone := func(r *run) bool {
+	gone := func(r *task) bool {
 		if r.Attempt != attempt {
 			return false
 		}
@@ -365,27 +376,27 @@
 		} else {
 			h.counts.Unstarted++
 		}
-		h.drop(r)
+		h.abandon(r)
 		return true
 	}
 	h.running = slices.DeleteFunc(h.running, gone)
 	h.waiting = slices.DeleteFunc(h.waiting, gone)
-	h.fill()
+	h.startWaiting()
 	return h.notes
 }
 
-// drop lets go of a job that has not come to its end.
-func (h *Host) drop(r *run) {
+// abandon releases what a job holds that did not complete, and counts its work as wasted.
+func (h *Host) abandon(r *task) {
 	if r.fetching {
-		h.store.active--
+		h.store.activeFetches--
 		r.fetching = false
 	}
 	if r.started {
-		h.counts.Work += (r.Work - r.left) * r.Slots
-		h.counts.Vain += (r.Work - r.left) * r.Slots
+		h.counts.Work += (r.Work - r.workLeft) * r.Slots
+		h.counts.Vain += (r.Work - r.workLeft) * r.Slots
 		if r.Part != nil {
-			h.fabric.gone(h, r)
+			h.fabric.partEnded(h, r)
 		}
 	}
-	h.settle(r, false)
+	h.updateCell(r, false)
 }
--- a/internal/lab/model/host_test.go
+++ b/internal/lab/model/host_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-func plain() Machine {
+func plainMachine() Machine {
 	return Machine{Name: "h", Cores: 2, Speed: 1, Slots: 2, Queue: 2}
 }
 
 func job(attempt uint64, work float64) Job { return Job{Attempt: attempt, Work: work, Slots: 1} }
 
-// told writes notes as kind, attempt and time.
-func told(notes []Note) []string {
+// formatNotes formats notes as kind, attempt and time.
+func formatNotes(notes []Note) []string {
 	var out []string
 	for _, n := range notes {
 		s := fmt.Sprintf("%s %d @%d", [...]string{"taken", "started", "running", "done", "repeat", "full", "failed", "returned", "lost"}[n.Kind], n.Attempt, n.At)
@@ -27,8 +27,8 @@
 	return out
 }
 
-// Each script is a host's life: what it is given and what it tells of it.
-func TestHostLife(t *testing.T) {
+// Each case calls a host and compares all its notes.
+func TestHostNotes(t *testing.T) {
 	store := func() *Store { return &Store{Room: 1} }
 	for name, c := range map[string]struct {
 		m     Machine
@@ -36,42 +36,42 @@
 		steps func(h *Host, say func([]Note))
 		want  []string
 	}{
-		"two run, two wait, the fifth is turned away": {m: plain(), steps: func(h *Host, say func([]Note)) {
+		"two run, two wait, the fifth is refused": {m: plainMachine(), steps: func(h *Host, say func([]Note)) {
 			for i := range uint64(5) {
 				say(h.Offer(0, job(i, 100)))
 			}
 			say(h.Advance(1000))
 		}, want: []string{"taken 0 @0", "started 0 @0", "taken 1 @0", "started 1 @0", "taken 2 @0", "taken 3 @0", "full 4 @0",
 			"done 0 @100", "done 1 @100", "started 2 @100", "started 3 @100", "done 2 @200", "done 3 @200"}},
-		"the first waits for its slots and holds up the next": {m: plain(), steps: func(h *Host, say func([]Note)) {
+		"without backfill a job that waits for slots blocks the next": {m: plainMachine(), steps: func(h *Host, say func([]Note)) {
 			say(h.Offer(0, job(1, 100)))
 			say(h.Offer(0, Job{Attempt: 2, Work: 100, Slots: 2}))
 			say(h.Offer(0, job(3, 10)))
 			say(h.Advance(1000))
 		}, want: []string{"taken 1 @0", "started 1 @0", "taken 2 @0", "taken 3 @0", "done 1 @100", "started 2 @100", "done 2 @200", "started 3 @200", "done 3 @210"}},
-		"backfill lets the small one past": {m: func() Machine { m := plain(); m.Backfill = true; return m }(), steps: func(h *Host, say func([]Note)) {
+		"with backfill a job that fits passes one that waits": {m: func() Machine { m := plainMachine(); m.Backfill = true; return m }(), steps: func(h *Host, say func([]Note)) {
 			say(h.Offer(0, job(1, 100)))
 			say(h.Offer(0, Job{Attempt: 2, Work: 100, Slots: 2}))
 			say(h.Offer(0, job(3, 10)))
 			say(h.Advance(1000))
 		}, want: []string{"taken 1 @0", "started 1 @0", "taken 2 @0", "taken 3 @0", "started 3 @0", "done 3 @10", "done 1 @100", "started 2 @100", "done 2 @200"}},
-		"more slots than cores share the cores": {m: func() Machine { m := plain(); m.Cores = 1; return m }(), steps: func(h *Host, say func([]Note)) {
+		"more slots than cores share the cores": {m: func() Machine { m := plainMachine(); m.Cores = 1; return m }(), steps: func(h *Host, say func([]Note)) {
 			say(h.Offer(0, job(1, 100)))
 			say(h.Offer(0, job(2, 100)))
 			say(h.Advance(1000))
 		}, want: []string{"taken 1 @0", "started 1 @0", "taken 2 @0", "started 2 @0", "done 1 @200", "done 2 @200"}},
-		"a slow spell stretches what is left": {m: plain(), steps: func(h *Host, say func([]Note)) {
+		"slowness delays the rest of the work": {m: plainMachine(), steps: func(h *Host, say func([]Note)) {
 			say(h.Offer(0, job(1, 100)))
 			say(h.Slow(50, 4))
 			say(h.Advance(100))
 			say(h.Slow(150, 1))
 			say(h.Advance(1000))
 		}, want: []string{"taken 1 @0", "started 1 @0", "done 1 @175"}},
-		"progress": {m: func() Machine { m := plain(); m.Progress = 40; return m }(), steps: func(h *Host, say func([]Note)) {
+		"progress": {m: func() Machine { m := plainMachine(); m.Progress = 40; return m }(), steps: func(h *Host, say func([]Note)) {
 			say(h.Offer(0, job(1, 100)))
 			say(h.Advance(1000))
 		}, want: []string{"taken 1 @0", "started 1 @0", "running 1 @40 0.40", "running 1 @80 0.80", "done 1 @100"}},
-		"a data set is fetched once and held": {m: func() Machine { m := plain(); m.Sets, m.Fetch = 1, 50; return m }(), steps: func(h *Host, say func([]Note)) {
+		"a data set is fetched once and cached": {m: func() Machine { m := plainMachine(); m.Sets, m.Fetch = 1, 50; return m }(), steps: func(h *Host, say func([]Note)) {
 			say(h.Offer(0, Job{Attempt: 1, Work: 10, Slots: 1, Set: 7}))
 			say(h.Advance(100))
 			say(h.Offer(100, Job{Attempt: 2, Work: 10, Slots: 1, Set: 7}))
@@ -81,7 +81,7 @@
 			say(h.Advance(400))
 		}, want: []string{"taken 1 @0", "started 1 @0", "done 1 @60", "taken 2 @100", "started 2 @100", "done 2 @110", "taken 3 @200", "started 3 @200",
 			"done 3 @260", "taken 4 @300", "started 4 @300", "done 4 @360"}},
-		"a rack drops a repeat, and not one whose first was called off": {m: plain(), steps: func(h *Host, say func([]Note)) {
+		"a rack drops a repeat unless the first attempt was cancelled": {m: plainMachine(), steps: func(h *Host, say func([]Note)) {
 			j := Job{Attempt: 1, Work: 100, Slots: 1, Key: "k"}
 			say(h.Offer(0, j))
 			j.Attempt = 2
@@ -97,16 +97,16 @@
 			say(h.Advance(6000))
 		}, want: []string{"taken 1 @0", "started 1 @0", "full 2 @10", "taken 3 @30", "started 3 @30", "done 3 @130", "taken 4 @300", "repeat 4 @300",
 			"taken 5 @5000", "started 5 @5000", "done 5 @5100"}},
-		"a drain hands back what waits": {m: func() Machine { m := plain(); m.Returns = true; return m }(), steps: func(h *Host, say func([]Note)) {
+		"a drain returns waiting jobs": {m: func() Machine { m := plainMachine(); m.Returns = true; return m }(), steps: func(h *Host, say func([]Note)) {
 			for i := range uint64(3) {
 				say(h.Offer(0, job(i, 100)))
 			}
 			say(h.Drain(10))
 			say(h.Advance(1000))
 		}, want: []string{"taken 0 @0", "started 0 @0", "taken 1 @0", "started 1 @0", "taken 2 @0", "returned 2 @10", "done 0 @100", "done 1 @100"}},
-		"a cold host falls over under too much, and not under one large job": {cold: true,
+		"a cold host collapses under too much work, but not under one large job": {cold: true,
 			m: func() Machine {
-				m := plain()
+				m := plainMachine()
 				m.Start, m.WarmUp, m.Window, m.Multiple, m.Queue = 0.5, 10_000, 100, 3, 50
 				return m
 			}(), steps: func(h *Host, say func([]Note)) {
@@ -126,9 +126,9 @@
 					say([]Note{{Kind: Lost, Attempt: 99}})
 				}
 			}, want: []string{"taken 0 @0", "started 0 @0", "taken 1 @1", "started 1 @1", "taken 2 @1", "taken 3 @1", "started 2 @150", "taken 9 @150"}},
-		"errors":                        {m: plain(), steps: func(h *Host, say func([]Note)) { h.Errors(true); say(h.Offer(0, job(1, 5))) }, want: []string{"failed 1 @0"}},
-		"a job beyond the host's slots": {m: plain(), steps: func(h *Host, say func([]Note)) { say(h.Offer(0, Job{Attempt: 1, Work: 5, Slots: 3})) }, want: []string{"full 1 @0"}},
-		"thrash beyond the knee": {m: func() Machine { m := plain(); m.Knee, m.Thrash = 2, 0.5; return m }(), steps: func(h *Host, say func([]Note)) {
+		"errors":                        {m: plainMachine(), steps: func(h *Host, say func([]Note)) { h.Errors(true); say(h.Offer(0, job(1, 5))) }, want: []string{"failed 1 @0"}},
+		"a job beyond the host's slots": {m: plainMachine(), steps: func(h *Host, say func([]Note)) { say(h.Offer(0, Job{Attempt: 1, Work: 5, Slots: 3})) }, want: []string{"full 1 @0"}},
+		"efficiency lost above the knee": {m: func() Machine { m := plainMachine(); m.Knee, m.Thrash = 2, 0.5; return m }(), steps: func(h *Host, say func([]Note)) {
 			for i := range uint64(3) {
 				say(h.Offer(0, job(i, 100)))
 			}
@@ -139,7 +139,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := NewHost(c.m, NewCell(1000), store(), 0, c.cold)
 			var got []string
-			c.steps(h, func(n []Note) { got = append(got, told(n)...) })
+			c.steps(h, func(n []Note) { got = append(got, formatNotes(n)...) })
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
 			}
@@ -147,9 +147,9 @@
 	}
 }
 
-// A cold host's capacity grows evenly to the full.
-func TestWarming(t *testing.T) {
-	m := plain()
+// The capacity of a cold host grows linearly to its full value.
+func TestWarmUp(t *testing.T) {
+	m := plainMachine()
 	m.Start, m.WarmUp = 0.2, 1000
 	h := NewHost(m, nil, &Store{}, 0, true)
 	for _, c := range []struct {
@@ -163,9 +163,9 @@
 	}
 }
 
-// Whatever happens to a host: each attempt that it takes ends once, no more runs than fits, time does not go back, and
-// the store's count of fetches comes back to nothing.
-func TestHostKeepsBooks(t *testing.T) {
+// Under random events each accepted attempt ends once, the running jobs fit the slots, times of notes do not decrease,
+// and the store's count of active fetches returns to 0.
+func TestHostInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Machine{Name: "h", Cores: rapid.Float64Range(0.5, 4).Draw(t, "cores"), Speed: rapid.Float64Range(0.1, 3).Draw(t, "speed"),
 			Slots: float64(rapid.IntRange(1, 4).Draw(t, "slots")), Memory: rapid.SampledFrom([]float64{0, 2}).Draw(t, "memory"), Queue: rapid.IntRange(0, 5).Draw(t, "queue"),
@@ -190,11 +190,11 @@
 					open[n.Attempt] = true
 				case Started, Running:
 					if !open[n.Attempt] {
-						t.Fatalf("attempt %d goes on and is not open", n.Attempt)
+						t.Fatalf("attempt %d makes progress but is not open", n.Attempt)
 					}
 				case Full, Failed:
 					if open[n.Attempt] {
-						t.Fatalf("attempt %d is turned away after it was taken", n.Attempt)
+						t.Fatalf("attempt %d is refused after it was taken", n.Attempt)
 					}
 				default:
 					if !open[n.Attempt] {
@@ -207,7 +207,7 @@
 				clear(open)
 			}
 			if h.Held() != len(open) {
-				t.Fatalf("the host holds %d, and %d are open", h.Held(), len(open))
+				t.Fatalf("the host holds %d attempts, but %d are open", h.Held(), len(open))
 			}
 			slots := 0.0
 			for _, r := range h.running {
@@ -261,23 +261,23 @@
 			now = h.Next()
 			take(h.Advance(now))
 		}
-		if h.Held() != 0 || store.active != 0 {
-			t.Fatalf("%d held and %d fetches when nothing is left to happen", h.Held(), store.active)
+		if h.Held() != 0 || store.activeFetches != 0 {
+			t.Fatalf("%d attempts held and %d fetches active with no event left", h.Held(), store.activeFetches)
 		}
 	})
 }
 
-// Discovery tells of changes after their lag, in their order, and not while it is stale.
+// Discovery publishes changes after their lag and in order, and publishes none while it is stale.
 func TestDirectory(t *testing.T) {
 	d := NewDirectory([]Member{{ID: "a", Phase: Ready}, {ID: "b", Phase: Ready}})
 	d.Change(0, 100, Member{ID: "a", Phase: Draining})
-	d.Change(10, 20, Member{ID: "c", Phase: Ready}) // due earlier, told no earlier than what came before
+	d.Change(10, 20, Member{ID: "c", Phase: Ready}) // due earlier, but published no earlier than the change before it
 	if d.Advance(99) || d.Next() != 100 || d.Revision() != 1 {
-		t.Fatalf("told too early: next %d, revision %d", d.Next(), d.Revision())
+		t.Fatalf("published too early: next %d, revision %d", d.Next(), d.Revision())
 	}
 	d.Stale(true)
 	if d.Advance(200) || d.Next() != Never {
-		t.Fatal("a stale list tells of changes")
+		t.Fatal("a stale list publishes changes")
 	}
 	d.Stale(false)
 	if !d.Advance(200) || d.Revision() != 3 {
--- a/internal/lab/model/offer.go
+++ b/internal/lab/model/offer.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// From an attempt's coming to its running.
+// This file takes an attempt from its arrival at a host to the start of its work.
 
-// Offer takes an attempt.
+// Offer gives the host an attempt. It returns the notes that follow at once, valid until the next call. A host that
+// collapses under the attempt is down afterwards, without notes for the attempts it held.
 func (h *Host) Offer(now int64, j Job) []Note {
 	h.notes = h.notes[:0]
 	h.advance(now)
@@ -13,63 +14,63 @@
 	}
 	h.counts.Offered++
 	j.Slots, j.Work = max(j.Slots, 1), max(j.Work, 1)
-	r := &run{Job: j, left: j.Work, progress: Never}
+	r := &task{Job: j, workLeft: j.Work, nextProgress: Never}
 	switch {
-	case h.errors:
-		h.note(r, Failed, 0)
+	case h.answersErrors:
+		h.addNote(r, Failed, 0)
 		return h.notes
 	case j.Slots > h.Slots, h.Memory > 0 && j.Memory > h.Memory, len(h.waiting) >= h.Queue && !h.fits(r):
-		h.note(r, Full, 0)
+		h.addNote(r, Full, 0)
 		return h.notes
 	}
 	if j.Key != "" && h.cell != nil {
-		h.cell.forget(now)
-		switch k, known := h.cell.seen[j.Key]; {
+		h.cell.expire(now)
+		switch k, known := h.cell.states[j.Key]; {
 		case known && k.done:
-			h.note(r, Taken, 0)
-			h.note(r, Repeat, 1)
+			h.addNote(r, Taken, 0)
+			h.addNote(r, Repeat, 1)
 			return h.notes
-		case known: // it runs or waits in this cell; a second copy is not taken
-			h.note(r, Full, 0)
+		case known: // it runs or waits in this cell; a second copy is refused
+			h.addNote(r, Full, 0)
 			return h.notes
 		}
-		h.cell.seen[j.Key] = keyed{at: now}
-		h.cell.order = append(h.cell.order, j.Key)
+		h.cell.states[j.Key] = keyState{seenAt: now}
+		h.cell.keysByAge = append(h.cell.keysByAge, j.Key)
 	}
-	if h.fall(now, j) {
+	if h.collapseIfOverloaded(now, j) {
 		return h.notes
 	}
-	h.note(r, Taken, 0)
+	h.addNote(r, Taken, 0)
 	h.waiting = append(h.waiting, r)
-	h.fill()
+	h.startWaiting()
 	if slices.Contains(h.waiting, r) {
 		h.counts.Waited++
 	}
 	return h.notes
 }
 
-// fall tells whether a cold host falls over under what it gets. The largest job within the window does not count, so
-// that a single one never brings a host down.
-func (h *Host) fall(now int64, j Job) bool {
+// collapseIfOverloaded reports whether a cold host collapses under the work it was offered, and kills it then. The
+// largest job within the window is not counted, so that a single job never brings a host down.
+func (h *Host) collapseIfOverloaded(now int64, j Job) bool {
 	if !h.cold || h.Multiple <= 0 || h.Window <= 0 {
 		return false
 	}
-	h.got = slices.DeleteFunc(append(h.got, offer{now, j.Work * j.Slots}), func(o offer) bool { return now-o.at > h.Window })
+	h.coldOffers = slices.DeleteFunc(append(h.coldOffers, coldOffer{now, j.Work * j.Slots}), func(o coldOffer) bool { return now-o.at > h.Window })
 	sum, most := 0.0, 0.0
-	for _, o := range h.got {
+	for _, o := range h.coldOffers {
 		sum += o.work
 		most = max(most, o.work)
 	}
 	if sum-most <= h.Multiple*h.Capacity()*float64(h.Window) {
 		return false
 	}
-	h.falls++
+	h.collapses++
 	h.kill()
 	return true
 }
 
-// fits tells whether a job could start beside those in work.
-func (h *Host) fits(r *run) bool {
+// fits reports whether a job could start beside the running ones.
+func (h *Host) fits(r *task) bool {
 	slots, memory := r.Slots, r.Memory
 	for _, o := range h.running {
 		slots += o.Slots
@@ -78,14 +79,14 @@
 	return slots <= h.Slots && (h.Memory <= 0 || memory <= h.Memory)
 }
 
-// fill starts what waits and fits.
-func (h *Host) fill() {
+// startWaiting starts the waiting jobs that fit, in order; only with backfill may a job pass one that does not fit.
+func (h *Host) startWaiting() {
 	for i := 0; i < len(h.waiting); {
 		r := h.waiting[i]
 		if h.fits(r) {
 			h.waiting = slices.Delete(h.waiting, i, i+1)
 			h.running = append(h.running, r)
-			h.begin(r)
+			h.startTask(r)
 			continue
 		}
 		if !h.Backfill {
@@ -93,48 +94,48 @@
 		}
 		i++
 	}
-	h.pace()
+	h.updateRate()
 }
 
-// begin starts a job, with its fetch where its data set is not here. A job has started, and says so, once it holds its
-// slots: on the operators' bench the time from the note of the start to the end has the fetch in it, and the time to the
-// note has not.
-func (h *Host) begin(r *run) {
+// startTask starts a job, with a fetch if its data set is not cached. The Started note comes as soon as the job holds
+// its slots: on the operators' bench the time from this note to the end includes the fetch, and the time before it does
+// not.
+func (h *Host) startTask(r *task) {
 	r.started = true
 	if h.Progress > 0 && r.Part == nil {
-		r.progress = h.now + h.Progress
+		r.nextProgress = h.now + h.Progress
 	}
-	h.note(r, Started, 0)
+	h.addNote(r, Started, 0)
 	if r.Part != nil {
-		h.pace()
-		h.fabric.began(h, r)
+		h.updateRate()
+		h.fabric.partStarted(h, r)
 		return
 	}
 	if r.Set != 0 && h.Sets > 0 {
-		if i := slices.Index(h.sets, r.Set); i >= 0 {
-			h.sets = append(slices.Delete(h.sets, i, i+1), r.Set)
+		if i := slices.Index(h.cachedSets, r.Set); i >= 0 {
+			h.cachedSets = append(slices.Delete(h.cachedSets, i, i+1), r.Set)
 		} else {
-			h.store.active++
+			h.store.activeFetches++
 			h.counts.Fetched++
 			r.fetching = true
-			r.fetch = max(float64(h.Fetch)*max(1, float64(h.store.active)/max(h.store.Room, 1)), 1)
+			r.fetchLeft = max(float64(h.Fetch)*max(1, float64(h.store.activeFetches)/max(h.store.Room, 1)), 1)
 			return
 		}
 	}
-	h.fetched(r)
+	h.finishFetch(r)
 }
 
-// fetched goes on with a job that has its data set.
-func (h *Host) fetched(r *run) {
-	if r.Set != 0 && h.Sets > 0 && !slices.Contains(h.sets, r.Set) {
-		h.sets = append(h.sets, r.Set)
-		if len(h.sets) > h.Sets {
-			h.sets = h.sets[1:]
+// finishFetch continues a job whose data set is present.
+func (h *Host) finishFetch(r *task) {
+	if r.Set != 0 && h.Sets > 0 && !slices.Contains(h.cachedSets, r.Set) {
+		h.cachedSets = append(h.cachedSets, r.Set)
+		if len(h.cachedSets) > h.Sets {
+			h.cachedSets = h.cachedSets[1:]
 		}
 	}
 	if r.fetching {
-		h.store.active--
+		h.store.activeFetches--
 		r.fetching = false
 	}
-	h.pace()
+	h.updateRate()
 }
--- a/internal/lab/selfcheck/capacity.go
+++ b/internal/lab/selfcheck/capacity.go
@@ -15,27 +15,29 @@
 	"granitewing/internal/lab/world"
 )
 
-// lagLimit is the send lag, at the 99th percentile, up to which a rate counts as reached.
-const lagLimit = 2 * time.Millisecond
+// maxLag is the largest 99th percentile of the send lag at which a rate counts as sustained.
+const maxLag = 2 * time.Millisecond
 
-// Step is one rate, played by both generators in turn.
+// Step holds the runs of both generators at one rate.
 type Step struct {
-	Rate     int             `json:"rate"`
-	Ours     []time.Duration `json:"lag_p99_ns"`
-	Vegeta   []time.Duration `json:"vegeta_lag_p99_ns"`
-	OursSent []int           `json:"answered"`
-	VegSent  []int           `json:"vegeta_answered"`
+	Rate     int             `json:"rate"`              // requests per second
+	Ours     []time.Duration `json:"lag_p99_ns"`        // 99th percentile of the send lag, by run
+	Vegeta   []time.Duration `json:"vegeta_lag_p99_ns"` // the same for vegeta
+	OursSent []int           `json:"answered"`          // requests answered, by run
+	VegSent  []int           `json:"vegeta_answered"`   // the same for vegeta
 }
 
-// Capacity is the highest rates that were kept.
+// Capacity holds the highest rates that this generator and vegeta sustained, in requests per second.
 type Capacity struct {
 	Steps  []Step `json:"steps"`
 	Ours   int    `json:"rate"`
 	Vegeta int    `json:"vegeta_rate"`
 }
 
-// MeasureCapacity plays growing rates against the server at addr, the two generators in alternation, pairs times each.
-// A rate is kept where the median lag stays within the limit and 99 of 100 requests are answered.
+// MeasureCapacity runs both generators at increasing rates against the server at addr, in alternation, pairs times each
+// for a duration of each. A rate is sustained if the median of the lags is within 2 ms and 99% of the requests are
+// answered. A generator that did not sustain a rate is not run at higher ones. note, if not nil, gets a progress
+// message per rate. If ctx ends, the steps so far are returned with its error.
 func MeasureCapacity(ctx context.Context, addr string, rates []int, pairs int, each time.Duration, note func(string)) (*Capacity, error) {
 	c := &Capacity{}
 	oursOut, vegetaOut := false, false
@@ -48,19 +50,19 @@
 					return c, ctx.Err()
 				}
 				if ours := (turn+k)%2 == 0; ours && !oursOut {
-					lag, n, err := playOurs(ctx, addr, rate, each)
+					lag, n, err := runOurs(ctx, addr, rate, each)
 					if err != nil {
 						return c, err
 					}
 					s.Ours, s.OursSent = append(s.Ours, lag), append(s.OursSent, n)
 				} else if !ours && !vegetaOut {
-					lag, n := playVegeta(addr, rate, each)
+					lag, n := runVegeta(addr, rate, each)
 					s.Vegeta, s.VegSent = append(s.Vegeta, lag), append(s.VegSent, n)
 				}
 			}
 		}
 		kept := func(lags []time.Duration, sent []int) bool {
-			return len(lags) > 0 && median(lags) <= lagLimit && median(sent) >= want
+			return len(lags) > 0 && median(lags) <= maxLag && median(sent) >= want
 		}
 		if kept(s.Ours, s.OursSent) {
 			c.Ours = rate
@@ -83,12 +85,15 @@
 	return c, nil
 }
 
+// median returns the middle of the sorted list, the upper one of two.
 func median[T int | time.Duration](list []T) T {
 	sorted := slices.Sorted(slices.Values(list))
 	return sorted[len(sorted)/2]
 }
 
-func playOurs(ctx context.Context, addr string, rate int, each time.Duration) (time.Duration, int, error) {
+// runOurs sends an even schedule of requests with this project's generator. It returns the 99th percentile of the send
+// lag and the number of answered requests.
+func runOurs(ctx context.Context, addr string, rate int, each time.Duration) (time.Duration, int, error) {
 	spec, err := world.Parse("capacity", fmt.Sprintf(`(experiment capacity (descriptors 4096)
   (class check (share 1) (work 1ms) (aim 1s) (give-up 5s) (repeat safe)) (data-sets (count 0))
   (clients (retries 0) (impatient 0) (connections 100%%))
@@ -108,9 +113,9 @@
 	return time.Duration(res.Verdict.LagP99 * float64(time.Millisecond)), int(rows[0].InTime + rows[0].Late), nil
 }
 
-// playVegeta sends the same requests with vegeta. Its lag is the time of its send against an even schedule from its
-// first.
-func playVegeta(addr string, rate int, each time.Duration) (time.Duration, int) {
+// runVegeta sends the same requests with vegeta. The lag of a request is its send time relative to an even schedule
+// that begins with the first one.
+func runVegeta(addr string, rate int, each time.Duration) (time.Duration, int) {
 	body := []byte(`{"work_us":1000,"slots":1,"memory":0,"set":0}`)
 	header := http.Header{"X-Txn": {"vegeta"}, "X-Lane": {"check"}, "X-Remaining": {"5.000"}, "X-Estimate": {"1000"}, "X-Labels": {"slots=1,memory=0"}}
 	targeter := vegeta.NewStaticTargeter(vegeta.Target{Method: "POST", URL: "http://" + addr + "/check", Body: body, Header: header})
@@ -136,7 +141,7 @@
 	return Quantile(lags, 99), answered
 }
 
-// Write writes it for people.
+// Write writes the result as a text table.
 func (c *Capacity) Write(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "rate\tsend lag p99, medians: ours\tvegeta\tspread: ours\tvegeta\t")
@@ -153,5 +158,5 @@
 		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t\n", s.Rate, a, b, as, bs)
 	}
 	t.Flush()
-	fmt.Fprintf(w, "highest rate with a lag under %v at p99: ours %d a second, vegeta %d a second\n", lagLimit, c.Ours, c.Vegeta)
+	fmt.Fprintf(w, "highest rate with a lag under %v at p99: ours %d a second, vegeta %d a second\n", maxLag, c.Ours, c.Vegeta)
 }
--- a/internal/lab/selfcheck/check.go
+++ b/internal/lab/selfcheck/check.go
@@ -18,36 +18,36 @@
 	"granitewing/internal/lab/world"
 )
 
-// The known run: an even schedule with a stall in its middle, which strikes an eighth of all requests.
+// The run of the check: an even schedule with a server stall in its middle, which hits an eighth of all requests.
 const (
-	rate      = 500
-	length    = 4 * time.Second
-	stallFrom = 1500 * time.Millisecond
-	stallFor  = 500 * time.Millisecond
-	tries     = 5 // a run in which the machine was busy says nothing and is made anew
-	tolerance = 0.02
-	slack     = 5 * time.Millisecond
+	rate              = 500 // requests per second
+	length            = 4 * time.Second
+	stallStart        = 1500 * time.Millisecond
+	stallLength       = 500 * time.Millisecond
+	maxRuns           = 5                    // runs at most; a run on a busy machine is invalid and repeated
+	relativeTolerance = 0.02                 // relative deviation from the computed latency
+	absoluteTolerance = 5 * time.Millisecond // absolute deviation; a row is good if it is within either
 )
 
 var quantiles = []float64{50, 90, 99, 99.9, 100}
 
-// Row is one quantile.
+// Row is one quantile of the latencies, in percent.
 type Row struct {
 	Quantile float64       `json:"quantile"`
-	Computed time.Duration `json:"computed_ns"`
-	Open     time.Duration `json:"open_loop_ns"`
-	Closed   time.Duration `json:"closed_loop_ns"`
-	Good     bool          `json:"good"`
+	Computed time.Duration `json:"computed_ns"`    // from the schedule and the stall
+	Open     time.Duration `json:"open_loop_ns"`   // measured by the load generator
+	Closed   time.Duration `json:"closed_loop_ns"` // measured by a closed loop from the send, for comparison
+	Good     bool          `json:"good"`           // Open agrees with Computed
 }
 
-// Result is a self-check.
+// Result is the outcome of a self-check.
 type Result struct {
 	Rows    []Row           `json:"rows"`
-	Sent    int             `json:"sent"`
-	Closed  int             `json:"closed_loop_sent"`
-	Verdict measure.Verdict `json:"generator"`
-	Tries   int             `json:"tries"`
-	Good    bool            `json:"good"`
+	Sent    int             `json:"sent"`             // requests of the load generator
+	Closed  int             `json:"closed_loop_sent"` // requests of the closed loop
+	Verdict measure.Verdict `json:"generator"`        // whether the machine allowed a valid run
+	Tries   int             `json:"tries"`            // runs until a valid one
+	Good    bool            `json:"good"`             // all rows are good and each request got its own answer
 }
 
 const checkSpec = `(experiment selfcheck
@@ -57,7 +57,7 @@
   (load (process even) (programme (constant (for 4s) (rate 500))))
   (generator (lag 5ms) (scheduling 20ms)))`
 
-// Expected gives the latencies of a schedule against a server that answers at once but for a stall, in order.
+// Expected returns the sorted latencies of a schedule against a server that answers at once except during a stall.
 func Expected(schedule []time.Duration, from, to time.Duration) []time.Duration {
 	out := make([]time.Duration, len(schedule))
 	for i, at := range schedule {
@@ -69,7 +69,8 @@
 	return out
 }
 
-// Quantile is the least of the sorted values that so many percent do not exceed, as the histograms count.
+// Quantile returns the smallest of the sorted values that at least q percent of them do not exceed, as the histograms
+// define it, or 0 for no values.
 func Quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -78,7 +79,8 @@
 	return sorted[min(max(i, 0), len(sorted)-1)]
 }
 
-// Run makes the check.
+// Run runs the check: it sends a known schedule to a server with a known stall and compares the measured latencies with
+// the computed ones. It repeats the run up to five times until it is valid and good.
 func Run(ctx context.Context) (*Result, error) {
 	spec, err := world.Parse("selfcheck", checkSpec)
 	if err != nil {
@@ -94,12 +96,12 @@
 	}
 	defer s.Close()
 	var r *Result
-	for n := range tries {
-		if r, err = once(ctx, day, s); err != nil {
+	for n := range maxRuns {
+		if r, err = runOnce(ctx, day, s); err != nil {
 			return nil, err
 		}
 		r.Tries = n + 1
-		// A generator that is wrong is so in every try; a machine that was busy for a moment is not.
+		// A faulty generator fails in every run, while a machine is busy only for a moment.
 		if r.Verdict.Valid && r.Good || ctx.Err() != nil {
 			break
 		}
@@ -107,24 +109,25 @@
 	return r, ctx.Err()
 }
 
-func once(ctx context.Context, day *world.Day, s *Server) (*Result, error) {
+// runOnce runs the load generator and the closed loop once.
+func runOnce(ctx context.Context, day *world.Day, s *Server) (*Result, error) {
 	begin := time.Now().Add(50 * time.Millisecond)
-	s.Stall(begin.Add(stallFrom), begin.Add(stallFrom+stallFor))
+	s.Stall(begin.Add(stallStart), begin.Add(stallStart+stallLength))
 	res, err := load.Run(ctx, load.Options{Day: day, Targets: []load.Target{{Addr: s.Addr(), Zone: -1}}, Seed: 1, Begin: begin, Prefix: "c"})
 	if err != nil {
 		return nil, err
 	}
 	r := &Result{Sent: res.Sent, Verdict: res.Verdict}
-	if late := time.Duration(r.Verdict.LagMax * float64(time.Millisecond)); late > slack {
+	if late := time.Duration(r.Verdict.LagMax * float64(time.Millisecond)); late > absoluteTolerance {
 		r.Verdict.Valid = false
 		r.Verdict.Causes = append(r.Verdict.Causes, fmt.Sprintf("a request left %v late, more than may be off", late.Round(time.Microsecond)))
 	}
-	if late := s.Late(); late > slack/2 {
+	if late := s.Late(); late > absoluteTolerance/2 {
 		r.Verdict.Valid = false
 		r.Verdict.Causes = append(r.Verdict.Causes, fmt.Sprintf("the machine woke the server %v late after its stall", late.Round(time.Microsecond)))
 	}
 	begin = time.Now().Add(50 * time.Millisecond)
-	s.Stall(begin.Add(stallFrom), begin.Add(stallFrom+stallFor))
+	s.Stall(begin.Add(stallStart), begin.Add(stallStart+stallLength))
 	closed, err := closedLoop(ctx, s.Addr(), begin)
 	if err != nil {
 		return nil, err
@@ -134,22 +137,22 @@
 	for _, j := range day.Jobs {
 		schedule = append(schedule, j.At)
 	}
-	expected := Expected(schedule, stallFrom, stallFrom+stallFor)
+	expected := Expected(schedule, stallStart, stallStart+stallLength)
 	open := res.Recorder.Curve(0, quantiles)
 	rows := res.Recorder.Rows()
 	r.Good = rows[0].InTime+rows[0].Late == int64(len(day.Jobs)) && res.Foreign == 0
 	for i, q := range quantiles {
 		row := Row{Quantile: q, Computed: Quantile(expected, q), Open: open[i], Closed: Quantile(closed, q)}
 		off := (row.Open - row.Computed).Abs()
-		row.Good = off <= slack || off.Seconds() <= tolerance*row.Computed.Seconds()
+		row.Good = off <= absoluteTolerance || off.Seconds() <= relativeTolerance*row.Computed.Seconds()
 		r.Good = r.Good && row.Good
 		r.Rows = append(r.Rows, row)
 	}
 	return r, nil
 }
 
-// closedLoop keeps the same schedule with one client that waits for each answer before it sends again, and counts as
-// such clients do: from the send. What it did not send during the stall it never sends.
+// closedLoop sends the same schedule with one client that waits for each answer before it sends the next request, and
+// measures latency from the send, as such clients do. It omits the requests that were due during the stall.
 func closedLoop(ctx context.Context, addr string, begin time.Time) ([]time.Duration, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -181,9 +184,9 @@
 	return out, nil
 }
 
-// Write writes a result for people.
+// Write writes the result as a text table.
 func (r *Result) Write(w io.Writer) {
-	fmt.Fprintf(w, "%d requests at %d a second against a server that stalls for %v; tries %d\n\n", r.Sent, rate, stallFor, r.Tries)
+	fmt.Fprintf(w, "%d requests at %d a second against a server that stalls for %v; tries %d\n\n", r.Sent, rate, stallLength, r.Tries)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "quantile\tcomputed\topen loop\toff\twithin 2% or 5 ms\tclosed loop, counted from the send\t")
 	for _, row := range r.Rows {
--- a/internal/lab/selfcheck/check_test.go
+++ b/internal/lab/selfcheck/check_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What is computed from a schedule and a stall, by hand.
+// Expected latencies and their quantiles of a small schedule, computed by hand.
 func TestExpected(t *testing.T) {
 	ms := time.Millisecond
 	got := Expected([]time.Duration{0, 100 * ms, 200 * ms, 300 * ms, 400 * ms}, 100*ms, 300*ms)
@@ -20,6 +20,6 @@
 		}
 	}
 	if Quantile(nil, 50) != 0 {
-		t.Error("a quantile of nothing")
+		t.Error("the quantile of no values is not 0")
 	}
 }
--- a/internal/lab/selfcheck/server.go
+++ b/internal/lab/selfcheck/server.go
@@ -1,5 +1,8 @@
-// Package selfcheck checks the load generator against a stand-in server whose stall is known, and measures how fast it
-// can send.
+// Package selfcheck checks the load generator against a server with a known stall, and measures how fast it can send.
+//
+// Run compares the latencies that the generator reports with those computed from the schedule and the stall, and shows
+// what a closed-loop client would have missed. MeasureCapacity finds the highest rate that the generator sustains, next
+// to vegeta. Serve starts the server that both use.
 package selfcheck
 
 import (
@@ -13,46 +16,46 @@
 	"time"
 )
 
-// Server answers each request at once with its X-Txn, but for one stall during which it answers nothing.
+// Server is an HTTP server that answers each request at once with its X-Txn header, except during one stall.
 type Server struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	from  time.Time // of the stall
-	to    time.Time
-	late  time.Duration // by which the machine woke it after the stall, at most
-	conns map[net.Conn]struct{}
-	wait  sync.WaitGroup
+	ln         net.Listener
+	mu         sync.Mutex
+	stallFrom  time.Time     // begin of the stall
+	stallTo    time.Time     // end of the stall
+	wakeDelay  time.Duration // longest time from the end of the stall until the machine woke a waiting connection
+	conns      map[net.Conn]struct{}
+	goroutines sync.WaitGroup
 }
 
-// Serve starts a server at an address that the system chooses.
+// Serve starts a server on a free port of the loopback interface.
 func Serve() (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{ln: ln, conns: map[net.Conn]struct{}{}}
-	s.wait.Go(s.accept)
+	s.goroutines.Go(s.accept)
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the server's address.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Stall sets the one stall.
+// Stall sets the time of the stall.
 func (s *Server) Stall(from, to time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.from, s.to, s.late = from, to, 0
+	s.stallFrom, s.stallTo, s.wakeDelay = from, to, 0
 }
 
-// Late is by how much the machine woke it too late after the stall.
+// Late returns the longest delay with which the machine woke a connection after the stall.
 func (s *Server) Late() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.late
+	return s.wakeDelay
 }
 
-// Close ends it with all its connections.
+// Close stops the server, closes its connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.ln.Close()
 	s.mu.Lock()
@@ -60,7 +63,7 @@
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.wait.Wait()
+	s.goroutines.Wait()
 }
 
 func (s *Server) accept() {
@@ -76,7 +79,7 @@
 		s.mu.Lock()
 		s.conns[c] = struct{}{}
 		s.mu.Unlock()
-		s.wait.Go(func() {
+		s.goroutines.Go(func() {
 			s.serve(c)
 			c.Close()
 			s.mu.Lock()
@@ -97,7 +100,7 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		s.stall()
+		s.waitForStall()
 		name := req.Header.Get("X-Txn")
 		b = append(b[:0], "HTTP/1.1 200 OK\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(name)), 10)
@@ -108,16 +111,16 @@
 	}
 }
 
-// stall waits while the stall lasts.
-func (s *Server) stall() {
+// waitForStall waits until the end of the stall if it is going on.
+func (s *Server) waitForStall() {
 	s.mu.Lock()
-	from, to := s.from, s.to
+	from, to := s.stallFrom, s.stallTo
 	s.mu.Unlock()
 	if now := time.Now(); now.Before(from) || !now.Before(to) {
 		return
 	}
 	time.Sleep(time.Until(to))
 	s.mu.Lock()
-	s.late = max(s.late, time.Since(to))
+	s.wakeDelay = max(s.wakeDelay, time.Since(to))
 	s.mu.Unlock()
 }
--- a/internal/lab/spread/spread.go
+++ b/internal/lab/spread/spread.go
@@ -1,6 +1,8 @@
-// Package spread tells how evenly a fleet's hosts were used, from what the hosts themselves saw: capacity that stood
-// idle while work waited at others, herds, the busiest hosts, and what became of the attempts. It knows no clock; the
-// drivers of the model feed it.
+// Package spread measures how evenly the hosts of a fleet are used, from the hosts' own state: capacity that is idle
+// while work waits at other hosts, herds of attempts, the busiest hosts, and the outcomes of attempts.
+//
+// A driver of package model creates a Watch by New, calls Came for each attempt and Look after each change of a host,
+// and gets the Report at the end. The package reads no clock; times are in microseconds.
 package spread
 
 import (
@@ -13,117 +15,119 @@
 	"granitewing/internal/lab/model"
 )
 
-// What counts as a herd: within herdSpan microseconds, attempts of herdMost or more dispatchers at a host that has work
-// waiting.
+// A herd is: within herdWindow microseconds, attempts of herdMinDispatchers or more dispatchers at a host that has
+// waiting work.
 const (
-	herdSpan = 100_000
-	herdMost = 5
+	herdWindow         = 100_000
+	herdMinDispatchers = 5
 )
 
-// Report is what a run came to.
+// Report holds the figures of a run.
 type Report struct {
-	Idle       float64      `json:"idle_while_work_waits"` // share of the host-seconds of ready, warm hosts
-	HostTime   float64      `json:"host_s"`                // those host-seconds
-	Waiting    float64      `json:"waiting_mean"`          // jobs that waited unstarted at hosts, mean over time
+	Idle       float64      `json:"idle_while_work_waits"` // share of the time of ready, warm hosts; see Watch
+	HostTime   float64      `json:"host_s"`                // that time in host-seconds
+	Waiting    float64      `json:"waiting_mean"`          // jobs waiting at hosts, mean over time
 	Herds      int          `json:"herds"`
-	Herded     float64      `json:"herd_share"`         // attempts in herds, of all
-	Peak       float64      `json:"peak_to_mean"`       // attempts at a host in a second, the most against the mean
-	Busiest    float64      `json:"busiest_tenth"`      // share of the tenth of hosts with most attempts for their speed; 0.1 is even
+	Herded     float64      `json:"herd_share"`         // share of attempts that were part of a herd
+	Peak       float64      `json:"peak_to_mean"`       // attempts at a host in a second: maximum to mean
+	Busiest    float64      `json:"busiest_tenth"`      // load share of the tenth of hosts with most attempts for their speed; 0.1 is even
 	Counts     model.Counts `json:"attempts"`           // over all hosts
-	FetchShare float64      `json:"fetched_of_begun"`   // attempts that had to fetch, of those that began
-	VainShare  float64      `json:"vain_share_of_work"` // work for attempts that did not come to their end
+	FetchShare float64      `json:"fetched_of_begun"`   // share of started attempts that had to fetch their data set
+	VainShare  float64      `json:"vain_share_of_work"` // share of work for attempts that did not run to their end
 }
 
-// Watch collects. It is not safe for use by several goroutines.
+// Watch collects the figures. It is not safe for concurrent use.
 type Watch struct {
 	hosts []host
-	// Hosts with free slots and no queue, and jobs that wait, each in two sizes: one slot, and more.
-	idle  [2]int
-	wait  [2]int
-	ready int
-	at    int64
-	until int64
-	// Integrals over time, microseconds.
-	lost, ready2, waits float64
-	attempts, herded    int
-	herds               int
+	// Numbers of hosts with free slots and no queue, and of waiting jobs, by size: one slot, and more than one.
+	idleHosts   [2]int
+	waitingJobs [2]int
+	readyHosts  int   // hosts that are reachable and warm
+	lastUpdate  int64 // time of the latest update
+	end         int64 // time after which nothing is counted
+	// Integrals over time in microseconds: hosts idle while work waits, ready hosts, waiting jobs.
+	idleTime, readyTime, waitingTime float64
+	attempts, herded                 int
+	herds                            int
 }
 
+// host is the latest state of a host and its attempts so far.
 type host struct {
-	capacity float64
-	ready    bool
-	idle     [2]int
-	wait     [2]int
-	window   []arrival // of the last herdSpan, the oldest first
-	seconds  []int
-	counts   model.Counts
-	attempts int
+	capacity  float64
+	ready     bool
+	idle      [2]int
+	waiting   [2]int
+	recent    []arrival // attempts within herdWindow, the oldest first
+	perSecond []int     // attempts by second
+	counts    model.Counts
+	attempts  int
 }
 
+// arrival is an attempt that reached a host.
 type arrival struct {
 	at         int64
 	dispatcher int
 	herded     bool
 }
 
-// New begins to watch machines by their numbers. Time past until, when the last job has come, is not counted: a fleet that
-// empties is idle for want of work.
+// New returns a Watch of machines, which are referred to by their index. Time after until, the arrival of the last job,
+// is not counted, as the fleet is then idle for lack of work.
 func New(machines []model.Machine, until int64) *Watch {
-	w := &Watch{hosts: make([]host, len(machines)), until: until}
+	w := &Watch{hosts: make([]host, len(machines)), end: until}
 	for i, m := range machines {
 		w.hosts[i].capacity = m.Cores * m.Speed
 	}
 	return w
 }
 
-// Came books an attempt, before the host has taken it.
+// Came records an attempt of a dispatcher at host i. Call it before the host gets the attempt.
 func (w *Watch) Came(now int64, i int, m *model.Host, dispatcher int) {
 	h := &w.hosts[i]
 	w.attempts++
 	h.attempts++
-	for s := int(max(now, 0) / 1_000_000); len(h.seconds) <= s; {
-		h.seconds = append(h.seconds, 0)
+	for s := int(max(now, 0) / 1_000_000); len(h.perSecond) <= s; {
+		h.perSecond = append(h.perSecond, 0)
 	}
-	h.seconds[len(h.seconds)-1]++
-	h.window = slices.DeleteFunc(h.window, func(a arrival) bool { return a.at <= now-herdSpan })
-	h.window = append(h.window, arrival{at: now, dispatcher: dispatcher})
+	h.perSecond[len(h.perSecond)-1]++
+	h.recent = slices.DeleteFunc(h.recent, func(a arrival) bool { return a.at <= now-herdWindow })
+	h.recent = append(h.recent, arrival{at: now, dispatcher: dispatcher})
 	if one, more := m.Queued(); one+more == 0 {
 		return
 	}
 	seen := map[int]bool{}
 	old := false
-	for _, a := range h.window {
+	for _, a := range h.recent {
 		seen[a.dispatcher] = true
 		old = old || a.herded
 	}
-	if len(seen) < herdMost {
+	if len(seen) < herdMinDispatchers {
 		return
 	}
 	if !old {
 		w.herds++
 	}
-	for k := range h.window {
-		if !h.window[k].herded {
-			h.window[k].herded = true
+	for k := range h.recent {
+		if !h.recent[k].herded {
+			h.recent[k].herded = true
 			w.herded++
 		}
 	}
 }
 
-// Look notes the state of a host after something happened there. up says that it can be reached and takes new jobs.
+// Look records the state of host i after a change. up reports whether the host is reachable and accepts new jobs.
 func (w *Watch) Look(now int64, i int, m *model.Host, up bool) {
-	w.pass(now)
+	w.elapse(now)
 	h := &w.hosts[i]
 	for k := range 2 {
-		w.idle[k] -= h.idle[k]
-		w.wait[k] -= h.wait[k]
+		w.idleHosts[k] -= h.idle[k]
+		w.waitingJobs[k] -= h.waiting[k]
 	}
 	if h.ready {
-		w.ready--
+		w.readyHosts--
 	}
-	h.idle, h.wait = [2]int{}, [2]int{}
+	h.idle, h.waiting = [2]int{}, [2]int{}
 	one, more := m.Queued()
-	h.wait = [2]int{one, more}
+	h.waiting = [2]int{one, more}
 	h.ready = up && !m.Down() && !m.Cold()
 	if free := m.Free(); h.ready && one+more == 0 && free >= 2 {
 		h.idle[1] = 1
@@ -131,75 +135,76 @@
 		h.idle[0] = 1
 	}
 	for k := range 2 {
-		w.idle[k] += h.idle[k]
-		w.wait[k] += h.wait[k]
+		w.idleHosts[k] += h.idle[k]
+		w.waitingJobs[k] += h.waiting[k]
 	}
 	if h.ready {
-		w.ready++
+		w.readyHosts++
 	}
 	h.counts = m.Counts()
 }
 
-// pass lets time go by in the present state. A job that waits sets at most one host against it, and a host at most one
-// job, so that one late job does not make the whole fleet idle.
-func (w *Watch) pass(now int64) {
-	now = min(now, w.until)
-	dt := float64(now - w.at)
+// elapse moves time on in the present state. Each waiting job counts against at most one idle host and vice versa, so
+// that one late job does not make the whole fleet count as idle.
+func (w *Watch) elapse(now int64) {
+	now = min(now, w.end)
+	dt := float64(now - w.lastUpdate)
 	if dt <= 0 {
 		return
 	}
-	w.at = now
-	large := min(w.wait[1], w.idle[1])
-	small := min(w.wait[0], w.idle[0]+w.idle[1]-large)
-	w.lost += dt * float64(large+small)
-	w.ready2 += dt * float64(w.ready)
-	w.waits += dt * float64(w.wait[0]+w.wait[1])
+	w.lastUpdate = now
+	large := min(w.waitingJobs[1], w.idleHosts[1])
+	small := min(w.waitingJobs[0], w.idleHosts[0]+w.idleHosts[1]-large)
+	w.idleTime += dt * float64(large+small)
+	w.readyTime += dt * float64(w.readyHosts)
+	w.waitingTime += dt * float64(w.waitingJobs[0]+w.waitingJobs[1])
 }
 
-// Report sums up at the end of a run.
+// Report returns the figures at the end of a run.
 func (w *Watch) Report(now int64) *Report {
-	w.pass(now)
-	r := &Report{HostTime: w.ready2 / 1e6, Herds: w.herds}
-	r.Idle = share(w.lost, w.ready2)
-	r.Waiting = share(w.waits, float64(w.at))
-	r.Herded = share(float64(w.herded), float64(w.attempts))
+	w.elapse(now)
+	r := &Report{HostTime: w.readyTime / 1e6, Herds: w.herds}
+	r.Idle = ratio(w.idleTime, w.readyTime)
+	r.Waiting = ratio(w.waitingTime, float64(w.lastUpdate))
+	r.Herded = ratio(float64(w.herded), float64(w.attempts))
 	type used struct{ load, capacity float64 }
 	var all []used
 	sum, most, cells := 0.0, 0, 0
 	for i := range w.hosts {
 		h := &w.hosts[i]
 		r.Counts.Add(h.counts)
-		for _, n := range h.seconds {
+		for _, n := range h.perSecond {
 			most = max(most, n)
 		}
 		if h.attempts == 0 {
-			continue // it was not there, or nobody found it; the idle figure tells of the latter
+			continue // it was absent, or no dispatcher used it; the latter shows in Idle
 		}
-		cells += len(h.seconds)
+		cells += len(h.perSecond)
 		all = append(all, used{float64(h.attempts) / max(h.capacity, 1e-9), h.capacity})
 		sum += float64(h.attempts) / max(h.capacity, 1e-9)
 	}
-	r.Peak = share(float64(most)*float64(cells), float64(w.attempts))
+	r.Peak = ratio(float64(most)*float64(cells), float64(w.attempts))
 	slices.SortFunc(all, func(a, b used) int { return cmp.Compare(b.load, a.load) })
 	top := 0.0
 	for _, u := range all[:int(math.Ceil(float64(len(all))/10))] {
 		top += u.load
 	}
-	r.Busiest = share(top, sum)
+	r.Busiest = ratio(top, sum)
 	c := &r.Counts
-	r.FetchShare = share(float64(c.Fetched), float64(c.Offered-c.Refused-c.Unstarted))
-	r.VainShare = share(c.Vain, c.Work)
+	r.FetchShare = ratio(float64(c.Fetched), float64(c.Offered-c.Refused-c.Unstarted))
+	r.VainShare = ratio(c.Vain, c.Work)
 	return r
 }
 
-func share(part, whole float64) float64 {
+// ratio returns part/whole, or 0 if whole is not positive.
+func ratio(part, whole float64) float64 {
 	if whole <= 0 {
 		return 0
 	}
 	return part / whole
 }
 
-// String writes the figures for people.
+// String formats the figures as text for operators.
 func (r *Report) String() string {
 	var b strings.Builder
 	c := r.Counts
@@ -209,6 +214,6 @@
 	fmt.Fprintf(&b, "attempts %d: done %d, called off unstarted %d, called off running %d, refused %d, failed %d\n",
 		c.Offered, c.Done, c.Unstarted, c.Stopped, c.Refused, c.Failed)
 	fmt.Fprintf(&b, "waited %d (%.1f%%), fetched first %d (%.1f%% of those begun), work in vain %.1f%%\n",
-		c.Waited, 100*share(float64(c.Waited), float64(c.Offered)), c.Fetched, 100*r.FetchShare, 100*r.VainShare)
+		c.Waited, 100*ratio(float64(c.Waited), float64(c.Offered)), c.Fetched, 100*r.FetchShare, 100*r.VainShare)
 	return b.String()
 }
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -1,4 +1,7 @@
-// Package stage starts real dispatchers as processes, watches them and ends them.
+// Package stage runs real dispatchers as child processes of the laboratory.
+//
+// Start starts a dispatcher with its configuration and waits until it listens. The Dispatcher it returns gives its
+// address, log and counters; Stop, Kill and Pause signal the process.
 package stage
 
 import (
@@ -21,40 +24,41 @@
 )
 
 const (
-	readyLimit = 15 * time.Second // from the start until a dispatcher is ready
-	stopLimit  = 10 * time.Second // from SIGTERM until it is killed
-	logMost    = 64 << 10         // of each dispatcher's log kept for its report
+	readyTimeout = 15 * time.Second // longest time until a new dispatcher listens, or is ready
+	stopTimeout  = 10 * time.Second // time from SIGTERM until a dispatcher is killed
+	maxLogBytes  = 64 << 10         // bytes that are kept of each dispatcher's log
 )
 
-// Dispatcher is a running process.
+// Dispatcher is a dispatcher process.
 type Dispatcher struct {
-	Addr string
-	door string // the operators' door, where the build has one; set before Addr
-	cmd  *exec.Cmd
-	over chan struct{} // closed once it has ended
-	err  error
-	mu   sync.Mutex
-	log  bytes.Buffer // its first bytes
-	kill bool         // it was ended on purpose
-	at   time.Time    // when, before the signal
+	Addr      string // where it listens for clients
+	adminAddr string // address of the admin endpoint, empty if the build has none; set before Addr
+	cmd       *exec.Cmd
+	exited    chan struct{} // closed once the process has ended
+	err       error         // of the process; valid once exited is closed
+	mu        sync.Mutex
+	log       bytes.Buffer // the start of its log
+	killed    bool         // it was killed on purpose
+	killedAt  time.Time    // when it was killed, taken before the signal
 }
 
-// Start starts program with a configuration, which is kept in dir, and waits until it listens. A dispatcher never
-// outlives the laboratory, however that ends.
+// Start starts program with a configuration, which it writes to a file in dir, and waits until the dispatcher listens.
+// It returns an error if the process ends before that or does not listen within 15 s. The kernel kills the dispatcher
+// when the laboratory ends for any reason.
 func Start(program, dir, name string, config []byte, args ...string) (*Dispatcher, error) {
 	path := filepath.Join(dir, name+".json")
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{over: make(chan struct{}), cmd: exec.Command(program, args...)}
+	d := &Dispatcher{exited: make(chan struct{}), cmd: exec.Command(program, args...)}
 	for _, v := range os.Environ() {
 		if !strings.HasPrefix(v, "ROUTER_") && !strings.HasPrefix(v, "TMPDIR=") {
 			d.cmd.Env = append(d.cmd.Env, v)
 		}
 	}
-	// What it keeps there goes by its name, which dispatchers of other plays have too.
+	// A dispatcher names its temporary files by its own name, which dispatchers of other runs have too.
 	d.cmd.Env = append(d.cmd.Env, "ROUTER_CONFIG="+path, "TMPDIR="+dir)
-	// A group of its own: Ctrl-C is for the laboratory, which then ends it in order.
+	// Use a separate process group, so that Ctrl-C reaches only the laboratory, which then shuts the dispatcher down.
 	d.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	out, err := d.cmd.StderrPipe()
 	if err != nil {
@@ -64,37 +68,37 @@
 		return nil, fmt.Errorf("start %s: %w", program, err)
 	}
 	listening := make(chan string, 1)
-	go d.watch(out, listening)
-	limit := time.NewTimer(readyLimit)
+	go d.readLog(out, listening)
+	limit := time.NewTimer(readyTimeout)
 	defer limit.Stop()
 	select {
 	case d.Addr = <-listening:
 		return d, nil
-	case <-d.over:
-		return nil, fmt.Errorf("%s ended at its start: %v\n%s", name, d.err, d.Log())
+	case <-d.exited:
+		return nil, fmt.Errorf("dispatcher %s exited during its start: %v\n%s", name, d.err, d.Log())
 	case <-limit.C:
 		d.Kill()
-		return nil, fmt.Errorf("%s does not listen after %v\n%s", name, readyLimit, d.Log())
+		return nil, fmt.Errorf("dispatcher %s does not listen after %v\n%s", name, readyTimeout, d.Log())
 	}
 }
 
-// watch reads the log and waits for the end.
-func (d *Dispatcher) watch(out io.Reader, listening chan<- string) {
+// readLog reads the log, extracts the addresses from it, and waits for the end of the process.
+func (d *Dispatcher) readLog(out io.Reader, listening chan<- string) {
 	s := bufio.NewScanner(out)
 	for s.Scan() {
 		line := s.Text()
 		d.mu.Lock()
-		if d.log.Len() < logMost {
+		if d.log.Len() < maxLogBytes {
 			d.log.WriteString(line + "\n")
 		}
 		d.mu.Unlock()
 		if strings.Contains(line, "msg=door") {
 			_, addr, _ := strings.Cut(line, "addr=")
 			d.mu.Lock()
-			d.door = strings.TrimSpace(addr)
+			d.adminAddr = strings.TrimSpace(addr)
 			d.mu.Unlock()
 		}
-		if addr, ok := address(line); ok {
+		if addr, ok := listenAddress(line); ok {
 			select {
 			case listening <- addr:
 			default:
@@ -103,11 +107,12 @@
 	}
 	io.Copy(io.Discard, out)
 	d.err = d.cmd.Wait()
-	close(d.over)
+	close(d.exited)
 }
 
-// address finds where a dispatcher listens in a line of its log, of this build's form or of an earlier one's.
-func address(line string) (string, bool) {
+// listenAddress extracts the address where a dispatcher listens from a line of its log, in the format of this build or
+// of an earlier one.
+func listenAddress(line string) (string, bool) {
 	if strings.Contains(line, "msg=listening") {
 		_, addr, ok := strings.Cut(line, "addr=")
 		return strings.TrimSpace(addr), ok
@@ -116,29 +121,29 @@
 	return strings.TrimSpace(addr), ok
 }
 
-// Log gives what the process wrote to its log, up to a bound.
+// Log returns the start of the dispatcher's log, up to 64 KiB.
 func (d *Dispatcher) Log() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.log.String()
 }
 
-// Pid is the process's number.
+// Pid returns the process ID.
 func (d *Dispatcher) Pid() int { return d.cmd.Process.Pid }
 
-// CPU is the time that the process took, known once it has ended.
+// CPU returns the CPU time of the process, or 0 while it still runs.
 func (d *Dispatcher) CPU() time.Duration {
 	select {
-	case <-d.over:
+	case <-d.exited:
 		return d.cmd.ProcessState.UserTime() + d.cmd.ProcessState.SystemTime()
 	default:
 		return 0
 	}
 }
 
-// Ready waits until /healthz answers 200.
+// Ready waits until /healthz answers 200. It returns an error if the process ends before that or after 15 s.
 func (d *Dispatcher) Ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Addr+"/healthz", nil)
@@ -155,9 +160,9 @@
 		t := time.NewTimer(20 * time.Millisecond)
 		select {
 		case <-t.C:
-		case <-d.over:
+		case <-d.exited:
 			t.Stop()
-			return fmt.Errorf("dispatcher at %s ended before it was ready: %v", d.Addr, d.err)
+			return fmt.Errorf("dispatcher at %s exited before it was ready: %v", d.Addr, d.err)
 		case <-ctx.Done():
 			t.Stop()
 			return fmt.Errorf("dispatcher at %s is not ready: %w", d.Addr, ctx.Err())
@@ -165,23 +170,24 @@
 	}
 }
 
-// Kill ends it at once.
+// Kill kills the process and waits for its end.
 func (d *Dispatcher) Kill() {
 	d.mu.Lock()
-	d.kill, d.at = true, time.Now()
+	d.killed, d.killedAt = true, time.Now()
 	d.mu.Unlock()
 	d.cmd.Process.Kill()
-	<-d.over
+	<-d.exited
 }
 
-// Killed is when it was killed, before its clients could see it.
+// Killed returns the time right before the kill, that is, before its clients could notice it. It is zero if the
+// dispatcher was not killed.
 func (d *Dispatcher) Killed() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.at
+	return d.killedAt
 }
 
-// Pause stops the process where it stands, or lets it go on.
+// Pause stops the process by SIGSTOP, or continues it by SIGCONT.
 func (d *Dispatcher) Pause(on bool) error {
 	sig := syscall.SIGCONT
 	if on {
@@ -190,27 +196,28 @@
 	return d.cmd.Process.Signal(sig)
 }
 
-// ErrKilled tells that a dispatcher still had work when its time after SIGTERM was over.
-var ErrKilled = errors.New("did not end after SIGTERM and was killed")
+// ErrKilled is the error of Stop for a dispatcher that did not end within 10 s of SIGTERM.
+var ErrKilled = errors.New("did not exit after SIGTERM and was killed")
 
-// Stop ends it in order, or by force if that takes too long: then the error is ErrKilled.
+// Stop shuts the dispatcher down by SIGTERM. If it does not end in time, Stop kills it and returns ErrKilled. Stop also
+// returns an error if the process ended before Stop was called, unless by Kill, or exits with an error.
 func (d *Dispatcher) Stop() error {
 	d.mu.Lock()
-	dead := d.kill
+	dead := d.killed
 	d.mu.Unlock()
 	select {
-	case <-d.over:
+	case <-d.exited:
 		if dead {
 			return nil
 		}
-		return fmt.Errorf("dispatcher at %s ended by itself: %v\n%s", d.Addr, d.err, d.Log())
+		return fmt.Errorf("dispatcher at %s exited unexpectedly: %v\n%s", d.Addr, d.err, d.Log())
 	default:
 	}
 	d.cmd.Process.Signal(syscall.SIGTERM)
-	t := time.NewTimer(stopLimit)
+	t := time.NewTimer(stopTimeout)
 	defer t.Stop()
 	select {
-	case <-d.over:
+	case <-d.exited:
 		if d.err != nil {
 			return fmt.Errorf("dispatcher at %s: %w\n%s", d.Addr, d.err, d.Log())
 		}
@@ -221,48 +228,48 @@
 	}
 }
 
-// doorLimit bounds a call of the door; the dispatcher answers within 1 s.
-const doorLimit = 2 * time.Second
+// adminTimeout is the timeout of a call of the admin endpoint; the dispatcher answers within 1 s.
+const adminTimeout = 2 * time.Second
 
-// Figures asks the dispatcher's door for its counters and gives them by name with labels, as
-// `router_success_total{type="alert"}`. A build without a door gives none and no error.
+// Figures reads the dispatcher's counters from its admin endpoint. They are keyed by name with labels, for example
+// `router_success_total{type="alert"}`. A build without an admin endpoint has none, which is no error.
 func (d *Dispatcher) Figures() (map[string]float64, error) {
 	text, err := d.Call("counters")
 	if err != nil || text == "" {
 		return nil, err
 	}
-	return parseFigures(text)
+	return parseCounters(text)
 }
 
-// Call makes one call of the operators' door and gives the whole answer; a build without a door gives "".
+// Call sends one line to the admin endpoint and returns the whole answer, or "" if the build has no admin endpoint.
 func (d *Dispatcher) Call(line string) (string, error) {
 	d.mu.Lock()
-	door := d.door
+	door := d.adminAddr
 	d.mu.Unlock()
 	if door == "" {
 		return "", nil
 	}
-	c, err := net.DialTimeout("tcp", door, doorLimit)
+	c, err := net.DialTimeout("tcp", door, adminTimeout)
 	if err != nil {
-		return "", fmt.Errorf("door: %w", err)
+		return "", fmt.Errorf("admin endpoint: %w", err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(doorLimit))
+	c.SetDeadline(time.Now().Add(adminTimeout))
 	if _, err := c.Write([]byte(line + "\n")); err != nil {
-		return "", fmt.Errorf("door: %w", err)
+		return "", fmt.Errorf("admin endpoint: %w", err)
 	}
 	text, err := io.ReadAll(c)
 	if err != nil {
-		return "", fmt.Errorf("door: %s: %w", line, err)
+		return "", fmt.Errorf("admin endpoint: %s: %w", line, err)
 	}
 	return string(text), nil
 }
 
-// parseFigures reads an answer of `counters`: YES, lines of a name and a value, END.
-func parseFigures(text string) (map[string]float64, error) {
+// parseCounters parses the answer to `counters`: the line YES, lines of a name and a value, and the line END.
+func parseCounters(text string) (map[string]float64, error) {
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	if len(lines) < 2 || lines[0] != "YES" || lines[len(lines)-1] != "END" {
-		return nil, fmt.Errorf("door: counters answered %q", text)
+		return nil, fmt.Errorf("admin endpoint: unexpected answer to counters: %q", text)
 	}
 	figures := map[string]float64{}
 	for i, line := range lines[1 : len(lines)-1] {
@@ -272,7 +279,7 @@
 		cut := strings.LastIndexByte(line, ' ')
 		v, err := strconv.ParseFloat(line[cut+1:], 64)
 		if cut <= 0 || err != nil {
-			return nil, fmt.Errorf("door: counters line %d: %q", i+2, line)
+			return nil, fmt.Errorf("admin endpoint: counters line %d is invalid: %q", i+2, line)
 		}
 		figures[line[:cut]] += v
 	}
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/virtual/clients.go
@@ -31,8 +31,8 @@
 	})
 }
 
-// pickDispatcher chooses a dispatcher as the front-end load balancer does: at random among those of the client's zone, or among
-// all if that zone has none. It returns nil if no dispatcher is in rotation.
+// pickDispatcher chooses a dispatcher as the front-end load balancer does: at random among those of the client's zone,
+// or among all if that zone has none. It returns nil if no dispatcher is in rotation.
 func (sim *simulation) pickDispatcher(j *job) *dispatcher {
 	for _, anyZone := range []bool{false, true} {
 		var candidates []*dispatcher
@@ -44,7 +44,8 @@
 		if len(candidates) > 0 {
 			d := candidates[j.rng.IntN(len(candidates))]
 			if d.down {
-				d.avoidedUntil = sim.now + frontEndRetryDelay // the connection is refused and the front end ejects the dispatcher
+				// The connection is refused, and the front end ejects the dispatcher.
+				d.avoidedUntil = sim.now + frontEndRetryDelay
 				return sim.pickDispatcher(j)
 			}
 			return d
--- a/internal/lab/virtual/gangs.go
+++ b/internal/lab/virtual/gangs.go
@@ -16,8 +16,9 @@
 	"granitewing/internal/memory"
 )
 
-// This file runs gangs in virtual time, that is jobs whose parts run at several hosts at once. It uses the product's own
-// packages for slot leases and gang placement; messages about slots have the delay and loss of the dispatchers' reports.
+// This file runs gangs in virtual time, that is jobs whose parts run at several hosts at once. It uses the product's
+// own packages for slot leases and gang placement; messages about slots have the delay and loss of the dispatchers'
+// reports.
 
 // gangLease is the duration of a slot lease in microseconds.
 const gangLease = 2_000_000
@@ -48,7 +49,8 @@
 	return o
 }
 
-// placementPolicy is a placement policy: it chooses the hosts of a gang's parts, and returns false if there are too few.
+// placementPolicy is a placement policy: it chooses the hosts of a gang's parts, and returns false if there are too
+// few.
 type placementPolicy = func([]place.Host, place.Job, *topology.Topology, *topology.Loads, gang.Weights) (place.Placement, bool)
 
 // ignoresScore reports whether a policy places gangs without scoring them by their value.
@@ -64,9 +66,10 @@
 	}
 }
 
-// policyByName returns a placement policy to compare with the scored one, or nil for the scored policy itself. "first" takes the first hosts that no gang has, "random" takes random ones, "racks" looks at racks
-// and ignores how soon hosts are free, "late" takes the hosts that are free soonest and ignores racks. "no-crowd",
-// "no-pieces" and "no-push" drop one term of the score.
+// policyByName returns a placement policy to compare with the scored one, or nil for the scored policy itself. "first"
+// takes the first hosts that no gang has, "random" takes random ones, "racks" looks at racks and ignores how soon hosts
+// are free, "late" takes the hosts that are free soonest and ignores racks. "no-crowd", "no-pieces" and "no-push" drop
+// one term of the score.
 func policyByName(policy string, rng *rand.Rand) placementPolicy {
 	pick := func(hosts []place.Host, j place.Job, t *topology.Topology, o *topology.Loads, w gang.Weights, shuffle bool) (place.Placement, bool) {
 		var free []place.Host
@@ -137,8 +140,8 @@
 	return nil
 }
 
-// withEstimate returns a placement with the value that a less informed policy sees: that value decides the admission, while
-// the run time stays the real one.
+// withEstimate returns a placement with the value that a less informed policy sees: that value decides the admission,
+// while the run time stays the real one.
 func withEstimate(p place.Placement, w place.Why) place.Placement {
 	run := p.Run
 	p.Why, p.Run = w, run
@@ -168,8 +171,8 @@
 	return out
 }
 
-// exchangeSlotMessages runs one round of a dispatcher's slot protocol: it processes the received messages, sends its own, and lets the
-// core act on the leases it holds.
+// exchangeSlotMessages runs one round of a dispatcher's slot protocol: it processes the received messages, sends its
+// own, and lets the core act on the leases it holds.
 func (sim *simulation) exchangeSlotMessages(d *dispatcher, core *memory.Core, s *world.Share) {
 	g := d.gangs
 	var out []*limit.Message
@@ -231,7 +234,8 @@
 	})
 }
 
-// gangPart returns the description of a gang part that a host gets with an attempt, or nil if the attempt is no gang part.
+// gangPart returns the description of a gang part that a host gets with an attempt, or nil if the attempt is no gang
+// part.
 func (sim *simulation) gangPart(a *attempt) *model.Part {
 	if a.gang == nil {
 		return nil
--- a/internal/lab/virtual/hosts.go
+++ b/internal/lab/virtual/hosts.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// notifyDispatcher calls do for an attempt's dispatcher after the network delay. The call is lost if the dispatcher can't be
-// reached, and dropped if its process has ended or it has given the attempt up.
+// notifyDispatcher calls do for an attempt's dispatcher after the network delay. The call is lost if the dispatcher
+// can't be reached, and dropped if its process has ended or it has given the attempt up.
 func (sim *simulation) notifyDispatcher(a *attempt, do func(*dispatcher)) {
 	if sim.unreachable(a.dispatcher, a.host) {
 		return
--- a/internal/lab/virtual/policy.go
+++ b/internal/lab/virtual/policy.go
@@ -8,8 +8,8 @@
 	"granitewing/logic"
 )
 
-// dispatcherCore is the interface of a dispatcher's decisions: memory.Core, or a plain policy to compare it with. All times are in
-// microseconds. The commands that a call returns are valid until the next call.
+// dispatcherCore is the interface of a dispatcher's decisions: memory.Core, or a plain policy to compare it with. All
+// times are in microseconds. The commands that a call returns are valid until the next call.
 type dispatcherCore interface {
 	Arrive(now int64, m memory.Message, deadline int64) (memory.ID, []memory.Command)
 	Inventory(now int64, how logic.ListKind, hosts []memory.Host) []memory.Command
@@ -32,9 +32,9 @@
 		messages: map[memory.ID]*plainMessage{}, hostIndex: map[string]int{}}, nil
 }
 
-// plainPolicy is a simple dispatcher for comparison. It sends each message to a host that its policy chooses, and sends it again
-// after a refusal or a failed connection, or after a broken connection if the class is safe to repeat. It gives no message
-// up before its deadline.
+// plainPolicy is a simple dispatcher for comparison. It sends each message to a host that its policy chooses, and sends
+// it again after a refusal or a failed connection, or after a broken connection if the class is safe to repeat. It
+// gives no message up before its deadline.
 type plainPolicy struct {
 	policy      string
 	classes     []logic.Class
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -1,5 +1,6 @@
-// Package virtual is a discrete-event simulator: it runs the dispatchers' real cores with their decision modules against
-// modelled clients, hosts and discovery in virtual time, without sockets or clocks. It scales to thousands of hosts.
+// Package virtual is a discrete-event simulator: it runs the dispatchers' real cores with their decision modules
+// against modelled clients, hosts and discovery in virtual time, without sockets or clocks. It scales to thousands of
+// hosts.
 //
 // Run takes a world.Day, which holds the hosts, arrivals and failures drawn from a seed, and returns a Result. Runs of
 // the same day, variant and seed give the same bytes. Times are in microseconds of virtual time unless they are a
@@ -33,8 +34,8 @@
 	Variant world.Variant
 	Seed    uint64
 
-	// Log records attempts for the audit. It may be nil: large fleets run without an audit, as its records would need more
-	// memory than the model.
+	// Log records attempts for the audit. It may be nil: large fleets run without an audit, as its records would need
+	// more memory than the model.
 	Log *audit.Log
 	// Measure asks for the CPU time of the cores' calls and for their memory. These figures differ between runs of the
 	// same seed.
@@ -42,7 +43,8 @@
 	// Progress gets the numbers of jobs that have arrived, that have completed and that the day has; may be nil.
 	Progress func(sent, done, total int)
 
-	// Judged gets each first request of a job that reaches a dispatcher, and whether it was refused at once; may be nil.
+	// Judged gets each first request of a job that reaches a dispatcher, and whether it was refused at once; may be
+	// nil.
 	Judged func(at int64, dispatcher int, j *world.Job, refused bool)
 }
 
@@ -251,8 +253,8 @@
 	return nil
 }
 
-// heapPerDispatcher returns the heap bytes of one dispatcher: what the heap loses when the dispatchers are freed, divided by their
-// number.
+// heapPerDispatcher returns the heap bytes of one dispatcher: what the heap loses when the dispatchers are freed,
+// divided by their number.
 func (sim *simulation) heapPerDispatcher() int64 {
 	used := func() int64 {
 		runtime.GC()
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -22,8 +22,8 @@
   (kill-dispatcher (at 16s) (for 3s) (dispatcher 1)) (shrink (at 20s) (for 2s) (count 2)) (restart (at 21s) (for 1s) (hosts h0))
   (chance crash (rate 4) (for 2s 5s)) (chance slow (rate 6) (for 1s 4s) (factor 3 8) (part 10% 20%))`
 
-// singleFailures are failures one at a time. Dispatchers are notified of them within the times that the rules on leaving
-// and cold hosts allow.
+// singleFailures are failures one at a time. Dispatchers are notified of them within the times that the rules on
+// leaving and cold hosts allow.
 var singleFailures = []string{
 	`(slow (at 3s) (for 9s) (share 25%) (factor 8))`, `(drain (at 4s) (count 3) (grace 2s))`, `(crash (at 5s) (for 6s) (hosts h3))`,
 	`(vanish (at 6s) (for 5s) (hosts h4))`, `(reset (at 7s) (for 2s) (count 2))`, `(errors (at 8s) (for 4s) (count 2))`, `(refuse (at 9s) (for 3s) (share 25%))`,
@@ -66,9 +66,9 @@
 	return res, log, day
 }
 
-// Under many failures at once every job completes once, each request has one answer and no job is repeated unsafely, and
-// the same seed gives the same bytes. The rules on leaving and cold hosts are not checked: discovery hides some restarts,
-// so dispatchers can't keep these rules.
+// Under many failures at once every job completes once, each request has one answer and no job is repeated unsafely,
+// and the same seed gives the same bytes. The rules on leaving and cold hosts are not checked: discovery hides some
+// restarts, so dispatchers can't keep these rules.
 func TestCombinedFailures(t *testing.T) {
 	text := `(experiment combined (length 26s) (load (rate 14)) (clients (impatient 5%) (patience 2s))` + combinedFailures + `)`
 	for seed := range uint64(6) {
@@ -103,7 +103,8 @@
 	}
 }
 
-// The audit detects violations of a policy that ignores the rules: a cold host that gets its full share of work collapses.
+// The audit detects violations of a policy that ignores the rules: a cold host that gets its full share of work
+// collapses.
 func TestAuditSeesColdHostsFall(t *testing.T) {
 	broken := 0
 	for seed := range uint64(5) {
@@ -115,8 +116,8 @@
 	}
 }
 
-// Failures of hosts affect clients: without reachable hosts nothing is served, while a day with low load and no failures
-// is served almost completely.
+// Failures of hosts affect clients: without reachable hosts nothing is served, while a day with low load and no
+// failures is served almost completely.
 func TestFailuresAffectService(t *testing.T) {
 	calm, _ := runDay(t, `(experiment calm (length 15s) (load (rate 5)))`, 1, world.Variant{})
 	if s := calm.Recorder.Rows()[4].Service; s < 0.8 {
@@ -189,8 +190,8 @@
 	}
 }
 
-// A dispatcher that an operator drains gets no new requests once the front end has seen its /healthz fail, answers every
-// request it holds, and gets requests again after it resumes. The audit rules hold throughout.
+// A dispatcher that an operator drains gets no new requests once the front end has seen its /healthz fail, answers
+// every request it holds, and gets requests again after it resumes. The audit rules hold throughout.
 func TestQuiesce(t *testing.T) {
 	text := `(experiment quiesce (length 14s) (load (rate 30)) (quiesce-dispatcher (at 3s) (for 5s) (dispatcher 1)))`
 	for seed := range uint64(3) {
@@ -213,8 +214,8 @@
 	}
 }
 
-// If all reports are lost, dispatchers decide exactly as without sharing. Reports that arrive, even late and with losses,
-// raise the service, reduce failed alerts and keep the audit rules.
+// If all reports are lost, dispatchers decide exactly as without sharing. Reports that arrive, even late and with
+// losses, raise the service, reduce failed alerts and keep the audit rules.
 func TestSharing(t *testing.T) {
 	day := `(experiment e (virtual) (length 10s) (load (rate 42)) (dispatchers 60) (fleet (hosts 30)) (data-sets (count 130) (store 130)))`
 	text := func(v *world.Share) (string, float64, int64) {
@@ -246,8 +247,8 @@
 // onVerdict is Options.Judged of all runs; nil except in the test that sets it.
 var onVerdict func(at int64, dispatcher int, j *world.Job, refused bool)
 
-// Admission by a fleet-wide price: in an overload most alerts that can't be served are refused before they are sent, and
-// similar jobs get the same verdicts at different dispatchers. At low load nothing is refused for its price, and a
+// Admission by a fleet-wide price: in an overload most alerts that can't be served are refused before they are sent,
+// and similar jobs get the same verdicts at different dispatchers. At low load nothing is refused for its price, and a
 // dispatcher that receives no reports decides as without a price.
 func TestSlack(t *testing.T) {
 	span := settings.Span{Lo: 5 * time.Millisecond, Hi: 50 * time.Millisecond}
--- a/internal/lab/world/config.go
+++ b/internal/lab/world/config.go
@@ -9,14 +9,14 @@
 	"granitewing/internal/lab/model"
 )
 
-// repeatNames are the platform's words for repeat safety.
+// repeatNames maps the classes' repeat safety to the platform's values.
 var repeatNames = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
-// ZoneOf is the zone of a dispatcher.
+// ZoneOf returns the zone of a dispatcher, as an index into Zones.
 func (d *Day) ZoneOf(dispatcher int) int { return dispatcher % len(d.Zones) }
 
-// ListEntry is an entry of discovery's list in the platform's form, for a dispatcher that reaches it at addr.
-// epoch is the Unix time in microseconds at which the day's clock showed 0.
+// ListEntry returns an entry of discovery's list in the platform's JSON format, for a dispatcher that reaches the host
+// at addr. epoch is the Unix time in microseconds of the start of the day.
 func (d *Day) ListEntry(m model.Member, addr string, epoch int64) map[string]any {
 	up := int64(0)
 	if m.UpSince > 0 {
@@ -28,7 +28,8 @@
 	}
 }
 
-// List is discovery's answer in the platform's form.
+// List returns discovery's answer in the platform's JSON format. complete reports whether members is the whole list
+// rather than the changes since an earlier revision.
 func (d *Day) List(revision int64, complete bool, members []model.Member, addr func(id string) string, epoch int64) map[string]any {
 	list := make([]map[string]any, 0, len(members))
 	for _, m := range members {
@@ -37,15 +38,16 @@
 	return map[string]any{"revision": revision, "complete": complete, "members": list}
 }
 
-// Place is where a dispatcher finds others and is found.
+// Place holds the addresses in a dispatcher's configuration.
 type Place struct {
-	Listen    string
-	Discovery string
-	Addr      func(host string) string // of a host, for this dispatcher
-	Epoch     int64
+	Listen    string                   // the dispatcher's own address
+	Discovery string                   // address of discovery
+	Addr      func(host string) string // address at which this dispatcher reaches a host
+	Epoch     int64                    // Unix time of the start of the day, in microseconds
 }
 
-// Config writes a dispatcher's configuration as the platform would. changes are settings by path that differ.
+// Config returns a dispatcher's configuration in the platform's JSON format. changes overrides settings by their paths;
+// an invalid path or value is an error.
 func (d *Day) Config(dispatcher int, seed uint64, p Place, changes []Change) ([]byte, error) {
 	var classes []map[string]any
 	stretch := []float64{}
@@ -74,7 +76,7 @@
 			"Cold": d.Fleet.WarmUp.Microseconds(), "Fall": d.Fleet.Window.Microseconds(), "FallMultiple": d.Fleet.Multiple},
 	}
 	for _, c := range changes {
-		if err := change(settings, c); err != nil {
+		if err := setPath(settings, c); err != nil {
 			return nil, err
 		}
 	}
@@ -84,15 +86,15 @@
 	}
 	return json.MarshalIndent(map[string]any{
 		"name": fmt.Sprintf("n%d", dispatcher), "listen": p.Listen, "discovery": p.Discovery,
-		"management": "127.0.0.1:0", // the operators' door, where the laboratory reads the figures
+		"management": "127.0.0.1:0", // the admin endpoint, where the laboratory reads the counters
 		"seed":       strconv.FormatUint(seed, 16),
 		"limits":     map[string]any{"cores": d.Cores, "memory_mb": max(int(d.Memory>>20), 1), "sockets": d.Descriptors},
 		"known":      d.List(1, true, members, p.Addr, p.Epoch), "settings": settings,
 	}, "", " ")
 }
 
-// change sets a value by its path, through lists by their numbers.
-func change(settings map[string]any, c Change) error {
+// setPath sets a value by its path. Entries of lists are addressed by their index.
+func setPath(settings map[string]any, c Change) error {
 	var value any
 	if err := json.Unmarshal([]byte(c.Value), &value); err != nil {
 		return fmt.Errorf("set %s: %q is not JSON", c.Path, c.Value)
@@ -111,7 +113,7 @@
 			if err != nil || n < 0 || n >= len(next) {
 				return fmt.Errorf("set %s: %s has no entry %s", c.Path, k, keys[i+1])
 			}
-			// The number is taken as a key of its own.
+			// Make the index a key, so that the next round descends into the entry.
 			at = map[string]any{keys[i+1]: next[n]}
 		default:
 			return fmt.Errorf("set %s: no settings at %s", c.Path, k)
--- a/internal/lab/world/day.go
+++ b/internal/lab/world/day.go
@@ -14,100 +14,102 @@
 	"granitewing/internal/lab/trace"
 )
 
-// Day is one draw of a deployment. Two draws from the same seed are the same, whatever variant plays them.
+// Day is one day of a deployment, drawn from a seed. The same seed gives the same day for every variant.
 type Day struct {
 	*Spec
-	Machines []model.Machine // those that come later included
-	Kept     [][]uint64      // data sets that the hosts of the day's begin have from before
-	Delays   []Delay         // one way, by zone times zones plus zone
-	Ops      []Op
-	Jobs     []Job
-	Notes    []string      // what the reader of a report has to know, such as the gaps of a trace
-	End      time.Duration // of the arrivals
+	Machines []model.Machine // all hosts, including those that join later
+	Kept     [][]uint64      // data sets that the initial hosts have cached at the start, by host
+	Delays   []Delay         // one way, indexed by zone*len(Zones)+zone
+	Ops      []Op            // sorted by time
+	Jobs     []Job           // sorted by arrival
+	Notes    []string        // remarks for the reader of a report, such as the gaps of a trace
+	End      time.Duration   // of the arrivals, from the start of the day
 }
 
-// Delay is a time on the way.
+// Delay is a network delay.
 type Delay = time.Duration
 
-// Job is a job as it will arrive.
+// Job is a job that arrives during the day.
 type Job struct {
-	At     time.Duration // intended, from the day's start
-	Class  int
-	Zone   int
+	At     time.Duration // intended arrival, from the start of the day
+	Class  int           // index into Classes
+	Zone   int           // of the client, index into Zones
 	Work   time.Duration // on one core of speed 1
-	Hint   time.Duration
-	Slots  float64
-	Memory float64
-	Set    int // data set, 0 = none
+	Hint   time.Duration // the client's estimate of the work
+	Slots  float64       // slots that it occupies at a host
+	Memory float64       // memory units that it occupies at a host
+	Set    int           // data set that it needs; 0 = none
 }
 
-// OpKind is what happens to a part of the deployment.
+// OpKind is the kind of an operation on the deployment.
 type OpKind uint8
 
-// The kinds of operations; a driver carries them out.
+// The kinds of operations. A driver executes them: package emulate or package virtual. "On" marks kinds that begin with
+// Op.On set and end with it clear.
 const (
-	OpSlow OpKind = iota // Host, Factor (1 = its own pace again)
-	OpDrain
-	OpStop // the process ends in order after its drain
-	OpCrash
-	OpRestart
-	OpVanish // Host says nothing more, On; or is back
-	OpReset  // Host resets each connection at its next request, On
-	OpErrors
-	OpRefuse // Host refuses new connections, On
-	OpStart  // Host joins, cold
-	OpStale
-	OpDown   // discovery
-	OpSilent // discovery
-	OpPart   // zones Host and Other can't reach each other, On
-	OpLink   // links between Dispatchers and Hosts or discovery suffer Link, On
-	OpKill   // dispatcher Host
-	OpRevive // dispatcher Host
+	OpSlow    OpKind = iota // Host runs slower by Factor; 1 = its normal speed again
+	OpDrain                 // Host starts to drain
+	OpStop                  // Host's process ends after its drain
+	OpCrash                 // Host's process is killed
+	OpRestart               // Host's process starts again
+	OpVanish                // Host is unreachable, On
+	OpReset                 // Host resets each connection at its next request, On
+	OpErrors                // Host answers each new job with an error, On
+	OpRefuse                // Host refuses new connections, On
+	OpStart                 // Host joins and has to warm up
+	OpStale                 // discovery publishes no changes, On
+	OpDown                  // discovery is down, On
+	OpSilent                // discovery does not answer, On
+	OpPart                  // zones Host and Other can't reach each other, On
+	OpLink                  // the fault Link is on the links between Dispatchers and Hosts or discovery, On
+	OpKill                  // dispatcher Host is killed
+	OpRevive                // dispatcher Host starts again
 
-	OpStoreSilent // the stand-in PostgreSQL server, On
-	OpStoreSlow   // Lag is the delay of its answers, On
-	OpStoreResets // the next Host commits end in resets, half of them after they were done
-	OpCordon      // Host is cordoned by hand at every dispatcher, On; or put back
-	OpQuiesce     // dispatcher Host is drained by hand, On; or resumes
-	OpPause       // dispatcher Host's process is stopped, On; or continued
-	OpPeers       // links of Dispatchers with those in Others suffer Link, On
-	OpClients     // links of clients with Dispatchers suffer Link, On
-	OpLook        // the doors of all dispatchers are asked for their figures
+	OpStoreSilent // the stand-in PostgreSQL server does not answer, On
+	OpStoreSlow   // the stand-in PostgreSQL server delays its answers by Lag, On
+	OpStoreResets // the connections of the next Host commits are reset, half of them after the commit was executed
+	OpCordon      // Host is cordoned by an operator at every dispatcher, On
+	OpQuiesce     // dispatcher Host is drained by an operator, On
+	OpPause       // dispatcher Host's process is stopped by SIGSTOP, On
+	OpPeers       // the fault Link is on the links of Dispatchers with Others, On
+	OpClients     // the fault Link is on the links of clients with Dispatchers, On
+	OpLook        // the counters of all dispatchers are read from their admin endpoints
 	OpEnd         // dispatcher Host gets SIGTERM; OpRevive starts another of its name, whether it has ended or not
 )
 
-// Op is one thing that happens.
+// Op is one operation on the deployment. OpKind says which fields its kind uses.
 type Op struct {
 	At     time.Duration
 	Kind   OpKind
-	Host   int
-	Other  int
-	Factor float64
-	On     bool
-	Lag    time.Duration // until discovery tells of it
+	Host   int           // a host, or a dispatcher, zone or count
+	Other  int           // the second zone of a partition
+	Factor float64       // by which a host is slower
+	On     bool          // the operation begins a fault; otherwise it ends it
+	Lag    time.Duration // until discovery publishes the change
 	Label  string        // for reports
 
-	Dispatchers []int // of a link
-	Others      []int
-	Hosts       []int
+	Dispatchers []int // on one side of the links
+	Others      []int // dispatchers on the other side
+	Hosts       []int // on the other side
 	Link        *LinkFault
 }
 
-// LinkFault is what a link suffers.
+// LinkFault is a fault of a network link.
 type LinkFault struct {
-	Way       string // both, to, from
-	Manner    string // silent, reset, half, late
-	Discovery bool
-	Delay     time.Duration
-	Spread    time.Duration
-	Loss      float64
-	Twice     float64
+	Way       string        // both, to, from
+	Manner    string        // silent, reset, half, late
+	Discovery bool          // the links are those to discovery
+	Delay     time.Duration // of a late link
+	Spread    time.Duration // jitter of datagrams on a late link
+	Loss      float64       // share of datagrams lost on a late link
+	Twice     float64       // share of datagrams duplicated on a late link
 }
 
-// Draw draws a day.
+// Draw draws a day from a seed. It returns an error if a recorded trace can't be read or does not fit the deployment.
 func (s *Spec) Draw(seed uint64) (*Day, error) {
 	d := &Day{Spec: s}
-	// Sources of their own, so that a change in one part of a deployment leaves the draws of the others as they are.
+	// Each part has a random source of its own, so that a change of one part leaves the draws of the others as they
+	// are.
 	source := func(part uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, part)) }
 	d.drawFleet(source(1))
 	if err := d.drawFaults(source(2)); err != nil {
@@ -116,12 +118,14 @@
 	if err := d.drawJobs(source(3)); err != nil {
 		return nil, err
 	}
-	d.drawKept(source(4))
+	d.drawCachedSets(source(4))
 	return d, nil
 }
 
-func within(rng *rand.Rand, lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
+// uniform draws a value uniformly from a range.
+func uniform(rng *rand.Rand, lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
 
+// drawFleet draws the network delays and the initial hosts.
 func (d *Day) drawFleet(rng *rand.Rand) {
 	n := len(d.Zones)
 	d.Delays = make([]Delay, n*n)
@@ -131,23 +135,23 @@
 			if a == b {
 				s = d.Near
 			}
-			v := Delay(within(rng, float64(s.Lo), float64(s.Hi)))
+			v := Delay(uniform(rng, float64(s.Lo), float64(s.Hi)))
 			d.Delays[a*n+b], d.Delays[b*n+a] = v, v
 		}
 	}
 	for i := range d.Fleet.Hosts {
-		d.Machines = append(d.Machines, d.machine(i, rng))
+		d.Machines = append(d.Machines, d.drawMachine(i, rng))
 	}
 }
 
-// machine draws the host of a number. Kinds are dealt out by their shares as evenly as whole hosts allow.
-func (d *Day) machine(i int, rng *rand.Rand) model.Machine {
+// drawMachine draws the host of a number. Kinds are assigned by their shares as evenly as whole hosts allow.
+func (d *Day) drawMachine(i int, rng *rand.Rand) model.Machine {
 	f := &d.Fleet
 	total := 0.0
 	for _, k := range f.Kinds {
 		total += k.Share
 	}
-	// The golden ratio's multiples fill the unit interval evenly whatever the number of hosts.
+	// The multiples of the golden ratio fill the unit interval evenly for any number of hosts.
 	x := math.Mod(float64(i)*0.6180339887498949, 1) * total
 	kind := 0
 	for kind < len(f.Kinds)-1 && x >= f.Kinds[kind].Share {
@@ -161,11 +165,11 @@
 	}
 	m := model.Machine{
 		Name: HostName(i), Zone: i % len(d.Zones), Kind: kind, Cell: i / f.CellSize,
-		Cores: k.Cores, Speed: within(rng, k.Speed.Lo, k.Speed.Hi), Slots: slots,
-		Queue: int(within(rng, f.Queue.Lo, f.Queue.Hi) * slots), Backfill: f.Backfill,
-		Knee: int(f.Knee * slots), Thrash: f.Thrash, Start: within(rng, f.Start.Lo, f.Start.Hi), WarmUp: f.WarmUp.Microseconds(),
+		Cores: k.Cores, Speed: uniform(rng, k.Speed.Lo, k.Speed.Hi), Slots: slots,
+		Queue: int(uniform(rng, f.Queue.Lo, f.Queue.Hi) * slots), Backfill: f.Backfill,
+		Knee: int(f.Knee * slots), Thrash: f.Thrash, Start: uniform(rng, f.Start.Lo, f.Start.Hi), WarmUp: f.WarmUp.Microseconds(),
 		Window: f.Window.Microseconds(), Multiple: f.Multiple, Progress: f.Progress.Microseconds(), Returns: f.Returns,
-		Sets: d.Sets.Kept, Fetch: int64(within(rng, float64(d.Sets.Fetch.Lo.Microseconds()), float64(d.Sets.Fetch.Hi.Microseconds()))),
+		Sets: d.Sets.Kept, Fetch: int64(uniform(rng, float64(d.Sets.Fetch.Lo.Microseconds()), float64(d.Sets.Fetch.Hi.Microseconds()))),
 	}
 	if f.Memory {
 		m.Memory = slots
@@ -173,9 +177,9 @@
 	return m
 }
 
-// drawKept gives the hosts what they would have fetched in a long day before: without it a day would begin with a storm
-// of fetches that no failure of it has caused.
-func (d *Day) drawKept(rng *rand.Rand) {
+// drawCachedSets fills the hosts' caches with data sets as after a long time of operation. With empty caches a day
+// would begin with a burst of fetches that none of its failures has caused.
+func (d *Day) drawCachedSets(rng *rand.Rand) {
 	d.Kept = make([][]uint64, len(d.Machines))
 	if d.Sets.Count == 0 || d.Sets.Kept == 0 {
 		return
@@ -190,27 +194,28 @@
 	}
 }
 
-// Member is discovery's entry for a host.
+// Member returns discovery's entry for host i. upSince is in microseconds from the start of the day.
 func (d *Day) Member(i int, phase model.Phase, upSince int64) model.Member {
 	m := &d.Machines[i]
 	return model.Member{ID: m.Name, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Phase: phase, Size: 1, UpSince: upSince}
 }
 
+// drawFaults turns the described faults, and those drawn from chances, into operations.
 func (d *Day) drawFaults(rng *rand.Rand) error {
 	faults := slices.Clone(d.Faults)
-	length := d.length()
+	length := d.programmeLength()
 	for _, c := range d.Chances {
 		gap := 60 / max(c.Rate, 1e-9)
 		for at := rng.ExpFloat64() * gap; at < length.Seconds(); at += rng.ExpFloat64() * gap {
 			f := Fault{Kind: c.Kind, At: time.Duration(at * float64(time.Second)), Grace: 4 * time.Second, Count: 1}
-			f.For = time.Duration(within(rng, float64(c.For.Lo), float64(c.For.Hi)))
-			f.Factor = max(within(rng, c.Factor.Lo, c.Factor.Hi), 1)
+			f.For = time.Duration(uniform(rng, float64(c.For.Lo), float64(c.For.Hi)))
+			f.Factor = max(uniform(rng, c.Factor.Lo, c.Factor.Hi), 1)
 			if c.Kind == "kill-dispatcher" {
 				f.Number = rng.IntN(d.Dispatchers)
 				f.For = max(f.For, time.Millisecond)
 			}
 			if c.Part.Hi > 0 {
-				f.Count = max(int(within(rng, c.Part.Lo, c.Part.Hi)*float64(d.Fleet.Hosts)+0.5), 1)
+				f.Count = max(int(uniform(rng, c.Part.Lo, c.Part.Hi)*float64(d.Fleet.Hosts)+0.5), 1)
 			}
 			faults = append(faults, f)
 		}
@@ -227,8 +232,9 @@
 	return nil
 }
 
-// struck draws or finds the hosts that a fault strikes.
-func (d *Day) struck(f Fault, rng *rand.Rand, present map[int]bool) []int {
+// affectedHosts returns the hosts that a fault affects: those it names, those of its zone, or a random choice. present
+// holds the hosts that have not left.
+func (d *Day) affectedHosts(f Fault, rng *rand.Rand, present map[int]bool) []int {
 	var out []int
 	for _, h := range f.Hosts {
 		out = append(out, d.hostNumber(h))
@@ -261,10 +267,10 @@
 // schedule turns a fault into operations.
 func (d *Day) schedule(f Fault, rng *rand.Rand, present map[int]bool) {
 	lag := func() time.Duration {
-		return time.Duration(within(rng, float64(d.Discovery.Lag.Lo), float64(d.Discovery.Lag.Hi)))
+		return time.Duration(uniform(rng, float64(d.Discovery.Lag.Lo), float64(d.Discovery.Lag.Hi)))
 	}
 	add := func(o Op) { d.Ops = append(d.Ops, o) }
-	// between begins something and ends it after the fault's length, or never where it has none.
+	// between adds the begin of a fault and its end after the fault's length, or no end if the length is 0.
 	between := func(kind OpKind, host int, label string) {
 		add(Op{At: f.At, Kind: kind, Host: host, On: true, Factor: f.Factor, Label: label})
 		if f.For > 0 {
@@ -272,7 +278,7 @@
 		}
 	}
 	hosts := func(label string, do func(i int, label string)) {
-		for _, i := range d.struck(f, rng, present) {
+		for _, i := range d.affectedHosts(f, rng, present) {
 			do(i, fmt.Sprintf("%s %s", d.Machines[i].Name, label))
 		}
 	}
@@ -282,7 +288,7 @@
 	}
 	join := func(at time.Duration) {
 		i := len(d.Machines)
-		d.Machines = append(d.Machines, d.machine(i, rng))
+		d.Machines = append(d.Machines, d.drawMachine(i, rng))
 		present[i] = true
 		add(Op{At: at, Kind: OpStart, Host: i, Lag: lag(), Label: d.Machines[i].Name + " joins"})
 	}
@@ -293,7 +299,7 @@
 		if f.Kind == "shrink" {
 			f.Hosts, f.Zone, f.Share = nil, "", 0
 		}
-		for k, i := range d.struck(f, rng, present) {
+		for k, i := range d.affectedHosts(f, rng, present) {
 			at := f.At
 			if f.Kind == "shrink" && f.Count > 1 {
 				at += f.For * time.Duration(k) / time.Duration(f.Count)
@@ -306,7 +312,7 @@
 			join(f.At + f.For*time.Duration(k)/time.Duration(f.Count))
 		}
 	case "churn": // hosts are replaced by new ones
-		for _, i := range d.struck(f, rng, present) {
+		for _, i := range d.affectedHosts(f, rng, present) {
 			delete(present, i)
 			leave(i, f.At)
 			join(f.At)
@@ -356,7 +362,7 @@
 	case "store-resets":
 		add(Op{At: f.At, Kind: OpStoreResets, Host: max(f.Count, 1), Label: fmt.Sprintf("store resets %d commits", max(f.Count, 1))})
 	case "link":
-		of := d.dispatchersOf(f, rng)
+		of := d.affectedDispatchers(f, rng)
 		var hosts []int
 		kind := OpLink
 		switch {
@@ -365,7 +371,7 @@
 		case f.Client:
 			kind = OpClients
 		default:
-			hosts = d.struck(f, rng, present)
+			hosts = d.affectedHosts(f, rng, present)
 		}
 		if len(hosts) == 0 && !f.Source && kind == OpLink {
 			for i := range d.Machines {
@@ -406,7 +412,7 @@
 			"kill-dispatcher":    {OpKill, OpRevive, "killed", "back"},
 			"restart-dispatcher": {OpEnd, OpRevive, "told to end", "started anew"},
 		}[f.Kind]
-		for _, i := range d.dispatchersOf(f, rng) {
+		for _, i := range d.affectedDispatchers(f, rng) {
 			add(Op{At: f.At, Kind: what.begin, Host: i, On: what.begin == what.end, Label: fmt.Sprintf("dispatcher %d %s", i, what.name)})
 			if f.For > 0 {
 				add(Op{At: f.At + f.For, Kind: what.end, Host: i, Label: fmt.Sprintf("dispatcher %d %s", i, what.ending)})
@@ -415,8 +421,9 @@
 	}
 }
 
-// dispatchersOf draws or finds the dispatchers that a fault strikes.
-func (d *Day) dispatchersOf(f Fault, rng *rand.Rand) []int {
+// affectedDispatchers returns the dispatchers that a fault affects: those it names, those of a zone, or a random
+// choice.
+func (d *Day) affectedDispatchers(f Fault, rng *rand.Rand) []int {
 	if f.Of == nil {
 		return []int{f.Number}
 	}
@@ -443,8 +450,8 @@
 	return out
 }
 
-// length is how long jobs arrive, as far as the settings alone tell.
-func (d *Day) length() time.Duration {
+// programmeLength returns how long jobs arrive by the rate programmes alone; recorded traces are not counted.
+func (d *Day) programmeLength() time.Duration {
 	length := d.Load.Programme.Steps.Length()
 	for _, s := range d.Load.Streams {
 		length = max(length, s.Programme.Steps.Length())
@@ -452,12 +459,13 @@
 	return max(length, time.Second)
 }
 
+// drawJobs draws the jobs of all streams.
 func (d *Day) drawJobs(rng *rand.Rand) error {
-	means := make([]float64, len(d.Classes)) // of the day, seconds
+	means := make([]float64, len(d.Classes)) // mean work of the day, seconds
 	shares := make([]float64, len(d.Classes))
 	total := 0.0
 	for i, c := range d.Classes {
-		means[i] = within(rng, c.Work.Lo.Seconds(), c.Work.Hi.Seconds())
+		means[i] = uniform(rng, c.Work.Lo.Seconds(), c.Work.Hi.Seconds())
 		total += c.Share
 		shares[i] = total
 	}
@@ -472,7 +480,7 @@
 		}
 		c := &d.Classes[j.Class]
 		if j.Work == 0 {
-			// A log-normal whose mean is the day's.
+			// Log-normal with the day's mean.
 			w := means[j.Class] * math.Exp(c.Spread*rng.NormFloat64()-c.Spread*c.Spread/2)
 			j.Work = max(time.Duration(w*float64(time.Second)), time.Microsecond)
 		}
@@ -489,7 +497,7 @@
 				break
 			}
 		}
-		j.Memory = within(rng, c.Memory.Lo, c.Memory.Hi)
+		j.Memory = uniform(rng, c.Memory.Lo, c.Memory.Hi)
 		if j.Set == 0 && sets != nil {
 			j.Set = sets.Draw(rng)
 		}
@@ -521,7 +529,7 @@
 	return nil
 }
 
-// drawTrace adds the jobs of a recorded trace; what it doesn't say is drawn.
+// drawTrace adds the jobs of a recorded trace. Values that the trace does not contain are drawn.
 func (d *Day) drawTrace(s Stream, rng *rand.Rand, fill func(*Job, bool)) error {
 	path := s.Trace.File
 	if !filepath.IsAbs(path) {
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -10,29 +10,30 @@
 	"granitewing/internal/settings"
 )
 
-// Fault is a failure at a time.
+// Fault is a failure that begins at a set time. Kind is its name in the experiment file; which other fields it uses
+// depends on the kind.
 type Fault struct {
 	Kind   string        `sexp:",head"`
-	At     time.Duration `sexp:"at,required" min:"0"`
-	For    time.Duration `sexp:"for" min:"0"`
-	Hosts  []string      `sexp:"hosts"` // by name; or
-	Zone   string        `sexp:"zone"`  // all of a zone; or
-	Share  float64       `sexp:"share" min:"0" max:"1"`
-	Count  int           `sexp:"count" min:"0"` // of hosts that come or go, or are drawn
-	Factor float64       `sexp:"factor" min:"1"`
-	Grace  time.Duration `sexp:"grace" min:"0"` // from a drain to the end of the process
-	Zones  []string      `sexp:"zones"`         // on the two sides of a partition
-	Number int           `sexp:"dispatcher" min:"0"`
-	Of     *Dispatchers  `sexp:"of"`                        // in place of dispatcher
-	Way    string        `sexp:"way" one-of:"both|to|from"` // of a link: towards the host or discovery, from there, or both
-	Manner string        `sexp:"manner" one-of:"silent|reset|half|late"`
-	Source bool          `sexp:"discovery"`                 // the links are those to discovery
-	Peers  string        `sexp:"peers" one-of:"others|all"` // the links are those to dispatchers that are not named, or to all
-	Client bool          `sexp:"clients"`                   // the links are those of clients
-	Delay  time.Duration `sexp:"delay" min:"0"`             // of a slow store's answers, or of a link that is late
-	Spread time.Duration `sexp:"spread" min:"0"`            // of datagrams on a late link, which so come out of order
-	Loss   float64       `sexp:"loss" min:"0" max:"1"`      // of datagrams on a late link
-	Twice  float64       `sexp:"twice" min:"0" max:"1"`     // of datagrams on a late link
+	At     time.Duration `sexp:"at,required" min:"0"`                    // from the start of the day
+	For    time.Duration `sexp:"for" min:"0"`                            // 0: it never ends
+	Hosts  []string      `sexp:"hosts"`                                  // the affected hosts by name; or
+	Zone   string        `sexp:"zone"`                                   // all hosts of a zone; or
+	Share  float64       `sexp:"share" min:"0" max:"1"`                  // a random share of the hosts; or
+	Count  int           `sexp:"count" min:"0"`                          // number of random hosts, or that join or leave
+	Factor float64       `sexp:"factor" min:"1"`                         // by which a slow host is slower
+	Grace  time.Duration `sexp:"grace" min:"0"`                          // from a drain to the end of the process
+	Zones  []string      `sexp:"zones"`                                  // the two sides of a partition
+	Number int           `sexp:"dispatcher" min:"0"`                     // the affected dispatcher; or
+	Of     *Dispatchers  `sexp:"of"`                                     // several dispatchers, in place of dispatcher
+	Way    string        `sexp:"way" one-of:"both|to|from"`              // direction: to or from the other side, or both
+	Manner string        `sexp:"manner" one-of:"silent|reset|half|late"` // what happens to a link
+	Source bool          `sexp:"discovery"`                              // the links are those to discovery
+	Peers  string        `sexp:"peers" one-of:"others|all"`              // the links are those to unnamed dispatchers, or to all
+	Client bool          `sexp:"clients"`                                // the links are those to clients
+	Delay  time.Duration `sexp:"delay" min:"0"`                          // of a slow store's answers, or of a late link
+	Spread time.Duration `sexp:"spread" min:"0"`                         // jitter of datagrams on a late link; reorders them
+	Loss   float64       `sexp:"loss" min:"0" max:"1"`                   // share of datagrams lost on a late link
+	Twice  float64       `sexp:"twice" min:"0" max:"1"`                  // share of datagrams duplicated on a late link
 	Where  settings.Pos  `sexp:",pos"`
 }
 
@@ -41,7 +42,7 @@
 	f.Factor, f.Grace, f.Way, f.Manner = 5, 4*time.Second, "both", "silent"
 }
 
-// Dispatchers says which dispatchers a fault strikes: some by name, all of a zone, or a share or number that is drawn.
+// Dispatchers selects the dispatchers that a fault affects: by name, all of a zone, or a random share or number.
 type Dispatchers struct {
 	Names []string `sexp:"names"`
 	Zone  string   `sexp:"zone"`
@@ -49,15 +50,16 @@
 	Count int      `sexp:"count" min:"0"`
 }
 
-// Chance draws failures of a kind from the seed.
+// Chance describes random failures of a kind. Their times are a Poisson process drawn from the seed.
 type Chance struct {
 	Kind   string         `sexp:",arg,required" one-of:"slow|drain|crash|restart|vanish|reset|errors|refuse|churn|kill-dispatcher|store-silent|store-slow|store-resets"`
-	Rate   float64        `sexp:"rate,required" min:"0"` // a minute, over the whole fleet
+	Rate   float64        `sexp:"rate,required" min:"0"` // failures per minute over the whole fleet
 	For    settings.Span  `sexp:"for"`
 	Factor settings.Range `sexp:"factor" min:"1"`
-	Part   settings.Range `sexp:"part" min:"0" max:"1"` // of the fleet that is struck at once
+	Part   settings.Range `sexp:"part" min:"0" max:"1"` // share of the fleet that one failure affects
 }
 
+// checkFaults reports the first fault whose settings are incomplete or name something that does not exist.
 func (s *Spec) checkFaults() error {
 	known := s.HostNames()
 	for _, f := range s.Faults {
@@ -80,42 +82,42 @@
 		switch f.Kind {
 		case "partition":
 			if len(f.Zones) != 2 || f.Zones[0] == f.Zones[1] {
-				return at("zones", "wants two zones that are parted")
+				return at("zones", "wants two different zones")
 			}
 		case "kill-dispatcher", "quiesce-dispatcher", "pause-dispatcher", "restart-dispatcher", "link":
 			if f.Number >= s.Dispatchers {
 				return at("dispatcher", "no dispatcher %d; there are 0 to %d", f.Number, s.Dispatchers-1)
 			}
-			if err := s.checkOf(f.Of, at); err != nil {
+			if err := s.checkDispatchers(f.Of, at); err != nil {
 				return err
 			}
 			switch {
 			case s.Virtual && f.Kind != "kill-dispatcher" && f.Kind != "quiesce-dispatcher":
-				return at("at", "is for processes; virtual time has none")
+				return at("at", "is supported only with real processes, not in virtual time")
 			case f.Kind == "pause-dispatcher" && f.For <= 0, f.Kind == "restart-dispatcher" && f.For <= 0:
-				return at("for", "wants how long, or the dispatcher never comes back")
+				return at("for", "wants a time above 0, or the dispatcher would never resume")
 			case f.Kind != "link":
 			case f.Manner == "late" && f.Delay <= 0 && f.Spread <= 0 && f.Loss <= 0 && f.Twice <= 0:
-				return at("delay", "wants how late")
+				return at("delay", "wants a delay, spread, loss or twice above 0")
 			case f.Manner != "late" && (f.Spread > 0 || f.Loss > 0 || f.Twice > 0):
-				return at("manner", "spread, loss and twice are for links that are late")
+				return at("manner", "spread, loss and twice are supported only for links with the manner late")
 			case f.Peers == "" && (f.Spread > 0 || f.Loss > 0 || f.Twice > 0):
-				return at("peers", "spread, loss and twice are for datagrams, which dispatchers alone send, to each other")
+				return at("peers", "spread, loss and twice are supported only for datagrams, which only dispatchers send, to their peers")
 			case (f.Source && f.Client) || f.Peers != "" && (f.Source || f.Client):
 				return at("peers", "a link is with peers, clients, discovery or hosts; name one")
 			}
 		case "look":
 			if s.Virtual {
-				return at("at", "is for processes; virtual time has no doors")
+				return at("at", "is supported only with real processes; virtual time has no admin endpoints")
 			}
 		case "stale", "discovery-down", "discovery-silent":
 		case "store-silent", "store-slow", "store-resets":
 			if !s.Postgres {
-				return at("at", "wants (postgres): the laboratory has no store to disturb")
+				return at("at", "wants (postgres): without it there is no store to disturb")
 			}
 		case "grow", "shrink":
 			if f.Count < 1 {
-				return at("count", "wants how many hosts")
+				return at("count", "wants a number of hosts")
 			}
 		default:
 			if len(f.Hosts) == 0 && f.Zone == "" && f.Share == 0 && f.Count == 0 {
@@ -126,8 +128,8 @@
 	return nil
 }
 
-// checkOf checks which dispatchers a fault names.
-func (s *Spec) checkOf(of *Dispatchers, at func(key, why string, args ...any) error) error {
+// checkDispatchers checks a selection of dispatchers. at makes an error for a key.
+func (s *Spec) checkDispatchers(of *Dispatchers, at func(key, why string, args ...any) error) error {
 	if of == nil {
 		return nil
 	}
@@ -145,7 +147,7 @@
 	return nil
 }
 
-// dispatcherNumber finds a dispatcher by its name; -1 if there is none.
+// dispatcherNumber returns the number of a dispatcher by its name, or -1 if there is none.
 func (s *Spec) dispatcherNumber(name string) int {
 	i, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
 	if err != nil || i < 0 || i >= s.Dispatchers || name != fmt.Sprintf("n%d", i) {
@@ -154,7 +156,7 @@
 	return i
 }
 
-// hostNumber finds a host by its name or as hN; -1 if there is none.
+// hostNumber returns the number of a host by its name or as hN, or -1 if there is none.
 func (s *Spec) hostNumber(name string) int {
 	var i int
 	if n, err := fmt.Sscanf(name, "h%d", &i); n == 1 && err == nil && fmt.Sprintf("h%d", i) == name && i >= 0 && i < s.Fleet.Hosts {
--- a/internal/lab/world/gang.go
+++ b/internal/lab/world/gang.go
@@ -8,7 +8,7 @@
 	"granitewing/internal/settings"
 )
 
-// Links are what the parts of gangs exchange over, bytes a second.
+// Links holds the bandwidths of the links over which the parts of gangs exchange data, in bytes per second.
 type Links struct {
 	Host settings.Size `sexp:"host"`
 	Rack settings.Size `sexp:"rack"`
@@ -18,26 +18,27 @@
 // SetDefaults implements settings.Defaulter.
 func (l *Links) SetDefaults() { l.Host, l.Rack, l.Zone = 1250<<20, 5000<<20, 20000<<20 }
 
-// Model gives them as the hosts have them.
+// Model converts the links for package model.
 func (l *Links) Model() model.Links {
 	return model.Links{Host: float64(l.Host), Rack: float64(l.Rack), Zone: float64(l.Zone)}
 }
 
-// GangSpec is a class whose jobs run in parts at several hosts at once; the class's work is that of each part.
+// GangSpec describes the gangs of a class: its jobs run in parts at several hosts at once. The class's work is that of
+// each part.
 type GangSpec struct {
 	Parts    int           `sexp:"parts,required" min:"2" max:"256"`
-	Least    int           `sexp:"least" min:"1" max:"256"`
-	Exchange string        `sexp:"exchange,required" one-of:"ring|halo|all|tree"`
-	Bytes    settings.Size `sexp:"bytes"`
-	Steps    float64       `sexp:"steps" min:"0"`
-	Within   time.Duration `sexp:"within" min:"0.05"`
-	Wait     time.Duration `sexp:"wait" min:"0.05"`
+	Least    int           `sexp:"least" min:"1" max:"256"`                       // fewest parts to run with; 0 = Parts
+	Exchange string        `sexp:"exchange,required" one-of:"ring|halo|all|tree"` // communication pattern
+	Bytes    settings.Size `sexp:"bytes"`                                         // that a part sends in a step
+	Steps    float64       `sexp:"steps" min:"0"`                                 // exchanges per run
+	Within   time.Duration `sexp:"within" min:"0.05"`                             // from sending until all parts have started
+	Wait     time.Duration `sexp:"wait" min:"0.05"`                               // longest wait for slots
 }
 
 // SetDefaults implements settings.Defaulter.
 func (g *GangSpec) SetDefaults() { g.Within, g.Wait = time.Second, 10*time.Second }
 
-// Model gives it as the hosts have it; nil for none.
+// Model converts the description for package model. It returns nil for a nil receiver.
 func (g *GangSpec) Model() *model.Gang {
 	if g == nil {
 		return nil
@@ -46,7 +47,7 @@
 	return &model.Gang{Parts: g.Parts, Pattern: p, Bytes: float64(g.Bytes), Steps: g.Steps}
 }
 
-// GangOf gives what the hosts know of a class by its name; nil where it runs in one piece.
+// GangOf returns the gang of a class by its name, or nil if the class does not run in parts.
 func (d *Day) GangOf(class string) *model.Gang {
 	for i := range d.Classes {
 		if d.Classes[i].Name == class {
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -1,5 +1,8 @@
-// Package world describes a deployment for the laboratory and draws one day of it from a seed: hosts, data sets,
-// arrivals and failures, and the configurations of the dispatchers.
+// Package world describes a deployment for the laboratory and draws a simulated day of it from a seed.
+//
+// Read and Parse decode an experiment file into a Spec. Spec.Draw returns a Day: its hosts, data sets, network delays,
+// jobs with their arrival times, and operations such as crashes and partitions. Day.Config writes the configurations of
+// the dispatchers. Packages emulate and virtual run a Day on real sockets and in virtual time.
 package world
 
 import (
@@ -12,13 +15,13 @@
 	"granitewing/internal/settings"
 )
 
-// Spec is a deployment as an experiment's settings describe it.
+// Spec is an experiment file: a deployment, its load and failures, and the variants to compare.
 type Spec struct {
 	Name        string           `sexp:",arg,required"`
 	About       string           `sexp:"about"`
 	Seed        uint64           `sexp:"seed"`
 	Pairs       int              `sexp:"pairs" min:"1" max:"1000"`
-	Length      time.Duration    `sexp:"length" min:"0.1"` // of arrivals without a programme
+	Length      time.Duration    `sexp:"length" min:"0.1"` // how long jobs arrive if no programme is given
 	Zones       []string         `sexp:"zones"`
 	Delay       settings.Span    `sexp:"zone-delay" min:"0"` // one way between zones
 	Near        settings.Span    `sexp:"near-delay" min:"0"` // one way within a zone, in virtual time
@@ -36,16 +39,17 @@
 	Chances     []Chance         `sexp:"chance"`
 	Generator   Generator        `sexp:"generator"`
 	Variants    []Variant        `sexp:"variant"`
-	Own         string           `sexp:"settings"`      // the dispatchers' own settings; {dir} and {name} are put in; kept over their restarts
-	Postgres    bool             `sexp:"postgres"`      // a stand-in server; its URL is put in for {postgres}
-	Records     bool             `sexp:"audit-records"` // the dispatchers keep a store of record, which is audited
-	Virtual     bool             `sexp:"virtual"`
-	Margin      float64          `sexp:"margin" min:"0" max:"1"` // a difference of service within it counts as none
-	Sweep       *Sweep           `sexp:"sweep"`
-	Where       settings.Pos     `sexp:",pos"`
+	// Own holds the dispatchers' own settings, in which {dir} and {name} are replaced. They are kept over restarts.
+	Own      string       `sexp:"settings"`
+	Postgres bool         `sexp:"postgres"`      // start a stand-in server, whose URL replaces {postgres}
+	Records  bool         `sexp:"audit-records"` // the dispatchers keep a record store, which is audited
+	Virtual  bool         `sexp:"virtual"`
+	Margin   float64      `sexp:"margin" min:"0" max:"1"` // a smaller difference of service counts as none
+	Sweep    *Sweep       `sexp:"sweep"`
+	Where    settings.Pos `sexp:",pos"`
 }
 
-// Fleet is what the hosts are like.
+// Fleet describes the hosts.
 type Fleet struct {
 	Hosts    int            `sexp:"hosts" min:"1" max:"100000"`
 	Kinds    []HostKind     `sexp:"host-kind"`
@@ -53,8 +57,8 @@
 	WarmUp   time.Duration  `sexp:"warm-up" min:"0"`
 	Window   time.Duration  `sexp:"fall-window" min:"0"`
 	Multiple float64        `sexp:"fall-multiple" min:"0"`
-	Queue    settings.Range `sexp:"queue" min:"0"` // jobs that wait, for each slot
-	Knee     float64        `sexp:"knee" min:"0"`  // jobs held, for each slot, from which on a host is less efficient
+	Queue    settings.Range `sexp:"queue" min:"0"` // waiting jobs per slot, at most
+	Knee     float64        `sexp:"knee" min:"0"`  // jobs held per slot above which a host loses efficiency
 	Thrash   float64        `sexp:"thrash" min:"0" max:"0.5"`
 	Backfill bool           `sexp:"backfill"`
 	Returns  bool           `sexp:"drain-returns"`
@@ -69,26 +73,26 @@
 	Name  string         `sexp:",arg,required"`
 	Share float64        `sexp:"share,required" min:"0"`
 	Cores float64        `sexp:"cores,required" min:"0.1"`
-	Slots float64        `sexp:"slots" min:"0"` // default: as many as cores
+	Slots float64        `sexp:"slots" min:"0"` // default: the number of cores
 	Speed settings.Range `sexp:"speed,required" min:"0.001"`
 }
 
-// DataSets is what jobs need at the host.
+// DataSets describes the data sets that jobs need at their host.
 type DataSets struct {
 	Count int           `sexp:"count" min:"0"`
 	Zipf  float64       `sexp:"zipf" min:"0" max:"4"`
 	Kept  int           `sexp:"kept" min:"0"`
 	Fetch settings.Span `sexp:"fetch" min:"0"`
-	Store float64       `sexp:"store" min:"0"` // fetches that the store serves at full pace
+	Store float64       `sexp:"store" min:"0"` // concurrent fetches that the store serves at full speed
 }
 
 // Class is a class of jobs.
 type Class struct {
 	Name    string         `sexp:",arg,required"`
 	Share   float64        `sexp:"share,required" min:"0"`
-	Work    settings.Span  `sexp:"work,required" min:"0.000001"` // the mean of a day lies in here
+	Work    settings.Span  `sexp:"work,required" min:"0.000001"` // the mean of a day is drawn from this range
 	Spread  float64        `sexp:"spread" min:"0" max:"4"`       // sigma of the logarithm of a job's work
-	Hint    float64        `sexp:"hint-error" min:"0" max:"4"`   // sigma of the logarithm of the hint's error
+	Hint    float64        `sexp:"hint-error" min:"0" max:"4"`   // sigma of the logarithm of the hint's relative error
 	Aim     time.Duration  `sexp:"aim,required" min:"0"`
 	Stretch float64        `sexp:"stretch" min:"0"`
 	GiveUp  time.Duration  `sexp:"give-up,required" min:"0.001"`
@@ -105,9 +109,10 @@
 	c.Worth, c.Hint, c.Spread, c.Window, c.Slots = 1, 0.3, 0.8, 40*time.Second, []float64{1}
 }
 
-// Load is how jobs arrive: one stream over all classes and zones by rate, process and programme, or several.
+// Load describes the arrivals: one stream over all classes and zones by rate, process and programme, or several
+// streams.
 type Load struct {
-	Rate      float64        `sexp:"rate" min:"0"` // jobs a second over the whole length, where no programme is given
+	Rate      float64        `sexp:"rate" min:"0"` // jobs per second over the whole length, if no programme is given
 	Process   arrive.Process `sexp:"process"`
 	Programme Steps          `sexp:"programme"`
 	Streams   []Stream       `sexp:"stream"`
@@ -118,7 +123,7 @@
 	Steps arrive.Programme `sexp:"constant|ramp|burst|wave"`
 }
 
-// Stream is a further source of jobs, of some class or zone alone where one is named.
+// Stream is a further source of jobs. It is restricted to a class or zone if it names one.
 type Stream struct {
 	Class     string         `sexp:"class"`
 	Zone      string         `sexp:"zone"`
@@ -128,13 +133,13 @@
 	Where     settings.Pos   `sexp:",pos"`
 }
 
-// TraceSource plays a recorded trace.
+// TraceSource replays a recorded trace.
 type TraceSource struct {
 	File  string  `sexp:",arg,required"`
 	Gaps  string  `sexp:"gaps" one-of:"keep|close|fill"`
-	Limit float64 `sexp:"gap" min:"0"`        // seconds without an arrival that count as a gap; 0 = found from the trace
-	Pace  float64 `sexp:"pace" min:"0.001"`   // times faster
-	Rate  float64 `sexp:"rate" min:"0.00001"` // times as many jobs, drawn class by class
+	Limit float64 `sexp:"gap" min:"0"`        // seconds without an arrival that count as a gap; 0 = derived from the trace
+	Pace  float64 `sexp:"pace" min:"0.001"`   // speed-up factor
+	Rate  float64 `sexp:"rate" min:"0.00001"` // factor on the number of jobs, applied class by class
 }
 
 // SetDefaults implements settings.Defaulter.
@@ -143,14 +148,14 @@
 // SetDefaults implements settings.Defaulter.
 func (s *Stream) SetDefaults() { s.Process.SetDefaults() }
 
-// Discovery is how late the list of hosts is.
+// Discovery describes how late the list of hosts is.
 type Discovery struct {
 	Lag settings.Span `sexp:"lag" min:"0"`
 }
 
-// Generator is what the load generator must keep to for a run to count.
+// Generator holds the limits that the load generator must keep for a run to be valid.
 type Generator struct {
-	Lag   time.Duration `sexp:"lag" min:"0.0001"`       // of the 99th percentile behind the schedule
+	Lag   time.Duration `sexp:"lag" min:"0.0001"`       // 99th percentile of the send lag behind the schedule
 	CPU   float64       `sexp:"cpu" min:"0.05" max:"1"` // of the machine's cores, by the laboratory's own process
 	Sched time.Duration `sexp:"scheduling" min:"0.0001"`
 }
@@ -158,31 +163,34 @@
 // Variant is one side of a comparison.
 type Variant struct {
 	Name string `sexp:",arg,required"`
-	// Number of dispatchers, where it differs from the experiment's; so a fleet of many is set against one that sees all.
+	// Dispatchers overrides the experiment's number of dispatchers if it is not 0. It allows to compare many
+	// dispatchers with a single one that sees all jobs.
 	Dispatchers int `sexp:"dispatchers" min:"0" max:"1000"`
 
 	Program string   `sexp:"program"` // another build of the dispatcher
 	Set     []Change `sexp:"set"`
-	Own     string   `sexp:"settings"`                                            // in place of the experiment's
-	Policy  string   `sexp:"policy" one-of:"module|random|least|two|round-robin"` // in virtual time
-	Share   *Share   `sexp:"share"`                                               // in virtual time: dispatchers tell each other what they hold
+	Own     string   `sexp:"settings"`                                            // overrides the experiment's
+	Policy  string   `sexp:"policy" one-of:"module|random|least|two|round-robin"` // in virtual time: how a host is chosen
+	Share   *Share   `sexp:"share"`                                               // in virtual time: dispatchers share state
 }
 
-// Share is how dispatchers tell each other what they have outstanding.
+// Share describes how dispatchers report their outstanding work to each other.
 type Share struct {
 	Every time.Duration `sexp:"every,required" min:"0.01"`
-	Hubs  int           `sexp:"hubs" min:"0" max:"1000"` // 0: as the product has it; as many as dispatchers: each tells all
-	Late  settings.Span `sexp:"late" min:"0"`            // of a report on its way
-	Loss  float64       `sexp:"loss" min:"0" max:"1"`
-	// Verdicts has them judge hosts together.
+	// Hubs is the number of dispatchers that relay reports. 0 is the product's default; with as many hubs as
+	// dispatchers each sends to all.
+	Hubs int           `sexp:"hubs" min:"0" max:"1000"`
+	Late settings.Span `sexp:"late" min:"0"` // network delay of a report
+	Loss float64       `sexp:"loss" min:"0" max:"1"`
+	// Verdicts makes the dispatchers judge together which hosts fail.
 	Verdicts string `sexp:"verdicts" one-of:"on|off"`
-	// Slack has them let jobs in by one price of the whole fleet.
+	// Slack makes them admit jobs by one price for the whole fleet.
 	Slack string `sexp:"slack" one-of:"on|off"`
-	// Gangs has them run the classes that are gangs in parts, at hosts chosen in this way.
+	// Gangs makes them run gang classes in parts, at hosts that this placement policy chooses. Empty: no gangs.
 	Gangs string `sexp:"gangs" one-of:"scored|first|random|racks|late|no-crowd|no-pieces|no-push"`
 }
 
-// For gives the deployment as a variant has it.
+// For returns the deployment with the overrides of a variant.
 func (s *Spec) For(v Variant) *Spec {
 	if v.Dispatchers == 0 {
 		return s
@@ -192,22 +200,23 @@
 	return &c
 }
 
-// Change is a setting of the dispatchers that differs: a path such as Rules.Cold, and JSON.
+// Change overrides a setting of the dispatchers: a path such as Rules.Cold, and a JSON value.
 type Change struct {
 	Path  string `sexp:",arg,required"`
 	Value string `sexp:",arg,required"`
 }
 
-// Sweep plays fleets of many sizes, each with the load that its hosts can take as the described fleet takes its own.
+// Sweep runs fleets of several sizes, each with the load of the described fleet scaled to its number of hosts.
 type Sweep struct {
 	Hosts       []int `sexp:"hosts,required" min:"1" max:"100000"`
 	Dispatchers []int `sexp:"dispatchers,required" min:"1" max:"1000"`
-	Jobs        int   `sexp:"jobs" min:"100"` // a play ends after so many arrivals at the latest; 0 = no limit
+	Jobs        int   `sexp:"jobs" min:"100"` // a run ends after this many arrivals at the latest; 0 = no limit
 
-	Budget time.Duration `sexp:"budget" min:"0.1"` // of wall time for a play; what it came to by then is reported as partial
+	Budget time.Duration `sexp:"budget" min:"0.1"` // wall time of a run, after which it is cut off and reported as partial
 }
 
-// Sized gives the deployment with another number of hosts and dispatchers and its load scaled to the hosts.
+// Sized returns the deployment with another number of hosts and dispatchers, and its load and data sets scaled to the
+// hosts. If jobs is not 0, the programme is shortened so that no more than this many arrivals are expected.
 func (s *Spec) Sized(hosts, dispatchers, jobs int) *Spec {
 	c := *s
 	scale := float64(hosts) / float64(s.Fleet.Hosts)
@@ -230,8 +239,8 @@
 	return &c
 }
 
-// Resized gives the deployment with another number of hosts and dispatchers, as Sized does, and sees that what its faults
-// name is still there.
+// Resized returns the deployment with another number of hosts and dispatchers, as Sized does. It returns an error if a
+// fault names a host or dispatcher that no longer exists.
 func (s *Spec) Resized(hosts, dispatchers int) (*Spec, error) {
 	if hosts < 1 || dispatchers < 1 {
 		return nil, fmt.Errorf("%d hosts and %d dispatchers: want at least one of each", hosts, dispatchers)
@@ -240,10 +249,10 @@
 	return c, c.checkFaults()
 }
 
-// Policies are the ways of choosing a host that virtual time can play besides the module, for comparison.
+// Policies are the host selection policies of virtual time: the product's own module, and simple ones for comparison.
 var Policies = []string{"module", "random", "least", "two", "round-robin"}
 
-// SetDefaults implements settings.Defaulter; the figures are those of the operators' own deployment.
+// SetDefaults implements settings.Defaulter. The values are those of the operators' own deployment.
 func (s *Spec) SetDefaults() {
 	s.Seed, s.Pairs, s.Length, s.Dispatchers, s.Cores = 1, 5, 30*time.Second, 3, 1
 	s.Descriptors, s.Memory = 1024, 192<<20
@@ -260,36 +269,38 @@
 	s.Generator = Generator{Lag: 10 * time.Millisecond, CPU: 0.85, Sched: 10 * time.Millisecond}
 }
 
-// operators' kinds and classes, where an experiment names none.
+// The operators' own host kinds and job classes, for experiments that describe none.
 var (
-	usualKinds = []HostKind{
+	defaultKinds = []HostKind{
 		{Name: "new-5core", Share: 0.27, Cores: 5, Speed: settings.Range{Lo: 1.1, Hi: 1.5}},
 		{Name: "old-5core", Share: 0.36, Cores: 5, Speed: settings.Range{Lo: 0.85, Hi: 1.1}},
 		{Name: "small-4core", Share: 0.37, Cores: 4, Speed: settings.Range{Lo: 0.59, Hi: 0.8}},
 	}
-	usualClasses = []Class{
-		{Name: "latest-readings", Share: 0.51, Work: span(350, 680), Spread: 0.8, Hint: 0.3, Aim: 750 * time.Millisecond, Stretch: 2.5,
+	defaultClasses = []Class{
+		{Name: "latest-readings", Share: 0.51, Work: millis(350, 680), Spread: 0.8, Hint: 0.3, Aim: 750 * time.Millisecond, Stretch: 2.5,
 			GiveUp: 6 * time.Second, Worth: 1, Repeat: "safe", Slots: []float64{1}, Memory: settings.Range{Lo: 0.3, Hi: 0.8}},
-		{Name: "sea-state", Share: 0.19, Work: span(1400, 2700), Spread: 0.8, Hint: 0.3, Aim: time.Second, Stretch: 2,
+		{Name: "sea-state", Share: 0.19, Work: millis(1400, 2700), Spread: 0.8, Hint: 0.3, Aim: time.Second, Stretch: 2,
 			GiveUp: 25 * time.Second, Worth: 3, Repeat: "safe", Slots: []float64{0.8, 0.2}, Memory: settings.Range{Lo: 0.3, Hi: 0.8}},
-		{Name: "ingest-batch", Share: 0.15, Work: span(2100, 4100), Spread: 0.8, Hint: 0.3, Aim: 2 * time.Second, Stretch: 2,
+		{Name: "ingest-batch", Share: 0.15, Work: millis(2100, 4100), Spread: 0.8, Hint: 0.3, Aim: 2 * time.Second, Stretch: 2,
 			GiveUp: 25 * time.Second, Worth: 2, Repeat: "keyed", Window: 40 * time.Second, Slots: []float64{0.8, 0.2}, Memory: settings.Range{Lo: 0.3, Hi: 0.8}},
-		{Name: "alert-send", Share: 0.15, Work: span(1400, 2700), Spread: 0.8, Hint: 0.3, Aim: time.Second, Stretch: 2,
+		{Name: "alert-send", Share: 0.15, Work: millis(1400, 2700), Spread: 0.8, Hint: 0.3, Aim: time.Second, Stretch: 2,
 			GiveUp: 25 * time.Second, Worth: 3, Repeat: "unsafe", Slots: []float64{0.8, 0.2}, Memory: settings.Range{Lo: 0.3, Hi: 0.8}},
 	}
 )
 
-func span(lo, hi int) settings.Span {
+// millis returns a range in milliseconds.
+func millis(lo, hi int) settings.Span {
 	return settings.Span{Lo: time.Duration(lo) * time.Millisecond, Hi: time.Duration(hi) * time.Millisecond}
 }
 
-// Check implements settings.Checker.
+// Check implements settings.Checker. It fills in the default kinds, classes and programme, and reports settings that
+// contradict each other.
 func (s *Spec) Check() error {
 	if len(s.Fleet.Kinds) == 0 {
-		s.Fleet.Kinds = usualKinds
+		s.Fleet.Kinds = defaultKinds
 	}
 	if len(s.Classes) == 0 {
-		s.Classes = usualClasses
+		s.Classes = defaultClasses
 	}
 	if len(s.Load.Programme.Steps) == 0 && len(s.Load.Streams) == 0 {
 		if s.Load.Rate == 0 {
@@ -312,14 +323,14 @@
 		total += c.Share
 	}
 	if total <= 0 {
-		return fmt.Errorf("class: the shares sum to nothing")
+		return fmt.Errorf("class: the shares sum to 0")
 	}
 	total = 0
 	for _, k := range s.Fleet.Kinds {
 		total += k.Share
 	}
 	if total <= 0 {
-		return fmt.Errorf("fleet.host-kind: the shares sum to nothing")
+		return fmt.Errorf("fleet.host-kind: the shares sum to 0")
 	}
 	for _, st := range s.Load.Streams {
 		if st.Class != "" && !names[st.Class] {
@@ -340,13 +351,13 @@
 			return fmt.Errorf("variant %s: another policy than the module plays in virtual time alone", v.Name)
 		}
 		if v.Share != nil && !s.Virtual {
-			return fmt.Errorf("variant %s: share plays in virtual time alone; processes share by their own settings", v.Name)
+			return fmt.Errorf("variant %s: share is supported only in virtual time; real dispatchers share by their own settings", v.Name)
 		}
 	}
 	return s.checkFaults()
 }
 
-// HostNames lists the hosts that a day begins with.
+// HostNames returns the names of the hosts that a day begins with.
 func (s *Spec) HostNames() []string {
 	out := make([]string, s.Fleet.Hosts)
 	for i := range out {
@@ -355,7 +366,7 @@
 	return out
 }
 
-// HostName names the host of a number; the hexadecimal number in it is what dispatchers know it by.
+// HostName returns the name of the host of a number. Dispatchers identify the host by the hexadecimal number in it.
 func HostName(i int) string { return fmt.Sprintf("s-%08x", 0x10000+uint32(i)*0x9e3779b1) }
 
 // Read decodes an experiment file.
@@ -364,7 +375,7 @@
 	return s, settings.DecodeFile(path, "experiment", s)
 }
 
-// Parse decodes an experiment's text.
+// Parse decodes the text of an experiment file. name is used in errors.
 func Parse(name, text string) (*Spec, error) {
 	s := &Spec{}
 	return s, settings.DecodeText(name, []byte(text), "experiment", s)
