--- a/internal/lab/arrive/arrive.go
+++ b/internal/lab/arrive/arrive.go
@@ -128,13 +128,14 @@
 	arrivalsBefore float64 // expected arrivals before this step
 }
 
-// timeOf returns the time in seconds, or false if it is beyond the end of the programme.
-func (w *arrivalClock) timeOf(mass float64) (float64, bool) {
-	for w.step < len(w.steps) {
-		s := &w.steps[w.step]
+// timeOf returns the time in seconds at which the expected number of arrivals is reached, or false if it is beyond the
+// end of the programme.
+func (c *arrivalClock) timeOf(expected float64) (float64, bool) {
+	for c.step < len(c.steps) {
+		s := &c.steps[c.step]
 		length := s.For.Seconds()
-		whole := s.expectedArrivals(length)
-		if left := mass - w.arrivalsBefore; left < whole {
+		stepArrivals := s.expectedArrivals(length)
+		if left := expected - c.arrivalsBefore; left < stepArrivals {
 			// expectedArrivals does not decrease with time, so bisection finds the time; 60 steps leave an error below
 			// a nanosecond.
 			lo, hi := 0.0, length
@@ -145,12 +146,12 @@
 					hi = mid
 				}
 			}
-			return w.stepStart + hi, true
+			return c.stepStart + hi, true
 		}
-		w.stepStart += length
-		w.arrivalsBefore += whole
-		if w.repeats++; w.repeats >= max(s.Repeat, 1) {
-			w.step, w.repeats = w.step+1, 0
+		c.stepStart += length
+		c.arrivalsBefore += stepArrivals
+		if c.repeats++; c.repeats >= max(s.Repeat, 1) {
+			c.step, c.repeats = c.step+1, 0
 		}
 	}
 	return 0, false
@@ -184,20 +185,20 @@
 // Times draws the arrivals of a programme as offsets from its start, in order. The first gap of an even process is
 // halved, so that each arrival lies in the middle of its interval.
 func Times(p Programme, proc Process, rng *rand.Rand) []time.Duration {
-	w := arrivalClock{steps: p}
+	clock := arrivalClock{steps: p}
 	gap := proc.gapSource(rng)
 	var out []time.Duration
-	mass := gap()
+	expected := gap()
 	if proc.Kind == "even" {
-		mass /= 2
+		expected /= 2
 	}
 	for {
-		t, ok := w.timeOf(mass)
+		t, ok := clock.timeOf(expected)
 		if !ok {
 			return out
 		}
 		out = append(out, time.Duration(t*float64(time.Second)))
-		mass += gap()
+		expected += gap()
 	}
 }
 
--- a/internal/lab/model/fate.go
+++ b/internal/lab/model/fate.go
@@ -4,9 +4,9 @@
 
 // kill ends the process. It produces no notes for the attempts that are lost.
 func (h *Host) kill() {
-	for _, r := range append(h.running, h.waiting...) {
+	for _, t := range append(h.running, h.waiting...) {
 		h.counts.Failed++
-		h.abandon(r)
+		h.abandon(t)
 	}
 	h.running, h.waiting, h.down, h.coldOffers, h.cachedSets = nil, nil, true, nil, nil
 }
@@ -42,9 +42,9 @@
 	h.advance(now)
 	h.draining = true
 	if h.Returns {
-		for _, r := range h.waiting {
-			h.addNote(r, Returned, 0)
-			h.abandon(r)
+		for _, t := range h.waiting {
+			h.addNote(t, Returned, 0)
+			h.abandon(t)
 		}
 		h.waiting = nil
 		h.updateRate()
--- a/internal/lab/model/gang.go
+++ b/internal/lab/model/gang.go
@@ -103,18 +103,18 @@
 }
 
 // partStarted adds a part that has started, that is, holds its slots.
-func (f *Fabric) partStarted(h *Host, r *task) {
+func (f *Fabric) partStarted(h *Host, t *task) {
 	f.elapse(h.now)
-	g := f.find(r.Part.Name)
+	g := f.find(t.Part.Name)
 	if g == nil {
-		g = &runningGang{name: r.Part.Name, kind: r.Part.Gang, parts: r.Part.Parts, work: r.Work * float64(r.Part.Gang.Parts) / float64(r.Part.Parts), startDeadline: r.Part.By, partialSince: f.now, shareLeft: 1}
+		g = &runningGang{name: t.Part.Name, kind: t.Part.Gang, parts: t.Part.Parts, work: t.Work * float64(t.Part.Gang.Parts) / float64(t.Part.Parts), startDeadline: t.Part.By, partialSince: f.now, shareLeft: 1}
 		f.gangs = append(f.gangs, g)
 	}
-	if slices.ContainsFunc(g.members, func(m startedPart) bool { return m.rank == r.Part.Rank }) {
+	if slices.ContainsFunc(g.members, func(m startedPart) bool { return m.rank == t.Part.Rank }) {
 		f.report.Doubled++
 	}
-	g.members = append(g.members, startedPart{h, r.Attempt, r.Part.Rank})
-	g.startDeadline = min(g.startDeadline, r.Part.By)
+	g.members = append(g.members, startedPart{h, t.Attempt, t.Part.Rank})
+	g.startDeadline = min(g.startDeadline, t.Part.By)
 	if len(g.members) == g.parts && !g.ended {
 		f.endPartialStart(g)
 		g.allStarted = true
@@ -124,10 +124,10 @@
 }
 
 // partEnded removes a part that has ended for any reason.
-func (f *Fabric) partEnded(h *Host, r *task) {
+func (f *Fabric) partEnded(h *Host, t *task) {
 	f.elapse(h.now)
 	for i, g := range f.gangs {
-		k := slices.IndexFunc(g.members, func(m startedPart) bool { return m.attempt == r.Attempt && m.host == h })
+		k := slices.IndexFunc(g.members, func(m startedPart) bool { return m.attempt == t.Attempt && m.host == h })
 		if k < 0 {
 			continue
 		}
@@ -319,20 +319,20 @@
 func (h *Host) Finish(now int64, attempt uint64, ok bool) []Note {
 	h.notes = h.notes[:0]
 	h.advance(now)
-	i := slices.IndexFunc(h.running, func(r *task) bool { return r.Attempt == attempt })
+	i := slices.IndexFunc(h.running, func(t *task) bool { return t.Attempt == attempt })
 	if i < 0 {
 		return h.notes
 	}
-	r := h.running[i]
+	t := h.running[i]
 	h.running = slices.Delete(h.running, i, i+1)
 	if ok {
-		r.workLeft = 0
-		h.addNote(r, Done, 1)
+		t.workLeft = 0
+		h.addNote(t, Done, 1)
 	} else {
-		h.addNote(r, Failed, 0)
+		h.addNote(t, Failed, 0)
 	}
-	h.updateCell(r, ok)
-	h.fabric.partEnded(h, r)
+	h.updateCell(t, ok)
+	h.fabric.partEnded(h, t)
 	h.startWaiting()
 	return h.notes
 }
@@ -342,12 +342,12 @@
 
 // returnOverdueParts returns the waiting parts that have not started by their deadline; their gang has failed.
 func (h *Host) returnOverdueParts() {
-	h.waiting = slices.DeleteFunc(h.waiting, func(r *task) bool {
-		if r.Part == nil || h.now < r.Part.By {
+	h.waiting = slices.DeleteFunc(h.waiting, func(t *task) bool {
+		if t.Part == nil || h.now < t.Part.By {
 			return false
 		}
-		h.addNote(r, Returned, 0)
-		h.abandon(r)
+		h.addNote(t, Returned, 0)
+		h.abandon(t)
 		return true
 	})
 }
--- a/internal/lab/model/host.go
+++ b/internal/lab/model/host.go
@@ -176,8 +176,8 @@
 		return 0
 	}
 	free := h.Slots
-	for _, r := range h.running {
-		free -= r.Slots
+	for _, t := range h.running {
+		free -= t.Slots
 	}
 	return free
 }
@@ -187,8 +187,8 @@
 
 // Queued returns the numbers of waiting jobs: those that need one slot, and those that need more.
 func (h *Host) Queued() (one, more int) {
-	for _, r := range h.waiting {
-		if r.Slots > 1 {
+	for _, t := range h.waiting {
+		if t.Slots > 1 {
 			more++
 		} else {
 			one++
@@ -218,9 +218,9 @@
 // updateRate updates the rate at which each slot works until the next event.
 func (h *Host) updateRate() {
 	busy := 0.0
-	for _, r := range h.running {
-		if !r.fetching {
-			busy += r.Slots
+	for _, t := range h.running {
+		if !t.fetching {
+			busy += t.Slots
 		}
 	}
 	rate := h.Speed * h.warmUpFactor() / h.slowdown
@@ -239,27 +239,27 @@
 		return Never
 	}
 	next := h.nextWarmUpStep
-	for _, r := range h.running {
-		next = min(next, h.completionTime(r))
+	for _, t := range h.running {
+		next = min(next, h.completionTime(t))
 		if h.Progress > 0 {
-			next = min(next, r.nextProgress)
+			next = min(next, t.nextProgress)
 		}
 	}
-	for _, r := range h.waiting {
-		if r.Part != nil {
-			next = min(next, max(r.Part.By, h.now))
+	for _, t := range h.waiting {
+		if t.Part != nil {
+			next = min(next, max(t.Part.By, h.now))
 		}
 	}
 	return next
 }
 
 // completionTime returns when the fetch or work of a running job completes at the present rate.
-func (h *Host) completionTime(r *task) int64 {
-	left := r.fetchLeft
-	if !r.fetching {
-		left = r.workLeft / h.slotRate
+func (h *Host) completionTime(t *task) int64 {
+	left := t.fetchLeft
+	if !t.fetching {
+		left = t.workLeft / h.slotRate
 	}
-	if left > 1e15 || r.Part != nil {
+	if left > 1e15 || t.Part != nil {
 		return Never
 	}
 	return h.now + max(int64(math.Ceil(left)), 0)
@@ -292,11 +292,11 @@
 	if dt <= 0 || h.down {
 		return
 	}
-	for _, r := range h.running {
-		if r.fetching {
-			r.fetchLeft -= dt
-		} else if r.Part == nil {
-			r.workLeft -= dt * h.slotRate
+	for _, t := range h.running {
+		if t.fetching {
+			t.fetchLeft -= dt
+		} else if t.Part == nil {
+			t.workLeft -= dt * h.slotRate
 		}
 	}
 }
@@ -313,20 +313,20 @@
 		}
 	}
 	h.returnOverdueParts()
-	h.running = slices.DeleteFunc(h.running, func(r *task) bool {
+	h.running = slices.DeleteFunc(h.running, func(t *task) bool {
 		switch {
-		case r.Part != nil:
+		case t.Part != nil:
 			return false
-		case r.fetching && r.fetchLeft <= workTolerance:
-			h.finishFetch(r)
-		case !r.fetching && r.workLeft <= workTolerance:
-			h.addNote(r, Done, 1)
-			h.updateCell(r, true)
+		case t.fetching && t.fetchLeft <= workTolerance:
+			h.finishFetch(t)
+		case !t.fetching && t.workLeft <= workTolerance:
+			h.addNote(t, Done, 1)
+			h.updateCell(t, true)
 			return true
 		}
-		if h.Progress > 0 && h.now >= r.nextProgress {
-			r.nextProgress = h.now + h.Progress
-			h.addNote(r, Running, 1-r.workLeft/r.Work)
+		if h.Progress > 0 && h.now >= t.nextProgress {
+			t.nextProgress = h.now + h.Progress
+			h.addNote(t, Running, 1-t.workLeft/t.Work)
 		}
 		return false
 	})
@@ -334,12 +334,12 @@
 }
 
 // addNote adds a note and updates the counts.
-func (h *Host) addNote(r *task, kind NoteKind, share float64) {
-	h.notes = append(h.notes, Note{Attempt: r.Attempt, At: h.now, Kind: kind, Share: share})
+func (h *Host) addNote(t *task, kind NoteKind, share float64) {
+	h.notes = append(h.notes, Note{Attempt: t.Attempt, At: h.now, Kind: kind, Share: share})
 	switch kind {
 	case Done:
 		h.counts.Done++
-		h.counts.Work += r.Work * r.Slots
+		h.counts.Work += t.Work * t.Slots
 	case Repeat:
 		h.counts.Done++
 	case Full, Returned:
@@ -350,15 +350,15 @@
 }
 
 // updateCell updates the cell with the outcome of a keyed job. A job that did not complete may be repeated.
-func (h *Host) updateCell(r *task, done bool) {
-	if r.Key == "" || h.cell == nil {
+func (h *Host) updateCell(t *task, done bool) {
+	if t.Key == "" || h.cell == nil {
 		return
 	}
-	if k, known := h.cell.states[r.Key]; known && !done {
-		delete(h.cell.states, r.Key)
+	if k, known := h.cell.states[t.Key]; known && !done {
+		delete(h.cell.states, t.Key)
 	} else if known {
 		k.done = true
-		h.cell.states[r.Key] = k
+		h.cell.states[t.Key] = k
 	}
 }
 
@@ -367,16 +367,16 @@
 func (h *Host) Cancel(now int64, attempt uint64) []Note {
 	h.notes = h.notes[:0]
 	h.advance(now)
-	gone := func(r *task) bool {
-		if r.Attempt != attempt {
+	gone := func(t *task) bool {
+		if t.Attempt != attempt {
 			return false
 		}
-		if r.started {
+		if t.started {
 			h.counts.Stopped++
 		} else {
 			h.counts.Unstarted++
 		}
-		h.abandon(r)
+		h.abandon(t)
 		return true
 	}
 	h.running = slices.DeleteFunc(h.running, gone)
@@ -386,17 +386,17 @@
 }
 
 // abandon releases what a job holds that did not complete, and counts its work as wasted.
-func (h *Host) abandon(r *task) {
-	if r.fetching {
+func (h *Host) abandon(t *task) {
+	if t.fetching {
 		h.store.activeFetches--
-		r.fetching = false
+		t.fetching = false
 	}
-	if r.started {
-		h.counts.Work += (r.Work - r.workLeft) * r.Slots
-		h.counts.Vain += (r.Work - r.workLeft) * r.Slots
-		if r.Part != nil {
-			h.fabric.partEnded(h, r)
+	if t.started {
+		h.counts.Work += (t.Work - t.workLeft) * t.Slots
+		h.counts.Vain += (t.Work - t.workLeft) * t.Slots
+		if t.Part != nil {
+			h.fabric.partEnded(h, t)
 		}
 	}
-	h.updateCell(r, false)
+	h.updateCell(t, false)
 }
--- a/internal/lab/model/offer.go
+++ b/internal/lab/model/offer.go
@@ -14,24 +14,24 @@
 	}
 	h.counts.Offered++
 	j.Slots, j.Work = max(j.Slots, 1), max(j.Work, 1)
-	r := &task{Job: j, workLeft: j.Work, nextProgress: Never}
+	t := &task{Job: j, workLeft: j.Work, nextProgress: Never}
 	switch {
 	case h.answersErrors:
-		h.addNote(r, Failed, 0)
+		h.addNote(t, Failed, 0)
 		return h.notes
-	case j.Slots > h.Slots, h.Memory > 0 && j.Memory > h.Memory, len(h.waiting) >= h.Queue && !h.fits(r):
-		h.addNote(r, Full, 0)
+	case j.Slots > h.Slots, h.Memory > 0 && j.Memory > h.Memory, len(h.waiting) >= h.Queue && !h.fits(t):
+		h.addNote(t, Full, 0)
 		return h.notes
 	}
 	if j.Key != "" && h.cell != nil {
 		h.cell.expire(now)
 		switch k, known := h.cell.states[j.Key]; {
 		case known && k.done:
-			h.addNote(r, Taken, 0)
-			h.addNote(r, Repeat, 1)
+			h.addNote(t, Taken, 0)
+			h.addNote(t, Repeat, 1)
 			return h.notes
 		case known: // it runs or waits in this cell; a second copy is refused
-			h.addNote(r, Full, 0)
+			h.addNote(t, Full, 0)
 			return h.notes
 		}
 		h.cell.states[j.Key] = keyState{seenAt: now}
@@ -40,10 +40,10 @@
 	if h.collapseIfOverloaded(now, j) {
 		return h.notes
 	}
-	h.addNote(r, Taken, 0)
-	h.waiting = append(h.waiting, r)
+	h.addNote(t, Taken, 0)
+	h.waiting = append(h.waiting, t)
 	h.startWaiting()
-	if slices.Contains(h.waiting, r) {
+	if slices.Contains(h.waiting, t) {
 		h.counts.Waited++
 	}
 	return h.notes
@@ -70,8 +70,8 @@
 }
 
 // fits reports whether a job could start beside the running ones.
-func (h *Host) fits(r *task) bool {
-	slots, memory := r.Slots, r.Memory
+func (h *Host) fits(t *task) bool {
+	slots, memory := t.Slots, t.Memory
 	for _, o := range h.running {
 		slots += o.Slots
 		memory += o.Memory
@@ -82,11 +82,11 @@
 // startWaiting starts the waiting jobs that fit, in order; only with backfill may a job pass one that does not fit.
 func (h *Host) startWaiting() {
 	for i := 0; i < len(h.waiting); {
-		r := h.waiting[i]
-		if h.fits(r) {
+		t := h.waiting[i]
+		if h.fits(t) {
 			h.waiting = slices.Delete(h.waiting, i, i+1)
-			h.running = append(h.running, r)
-			h.startTask(r)
+			h.running = append(h.running, t)
+			h.startTask(t)
 			continue
 		}
 		if !h.Backfill {
@@ -100,42 +100,42 @@
 // startTask starts a job, with a fetch if its data set is not cached. The Started note comes as soon as the job holds
 // its slots: on the operators' bench the time from this note to the end includes the fetch, and the time before it does
 // not.
-func (h *Host) startTask(r *task) {
-	r.started = true
-	if h.Progress > 0 && r.Part == nil {
-		r.nextProgress = h.now + h.Progress
+func (h *Host) startTask(t *task) {
+	t.started = true
+	if h.Progress > 0 && t.Part == nil {
+		t.nextProgress = h.now + h.Progress
 	}
-	h.addNote(r, Started, 0)
-	if r.Part != nil {
+	h.addNote(t, Started, 0)
+	if t.Part != nil {
 		h.updateRate()
-		h.fabric.partStarted(h, r)
+		h.fabric.partStarted(h, t)
 		return
 	}
-	if r.Set != 0 && h.Sets > 0 {
-		if i := slices.Index(h.cachedSets, r.Set); i >= 0 {
-			h.cachedSets = append(slices.Delete(h.cachedSets, i, i+1), r.Set)
+	if t.Set != 0 && h.Sets > 0 {
+		if i := slices.Index(h.cachedSets, t.Set); i >= 0 {
+			h.cachedSets = append(slices.Delete(h.cachedSets, i, i+1), t.Set)
 		} else {
 			h.store.activeFetches++
 			h.counts.Fetched++
-			r.fetching = true
-			r.fetchLeft = max(float64(h.Fetch)*max(1, float64(h.store.activeFetches)/max(h.store.Room, 1)), 1)
+			t.fetching = true
+			t.fetchLeft = max(float64(h.Fetch)*max(1, float64(h.store.activeFetches)/max(h.store.Room, 1)), 1)
 			return
 		}
 	}
-	h.finishFetch(r)
+	h.finishFetch(t)
 }
 
 // finishFetch continues a job whose data set is present.
-func (h *Host) finishFetch(r *task) {
-	if r.Set != 0 && h.Sets > 0 && !slices.Contains(h.cachedSets, r.Set) {
-		h.cachedSets = append(h.cachedSets, r.Set)
+func (h *Host) finishFetch(t *task) {
+	if t.Set != 0 && h.Sets > 0 && !slices.Contains(h.cachedSets, t.Set) {
+		h.cachedSets = append(h.cachedSets, t.Set)
 		if len(h.cachedSets) > h.Sets {
 			h.cachedSets = h.cachedSets[1:]
 		}
 	}
-	if r.fetching {
+	if t.fetching {
 		h.store.activeFetches--
-		r.fetching = false
+		t.fetching = false
 	}
 	h.updateRate()
 }
--- a/internal/lab/selfcheck/capacity.go
+++ b/internal/lab/selfcheck/capacity.go
@@ -34,51 +34,51 @@
 	Vegeta int    `json:"vegeta_rate"`
 }
 
-// MeasureCapacity runs both generators at increasing rates against the server at addr, in alternation, pairs times each
-// for a duration of each. A rate is sustained if the median of the lags is within 2 ms and 99% of the requests are
-// answered. A generator that did not sustain a rate is not run at higher ones. note, if not nil, gets a progress
-// message per rate. If ctx ends, the steps so far are returned with its error.
-func MeasureCapacity(ctx context.Context, addr string, rates []int, pairs int, each time.Duration, note func(string)) (*Capacity, error) {
+// MeasureCapacity runs both generators at increasing rates against the server at addr, in alternation: pairs times each
+// at every rate, for a given duration. A rate is sustained if the median of the lags is within 2 ms and 99% of the
+// requests are answered. A generator that did not sustain a rate is not run at higher ones. progress, if not nil, gets
+// a progress message per rate. If ctx ends, the steps so far are returned with its error.
+func MeasureCapacity(ctx context.Context, addr string, rates []int, pairs int, duration time.Duration, progress func(string)) (*Capacity, error) {
 	c := &Capacity{}
-	oursOut, vegetaOut := false, false
+	oursFailed, vegetaFailed := false, false
 	for _, rate := range rates {
 		s := Step{Rate: rate}
-		want := int(float64(rate) * each.Seconds() * 0.99)
+		want := int(float64(rate) * duration.Seconds() * 0.99)
 		for k := range pairs {
 			for turn := range 2 {
 				if ctx.Err() != nil {
 					return c, ctx.Err()
 				}
-				if ours := (turn+k)%2 == 0; ours && !oursOut {
-					lag, n, err := runOurs(ctx, addr, rate, each)
+				if ours := (turn+k)%2 == 0; ours && !oursFailed {
+					lag, n, err := runOurs(ctx, addr, rate, duration)
 					if err != nil {
 						return c, err
 					}
 					s.Ours, s.OursSent = append(s.Ours, lag), append(s.OursSent, n)
-				} else if !ours && !vegetaOut {
-					lag, n := runVegeta(addr, rate, each)
+				} else if !ours && !vegetaFailed {
+					lag, n := runVegeta(addr, rate, duration)
 					s.Vegeta, s.VegSent = append(s.Vegeta, lag), append(s.VegSent, n)
 				}
 			}
 		}
-		kept := func(lags []time.Duration, sent []int) bool {
+		sustained := func(lags []time.Duration, sent []int) bool {
 			return len(lags) > 0 && median(lags) <= maxLag && median(sent) >= want
 		}
-		if kept(s.Ours, s.OursSent) {
+		if sustained(s.Ours, s.OursSent) {
 			c.Ours = rate
 		} else {
-			oursOut = true
+			oursFailed = true
 		}
-		if kept(s.Vegeta, s.VegSent) {
+		if sustained(s.Vegeta, s.VegSent) {
 			c.Vegeta = rate
 		} else {
-			vegetaOut = true
+			vegetaFailed = true
 		}
 		c.Steps = append(c.Steps, s)
-		if note != nil {
-			note(fmt.Sprintf("%d a second", rate))
+		if progress != nil {
+			progress(fmt.Sprintf("%d a second", rate))
 		}
-		if oursOut && vegetaOut {
+		if oursFailed && vegetaFailed {
 			break
 		}
 	}
@@ -93,11 +93,11 @@
 
 // runOurs sends an even schedule of requests with this project's generator. It returns the 99th percentile of the send
 // lag and the number of answered requests.
-func runOurs(ctx context.Context, addr string, rate int, each time.Duration) (time.Duration, int, error) {
+func runOurs(ctx context.Context, addr string, rate int, duration time.Duration) (time.Duration, int, error) {
 	spec, err := world.Parse("capacity", fmt.Sprintf(`(experiment capacity (descriptors 4096)
   (class check (share 1) (work 1ms) (aim 1s) (give-up 5s) (repeat safe)) (data-sets (count 0))
   (clients (retries 0) (impatient 0) (connections 100%%))
-  (load (process even) (programme (constant (for %v) (rate %d)))))`, each, rate))
+  (load (process even) (programme (constant (for %v) (rate %d)))))`, duration, rate))
 	if err != nil {
 		return 0, 0, err
 	}
@@ -115,7 +115,7 @@
 
 // runVegeta sends the same requests with vegeta. The lag of a request is its send time relative to an even schedule
 // that begins with the first one.
-func runVegeta(addr string, rate int, each time.Duration) (time.Duration, int) {
+func runVegeta(addr string, rate int, duration time.Duration) (time.Duration, int) {
 	body := []byte(`{"work_us":1000,"slots":1,"memory":0,"set":0}`)
 	header := http.Header{"X-Txn": {"vegeta"}, "X-Lane": {"check"}, "X-Remaining": {"5.000"}, "X-Estimate": {"1000"}, "X-Labels": {"slots=1,memory=0"}}
 	targeter := vegeta.NewStaticTargeter(vegeta.Target{Method: "POST", URL: "http://" + addr + "/check", Body: body, Header: header})
@@ -123,7 +123,7 @@
 	defer attacker.Stop()
 	var times []time.Time
 	answered := 0
-	for res := range attacker.Attack(targeter, vegeta.Rate{Freq: rate, Per: time.Second}, each, "") {
+	for res := range attacker.Attack(targeter, vegeta.Rate{Freq: rate, Per: time.Second}, duration, "") {
 		times = append(times, res.Timestamp)
 		if res.Code == 200 {
 			answered++
--- a/internal/lab/spread/spread.go
+++ b/internal/lab/spread/spread.go
@@ -24,13 +24,13 @@
 
 // Report holds the figures of a run.
 type Report struct {
-	Idle       float64      `json:"idle_while_work_waits"` // share of the time of ready, warm hosts; see Watch
+	Idle       float64      `json:"idle_while_work_waits"` // share of the time of ready, warm hosts
 	HostTime   float64      `json:"host_s"`                // that time in host-seconds
 	Waiting    float64      `json:"waiting_mean"`          // jobs waiting at hosts, mean over time
 	Herds      int          `json:"herds"`
 	Herded     float64      `json:"herd_share"`         // share of attempts that were part of a herd
 	Peak       float64      `json:"peak_to_mean"`       // attempts at a host in a second: maximum to mean
-	Busiest    float64      `json:"busiest_tenth"`      // load share of the tenth of hosts with most attempts for their speed; 0.1 is even
+	Busiest    float64      `json:"busiest_tenth"`      // share of the tenth of hosts with most attempts by speed; 0.1 is even
 	Counts     model.Counts `json:"attempts"`           // over all hosts
 	FetchShare float64      `json:"fetched_of_begun"`   // share of started attempts that had to fetch their data set
 	VainShare  float64      `json:"vain_share_of_work"` // share of work for attempts that did not run to their end
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/virtual/clients.go
@@ -64,9 +64,9 @@
 		return
 	}
 	sim.lastRequest++
-	t := &clientRequest{job: j, name: fmt.Sprintf("v%012x", sim.lastRequest), dispatcher: d, timeout: timeout, hangsUp: hangsUp, attempts: map[int]*attempt{}}
+	req := &clientRequest{job: j, name: fmt.Sprintf("v%012x", sim.lastRequest), dispatcher: d, timeout: timeout, hangsUp: hangsUp, attempts: map[int]*attempt{}}
 	if sim.options.Log != nil {
-		sim.options.Log.Sent(sim.now, t.name, j.Class, d.number)
+		sim.options.Log.Sent(sim.now, req.name, j.Class, d.number)
 	}
 	timeLeft := timeout // that the dispatcher gets to answer
 	if hangsUp {
@@ -75,10 +75,10 @@
 	sent := sim.now
 	sim.after(clientDelay, func() {
 		if d.down {
-			sim.finishRequest(t, client.Broken, 0, "")
+			sim.finishRequest(req, client.Broken, 0, "")
 			return
 		}
-		if t.ended {
+		if req.ended {
 			return
 		}
 		sim.requestsReceived++
@@ -91,19 +91,19 @@
 		gen := d.generation
 		var cmds []memory.Command
 		cmds = d.callCore(func(now int64) []memory.Command {
-			id, out := d.core.Arrive(now, memory.Message{Name: t.name, Class: j.Class, Subject: uint64(j.Set), Hint: j.Hint.Microseconds(),
+			id, out := d.core.Arrive(now, memory.Message{Name: req.name, Class: j.Class, Subject: uint64(j.Set), Hint: j.Hint.Microseconds(),
 				Slots: j.Slots, Memory: j.Memory, Repeated: repeated}, deadline)
-			t.id = id
+			req.id = id
 			return out
 		})
 		if sim.options.Judged != nil && !repeated {
 			sim.options.Judged(sim.now, d.number, j.Job, slices.ContainsFunc(cmds, func(c memory.Command) bool { return c.Kind == memory.Answer && c.Verdict == memory.Refused }))
 		}
-		d.requests[t.id] = t
+		d.requests[req.id] = req
 		d.execute(cmds)
 		sim.schedule(deadline+expireAfter, func() {
-			if d.generation == gen && !d.down && d.requests[t.id] == t {
-				d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Expire(now, t.id) }))
+			if d.generation == gen && !d.down && d.requests[req.id] == req {
+				d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Expire(now, req.id) }))
 			}
 		})
 	})
@@ -112,34 +112,34 @@
 		limit += answerTolerance
 	}
 	sim.schedule(limit, func() {
-		if t.ended {
+		if req.ended {
 			return
 		}
 		r := client.Silent
 		if hangsUp {
 			r = client.HungUp
 		}
-		sim.finishRequest(t, r, 0, "")
+		sim.finishRequest(req, r, 0, "")
 		// The dispatcher sees the client's connection end.
 		sim.after(clientDelay, func() {
-			if !d.down && d.requests[t.id] == t {
-				delete(d.requests, t.id)
-				d.execute(d.callCore(func(now int64) []memory.Command { return d.core.HangUp(now, t.id) }))
+			if !d.down && d.requests[req.id] == req {
+				delete(d.requests, req.id)
+				d.execute(d.callCore(func(now int64) []memory.Command { return d.core.HangUp(now, req.id) }))
 			}
 		})
 	})
 }
 
 // finishRequest ends a request as its client sees it. A request that has already ended is left alone.
-func (sim *simulation) finishRequest(t *clientRequest, r client.Result, after time.Duration, content string) {
-	if t.ended {
+func (sim *simulation) finishRequest(req *clientRequest, r client.Result, after time.Duration, content string) {
+	if req.ended {
 		return
 	}
-	t.ended = true
+	req.ended = true
 	if sim.options.Log != nil {
-		sim.options.Log.Ended(sim.now, t.name, r, content)
+		sim.options.Log.Ended(sim.now, req.name, r, content)
 	}
-	sim.retryOrComplete(t.job, r, after)
+	sim.retryOrComplete(req.job, r, after)
 }
 
 // retryOrComplete retries the job if the client's retry policy allows it, or else completes the job.
--- a/internal/lab/virtual/dispatcher.go
+++ b/internal/lab/virtual/dispatcher.go
@@ -119,9 +119,9 @@
 		case memory.Drop:
 			d.cancelAttempt(c.Relay)
 		case memory.Answer:
-			if t := d.requests[c.Relay.Message]; t != nil {
+			if req := d.requests[c.Relay.Message]; req != nil {
 				delete(d.requests, c.Relay.Message)
-				d.answerClient(t, c)
+				d.answerClient(req, c)
 			}
 		case memory.Wake:
 			d.scheduleWake(c.At)
@@ -194,14 +194,14 @@
 
 // startAttempt starts an attempt.
 func (d *dispatcher) startAttempt(c memory.Command) {
-	t := d.requests[c.Relay.Message]
+	req := d.requests[c.Relay.Message]
 	h := d.sim.hostsByName[c.Addr]
-	if t == nil || h == nil {
+	if req == nil || h == nil {
 		return
 	}
-	a := &attempt{request: t, id: c.Relay, dispatcher: d, generation: d.generation, host: h, gang: c.Gang}
+	a := &attempt{request: req, id: c.Relay, dispatcher: d, generation: d.generation, host: h, gang: c.Gang}
 	d.attempts[c.Relay] = a
-	t.attempts[c.Relay.Attempt] = a
+	req.attempts[c.Relay.Attempt] = a
 	d.sim.after(d.sim.networkDelay(d, h), func() {
 		if !a.ended {
 			d.sim.deliverAttempt(a)
@@ -235,7 +235,7 @@
 }
 
 // answerClient sends the final answer to the client.
-func (d *dispatcher) answerClient(t *clientRequest, c memory.Command) {
+func (d *dispatcher) answerClient(req *clientRequest, c memory.Command) {
 	r := client.Failed
 	switch c.Verdict {
 	case memory.Served:
@@ -245,7 +245,7 @@
 	}
 	after := time.Duration(c.After) * time.Microsecond
 	content := string(c.Content)
-	d.sim.after(clientDelay, func() { d.sim.finishRequest(t, r, after, content) })
+	d.sim.after(clientDelay, func() { d.sim.finishRequest(req, r, after, content) })
 }
 
 // kill ends the dispatcher's process. Its connections to clients and hosts are reset.
@@ -259,8 +259,8 @@
 		a.ended = true
 		d.sim.cancelAttempt(a)
 	}
-	for _, t := range sorted(d.requests, func(id memory.ID) int64 { return int64(id) }) {
-		d.sim.after(clientDelay, func() { d.sim.finishRequest(t, client.Broken, 0, "") })
+	for _, req := range sorted(d.requests, func(id memory.ID) int64 { return int64(id) }) {
+		d.sim.after(clientDelay, func() { d.sim.finishRequest(req, client.Broken, 0, "") })
 	}
 	d.requests, d.attempts = map[memory.ID]*clientRequest{}, map[memory.RelayID]*attempt{}
 }
--- a/internal/lab/virtual/hosts.go
+++ b/internal/lab/virtual/hosts.go
@@ -138,7 +138,7 @@
 
 // deliverAttempt delivers an attempt to a host.
 func (sim *simulation) deliverAttempt(a *attempt) {
-	h, t := a.host, a.request
+	h, req := a.host, a.request
 	if sim.unreachable(a.dispatcher, h) {
 		return // lost on the way without any error
 	}
@@ -150,13 +150,13 @@
 	switch {
 	case sim.options.Log == nil:
 	case part != nil:
-		a.auditHandle = sim.options.Log.CamePart(sim.now-sim.networkDelay(a.dispatcher, h), sim.now, t.name, h.model.Name, h.model.Cell, a.dispatcher.number, part.Rank, part.Parts)
+		a.auditHandle = sim.options.Log.CamePart(sim.now-sim.networkDelay(a.dispatcher, h), sim.now, req.name, h.model.Name, h.model.Cell, a.dispatcher.number, part.Rank, part.Parts)
 	default:
-		a.auditHandle = sim.options.Log.Came(sim.now-sim.networkDelay(a.dispatcher, h), sim.now, t.name, h.model.Name, h.model.Cell, a.dispatcher.number)
+		a.auditHandle = sim.options.Log.Came(sim.now-sim.networkDelay(a.dispatcher, h), sim.now, req.name, h.model.Name, h.model.Cell, a.dispatcher.number)
 	}
 	if h.resetsConnections {
 		if sim.options.Log != nil {
-			sim.options.Log.Finish(sim.now, t.name, a.auditHandle, audit.Lost, "")
+			sim.options.Log.Finish(sim.now, req.name, a.auditHandle, audit.Lost, "")
 		}
 		sim.notifyDispatcher(a, func(d *dispatcher) { d.endAttempt(a, logic.Broken, "") })
 		return
@@ -165,7 +165,7 @@
 	id := sim.lastAttempt
 	a.hostAttempt = id
 	h.attempts[id] = a
-	j := t.job
+	j := req.job
 	sim.usage.Came(sim.now, h.number, h.model, a.dispatcher.number)
 	notes := h.model.Offer(sim.now, model.Job{Attempt: id, Key: j.key, Work: float64(j.Work.Microseconds()), Slots: j.Slots, Memory: j.Memory, Set: uint64(j.Set), Part: part})
 	if h.model.Down() {
--- a/internal/lab/world/config.go
+++ b/internal/lab/world/config.go
@@ -100,11 +100,11 @@
 		return fmt.Errorf("set %s: %q is not JSON", c.Path, c.Value)
 	}
 	keys := strings.Split(c.Path, ".")
-	at := settings
+	node := settings
 	for i, k := range keys[:len(keys)-1] {
-		switch next := at[k].(type) {
+		switch next := node[k].(type) {
 		case map[string]any:
-			at = next
+			node = next
 		case []map[string]any:
 			if i+1 >= len(keys)-1 {
 				return fmt.Errorf("set %s: %s is a list", c.Path, k)
@@ -114,11 +114,11 @@
 				return fmt.Errorf("set %s: %s has no entry %s", c.Path, k, keys[i+1])
 			}
 			// Make the index a key, so that the next round descends into the entry.
-			at = map[string]any{keys[i+1]: next[n]}
+			node = map[string]any{keys[i+1]: next[n]}
 		default:
 			return fmt.Errorf("set %s: no settings at %s", c.Path, k)
 		}
 	}
-	at[keys[len(keys)-1]] = value
+	node[keys[len(keys)-1]] = value
 	return nil
 }
--- a/internal/lab/world/day.go
+++ b/internal/lab/world/day.go
@@ -473,8 +473,8 @@
 	if d.Sets.Count > 0 {
 		sets = arrive.NewZipf(d.Sets.Count, d.Sets.Zipf)
 	}
-	fill := func(j *Job, fixed bool) {
-		if !fixed {
+	fill := func(j *Job, classKnown bool) {
+		if !classKnown {
 			x := rng.Float64() * total
 			j.Class = min(slices.IndexFunc(shares, func(s float64) bool { return x < s }), len(shares)-1)
 		}
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -28,7 +28,7 @@
 	Way    string        `sexp:"way" one-of:"both|to|from"`              // direction: to or from the other side, or both
 	Manner string        `sexp:"manner" one-of:"silent|reset|half|late"` // what happens to a link
 	Source bool          `sexp:"discovery"`                              // the links are those to discovery
-	Peers  string        `sexp:"peers" one-of:"others|all"`              // the links are those to unnamed dispatchers, or to all
+	Peers  string        `sexp:"peers" one-of:"others|all"`              // links to unnamed dispatchers, or to all
 	Client bool          `sexp:"clients"`                                // the links are those to clients
 	Delay  time.Duration `sexp:"delay" min:"0"`                          // of a slow store's answers, or of a late link
 	Spread time.Duration `sexp:"spread" min:"0"`                         // jitter of datagrams on a late link; reorders them
@@ -63,86 +63,86 @@
 func (s *Spec) checkFaults() error {
 	known := s.HostNames()
 	for _, f := range s.Faults {
-		at := func(key, why string, args ...any) error {
+		errorAt := func(key, why string, args ...any) error {
 			return &settings.Error{Pos: f.Where, Path: f.Kind + "." + key, Why: fmt.Sprintf(why, args...)}
 		}
 		for _, h := range f.Hosts {
 			if s.hostNumber(h) < 0 {
-				return at("hosts", "no host %q; there are h0 to h%d (%s to %s)", h, len(known)-1, known[0], known[len(known)-1])
+				return errorAt("hosts", "no host %q; there are h0 to h%d (%s to %s)", h, len(known)-1, known[0], known[len(known)-1])
 			}
 		}
 		if f.Zone != "" && !slices.Contains(s.Zones, f.Zone) {
-			return at("zone", "no zone %q is described", f.Zone)
+			return errorAt("zone", "no zone %q is described", f.Zone)
 		}
 		for _, z := range f.Zones {
 			if !slices.Contains(s.Zones, z) {
-				return at("zones", "no zone %q is described", z)
+				return errorAt("zones", "no zone %q is described", z)
 			}
 		}
 		switch f.Kind {
 		case "partition":
 			if len(f.Zones) != 2 || f.Zones[0] == f.Zones[1] {
-				return at("zones", "wants two different zones")
+				return errorAt("zones", "wants two different zones")
 			}
 		case "kill-dispatcher", "quiesce-dispatcher", "pause-dispatcher", "restart-dispatcher", "link":
 			if f.Number >= s.Dispatchers {
-				return at("dispatcher", "no dispatcher %d; there are 0 to %d", f.Number, s.Dispatchers-1)
+				return errorAt("dispatcher", "no dispatcher %d; there are 0 to %d", f.Number, s.Dispatchers-1)
 			}
-			if err := s.checkDispatchers(f.Of, at); err != nil {
+			if err := s.checkDispatchers(f.Of, errorAt); err != nil {
 				return err
 			}
 			switch {
 			case s.Virtual && f.Kind != "kill-dispatcher" && f.Kind != "quiesce-dispatcher":
-				return at("at", "is supported only with real processes, not in virtual time")
+				return errorAt("at", "is supported only with real processes, not in virtual time")
 			case f.Kind == "pause-dispatcher" && f.For <= 0, f.Kind == "restart-dispatcher" && f.For <= 0:
-				return at("for", "wants a time above 0, or the dispatcher would never resume")
+				return errorAt("for", "wants a time above 0, or the dispatcher would never resume")
 			case f.Kind != "link":
 			case f.Manner == "late" && f.Delay <= 0 && f.Spread <= 0 && f.Loss <= 0 && f.Twice <= 0:
-				return at("delay", "wants a delay, spread, loss or twice above 0")
+				return errorAt("delay", "wants a delay, spread, loss or twice above 0")
 			case f.Manner != "late" && (f.Spread > 0 || f.Loss > 0 || f.Twice > 0):
-				return at("manner", "spread, loss and twice are supported only for links with the manner late")
+				return errorAt("manner", "spread, loss and twice are supported only for links with the manner late")
 			case f.Peers == "" && (f.Spread > 0 || f.Loss > 0 || f.Twice > 0):
-				return at("peers", "spread, loss and twice are supported only for datagrams, which only dispatchers send, to their peers")
+				return errorAt("peers", "spread, loss and twice are supported only for datagrams, which only dispatchers send, to their peers")
 			case (f.Source && f.Client) || f.Peers != "" && (f.Source || f.Client):
-				return at("peers", "a link is with peers, clients, discovery or hosts; name one")
+				return errorAt("peers", "a link is with peers, clients, discovery or hosts; name one")
 			}
 		case "look":
 			if s.Virtual {
-				return at("at", "is supported only with real processes; virtual time has no admin endpoints")
+				return errorAt("at", "is supported only with real processes; virtual time has no admin endpoints")
 			}
 		case "stale", "discovery-down", "discovery-silent":
 		case "store-silent", "store-slow", "store-resets":
 			if !s.Postgres {
-				return at("at", "wants (postgres): without it there is no store to disturb")
+				return errorAt("at", "wants (postgres): without it there is no store to disturb")
 			}
 		case "grow", "shrink":
 			if f.Count < 1 {
-				return at("count", "wants a number of hosts")
+				return errorAt("count", "wants a number of hosts")
 			}
 		default:
 			if len(f.Hosts) == 0 && f.Zone == "" && f.Share == 0 && f.Count == 0 {
-				return at("hosts", "wants hosts, a zone, a share or a count")
+				return errorAt("hosts", "wants hosts, a zone, a share or a count")
 			}
 		}
 	}
 	return nil
 }
 
-// checkDispatchers checks a selection of dispatchers. at makes an error for a key.
-func (s *Spec) checkDispatchers(of *Dispatchers, at func(key, why string, args ...any) error) error {
+// checkDispatchers checks a selection of dispatchers. errorAt makes an error for a key.
+func (s *Spec) checkDispatchers(of *Dispatchers, errorAt func(key, why string, args ...any) error) error {
 	if of == nil {
 		return nil
 	}
 	for _, n := range of.Names {
 		if s.dispatcherNumber(n) < 0 {
-			return at("of.names", "no dispatcher %q; there are n0 to n%d", n, s.Dispatchers-1)
+			return errorAt("of.names", "no dispatcher %q; there are n0 to n%d", n, s.Dispatchers-1)
 		}
 	}
 	if of.Zone != "" && !slices.Contains(s.Zones, of.Zone) {
-		return at("of.zone", "no zone %q is described", of.Zone)
+		return errorAt("of.zone", "no zone %q is described", of.Zone)
 	}
 	if len(of.Names) == 0 && of.Zone == "" && of.Share == 0 && of.Count == 0 {
-		return at("of", "wants names, a zone, a share or a count")
+		return errorAt("of", "wants names, a zone, a share or a count")
 	}
 	return nil
 }
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -54,17 +54,17 @@
 	Hosts    int            `sexp:"hosts" min:"1" max:"100000"`
 	Kinds    []HostKind     `sexp:"host-kind"`
 	Start    settings.Range `sexp:"start" min:"0.01" max:"1"` // share of its capacity that a cold host has
-	WarmUp   time.Duration  `sexp:"warm-up" min:"0"`
-	Window   time.Duration  `sexp:"fall-window" min:"0"`
-	Multiple float64        `sexp:"fall-multiple" min:"0"`
-	Queue    settings.Range `sexp:"queue" min:"0"` // waiting jobs per slot, at most
-	Knee     float64        `sexp:"knee" min:"0"`  // jobs held per slot above which a host loses efficiency
-	Thrash   float64        `sexp:"thrash" min:"0" max:"0.5"`
-	Backfill bool           `sexp:"backfill"`
-	Returns  bool           `sexp:"drain-returns"`
-	Progress time.Duration  `sexp:"progress" min:"0"`
-	Memory   bool           `sexp:"count-memory"`
-	CellSize int            `sexp:"rack" min:"1"`
+	WarmUp   time.Duration  `sexp:"warm-up" min:"0"`          // from the start until a host is warm
+	Window   time.Duration  `sexp:"fall-window" min:"0"`      // over which the work offered to a cold host is summed
+	Multiple float64        `sexp:"fall-multiple" min:"0"`    // of its capacity, above which a cold host collapses; 0 = never
+	Queue    settings.Range `sexp:"queue" min:"0"`            // waiting jobs per slot, at most
+	Knee     float64        `sexp:"knee" min:"0"`             // jobs held per slot above which a host loses efficiency
+	Thrash   float64        `sexp:"thrash" min:"0" max:"0.5"` // efficiency lost per job above the knee
+	Backfill bool           `sexp:"backfill"`                 // a waiting job that fits may pass earlier ones that don't
+	Returns  bool           `sexp:"drain-returns"`            // a draining host returns waiting jobs unstarted
+	Progress time.Duration  `sexp:"progress" min:"0"`         // between progress reports; 0 = none
+	Memory   bool           `sexp:"count-memory"`             // jobs occupy memory, of which a host has one unit per slot
+	CellSize int            `sexp:"rack" min:"1"`             // hosts per rack
 	Links    Links          `sexp:"links"`
 }
 
@@ -72,34 +72,34 @@
 type HostKind struct {
 	Name  string         `sexp:",arg,required"`
 	Share float64        `sexp:"share,required" min:"0"`
-	Cores float64        `sexp:"cores,required" min:"0.1"`
-	Slots float64        `sexp:"slots" min:"0"` // default: the number of cores
-	Speed settings.Range `sexp:"speed,required" min:"0.001"`
+	Cores float64        `sexp:"cores,required" min:"0.1"`   // of each host
+	Slots float64        `sexp:"slots" min:"0"`              // default: the number of cores
+	Speed settings.Range `sexp:"speed,required" min:"0.001"` // of a core, relative to the reference speed 1
 }
 
 // DataSets describes the data sets that jobs need at their host.
 type DataSets struct {
-	Count int           `sexp:"count" min:"0"`
-	Zipf  float64       `sexp:"zipf" min:"0" max:"4"`
-	Kept  int           `sexp:"kept" min:"0"`
-	Fetch settings.Span `sexp:"fetch" min:"0"`
-	Store float64       `sexp:"store" min:"0"` // concurrent fetches that the store serves at full speed
+	Count int           `sexp:"count" min:"0"`        // 0 = jobs need none
+	Zipf  float64       `sexp:"zipf" min:"0" max:"4"` // exponent of their popularity
+	Kept  int           `sexp:"kept" min:"0"`         // that a host caches
+	Fetch settings.Span `sexp:"fetch" min:"0"`        // time to fetch one from an idle store
+	Store float64       `sexp:"store" min:"0"`        // concurrent fetches that the store serves at full speed
 }
 
 // Class is a class of jobs.
 type Class struct {
 	Name    string         `sexp:",arg,required"`
 	Share   float64        `sexp:"share,required" min:"0"`
-	Work    settings.Span  `sexp:"work,required" min:"0.000001"` // the mean of a day is drawn from this range
-	Spread  float64        `sexp:"spread" min:"0" max:"4"`       // sigma of the logarithm of a job's work
-	Hint    float64        `sexp:"hint-error" min:"0" max:"4"`   // sigma of the logarithm of the hint's relative error
-	Aim     time.Duration  `sexp:"aim,required" min:"0"`
-	Stretch float64        `sexp:"stretch" min:"0"`
-	GiveUp  time.Duration  `sexp:"give-up,required" min:"0.001"`
-	Worth   float64        `sexp:"worth" min:"0"`
-	Repeat  string         `sexp:"repeat,required" one-of:"safe|keyed|unsafe"`
-	Window  time.Duration  `sexp:"repeat-window" min:"0"`
-	Slots   []float64      `sexp:"slots" min:"0"` // shares of jobs with 1, 2, … slots
+	Work    settings.Span  `sexp:"work,required" min:"0.000001"`               // the mean of a day is drawn from this range
+	Spread  float64        `sexp:"spread" min:"0" max:"4"`                     // sigma of the logarithm of a job's work
+	Hint    float64        `sexp:"hint-error" min:"0" max:"4"`                 // sigma of the logarithm of the hint's error
+	Aim     time.Duration  `sexp:"aim,required" min:"0"`                       // target latency
+	Stretch float64        `sexp:"stretch" min:"0"`                            // the target grows by the work times this
+	GiveUp  time.Duration  `sexp:"give-up,required" min:"0.001"`               // client deadline
+	Worth   float64        `sexp:"worth" min:"0"`                              // value per second of work
+	Repeat  string         `sexp:"repeat,required" one-of:"safe|keyed|unsafe"` // whether jobs may be repeated
+	Window  time.Duration  `sexp:"repeat-window" min:"0"`                      // for which hosts remember the key
+	Slots   []float64      `sexp:"slots" min:"0"`                              // shares of jobs with 1, 2, … slots
 	Memory  settings.Range `sexp:"memory" min:"0"`
 	Gang    *GangSpec      `sexp:"gang"`
 }
@@ -150,14 +150,14 @@
 
 // Discovery describes how late the list of hosts is.
 type Discovery struct {
-	Lag settings.Span `sexp:"lag" min:"0"`
+	Lag settings.Span `sexp:"lag" min:"0"` // from a change of a host until it is published
 }
 
 // Generator holds the limits that the load generator must keep for a run to be valid.
 type Generator struct {
-	Lag   time.Duration `sexp:"lag" min:"0.0001"`       // 99th percentile of the send lag behind the schedule
-	CPU   float64       `sexp:"cpu" min:"0.05" max:"1"` // of the machine's cores, by the laboratory's own process
-	Sched time.Duration `sexp:"scheduling" min:"0.0001"`
+	Lag   time.Duration `sexp:"lag" min:"0.0001"`        // 99th percentile of the send lag behind the schedule
+	CPU   float64       `sexp:"cpu" min:"0.05" max:"1"`  // of the machine's cores, by the laboratory's own process
+	Sched time.Duration `sexp:"scheduling" min:"0.0001"` // 99th percentile of the time that goroutines wait for a CPU
 }
 
 // Variant is one side of a comparison.
@@ -167,8 +167,8 @@
 	// dispatchers with a single one that sees all jobs.
 	Dispatchers int `sexp:"dispatchers" min:"0" max:"1000"`
 
-	Program string   `sexp:"program"` // another build of the dispatcher
-	Set     []Change `sexp:"set"`
+	Program string   `sexp:"program"`                                             // another build of the dispatcher
+	Set     []Change `sexp:"set"`                                                 // overrides of the platform's configuration
 	Own     string   `sexp:"settings"`                                            // overrides the experiment's
 	Policy  string   `sexp:"policy" one-of:"module|random|least|two|round-robin"` // in virtual time: how a host is chosen
 	Share   *Share   `sexp:"share"`                                               // in virtual time: dispatchers share state
@@ -176,9 +176,9 @@
 
 // Share describes how dispatchers report their outstanding work to each other.
 type Share struct {
-	Every time.Duration `sexp:"every,required" min:"0.01"`
-	// Hubs is the number of dispatchers that relay reports. 0 is the product's default; with as many hubs as
-	// dispatchers each sends to all.
+	Every time.Duration `sexp:"every,required" min:"0.01"` // period of the reports
+	// Hubs is the number of dispatchers that sum up reports for the others. 0 is the product's default; with as many
+	// hubs as dispatchers each sends to all.
 	Hubs int           `sexp:"hubs" min:"0" max:"1000"`
 	Late settings.Span `sexp:"late" min:"0"` // network delay of a report
 	Loss float64       `sexp:"loss" min:"0" max:"1"`
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -107,7 +107,7 @@
 	}
 	for of, want := range map[string]int{"(share 30%)": 3, "(count 4)": 4, "(count 40)": 10} {
 		if got := draw(1, of); len(got) != want {
-			t.Errorf("%s affects dispatchers %v, want %d", of, got, want)
+			t.Errorf("%s affects dispatchers %v", of, got)
 		}
 	}
 	seen := map[string]bool{}
