--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -203,11 +203,11 @@
 // returns an error if the process ended before Stop was called, unless by Kill, or exits with an error.
 func (d *Dispatcher) Stop() error {
 	d.mu.Lock()
-	dead := d.killed
+	killed := d.killed
 	d.mu.Unlock()
 	select {
 	case <-d.exited:
-		if dead {
+		if killed {
 			return nil
 		}
 		return fmt.Errorf("dispatcher at %s exited unexpectedly: %v\n%s", d.Addr, d.err, d.Log())
@@ -244,12 +244,12 @@
 // Call sends one line to the admin endpoint and returns the whole answer, or "" if the build has no admin endpoint.
 func (d *Dispatcher) Call(line string) (string, error) {
 	d.mu.Lock()
-	door := d.adminAddr
+	addr := d.adminAddr
 	d.mu.Unlock()
-	if door == "" {
+	if addr == "" {
 		return "", nil
 	}
-	c, err := net.DialTimeout("tcp", door, adminTimeout)
+	c, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
 		return "", fmt.Errorf("admin endpoint: %w", err)
 	}
