--- a/cmd/gwlab/demo.go
+++ b/cmd/gwlab/demo.go
@@ -21,7 +21,7 @@
 )
 
 // program finds the dispatcher's build: the flag's, or the one beside this program.
-func program(flag string) (string, error) {
+func dispatcherBinary(flag string) (string, error) {
 	if flag == "" {
 		self, err := os.Executable()
 		if err != nil {
@@ -74,7 +74,7 @@
 }
 
 // playing are the flags of the verbs that play experiments.
-type playing struct {
+type experimentFlags struct {
 	Out     string  `help:"Folder for the report." placeholder:"DIR"`
 	Program string  `help:"The dispatcher's build; default: granitewing beside this program." placeholder:"FILE"`
 	Seed    *uint64 `help:"Another first seed than the experiment's." placeholder:"N"`
@@ -83,7 +83,7 @@
 }
 
 // play plays an experiment and reports.
-func (p *playing) play(ctx runContext, spec *world.Spec) error {
+func (p *experimentFlags) runExperiment(ctx runContext, spec *world.Spec) error {
 	if p.Seed != nil {
 		spec.Seed = *p.Seed
 	}
@@ -92,12 +92,12 @@
 	s.Progress, label = progress()
 	var err error
 	if !spec.Virtual {
-		if s.Program, err = program(p.Program); err != nil {
+		if s.Program, err = dispatcherBinary(p.Program); err != nil {
 			return err
 		}
 		for _, v := range spec.Variants {
 			if v.Program != "" {
-				if _, err := program(v.Program); err != nil {
+				if _, err := dispatcherBinary(v.Program); err != nil {
 					return fmt.Errorf("variant %s: %w", v.Name, err)
 				}
 			}
@@ -159,9 +159,9 @@
 	return nil
 }
 
-type demo struct{ playing }
+type demoCmd struct{ experimentFlags }
 
-func (d *demo) Run(ctx runContext) error {
+func (d *demoCmd) Run(ctx runContext) error {
 	if d.Out == "" {
 		d.Out = "demo-report"
 	}
@@ -169,16 +169,16 @@
 	if err != nil {
 		return err
 	}
-	return d.play(ctx, spec)
+	return d.runExperiment(ctx, spec)
 }
 
-type run struct {
+type runCmd struct {
 	Experiment string `arg:"" help:"A file, or the name of an experiment that ships."`
 	Pairs      int    `help:"Another number of pairs than the experiment's." placeholder:"N"`
-	playing
+	experimentFlags
 }
 
-func (r *run) Run(ctx runContext) error {
+func (r *runCmd) Run(ctx runContext) error {
 	spec, err := readExperiment(r.Experiment)
 	if err != nil {
 		return err
@@ -186,18 +186,18 @@
 	if r.Pairs > 0 {
 		spec.Pairs = r.Pairs
 	}
-	return r.play(ctx, spec)
+	return r.runExperiment(ctx, spec)
 }
 
 // fleetVerb plays real processes whatever their number; it says how to play a failure again.
-type fleetVerb struct {
+type fleetCmd struct {
 	Experiment  string `arg:"" help:"A file, or the name of an experiment that ships."`
 	Dispatchers int    `help:"Another number of dispatchers than the experiment's." placeholder:"N"`
 	Hosts       int    `help:"Another number of hosts; the load and the data sets are scaled to it." placeholder:"M"`
-	playing
+	experimentFlags
 }
 
-func (f *fleetVerb) Run(ctx runContext) error {
+func (f *fleetCmd) Run(ctx runContext) error {
 	spec, err := readExperiment(f.Experiment)
 	if err != nil {
 		return err
@@ -208,7 +208,7 @@
 	if spec, err = spec.Resized(cmp.Or(f.Hosts, spec.Fleet.Hosts), cmp.Or(f.Dispatchers, spec.Dispatchers)); err != nil {
 		return err
 	}
-	err = f.play(ctx, spec)
+	err = f.runExperiment(ctx, spec)
 	if err != nil && ctx.Err() == nil {
 		return fmt.Errorf("%w\nplay it again: gwlab fleet %s --dispatchers %d --hosts %d --seed %d", err, f.Experiment, spec.Dispatchers, spec.Fleet.Hosts, spec.Seed)
 	}
--- a/cmd/gwlab/main.go
+++ b/cmd/gwlab/main.go
@@ -18,18 +18,18 @@
 )
 
 // commands are the verbs.
-type commands struct {
-	Demo      demo          `cmd:"" help:"Play the newcomer's day: an emulated fleet, three real dispatchers, 20 s of load. Example: gwlab demo"`
-	Run       run           `cmd:"" help:"Play an experiment, by file or by the name of one that ships, and report. Example: gwlab run growth --pairs 5 --out growth-report"`
-	Fleet     fleetVerb     `cmd:"" help:"Play an experiment with many real processes, links between them and their failures. Example: gwlab fleet spread-processes --dispatchers 60 --hosts 30 --seed 7"`
-	Load      loadVerb      `cmd:"" help:"Send an experiment's jobs to dispatchers that run already. Example: gwlab load calm --target 127.0.0.1:9000@dakar"`
-	Emulate   emulateCl     `cmd:"" help:"Play an experiment's hosts and discovery until Ctrl-C. Example: gwlab emulate calm --dir fleet --serve"`
-	Report    reportCmd     `cmd:"" help:"Write a report anew from results, merging those of several generators. Example: gwlab report --out all one two"`
-	Trace     traceCmd      `cmd:"" help:"Import, show and scale recorded traces."`
-	Selfcheck selfcheckVerb `cmd:"" help:"Check the generator against a server with a known stall. Example: gwlab selfcheck"`
-	Capacity  capacity      `cmd:"" help:"Find the highest rate that the generator keeps, beside vegeta's. Example: gwlab capacity --pairs 5"`
-	Settings  settingsCmd   `cmd:"" help:"Check settings files and write them in the one form. Example: gwlab settings format lab/calm.sexp"`
-	StandIn   standIn       `cmd:"" hidden:"" help:"A server that answers at once, for capacity."`
+type cli struct {
+	Demo      demoCmd      `cmd:"" help:"Play the newcomer's day: an emulated fleet, three real dispatchers, 20 s of load. Example: gwlab demo"`
+	Run       runCmd       `cmd:"" help:"Play an experiment, by file or by the name of one that ships, and report. Example: gwlab run growth --pairs 5 --out growth-report"`
+	Fleet     fleetCmd     `cmd:"" help:"Play an experiment with many real processes, links between them and their failures. Example: gwlab fleet spread-processes --dispatchers 60 --hosts 30 --seed 7"`
+	Load      loadCmd      `cmd:"" help:"Send an experiment's jobs to dispatchers that run already. Example: gwlab load calm --target 127.0.0.1:9000@dakar"`
+	Emulate   emulateCmd   `cmd:"" help:"Play an experiment's hosts and discovery until Ctrl-C. Example: gwlab emulate calm --dir fleet --serve"`
+	Report    reportCmd    `cmd:"" help:"Write a report anew from results, merging those of several generators. Example: gwlab report --out all one two"`
+	Trace     traceCmd     `cmd:"" help:"Import, show and scale recorded traces."`
+	Selfcheck selfcheckCmd `cmd:"" help:"Check the generator against a server with a known stall. Example: gwlab selfcheck"`
+	Capacity  capacityCmd  `cmd:"" help:"Find the highest rate that the generator keeps, beside vegeta's. Example: gwlab capacity --pairs 5"`
+	Settings  settingsCmd  `cmd:"" help:"Check settings files and write them in the one form. Example: gwlab settings format lab/calm.sexp"`
+	StandIn   standInCmd   `cmd:"" hidden:"" help:"A server that answers at once, for capacity."`
 
 	Log   string `help:"How the log is written: auto, text or json." enum:"auto,text,json" default:"auto"`
 	Debug bool   `help:"Log more."`
@@ -41,7 +41,7 @@
 // exitInvalid is the exit code for it; 1 is a failed run, 2 wrong usage.
 const exitInvalid = 3
 
-func (c *commands) logger() *slog.Logger {
+func (c *cli) logger() *slog.Logger {
 	level := slog.LevelWarn
 	if c.Debug {
 		level = slog.LevelDebug
@@ -59,7 +59,7 @@
 type runContext struct{ context.Context }
 
 func main() {
-	c := &commands{}
+	c := &cli{}
 	k := kong.Parse(c, kong.Name("gwlab"),
 		kong.Description("The laboratory of granitewing: emulated hosts and failures, open-loop load, experiments, reports."),
 		kong.Exit(func(code int) {
--- a/cmd/gwlab/verbs.go
+++ b/cmd/gwlab/verbs.go
@@ -25,7 +25,7 @@
 	"granitewing/internal/settings"
 )
 
-type loadVerb struct {
+type loadCmd struct {
 	Experiment string   `arg:"" help:"A file, or the name of an experiment that ships."`
 	Target     []string `required:"" help:"A dispatcher's address, with @ZONE where it takes clients of one zone alone; repeatable." placeholder:"ADDR[@ZONE]"`
 	Prefix     string   `help:"Of the names of jobs; generators that run side by side must differ in it." default:"ld"`
@@ -34,7 +34,7 @@
 	JSON       bool     `help:"Results as JSON."`
 }
 
-func (l *loadVerb) Run(ctx runContext) error {
+func (l *loadCmd) Run(ctx runContext) error {
 	spec, err := readExperiment(l.Experiment)
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 	return nil
 }
 
-type emulateCl struct {
+type emulateCmd struct {
 	Experiment string  `arg:"" help:"A file, or the name of an experiment that ships."`
 	Dir        string  `help:"Folder for the dispatchers' configurations." required:"" placeholder:"DIR"`
 	Serve      bool    `help:"Start the dispatchers too."`
@@ -108,7 +108,7 @@
 	Seed       *uint64 `help:"Another seed than the experiment's." placeholder:"N"`
 }
 
-func (e *emulateCl) Run(ctx runContext) error {
+func (e *emulateCmd) Run(ctx runContext) error {
 	spec, err := readExperiment(e.Experiment)
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 	}
 	bin := ""
 	if e.Serve {
-		if bin, err = program(e.Program); err != nil {
+		if bin, err = dispatcherBinary(e.Program); err != nil {
 			return err
 		}
 	}
@@ -303,11 +303,11 @@
 	return writeTrace(t.Out, tr)
 }
 
-type selfcheckVerb struct {
+type selfcheckCmd struct {
 	JSON bool `help:"Results as JSON."`
 }
 
-func (s *selfcheckVerb) Run(ctx runContext) error {
+func (s *selfcheckCmd) Run(ctx runContext) error {
 	r, err := selfcheck.Run(ctx)
 	if err != nil {
 		return err
@@ -328,14 +328,14 @@
 	return nil
 }
 
-type capacity struct {
+type capacityCmd struct {
 	Pairs int           `help:"Plays of each rate by each generator." default:"5"`
 	Each  time.Duration `help:"Length of a play." default:"2s"`
 	Rates []int         `help:"Rates to try, growing." default:"1000,2000,5000,10000,15000,20000,25000,30000,40000,50000"`
 	JSON  bool          `help:"Results as JSON."`
 }
 
-func (c *capacity) Run(ctx runContext) error {
+func (c *capacityCmd) Run(ctx runContext) error {
 	// The server is a process of its own, so that its work does not count as the generator's.
 	self, err := os.Executable()
 	if err != nil {
@@ -371,9 +371,9 @@
 }
 
 // standIn serves until its standard input ends, so that it does not outlive whoever started it.
-type standIn struct{}
+type standInCmd struct{}
 
-func (standIn) Run() error {
+func (standInCmd) Run() error {
 	s, err := selfcheck.Serve()
 	if err != nil {
 		return err
--- a/internal/lab/emulate/discovery.go
+++ b/internal/lab/emulate/discovery.go
@@ -15,28 +15,28 @@
 )
 
 // watchPulse is how often a watch says that it lives.
-const watchPulse = 2 * time.Second
+const watchHeartbeat = 2 * time.Second
 
 // discovery is where one dispatcher asks for the list.
 type discovery struct {
-	e          *Emulator
-	dispatcher int
-	ln         net.Listener
-	link       link.Link
-	told       chan struct{} // closed when the list changes, or the watches end; guarded by the emulator's lock
-	cuts       int           // how often all were cut
+	e           *Emulator
+	dispatcher  int
+	ln          net.Listener
+	link        link.Link
+	changed     chan struct{} // closed when the list changes, or the watches end; guarded by the emulator's lock
+	disconnects int           // how often all were cut
 }
 
 // wake lets all watches look at the list; the lock is held.
-func (d *discovery) wake() {
-	close(d.told)
-	d.told = make(chan struct{})
+func (d *discovery) notifyWatches() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // cut ends all watches; the lock is held.
-func (d *discovery) cut() {
-	d.cuts++
-	d.wake()
+func (d *discovery) closeWatches() {
+	d.disconnects++
+	d.notifyWatches()
 }
 
 func (d *discovery) accept() {
@@ -77,7 +77,7 @@
 			return
 		}
 		e.mu.Lock()
-		down, silent := e.down, e.silent
+		down, silent := e.discoveryDown, e.discoverySilent
 		e.mu.Unlock()
 		switch {
 		case silent:
@@ -100,13 +100,13 @@
 			return
 		default:
 			e.mu.Lock()
-			members, revision := e.dir.All(), e.dir.Revision()
+			members, revision := e.directory.All(), e.directory.Revision()
 			e.mu.Unlock()
 			text := d.encode(revision, true, members)
 			if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text); err != nil {
 				return
 			}
-			d.booked(members)
+			d.logReported(members)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 func (d *discovery) encode(revision int64, complete bool, members []model.Member) []byte {
 	addr := func(id string) string {
 		for _, h := range d.e.hosts {
-			if h.m.Name == id {
+			if h.model.Name == id {
 				return h.addr(d.dispatcher)
 			}
 		}
@@ -128,7 +128,7 @@
 }
 
 // booked tells the audit what a dispatcher has been told.
-func (d *discovery) booked(members []model.Member) {
+func (d *discovery) logReported(members []model.Member) {
 	at := d.e.now()
 	for _, m := range members {
 		d.e.log.Told(at, d.dispatcher, m.ID, m.Phase == model.Ready)
@@ -142,14 +142,14 @@
 		return
 	}
 	e.mu.Lock()
-	cuts := d.cuts
+	cuts := d.disconnects
 	e.mu.Unlock()
 	chunk := func(text []byte) bool {
-		c.SetWriteDeadline(time.Now().Add(readLimit))
+		c.SetWriteDeadline(time.Now().Add(readTimeout))
 		_, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
 		return err == nil
 	}
-	pulse := time.NewTicker(watchPulse)
+	pulse := time.NewTicker(watchHeartbeat)
 	defer pulse.Stop()
 	// A dispatcher that leaves is noticed by its end, since nothing else comes from it.
 	left := make(chan struct{})
@@ -160,9 +160,9 @@
 	}()
 	for first := true; ; first = false {
 		e.mu.Lock()
-		told, ended, silent := d.told, d.cuts != cuts || e.closed, e.silent
-		members, complete := e.dir.Since(index)
-		revision := e.dir.Revision()
+		told, ended, silent := d.changed, d.disconnects != cuts || e.closed, e.discoverySilent
+		members, complete := e.directory.Since(index)
+		revision := e.directory.Revision()
 		e.mu.Unlock()
 		if ended {
 			return
@@ -171,7 +171,7 @@
 			if !chunk(d.encode(revision, complete, members)) {
 				return
 			}
-			d.booked(members)
+			d.logReported(members)
 			index = revision
 		}
 		select {
--- a/internal/lab/emulate/emulate.go
+++ b/internal/lab/emulate/emulate.go
@@ -20,7 +20,7 @@
 )
 
 // linksMost bounds the links of an emulation; larger fleets are for virtual time.
-const linksMost = 100_000
+const maxLinks = 100_000
 
 // Emulator is a running fleet with its discovery.
 type Emulator struct {
@@ -28,44 +28,44 @@
 	log   *audit.Log
 	start time.Time
 
-	mu        sync.Mutex // guards all below, the models included
-	hosts     []*host
-	watch     *spread.Watch
-	fabric    *model.Fabric
-	gangTimer *time.Timer
-	stepping  bool // gangs are being ended
-	dir       *model.Directory
-	dirTimer  *time.Timer
-	discovery []*discovery // by dispatcher
-	down      bool         // discovery
-	silent    bool         // discovery
-	parted    map[[2]int]bool
-	attempts  uint64
-	conns     map[net.Conn]struct{}
-	timers    []*time.Timer
-	closed    bool
-	wait      sync.WaitGroup
+	mu               sync.Mutex // guards all below, the models included
+	hosts            []*host
+	usage            *spread.Watch
+	fabric           *model.Fabric
+	gangTimer        *time.Timer
+	steppingGangs    bool // gangs are being ended
+	directory        *model.Directory
+	directoryTimer   *time.Timer
+	discovery        []*discovery // by dispatcher
+	discoveryDown    bool         // discovery
+	discoverySilent  bool         // discovery
+	partitionedZones map[[2]int]bool
+	attempts         uint64
+	conns            map[net.Conn]struct{}
+	timers           []*time.Timer
+	closed           bool
+	wait             sync.WaitGroup
 }
 
 // host is one emulated host.
 type host struct {
-	e       *Emulator
-	number  int
-	m       *model.Host
-	ports   []*port // by dispatcher
-	ln      net.Listener
-	tcp     int        // its port, the same at all addresses
-	hold    *hold.Port // while it does not listen
-	streams map[uint64]*stream
-	timer   *time.Timer
-	up      bool // it has joined and not stopped
-	refuses bool
-	vanish  bool
-	resets  bool
+	e         *Emulator
+	number    int
+	model     *model.Host
+	endpoints []*endpoint // by dispatcher
+	ln        net.Listener
+	tcpPort   int        // its port, the same at all addresses
+	heldPort  *hold.Port // while it does not listen
+	streams   map[uint64]*stream
+	timer     *time.Timer
+	up        bool // it has joined and not stopped
+	refusing  bool
+	vanished  bool
+	resetting bool
 }
 
 // port is where one dispatcher reaches one host.
-type port struct {
+type endpoint struct {
 	h          *host
 	dispatcher int
 	link       link.Link
@@ -75,12 +75,12 @@
 
 // New opens all addresses. Hosts that join later have theirs already, and refuse until then.
 func New(day *world.Day, log *audit.Log) (*Emulator, error) {
-	if n := len(day.Machines) * day.Dispatchers; n > linksMost {
+	if n := len(day.Machines) * day.Dispatchers; n > maxLinks {
 		return nil, fmt.Errorf("%d hosts for %d dispatchers want %d links; at most %d can be emulated, virtual time plays more",
-			len(day.Machines), day.Dispatchers, n, linksMost)
+			len(day.Machines), day.Dispatchers, n, maxLinks)
 	}
-	e := &Emulator{day: day, log: log, start: time.Now(), conns: map[net.Conn]struct{}{}, parted: map[[2]int]bool{},
-		watch: spread.New(day.Machines, day.End.Microseconds()), fabric: model.NewFabric(day.Fleet.Links.Model())}
+	e := &Emulator{day: day, log: log, start: time.Now(), conns: map[net.Conn]struct{}{}, partitionedZones: map[[2]int]bool{},
+		usage: spread.New(day.Machines, day.End.Microseconds()), fabric: model.NewFabric(day.Fleet.Links.Model())}
 	cells := map[int]*model.Cell{}
 	store := &model.Store{Room: day.Sets.Store}
 	window := int64(0)
@@ -94,34 +94,34 @@
 		if cells[m.Cell] == nil {
 			cells[m.Cell] = model.NewCell(window)
 		}
-		h := &host{e: e, number: i, m: model.NewHost(m, cells[m.Cell], store, 0, false), streams: map[uint64]*stream{}, up: i < day.Fleet.Hosts}
-		h.m.Keep(day.Kept[i])
-		h.m.Exchange(e.fabric)
+		h := &host{e: e, number: i, model: model.NewHost(m, cells[m.Cell], store, 0, false), streams: map[uint64]*stream{}, up: i < day.Fleet.Hosts}
+		h.model.Keep(day.Kept[i])
+		h.model.Exchange(e.fabric)
 		if h.up {
 			members = append(members, day.Member(i, model.Ready, 0))
 			log.Listed(0, m.Name, true)
 		}
 		for d := range day.Dispatchers {
-			h.ports = append(h.ports, &port{h: h, dispatcher: d, delay: e.delay(d, m.Zone)})
+			h.endpoints = append(h.endpoints, &endpoint{h: h, dispatcher: d, delay: e.delay(d, m.Zone)})
 		}
-		if err := h.open(); err != nil {
+		if err := h.startListening(); err != nil {
 			e.Close()
 			return nil, err
 		}
 		if !h.up {
-			h.shut()
+			h.stopListening()
 		}
 		e.hosts = append(e.hosts, h)
-		h.look(0)
+		h.recordUsage(0)
 	}
-	e.dir = model.NewDirectory(members)
+	e.directory = model.NewDirectory(members)
 	for d := range day.Dispatchers {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			e.Close()
 			return nil, fmt.Errorf("discovery: %w", err)
 		}
-		disc := &discovery{e: e, dispatcher: d, ln: ln, told: make(chan struct{})}
+		disc := &discovery{e: e, dispatcher: d, ln: ln, changed: make(chan struct{})}
 		e.discovery = append(e.discovery, disc)
 		e.wait.Go(disc.accept)
 	}
@@ -146,7 +146,7 @@
 func (e *Emulator) Place(dispatcher int, listen string) world.Place {
 	addrs := map[string]string{}
 	for _, h := range e.hosts {
-		addrs[h.m.Name] = h.addr(dispatcher)
+		addrs[h.model.Name] = h.addr(dispatcher)
 	}
 	return world.Place{Listen: listen, Discovery: e.discovery[dispatcher].ln.Addr().String(), Epoch: e.start.UnixMicro(),
 		Addr: func(id string) string { return addrs[id] }}
@@ -189,56 +189,56 @@
 		h = e.hosts[op.Host]
 	}
 	change := func(phase model.Phase) {
-		e.dir.Change(now, op.Lag.Microseconds(), e.day.Member(op.Host, phase, h.m.UpSince()))
-		e.rearm()
+		e.directory.Change(now, op.Lag.Microseconds(), e.day.Member(op.Host, phase, h.model.UpSince()))
+		e.armDirectoryTimer()
 	}
 	switch op.Kind {
 	case world.OpSlow:
-		h.tell(h.m.Slow(now, op.Factor))
+		h.deliverNotes(h.model.Slow(now, op.Factor))
 	case world.OpDrain:
-		h.tell(h.m.Drain(now))
+		h.deliverNotes(h.model.Drain(now))
 		change(model.Draining)
 	case world.OpStop, world.OpCrash:
 		h.crash(now)
 		change(model.Gone)
 	case world.OpRestart, world.OpStart:
-		h.m.Restart(now)
-		h.up, h.vanish = true, false
-		h.listen()
+		h.model.Restart(now)
+		h.up, h.vanished = true, false
+		h.updateListener()
 		change(model.Ready)
 	case world.OpVanish:
-		h.vanish = op.On
-		h.mute()
+		h.vanished = op.On
+		h.updateMuted()
 	case world.OpReset:
-		h.resets = op.On
+		h.resetting = op.On
 	case world.OpErrors:
-		h.m.Errors(op.On)
+		h.model.Errors(op.On)
 	case world.OpRefuse:
-		h.refuses = op.On
-		h.listen()
+		h.refusing = op.On
+		h.updateListener()
 	case world.OpStale:
-		e.dir.Stale(op.On)
+		e.directory.Stale(op.On)
 	case world.OpDown:
-		e.down = op.On
+		e.discoveryDown = op.On
 		if op.On {
 			for _, d := range e.discovery {
-				d.cut()
+				d.closeWatches()
 			}
 		}
 	case world.OpSilent:
-		e.silent = op.On
+		e.discoverySilent = op.On
 		for _, d := range e.discovery {
-			d.wake()
+			d.notifyWatches()
 		}
 	case world.OpLink:
-		e.suffer(op)
+		e.applyLinkFaults(op)
 	case world.OpPart:
-		e.parted[[2]int{min(op.Host, op.Other), max(op.Host, op.Other)}] = op.On
+		e.partitionedZones[[2]int{min(op.Host, op.Other), max(op.Host, op.Other)}] = op.On
 		for _, h := range e.hosts {
-			h.mute()
+			h.updateMuted()
 		}
 	}
-	e.rearm()
+	e.armDirectoryTimer()
 }
 
 // FaultsOf is what the links of an operation suffer from it, none once it is over.
@@ -260,7 +260,7 @@
 }
 
 // suffer has the links between some dispatchers and hosts, or discovery, suffer what an operation says, or makes them whole.
-func (e *Emulator) suffer(op world.Op) {
+func (e *Emulator) applyLinkFaults(op world.Op) {
 	l, f := op.Link, FaultsOf(op)
 	set := func(l *link.Link) { l.Suffer(f) }
 	for _, d := range op.Dispatchers {
@@ -269,37 +269,37 @@
 			continue
 		}
 		for _, h := range op.Hosts {
-			set(&e.hosts[h].ports[d].link)
+			set(&e.hosts[h].endpoints[d].link)
 		}
 	}
 }
 
 // rearm sets the timer of the list's next change.
-func (e *Emulator) rearm() {
-	if e.dirTimer != nil {
-		e.dirTimer.Stop()
+func (e *Emulator) armDirectoryTimer() {
+	if e.directoryTimer != nil {
+		e.directoryTimer.Stop()
 	}
-	next := e.dir.Next()
+	next := e.directory.Next()
 	if next == model.Never || e.closed {
 		return
 	}
-	e.dirTimer = time.AfterFunc(time.Duration(next-e.now())*time.Microsecond, func() {
+	e.directoryTimer = time.AfterFunc(time.Duration(next-e.now())*time.Microsecond, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.closed {
 			return
 		}
-		before := e.dir.Revision()
-		if e.dir.Advance(e.now()) {
-			changed, _ := e.dir.Since(before)
+		before := e.directory.Revision()
+		if e.directory.Advance(e.now()) {
+			changed, _ := e.directory.Since(before)
 			for _, m := range changed {
 				e.log.Listed(e.now(), m.ID, m.Phase == model.Ready)
 			}
 			for _, d := range e.discovery {
-				d.wake()
+				d.notifyWatches()
 			}
 		}
-		e.rearm()
+		e.armDirectoryTimer()
 	})
 }
 
@@ -307,7 +307,7 @@
 func (e *Emulator) Spread() *spread.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.watch.Report(e.now())
+	return e.usage.Report(e.now())
 }
 
 // Close ends all.
@@ -317,8 +317,8 @@
 	for _, t := range e.timers {
 		t.Stop()
 	}
-	if e.dirTimer != nil {
-		e.dirTimer.Stop()
+	if e.directoryTimer != nil {
+		e.directoryTimer.Stop()
 	}
 	if e.gangTimer != nil {
 		e.gangTimer.Stop()
@@ -327,12 +327,12 @@
 		if h.timer != nil {
 			h.timer.Stop()
 		}
-		h.shut()
+		h.stopListening()
 		h.release()
 	}
 	for _, d := range e.discovery {
 		d.ln.Close()
-		d.cut()
+		d.closeWatches()
 	}
 	for c := range e.conns {
 		reset(c)
--- a/internal/lab/emulate/emulate_test.go
+++ b/internal/lab/emulate/emulate_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	for limit := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		e.mu.Lock()
-		held := e.hosts[host].m.Held()
+		held := e.hosts[host].model.Held()
 		e.mu.Unlock()
 		if held == want {
 			return
@@ -128,7 +128,7 @@
 	for i := range 3 { // one connection carries one job after another
 		name := fmt.Sprintf("t%d", i)
 		a.send(t, name, 100)
-		if r, c := a.ended(t, name); r != logic.Served || c != Answer(name, e.hosts[0].m.Name) {
+		if r, c := a.ended(t, name); r != logic.Served || c != Answer(name, e.hosts[0].model.Name) {
 			t.Fatalf("%v %q", r, c)
 		}
 	}
@@ -247,7 +247,7 @@
 	// What was told is what the audit holds dispatchers to.
 	log.Sent(0, "late", 0, 0)
 	at := e.now() + 10_000_000
-	log.Finish(at+1, "late", log.Came(at, at, "late", e.hosts[0].m.Name, 0, 0), audit.Unstarted, "")
+	log.Finish(at+1, "late", log.Came(at, at, "late", e.hosts[0].model.Name, 0, 0), audit.Unstarted, "")
 	if rep := log.Check(); rep.Rules[2].Broken != 1 {
 		t.Errorf("an attempt ten seconds after the drain was told:\n%s", rep)
 	}
--- a/internal/lab/emulate/gangs.go
+++ b/internal/lab/emulate/gangs.go
@@ -11,10 +11,10 @@
 )
 
 // latestStep is how late the hosts may look at their gangs without a word in the log.
-const latestStep = 250 * time.Millisecond
+const maxStepDelay = 250 * time.Millisecond
 
 // part reads what a request says of being one part of several; nil where it says nothing, or the class has none.
-func (e *Emulator) part(req *http.Request, now int64) *model.Part {
+func (e *Emulator) parsePart(req *http.Request, now int64) *model.Part {
 	p := &model.Part{Name: req.Header.Get("X-Txn"), Gang: e.day.GangOf(req.Header.Get("X-Lane"))}
 	if n, _ := fmt.Sscanf(req.Header.Get("X-Gang-Part"), "%d/%d", &p.Rank, &p.Parts); n != 2 || p.Gang == nil || p.Rank < 0 || p.Rank >= p.Parts {
 		return nil
@@ -28,11 +28,11 @@
 }
 
 // step ends the parts whose gangs have ended, and sets the timer of the next; the lock is held.
-func (e *Emulator) step() {
-	if e.stepping || e.closed {
+func (e *Emulator) stepGangs() {
+	if e.steppingGangs || e.closed {
 		return // a part that ends is told below
 	}
-	e.stepping = true
+	e.steppingGangs = true
 	for {
 		ends := e.fabric.Advance(e.now())
 		if len(ends) == 0 {
@@ -40,13 +40,13 @@
 		}
 		for _, x := range ends {
 			for _, h := range e.hosts {
-				if h.m == x.Host {
-					h.tell(h.m.Finish(e.now(), x.Attempt, x.OK))
+				if h.model == x.Host {
+					h.deliverNotes(h.model.Finish(e.now(), x.Attempt, x.OK))
 				}
 			}
 		}
 	}
-	e.stepping = false
+	e.steppingGangs = false
 	if e.gangTimer != nil {
 		e.gangTimer.Stop()
 	}
@@ -58,10 +58,10 @@
 		fired := e.now()
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if now := e.now(); now-next > latestStep.Microseconds() {
+		if now := e.now(); now-next > maxStepDelay.Microseconds() {
 			slog.Warn("gangs are looked at late", "timer_late_us", fired-next, "lock_waited_us", now-fired)
 		}
-		e.step()
+		e.stepGangs()
 	})
 }
 
--- a/internal/lab/emulate/hosts.go
+++ b/internal/lab/emulate/hosts.go
@@ -19,7 +19,7 @@
 
 // loopback listens on every address of 127.0.0.0/8 at once, and on no other interface: the address that a dispatcher was
 // told tells who calls.
-var loopback = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+var loopbackListenConfig = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var err error
 	if cerr := c.Control(func(fd uintptr) {
 		err = syscall.SetsockoptString(int(fd), syscall.SOL_SOCKET, syscall.SO_BINDTODEVICE, "lo")
@@ -32,85 +32,85 @@
 // addr is where a dispatcher finds the host.
 func (h *host) addr(dispatcher int) string {
 	n := dispatcher + 1
-	return fmt.Sprintf("127.1.%d.%d:%d", n>>8, n&0xff, h.tcp)
+	return fmt.Sprintf("127.1.%d.%d:%d", n>>8, n&0xff, h.tcpPort)
 }
 
 // caller is the dispatcher that was told an address, nil where none was.
-func (h *host) caller(a net.Addr) *port {
+func (h *host) callerEndpoint(a net.Addr) *endpoint {
 	t, ok := a.(*net.TCPAddr)
 	if !ok {
 		return nil
 	}
 	ip := t.IP.To4()
 	n := int(ip[2])<<8 + int(ip[3]) - 1
-	if ip[1] != 1 || n < 0 || n >= len(h.ports) {
+	if ip[1] != 1 || n < 0 || n >= len(h.endpoints) {
 		return nil
 	}
-	return h.ports[n]
+	return h.endpoints[n]
 }
 
 // open listens, at the port of before where there was one: discovery's list names it.
-func (h *host) open() error {
+func (h *host) startListening() error {
 	h.release()
-	ln, err := loopback.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", h.tcp))
+	ln, err := loopbackListenConfig.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", h.tcpPort))
 	if err != nil {
-		return fmt.Errorf("host %s: %w", h.m.Name, err)
+		return fmt.Errorf("host %s: %w", h.model.Name, err)
 	}
-	h.ln, h.tcp = ln, ln.Addr().(*net.TCPAddr).Port
+	h.ln, h.tcpPort = ln, ln.Addr().(*net.TCPAddr).Port
 	h.e.wait.Go(func() { h.accept(ln) })
 	return nil
 }
 
-func (h *host) shut() {
+func (h *host) stopListening() {
 	if h.ln == nil {
 		return
 	}
 	h.ln.Close()
 	h.ln = nil
 	// Calls are refused, and no other program is given the port meanwhile.
-	h.hold, _ = hold.Take(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(h.tcp)))
+	h.heldPort, _ = hold.Take(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(h.tcpPort)))
 }
 
 // release gives the port back to its host.
 func (h *host) release() {
-	h.hold.Release()
-	h.hold = nil
+	h.heldPort.Release()
+	h.heldPort = nil
 }
 
 // look has the figures of the fleet's use take note of it; the lock is held.
-func (h *host) look(now int64) {
-	h.e.watch.Look(now, h.number, h.m, h.up && !h.vanish && !h.refuses)
+func (h *host) recordUsage(now int64) {
+	h.e.usage.Look(now, h.number, h.model, h.up && !h.vanished && !h.refusing)
 }
 
 // listen opens or shuts a host's address as its state asks.
-func (h *host) listen() {
-	switch want := h.up && !h.refuses; {
+func (h *host) updateListener() {
+	switch want := h.up && !h.refusing; {
 	case want && h.ln == nil:
-		if err := h.open(); err != nil {
+		if err := h.startListening(); err != nil {
 			if errors.Is(err, syscall.EADDRINUSE) {
 				// Another program was given the port meanwhile; it may let go of it.
 				h.e.timers = append(h.e.timers, time.AfterFunc(100*time.Millisecond, func() {
 					h.e.mu.Lock()
 					defer h.e.mu.Unlock()
 					if !h.e.closed {
-						h.listen()
+						h.updateListener()
 					}
 				}))
 			}
 			slog.Warn("a host can't listen again", "err", err)
 		}
 	case !want:
-		h.shut()
+		h.stopListening()
 	}
-	h.mute()
-	h.look(h.e.now())
+	h.updateMuted()
+	h.recordUsage(h.e.now())
 }
 
 // mute finds which ports say nothing. What was open under the silence is reset once it is over.
-func (h *host) mute() {
-	for _, p := range h.ports {
+func (h *host) updateMuted() {
+	for _, p := range h.endpoints {
 		zone := h.e.day.ZoneOf(p.dispatcher)
-		muted := h.vanish || h.e.parted[[2]int{min(zone, h.m.Zone), max(zone, h.m.Zone)}]
+		muted := h.vanished || h.e.partitionedZones[[2]int{min(zone, h.model.Zone), max(zone, h.model.Zone)}]
 		if p.muted && !muted {
 			p.link.Reset()
 		}
@@ -131,26 +131,26 @@
 
 // crash ends a host's process.
 func (h *host) crash(now int64) {
-	h.m.Crash(now)
-	h.fell(now)
+	h.model.Crash(now)
+	h.processGone(now)
 }
 
 // fell cleans up after a process that is gone.
-func (h *host) fell(now int64) {
+func (h *host) processGone(now int64) {
 	h.up = false
 	for id, s := range h.streams {
 		h.e.log.Finish(now, s.name, s.handle, audit.Lost, "")
 		delete(h.streams, id)
 	}
-	h.shut()
-	for _, p := range h.ports {
+	h.stopListening()
+	for _, p := range h.endpoints {
 		p.link.Reset()
 	}
 	if h.timer != nil {
 		h.timer.Stop()
 	}
-	h.look(now)
-	h.e.step()
+	h.recordUsage(now)
+	h.e.stepGangs()
 }
 
 func (h *host) accept(ln net.Listener) {
@@ -164,15 +164,15 @@
 			time.Sleep(10 * time.Millisecond) // out of descriptors; those that are open must go on
 			continue
 		}
-		p := h.caller(c.LocalAddr())
+		p := h.callerEndpoint(c.LocalAddr())
 		e.mu.Lock()
 		if e.closed || h.ln != ln || p == nil {
 			e.mu.Unlock()
 			reset(c)
 			continue
 		}
-		s := &server{p: p}
-		s.c = p.link.Wrap(c, s.gone)
+		s := &serverConn{p: p}
+		s.c = p.link.Wrap(c, s.peerClosed)
 		e.conns[s.c] = struct{}{}
 		e.wait.Go(s.serve)
 		e.mu.Unlock()
@@ -180,11 +180,11 @@
 }
 
 // arm sets the timer of what a host does next.
-func (h *host) arm() {
+func (h *host) armTimer() {
 	if h.timer != nil {
 		h.timer.Stop()
 	}
-	next := h.m.Next()
+	next := h.model.Next()
 	if next == model.Never {
 		return
 	}
@@ -192,19 +192,19 @@
 		h.e.mu.Lock()
 		defer h.e.mu.Unlock()
 		if !h.e.closed {
-			h.tell(h.m.Advance(h.e.now()))
+			h.deliverNotes(h.model.Advance(h.e.now()))
 		}
 	})
 }
 
 // tell hands a host's notes to those who wait for them; the lock is held.
-func (h *host) tell(notes []model.Note) {
+func (h *host) deliverNotes(notes []model.Note) {
 	for _, n := range notes {
 		if s := h.streams[n.Attempt]; s != nil {
-			s.tell(n)
+			s.sendNote(n)
 		}
 	}
-	h.look(h.e.now())
-	h.arm()
-	h.e.step()
+	h.recordUsage(h.e.now())
+	h.armTimer()
+	h.e.stepGangs()
 }
--- a/internal/lab/emulate/serve.go
+++ b/internal/lab/emulate/serve.go
@@ -18,29 +18,29 @@
 
 // Limits of an emulated host's connections.
 const (
-	hostIdle  = 30 * time.Second // a connection that stood idle for so long is closed
-	readLimit = 10 * time.Second // a request that has begun must be whole by then
-	bodyMost  = 64 << 10
-	linesMost = 256 // lines of one answer that wait for the writer
+	idleTimeout    = 30 * time.Second // a connection that stood idle for so long is closed
+	readTimeout    = 10 * time.Second // a request that has begun must be whole by then
+	maxBody        = 64 << 10
+	maxQueuedParts = 256 // lines of one answer that wait for the writer
 )
 
 // stream is the answer to one attempt.
 type stream struct {
-	h       *host
-	p       *port
-	name    string // X-Txn
-	handle  int    // in the audit
-	attempt uint64
-	out     chan line
-	headed  bool
-	done    chan struct{} // closed once the answer is written
+	h        *host
+	p        *endpoint
+	name     string // X-Txn
+	handle   int    // in the audit
+	attempt  uint64
+	out      chan responsePart
+	headSent bool
+	done     chan struct{} // closed once the answer is written
 }
 
 // line is a piece of an answer and when it is to leave.
-type line struct {
-	at   time.Time
-	text []byte
-	last bool
+type responsePart struct {
+	sendAt time.Time
+	text   []byte
+	last   bool
 }
 
 // Work is what a job's body tells a host of it. The laboratory's clients write it.
@@ -74,15 +74,15 @@
 }
 
 // server is one connection that a dispatcher has opened to a host.
-type server struct {
-	p       *port
+type serverConn struct {
+	p       *endpoint
 	c       *link.Conn
 	current *stream // the answer under way; guarded by the emulator's lock
 }
 
 // gone books that the dispatcher's end is over. By the rules an attempt is out no more then, though over a link that is cut
 // the host hears of it later and works on meanwhile.
-func (v *server) gone() {
+func (v *serverConn) peerClosed() {
 	e := v.p.h.e
 	now := e.now() // before the wait for the lock, which is long on a busy machine
 	e.mu.Lock()
@@ -93,7 +93,7 @@
 }
 
 // serve answers the requests of one connection, one after another, until it ends.
-func (v *server) serve() {
+func (v *serverConn) serve() {
 	p, c := v.p, v.c
 	e, h := p.h.e, p.h
 	var current *stream
@@ -104,13 +104,13 @@
 		gone := c.Gone()
 		c.Close()
 		if current != nil {
-			p.closed(current, gone)
+			p.connectionClosed(current, gone)
 		}
 	}()
 	r := bufio.NewReader(c)
 	for {
 		if current == nil {
-			c.SetReadDeadline(time.Now().Add(hostIdle))
+			c.SetReadDeadline(time.Now().Add(idleTimeout))
 		} else {
 			c.SetReadDeadline(time.Time{}) // while a job runs only the dispatcher's end is awaited
 		}
@@ -122,13 +122,13 @@
 			current = nil
 		}
 		first := c.Sent().Sub(e.start).Microseconds()
-		c.SetReadDeadline(time.Now().Add(readLimit))
+		c.SetReadDeadline(time.Now().Add(readTimeout))
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(req.Body, bodyMost+1))
-		if err != nil || len(body) > bodyMost {
+		body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
+		if err != nil || len(body) > maxBody {
 			return
 		}
 		name := req.Header.Get("X-Txn")
@@ -138,8 +138,8 @@
 			}
 			continue
 		}
-		s := &stream{h: h, p: p, name: name, out: make(chan line, linesMost), done: make(chan struct{})}
-		if !v.take(s, first, req, body) {
+		s := &stream{h: h, p: p, name: name, out: make(chan responsePart, maxQueuedParts), done: make(chan struct{})}
+		if !v.acceptAttempt(s, first, req, body) {
 			return
 		}
 		current = s
@@ -147,24 +147,24 @@
 }
 
 // take books an attempt and offers it to the host once it has come there; false where the connection is reset instead.
-func (v *server) take(s *stream, first int64, req *http.Request, body []byte) bool {
+func (v *serverConn) acceptAttempt(s *stream, first int64, req *http.Request, body []byte) bool {
 	p, c := v.p, v.c
 	e, h := p.h.e, p.h
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	// What was long on its way counts from when it was sent.
-	part := e.part(req, now)
+	part := e.parsePart(req, now)
 	if part != nil {
-		s.handle = e.log.CamePart(first, c.Sent().Sub(e.start).Microseconds(), s.name, h.m.Name, h.m.Cell, p.dispatcher, part.Rank, part.Parts)
+		s.handle = e.log.CamePart(first, c.Sent().Sub(e.start).Microseconds(), s.name, h.model.Name, h.model.Cell, p.dispatcher, part.Rank, part.Parts)
 	} else {
-		s.handle = e.log.Came(first, c.Sent().Sub(e.start).Microseconds(), s.name, h.m.Name, h.m.Cell, p.dispatcher)
+		s.handle = e.log.Came(first, c.Sent().Sub(e.start).Microseconds(), s.name, h.model.Name, h.model.Cell, p.dispatcher)
 	}
 	v.current = s
 	if gone := c.Gone(); !gone.IsZero() {
 		e.log.Finish(gone.Sub(e.start).Microseconds(), s.name, s.handle, audit.Closed, "")
 	}
-	if h.resets || e.closed {
+	if h.resetting || e.closed {
 		e.log.Finish(now, s.name, s.handle, audit.Lost, "")
 		reset(c)
 		return false
@@ -180,13 +180,13 @@
 		if h.streams[s.attempt] != s || e.closed {
 			return // the dispatcher has given it up on the way
 		}
-		e.watch.Came(e.now(), h.number, h.m, p.dispatcher)
-		h.tell(h.m.Offer(e.now(), job))
-		if h.m.Down() && h.up {
-			e.log.Fell(e.now(), h.m.Name)
-			e.dir.Change(e.now(), e.day.Discovery.Lag.Hi.Microseconds(), e.day.Member(h.number, model.Gone, h.m.UpSince()))
-			e.rearm()
-			h.fell(e.now())
+		e.usage.Came(e.now(), h.number, h.model, p.dispatcher)
+		h.deliverNotes(h.model.Offer(e.now(), job))
+		if h.model.Down() && h.up {
+			e.log.Fell(e.now(), h.model.Name)
+			e.directory.Change(e.now(), e.day.Discovery.Lag.Hi.Microseconds(), e.day.Member(h.number, model.Gone, h.model.UpSince()))
+			e.armDirectoryTimer()
+			h.processGone(e.now())
 		}
 	}
 	if p.delay == 0 {
@@ -202,7 +202,7 @@
 }
 
 // closed ends an attempt whose connection is over, since a time if the dispatcher's end is; the lock is held.
-func (p *port) closed(s *stream, gone time.Time) {
+func (p *endpoint) connectionClosed(s *stream, gone time.Time) {
 	e, h := p.h.e, p.h
 	now := e.now()
 	if !gone.IsZero() {
@@ -215,16 +215,16 @@
 		return
 	}
 	delete(h.streams, s.attempt)
-	if !h.m.Down() {
-		h.tell(h.m.Cancel(e.now(), s.attempt))
+	if !h.model.Down() {
+		h.deliverNotes(h.model.Cancel(e.now(), s.attempt))
 	}
 }
 
 // tell turns a note into what the platform's protocol says of it; the lock is held.
-func (s *stream) tell(n model.Note) {
+func (s *stream) sendNote(n model.Note) {
 	h := s.h
 	state := func(name, more string) {
-		s.put(fmt.Appendf(nil, `{"id":%q,"from":%q,"state":%q%s}`+"\n", s.name, h.m.Name, name, more), false)
+		s.queueChunk(fmt.Appendf(nil, `{"id":%q,"from":%q,"state":%q%s}`+"\n", s.name, h.model.Name, name, more), false)
 	}
 	end := func(e audit.End, answer string) {
 		h.e.log.Finish(n.At, s.name, s.handle, e, answer)
@@ -232,35 +232,35 @@
 	}
 	switch n.Kind {
 	case model.Taken:
-		s.put(nil, false)
+		s.queueChunk(nil, false)
 	case model.Started:
 		state("started", "")
 	case model.Running:
 		state("running", `,"share":`+strconv.FormatFloat(n.Share, 'f', 4, 64))
 	case model.Done, model.Repeat:
-		answer := Answer(s.name, h.m.Name)
+		answer := Answer(s.name, h.model.Name)
 		end(audit.Done, answer)
 		state("done", fmt.Sprintf(`,"result":%q`, answer))
-		s.put(nil, true)
+		s.queueChunk(nil, true)
 	case model.Full:
 		end(audit.Unstarted, "")
-		s.raw("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
+		s.queueRaw("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 	case model.Failed:
 		end(audit.Failed, "")
-		if s.headed {
+		if s.headSent {
 			state("failed", "")
-			s.put(nil, true)
+			s.queueChunk(nil, true)
 		} else {
-			s.raw("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+			s.queueRaw("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		}
 	case model.Returned:
 		end(audit.Unstarted, "")
 		state("returned", "")
-		s.put(nil, true)
+		s.queueChunk(nil, true)
 	case model.Lost:
 		end(audit.Lost, "")
 		state("lost", "")
-		s.put(nil, true)
+		s.queueChunk(nil, true)
 	}
 }
 
@@ -268,10 +268,10 @@
 func Answer(name, host string) string { return name + " done by " + host }
 
 // put queues a chunk, after the head where none was sent.
-func (s *stream) put(text []byte, last bool) {
+func (s *stream) queueChunk(text []byte, last bool) {
 	var b []byte
-	if !s.headed {
-		s.headed = true
+	if !s.headSent {
+		s.headSent = true
 		b = append(b, "HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nTransfer-Encoding: chunked\r\n\r\n"...)
 	}
 	if len(text) > 0 {
@@ -283,8 +283,8 @@
 	s.queue(b, last)
 }
 
-func (s *stream) raw(text string) {
-	s.headed = true
+func (s *stream) queueRaw(text string) {
+	s.headSent = true
 	s.queue([]byte(text), true)
 }
 
@@ -293,19 +293,19 @@
 		return
 	}
 	select {
-	case s.out <- line{time.Now().Add(s.p.delay), b, last}:
+	case s.out <- responsePart{time.Now().Add(s.p.delay), b, last}:
 	default: // the dispatcher reads nothing, and its time-out will tell it so
 	}
 }
 
 // write sends an answer, each piece after its time on the way.
-func (s *stream) write(c net.Conn, out <-chan line) {
+func (s *stream) write(c net.Conn, out <-chan responsePart) {
 	defer close(s.done)
 	for l := range out {
-		if wait := time.Until(l.at); wait > 0 {
+		if wait := time.Until(l.sendAt); wait > 0 {
 			time.Sleep(wait)
 		}
-		c.SetWriteDeadline(time.Now().Add(readLimit))
+		c.SetWriteDeadline(time.Now().Add(readTimeout))
 		if _, err := c.Write(l.text); err != nil {
 			c.Close()
 		}
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -75,7 +75,7 @@
 		r.Variants = append(r.Variants, v.Name)
 	}
 	if spec.Sweep != nil {
-		return r, r.sweep(ctx, spec, variants, s, label)
+		return r, r.runSweep(ctx, spec, variants, s, label)
 	}
 	pairs := spec.Pairs
 	if len(variants) == 1 {
@@ -108,7 +108,7 @@
 }
 
 // sweep plays each size once a variant.
-func (r *Results) sweep(ctx context.Context, spec *world.Spec, variants []world.Variant, s Setup, label func(string)) error {
+func (r *Results) runSweep(ctx context.Context, spec *world.Spec, variants []world.Variant, s Setup, label func(string)) error {
 	if !spec.Virtual {
 		return fmt.Errorf("%s: a sweep plays in virtual time alone", spec.Where)
 	}
@@ -160,28 +160,28 @@
 }
 
 // figure is something that is compared.
-type figure struct {
+type metric struct {
 	name  string
 	ratio bool
 	of    func(*Outcome) float64
 }
 
 // byClass gives the service and the median latency of each class that plays have.
-func byClass(plays []*Outcome) []figure {
-	var out []figure
+func classMetrics(plays []*Outcome) []metric {
+	var out []metric
 	if len(plays) == 0 {
 		return nil
 	}
 	for i, r := range plays[0].Rows[:len(plays[0].Rows)-1] {
-		out = append(out, figure{"service of " + r.Class, false, func(o *Outcome) float64 { return o.Rows[i].Service }},
-			figure{"p50 of " + r.Class, true, func(o *Outcome) float64 { return o.Rows[i].P50.Seconds() }})
+		out = append(out, metric{"service of " + r.Class, false, func(o *Outcome) float64 { return o.Rows[i].Service }},
+			metric{"p50 of " + r.Class, true, func(o *Outcome) float64 { return o.Rows[i].P50.Seconds() }})
 	}
 	return out
 }
 
 // figures are what is compared: shares by their differences, times and costs by their ratios, whose logarithms are
 // closer to a normal distribution.
-var figures = []figure{
+var metrics = []metric{
 	{"service", false, func(o *Outcome) float64 { return o.Service }},
 	{"service of the worst class", false, func(o *Outcome) float64 {
 		worst := 1.0
@@ -195,17 +195,17 @@
 	{"p50", true, func(o *Outcome) float64 { return o.Rows[len(o.Rows)-1].P50.Seconds() }},
 	{"p99", true, func(o *Outcome) float64 { return o.Rows[len(o.Rows)-1].P99.Seconds() }},
 	{"dispatcher CPU a message", true, func(o *Outcome) float64 { return o.Decision }},
-	{"idle while work waits", false, func(o *Outcome) float64 { return o.spread().Idle }},
-	{"attempts in herds", false, func(o *Outcome) float64 { return o.spread().Herded }},
+	{"idle while work waits", false, func(o *Outcome) float64 { return o.spreadReport().Idle }},
+	{"attempts in herds", false, func(o *Outcome) float64 { return o.spreadReport().Herded }},
 	{"attempts a try", true, func(o *Outcome) float64 {
 		tries := float64(o.Rows[len(o.Rows)-1].Tries)
-		return float64(o.spread().Counts.Offered) / max(tries, 1)
+		return float64(o.spreadReport().Counts.Offered) / max(tries, 1)
 	}},
-	{"fetched of begun", false, func(o *Outcome) float64 { return o.spread().FetchShare }},
+	{"fetched of begun", false, func(o *Outcome) float64 { return o.spreadReport().FetchShare }},
 }
 
 // spread gives the use of the hosts, nothing where it was not watched.
-func (o *Outcome) spread() *spread.Report {
+func (o *Outcome) spreadReport() *spread.Report {
 	if o.Spread == nil {
 		return &spread.Report{}
 	}
@@ -226,7 +226,7 @@
 	}
 	first := r.Variants[0]
 	for _, v := range r.Variants[1:] {
-		for _, f := range append(byClass(r.Plays), figures...) {
+		for _, f := range append(classMetrics(r.Plays), metrics...) {
 			var a, b []float64
 			seeds := make([]uint64, 0, len(bySeed[first]))
 			for seed := range bySeed[first] {
@@ -240,7 +240,7 @@
 			}
 			if c, ok := Compare(a, b, f.ratio); ok {
 				c.Figure, c.Variant, c.Against = f.name, v, first
-				c.judge(r.Margin)
+				c.setVerdict(r.Margin)
 				r.Comparisons = append(r.Comparisons, c)
 			}
 		}
@@ -328,7 +328,7 @@
 }
 
 // judge says in plain words what an interval tells. A margin is for service alone.
-func (c *Comparison) judge(margin float64) {
+func (c *Comparison) setVerdict(margin float64) {
 	within := margin > 0 && !c.Ratio && c.Lo >= -margin && c.Hi <= margin
 	switch {
 	case within:
--- a/internal/lab/experiment/compare_test.go
+++ b/internal/lab/experiment/compare_test.go
@@ -48,7 +48,7 @@
 				a, b = append(a, day+0.1*rng.NormFloat64()), append(b, day+0.1*rng.NormFloat64()+shift)
 			}
 			c, _ := Compare(a, b, false)
-			if c.judge(0); !strings.Contains(c.Verdict, "noise") {
+			if c.setVerdict(0); !strings.Contains(c.Verdict, "noise") {
 				n++
 			}
 		}
@@ -64,10 +64,10 @@
 
 func TestMargin(t *testing.T) {
 	c := Comparison{Mean: 0.002, Lo: -0.004, Hi: 0.008}
-	if c.judge(0.01); c.Verdict != "the same within 1 points" {
+	if c.setVerdict(0.01); c.Verdict != "the same within 1 points" {
 		t.Error(c.Verdict)
 	}
-	if c.judge(0.005); c.Verdict != "can't be told from noise" {
+	if c.setVerdict(0.005); c.Verdict != "can't be told from noise" {
 		t.Error(c.Verdict)
 	}
 }
--- a/internal/lab/experiment/peers.go
+++ b/internal/lab/experiment/peers.go
@@ -19,52 +19,52 @@
 )
 
 // disturbs says whether a day has operations of a kind.
-func (t *theatre) disturbs(kind world.OpKind) bool {
+func (t *cluster) hasOp(kind world.OpKind) bool {
 	return slices.ContainsFunc(t.day.Ops, func(o world.Op) bool { return o.Kind == kind })
 }
 
-func (t *theatre) disturbsClients() bool { return t.disturbs(world.OpClients) }
+func (t *cluster) hasClientFaults() bool { return t.hasOp(world.OpClients) }
 
 // connect stands the mesh between the dispatchers, where their settings tell others the mesh's address of them.
-func (t *theatre) connect() (err error) {
-	own := cmp.Or(t.v.Own, t.day.Own)
+func (t *cluster) openMesh() (err error) {
+	own := cmp.Or(t.variant.Own, t.day.Own)
 	switch shares := strings.Contains(own, "{gossip}"); {
 	case strings.Contains(own, "{told}"):
-		t.mesh, err = mesh.Open(t.gossip, t.seed)
-	case shares && t.disturbs(world.OpPeers):
-		err = fmt.Errorf("variant %s: the links between dispatchers fail in this day, but its settings do not have them go over the rig's: they want (advertise \"{told}\")", t.v.Name)
+		t.mesh, err = mesh.Open(t.gossipAddrs, t.seed)
+	case shares && t.hasOp(world.OpPeers):
+		err = fmt.Errorf("variant %s: the links between dispatchers fail in this day, but its settings do not have them go over the rig's: they want (advertise \"{told}\")", t.variant.Name)
 	}
 	return err
 }
 
 // gate stands between the clients and a dispatcher, and says where it is.
-func (t *theatre) gate(i int) (string, error) {
+func (t *cluster) openClientGate(i int) (string, error) {
 	path := &link.Link{}
 	g, err := mesh.OpenGate("127.0.0.1:0", t.addrs[i], path)
 	if err != nil {
 		return "", fmt.Errorf("clients of dispatcher %d: %w", i, err)
 	}
-	t.fronts, t.paths = append(t.fronts, g), append(t.paths, path)
+	t.clientGates, t.clientLinks = append(t.clientGates, g), append(t.clientLinks, path)
 	return g.Addr(), nil
 }
 
 // part has links of dispatchers with each other, or with clients, suffer what an operation says. Towards the dispatchers
 // named is what clients send to them; between dispatchers, to is what the others say to those named.
-func (t *theatre) part(op world.Op) {
+func (t *cluster) applyLinkFaults(op world.Op) {
 	f := emulate.FaultsOf(op)
 	if op.Kind == world.OpClients {
 		now := time.Since(t.fleet.Start()).Microseconds()
 		for _, d := range op.Dispatchers {
 			t.mu.Lock()
-			if from, suffers := t.parted[d]; suffers {
+			if from, suffers := t.partitionedSince[d]; suffers {
 				t.log.Killed(d, from, now) // what a client lost on its way is not held against the dispatcher
-				delete(t.parted, d)
+				delete(t.partitionedSince, d)
 			}
 			if op.On {
-				t.parted[d] = now
+				t.partitionedSince[d] = now
 			}
 			t.mu.Unlock()
-			t.paths[d].Suffer(f)
+			t.clientLinks[d].Suffer(f)
 		}
 		return
 	}
@@ -82,9 +82,9 @@
 }
 
 // look asks all doors at once.
-func (t *theatre) look(op world.Op) {
-	t.looking.Add(1)
-	defer t.looking.Done()
+func (t *cluster) takeSnapshot(op world.Op) {
+	t.pendingSnapshots.Add(1)
+	defer t.pendingSnapshots.Done()
 	l := Look{At: op.At.Seconds(), Figures: make([]map[string]float64, t.day.Dispatchers)}
 	t.mu.Lock()
 	var wait sync.WaitGroup
@@ -106,20 +106,20 @@
 	wait.Wait()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.looks = append(t.looks, l)
+	t.snapshots = append(t.snapshots, l)
 }
 
 // looked gives what the doors have told, by time.
-func (t *theatre) looked() []Look {
-	t.looking.Wait()
+func (t *cluster) sortedSnapshots() []Look {
+	t.pendingSnapshots.Wait()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	slices.SortFunc(t.looks, func(a, b Look) int { return cmp.Compare(a.At, b.At) })
-	return t.looks
+	slices.SortFunc(t.snapshots, func(a, b Look) int { return cmp.Compare(a.At, b.At) })
+	return t.snapshots
 }
 
 // talk tells what went over the mesh since the start.
-func (t *theatre) talk(since time.Duration) *Talk {
+func (t *cluster) meshTraffic(since time.Duration) *Talk {
 	if t.mesh == nil {
 		return nil
 	}
@@ -135,48 +135,48 @@
 }
 
 // seedsMost is how many members of a fleet the others are told to join.
-const seedsMost = 3
+const maxGossipSeeds = 3
 
 // places holds an address for each dispatcher's door, and one for its part in a fleet: a loopback address of its own, with a
 // port that is free there for datagrams and connections. They are held to the end of the play, as a dispatcher that is
 // started anew wants them again. The addresses of fleets are this process's own as well: datagrams can't be held.
-func (t *theatre) places(n int) error {
+func (t *cluster) reserveAddresses(n int) error {
 	net8 := 2 + 2*(os.Getpid()%120) // the next one is that of the mesh's seats
 	for i := range n {
 		door, err := hold.Take(netip.MustParseAddrPort("127.0.0.1:0"))
 		if err != nil {
 			return fmt.Errorf("dispatcher %d: %w", i, err)
 		}
-		t.held, t.doors = append(t.held, door), append(t.doors, door.Addr().String())
+		t.heldPorts, t.clientAddrs = append(t.heldPorts, door), append(t.clientAddrs, door.Addr().String())
 		part, err := hold.Both(netip.AddrFrom4([4]byte{127, byte(net8), byte((i + 1) >> 8), byte(i + 1)}))
 		if err != nil {
 			return fmt.Errorf("gossip of dispatcher %d: %w", i, err)
 		}
-		t.held, t.gossip = append(t.held, part), append(t.gossip, part.Addr().String())
+		t.heldPorts, t.gossipAddrs = append(t.heldPorts, part), append(t.gossipAddrs, part.Addr().String())
 	}
 	return nil
 }
 
 // own gives a dispatcher's own settings, which name its files by play and number, and its place in a fleet.
-func (t *theatre) own(i int) string {
-	text := cmp.Or(t.v.Own, t.day.Own)
+func (t *cluster) settingsFor(i int) string {
+	text := cmp.Or(t.variant.Own, t.day.Own)
 	url := ""
 	if t.store != nil {
 		url = t.store.URL()
 	}
 	if strings.Contains(text, "{gossip}") {
-		seeds := make([]string, min(len(t.gossip), seedsMost))
+		seeds := make([]string, min(len(t.gossipAddrs), maxGossipSeeds))
 		for k := range seeds {
-			seeds[k] = strconv.Quote(t.gossip[k])
+			seeds[k] = strconv.Quote(t.gossipAddrs[k])
 			if t.mesh != nil {
 				seeds[k] = strconv.Quote(t.mesh.Addr(k))
 			}
 		}
-		told := t.gossip[i]
+		told := t.gossipAddrs[i]
 		if t.mesh != nil {
 			told = t.mesh.Addr(i)
 		}
-		text = strings.NewReplacer("{gossip}", t.gossip[i], "{told}", told, "{seeds}", strings.Join(seeds, " ")).Replace(text)
+		text = strings.NewReplacer("{gossip}", t.gossipAddrs[i], "{told}", told, "{seeds}", strings.Join(seeds, " ")).Replace(text)
 	}
-	return strings.NewReplacer("{dir}", t.s.Dir, "{postgres}", url, "{name}", fmt.Sprintf("%s-%d-n%d", t.v.Name, t.seed, i)).Replace(text)
+	return strings.NewReplacer("{dir}", t.setup.Dir, "{postgres}", url, "{name}", fmt.Sprintf("%s-%d-n%d", t.variant.Name, t.seed, i)).Replace(text)
 }
--- a/internal/lab/experiment/play.go
+++ b/internal/lab/experiment/play.go
@@ -96,9 +96,9 @@
 		return nil, err
 	}
 	defer fleet.Close()
-	theatre := &theatre{day: day, fleet: fleet, log: log, v: v, seed: seed, s: s,
-		running: map[int]*stage.Dispatcher{}, addrs: map[int]string{}, dead: map[int]int64{}, paused: map[int]int64{}, parted: map[int]int64{}, turn: make([]sync.Mutex, day.Dispatchers)}
-	defer theatre.end()
+	theatre := &cluster{day: day, fleet: fleet, log: log, variant: v, seed: seed, setup: s,
+		running: map[int]*stage.Dispatcher{}, addrs: map[int]string{}, deadSince: map[int]int64{}, pausedSince: map[int]int64{}, partitionedSince: map[int]int64{}, opLocks: make([]sync.Mutex, day.Dispatchers)}
+	defer theatre.stop()
 	if day.Postgres {
 		if theatre.store, err = pgstandin.Start(filepath.Join(s.Dir, fmt.Sprintf("pg-%s-%d.db", v.Name, seed))); err != nil {
 			return nil, err
@@ -106,10 +106,10 @@
 		defer theatre.store.Close()
 	}
 	var targets []load.Target
-	if err := theatre.places(day.Dispatchers); err != nil {
+	if err := theatre.reserveAddresses(day.Dispatchers); err != nil {
 		return nil, err
 	}
-	if err := theatre.connect(); err != nil {
+	if err := theatre.openMesh(); err != nil {
 		return nil, err
 	}
 	up := time.Now()
@@ -118,15 +118,15 @@
 	}
 	for i := range day.Dispatchers {
 		target := load.Target{Addr: theatre.addrs[i], Zone: day.ZoneOf(i)}
-		if theatre.disturbsClients() {
-			if target.Addr, err = theatre.gate(i); err != nil {
+		if theatre.hasClientFaults() {
+			if target.Addr, err = theatre.openClientGate(i); err != nil {
 				return nil, err
 			}
 		}
 		targets = append(targets, target)
 	}
 	begin := time.Now().Add(100 * time.Millisecond)
-	fleet.Play(ctx, begin, theatre.operate)
+	fleet.Play(ctx, begin, theatre.applyOp)
 	began := time.Now()
 	res, err := load.Run(ctx, load.Options{
 		Day: day, Targets: targets, Seed: seed, Begin: begin, Log: log, LogZero: fleet.Start(), Prefix: fmt.Sprintf("%04x", seed&0xffff),
@@ -142,11 +142,11 @@
 	o := newOutcome(spec, v, seed, day, res.Recorder)
 	o.Cut, o.Verdict, o.Resent, o.Wall = res.Cut, res.Verdict, res.Resent, time.Since(began).Seconds()
 	o.Length = o.Wall
-	o.Looks, o.Talk = theatre.looked(), theatre.talk(time.Since(up))
-	if o.Figures, err = theatre.figures(); err != nil {
+	o.Looks, o.Talk = theatre.sortedSnapshots(), theatre.meshTraffic(time.Since(up))
+	if o.Figures, err = theatre.sumMetrics(); err != nil {
 		o.Notes = append(o.Notes, err.Error())
 	}
-	if err := theatre.end(); err != nil {
+	if err := theatre.stop(); err != nil {
 		o.Notes = append(o.Notes, err.Error())
 	}
 	messages := 0
@@ -159,14 +159,14 @@
 	}
 	o.Audit, o.Dead = log.Check(), log.Dead()
 	if day.Records {
-		list, err := theatre.records()
+		list, err := theatre.readRecords()
 		if err != nil {
 			return nil, err
 		}
 		o.Audit.Rules = append(o.Audit.Rules, log.CheckRecords(list), log.CheckHistory(list))
 	}
 	o.Hosts, o.Crowds, o.Spread = log.HostLoads(), log.Crowds(), fleet.Spread()
-	o.Gangs = gangs(day, fleet.Gangs())
+	o.Gangs = gangReport(day, fleet.Gangs())
 	if res.Foreign > 0 {
 		o.Audit.Rules[0].Broken += res.Foreign
 	}
@@ -174,7 +174,7 @@
 }
 
 // auditMost is up to how many jobs a play in virtual time is audited; the records of more would take gigabytes.
-const auditMost = 300_000
+const maxAuditedJobs = 300_000
 
 // PlayVirtual plays a day of a variant in virtual time.
 func PlayVirtual(ctx context.Context, spec *world.Spec, v world.Variant, seed uint64, s Setup) (*Outcome, error) {
@@ -183,7 +183,7 @@
 		return nil, err
 	}
 	opts := virtual.Options{Variant: v, Seed: seed, Measure: s.Measure, Progress: s.Progress}
-	if len(day.Jobs) <= auditMost {
+	if len(day.Jobs) <= maxAuditedJobs {
 		opts.Log = NewLog(day)
 	}
 	began := time.Now()
@@ -197,7 +197,7 @@
 	}
 	o.Virtual, o.Cut, o.Wall, o.Heap = true, res.Cut, time.Since(began).Seconds(), float64(res.Heap)
 	o.Verdict.Valid = true
-	o.Length, o.Spread, o.Gangs = res.Length.Seconds(), res.Spread, gangs(day, res.Gangs)
+	o.Length, o.Spread, o.Gangs = res.Length.Seconds(), res.Spread, gangReport(day, res.Gangs)
 	if v.Share != nil {
 		per := 1 / (o.Length * float64(day.Dispatchers))
 		o.Talk = &Talk{Datagrams: float64(res.Talk.Datagrams) * per, Bytes: float64(res.Talk.Bytes) * per}
@@ -212,7 +212,7 @@
 }
 
 // gangs gives what was seen of gangs where a day has any.
-func gangs(day *world.Day, r *model.GangReport) *model.GangReport {
+func gangReport(day *world.Day, r *model.GangReport) *model.GangReport {
 	for _, c := range day.Classes {
 		if c.Gang != nil {
 			return r
--- a/internal/lab/experiment/theatre.go
+++ b/internal/lab/experiment/theatre.go
@@ -26,64 +26,64 @@
 )
 
 // theatre keeps the dispatchers of a play.
-type theatre struct {
-	day   *world.Day
-	fleet *emulate.Emulator
-	log   *audit.Log
-	v     world.Variant
-	seed  uint64
-	s     Setup
+type cluster struct {
+	day     *world.Day
+	fleet   *emulate.Emulator
+	log     *audit.Log
+	variant world.Variant
+	seed    uint64
+	setup   Setup
 
-	mu      sync.Mutex
-	running map[int]*stage.Dispatcher
-	addrs   map[int]string
-	dead    map[int]int64
-	paused  map[int]int64
-	parted  map[int]int64       // from its clients
-	turn    []sync.Mutex        // by dispatcher
-	leaving []*stage.Dispatcher // told to end; another of the name may run already
-	crashes []error
-	cpu     []float64
-	starts  uint64
-	over    bool
-	doors   []string // where each listens for clients
-	gossip  []string // where each takes part in a fleet
-	held    []*hold.Port
-	mesh    *mesh.Mesh
-	fronts  []*mesh.Gate // of clients, where a day disturbs them
-	paths   []*link.Link // of clients to each dispatcher
-	looks   []Look
-	looking sync.WaitGroup
-	store   *pgstandin.Server
-	storeMu sync.Mutex // guards faults
-	faults  pgstandin.Faults
+	mu               sync.Mutex
+	running          map[int]*stage.Dispatcher
+	addrs            map[int]string
+	deadSince        map[int]int64
+	pausedSince      map[int]int64
+	partitionedSince map[int]int64       // from its clients
+	opLocks          []sync.Mutex        // by dispatcher
+	stopping         []*stage.Dispatcher // told to end; another of the name may run already
+	crashes          []error
+	cpu              []float64
+	startCount       uint64
+	closed           bool
+	clientAddrs      []string // where each listens for clients
+	gossipAddrs      []string // where each takes part in a fleet
+	heldPorts        []*hold.Port
+	mesh             *mesh.Mesh
+	clientGates      []*mesh.Gate // of clients, where a day disturbs them
+	clientLinks      []*link.Link // of clients to each dispatcher
+	snapshots        []Look
+	pendingSnapshots sync.WaitGroup
+	store            *pgstandin.Server
+	storeMu          sync.Mutex // guards faults
+	storeFaults      pgstandin.Faults
 }
 
 // start starts a dispatcher, at the address that is held for it. The lock is not held: others start meanwhile.
-func (t *theatre) start(i int) error {
+func (t *cluster) start(i int) error {
 	t.mu.Lock()
-	t.starts++
-	number, listen := t.starts, t.doors[i]
+	t.startCount++
+	number, listen := t.startCount, t.clientAddrs[i]
 	t.mu.Unlock()
-	config, err := t.day.Config(i, t.seed+1000*number, t.fleet.Place(i, listen), t.v.Set)
+	config, err := t.day.Config(i, t.seed+1000*number, t.fleet.Place(i, listen), t.variant.Set)
 	if err != nil {
 		return err
 	}
 	var args []string
-	if own := t.own(i); own != "" {
+	if own := t.settingsFor(i); own != "" {
 		path := t.settingsPath(i)
 		if err := os.WriteFile(path, []byte(own), 0o600); err != nil {
 			return err
 		}
 		args = []string{"serve", "--log", "text", "--settings", path}
 	}
-	d, err := stage.Start(t.s.Program, t.s.Dir, fmt.Sprintf("%s-%d-n%d-%d", t.v.Name, t.seed, i, number), config, args...)
+	d, err := stage.Start(t.setup.Program, t.setup.Dir, fmt.Sprintf("%s-%d-n%d-%d", t.variant.Name, t.seed, i, number), config, args...)
 	if err != nil {
 		return err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.over {
+	if t.closed {
 		d.Kill()
 		return nil
 	}
@@ -92,12 +92,12 @@
 }
 
 // startMost bounds how many processes start at a time, so that each gets its share of the machine.
-const startMost = 8
+const maxConcurrentStarts = 8
 
 // startAll starts all dispatchers and waits until they are ready.
-func (t *theatre) startAll(ctx context.Context) error {
+func (t *cluster) startAll(ctx context.Context) error {
 	var wait sync.WaitGroup
-	room := make(chan struct{}, startMost)
+	room := make(chan struct{}, maxConcurrentStarts)
 	errs := make([]error, t.day.Dispatchers)
 	for i := range t.day.Dispatchers {
 		room <- struct{}{}
@@ -120,12 +120,12 @@
 	return nil
 }
 
-func (t *theatre) settingsPath(i int) string {
-	return filepath.Join(t.s.Dir, fmt.Sprintf("%s-%d-n%d.sexp", t.v.Name, t.seed, i))
+func (t *cluster) settingsPath(i int) string {
+	return filepath.Join(t.setup.Dir, fmt.Sprintf("%s-%d-n%d.sexp", t.variant.Name, t.seed, i))
 }
 
 // records reads what the dispatchers have recorded, by their own verb.
-func (t *theatre) records() ([]audit.Record, error) {
+func (t *cluster) readRecords() ([]audit.Record, error) {
 	var all []audit.Record
 	if t.store != nil {
 		t.store.Set(pgstandin.Faults{}) // it is read when all is over
@@ -135,7 +135,7 @@
 			break // one database holds the records of all
 		}
 		for _, verb := range []string{"verify", "export"} {
-			out, err := exec.Command(t.s.Program, "records", verb, "--settings", t.settingsPath(i)).Output()
+			out, err := exec.Command(t.setup.Program, "records", verb, "--settings", t.settingsPath(i)).Output()
 			if err != nil {
 				var exit *exec.ExitError
 				if errors.As(err, &exit) {
@@ -159,49 +159,49 @@
 }
 
 // operate carries out what happens to a dispatcher's process, its door or its store.
-func (t *theatre) operate(op world.Op) {
+func (t *cluster) applyOp(op world.Op) {
 	i, now := op.Host, time.Since(t.fleet.Start()).Microseconds()
 	switch op.Kind {
 	case world.OpCordon, world.OpQuiesce:
-		t.call(op)
+		t.adminCall(op)
 		return
 	case world.OpStoreSilent, world.OpStoreSlow, world.OpStoreResets:
-		t.disturb(op)
+		t.applyStoreFault(op)
 		return
 	case world.OpPeers, world.OpClients:
-		t.part(op)
+		t.applyLinkFaults(op)
 		return
 	case world.OpLook:
-		t.look(op)
+		t.takeSnapshot(op)
 		return
 	}
 	// What happens to one dispatcher happens in its order: a kill waits until a start is over, and no start is made twice.
-	t.turn[i].Lock()
-	defer t.turn[i].Unlock()
+	t.opLocks[i].Lock()
+	defer t.opLocks[i].Unlock()
 	if op.Kind == world.OpRevive {
-		t.revive(i)
+		t.restartDispatcher(i)
 		return
 	}
 	now = time.Since(t.fleet.Start()).Microseconds()
 	t.mu.Lock()
 	d := t.running[i]
-	if t.over || d == nil {
+	if t.closed || d == nil {
 		t.mu.Unlock()
 		return
 	}
 	switch op.Kind {
 	case world.OpKill:
-		t.dead[i] = now
+		t.deadSince[i] = now
 		delete(t.running, i)
 	case world.OpEnd:
-		t.leaving = append(t.leaving, d)
+		t.stopping = append(t.stopping, d)
 		delete(t.running, i)
 	}
 	t.mu.Unlock()
 	switch op.Kind {
 	case world.OpKill:
 		d.Kill()
-		t.ended(i, d, nil)
+		t.recordExit(i, d, nil)
 	case world.OpEnd:
 		go func() {
 			err := d.Stop()
@@ -210,7 +210,7 @@
 				t.log.Killed(i, d.Killed().Sub(t.fleet.Start()).Microseconds(), now)
 				err = nil
 			}
-			t.ended(i, d, err)
+			t.recordExit(i, d, err)
 		}()
 	case world.OpPause:
 		if err := d.Pause(op.On); err != nil {
@@ -219,20 +219,20 @@
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		if op.On {
-			t.paused[i] = now
-		} else if from, was := t.paused[i]; was {
-			delete(t.paused, i)
+			t.pausedSince[i] = now
+		} else if from, was := t.pausedSince[i]; was {
+			delete(t.pausedSince, i)
 			t.log.Killed(i, from, now)
 		}
 	}
 }
 
 // ended books a process that is over.
-func (t *theatre) ended(i int, d *stage.Dispatcher, err error) {
+func (t *cluster) recordExit(i int, d *stage.Dispatcher, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cpu = append(t.cpu, d.CPU().Seconds())
-	t.leaving = slices.DeleteFunc(t.leaving, func(o *stage.Dispatcher) bool { return o == d })
+	t.stopping = slices.DeleteFunc(t.stopping, func(o *stage.Dispatcher) bool { return o == d })
 	if err != nil {
 		slog.Error("dispatcher", "number", i, "cause", err)
 		t.crashes = append(t.crashes, err)
@@ -241,7 +241,7 @@
 
 // call makes an operators' call at the doors: each running dispatcher cordons a host or puts it back, or one dispatcher
 // drains or resumes. A dispatcher that is dead meanwhile, or one that is started again, does not hear of it.
-func (t *theatre) call(op world.Op) {
+func (t *cluster) adminCall(op world.Op) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name := t.day.Machines[op.Host].Name
@@ -267,16 +267,16 @@
 
 // disturb sets what goes wrong at the store. It has a lock of its own: a dispatcher that starts while the store is silent
 // is waited for under the other one, and the end of the silence must not wait for it.
-func (t *theatre) disturb(op world.Op) {
+func (t *cluster) applyStoreFault(op world.Op) {
 	t.storeMu.Lock()
 	defer t.storeMu.Unlock()
 	switch op.Kind {
 	case world.OpStoreSilent:
-		t.faults.Silent = op.On
+		t.storeFaults.Silent = op.On
 	case world.OpStoreSlow:
-		t.faults.Delay = op.Lag
+		t.storeFaults.Delay = op.Lag
 	}
-	f := t.faults
+	f := t.storeFaults
 	if op.Kind == world.OpStoreResets {
 		f.ResetAfter, f.ResetBefore = op.Host/2, op.Host-op.Host/2
 	}
@@ -285,7 +285,7 @@
 
 // figures sums what the doors of the running dispatchers count. Those of a dispatcher that was restarted count from its
 // start only.
-func (t *theatre) figures() (map[string]float64, error) {
+func (t *cluster) sumMetrics() (map[string]float64, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum := map[string]float64{}
@@ -302,38 +302,38 @@
 }
 
 // end ends all dispatchers in order, at once, and tells what went wrong.
-func (t *theatre) end() error {
+func (t *cluster) stop() error {
 	t.mu.Lock()
-	if t.over {
+	if t.closed {
 		t.mu.Unlock()
 		return nil
 	}
 	defer func() {
-		for _, g := range t.fronts {
+		for _, g := range t.clientGates {
 			g.Close()
 		}
 		if t.mesh != nil {
 			t.mesh.Close()
 		}
-		for _, p := range t.held {
+		for _, p := range t.heldPorts {
 			p.Release()
 		}
 	}()
 	now := time.Since(t.fleet.Start()).Microseconds()
-	for i, from := range t.dead {
+	for i, from := range t.deadSince {
 		t.log.Killed(i, from, now)
 	}
-	for i, from := range t.parted {
+	for i, from := range t.partitionedSince {
 		t.log.Killed(i, from, now)
 	}
-	for i, from := range t.paused {
+	for i, from := range t.pausedSince {
 		t.log.Killed(i, from, now)
 		if d := t.running[i]; d != nil {
 			d.Pause(false) // SIGTERM waits for it
 		}
 	}
 	var again []int
-	for i := range t.dead {
+	for i := range t.deadSince {
 		if t.day.Records {
 			again = append(again, i)
 		}
@@ -346,13 +346,13 @@
 		}
 	}
 	t.mu.Lock()
-	t.over = true
-	running, leaving := t.running, slices.Clone(t.leaving)
+	t.closed = true
+	running, leaving := t.running, slices.Clone(t.stopping)
 	t.mu.Unlock()
 	var wait sync.WaitGroup
 	for i, d := range running {
 		// It crashed where this gives an error: whatever it held is not excused, and the report says so.
-		wait.Go(func() { t.ended(i, d, d.Stop()) })
+		wait.Go(func() { t.recordExit(i, d, d.Stop()) })
 	}
 	for _, d := range leaving {
 		wait.Go(func() { d.Kill() })
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -31,8 +31,8 @@
 // pieceMost bounds what is read from a socket at a time, queueMost what waits on the way of one connection. Beyond it
 // the sender's own socket fills up, as it would before a peer that has stopped reading.
 const (
-	pieceMost = 16 << 10
-	queueMost = 256
+	maxReadSize       = 16 << 10
+	maxQueuedSegments = 256
 )
 
 // Link carries any number of connections. Its zero value is whole.
@@ -84,8 +84,8 @@
 // Wrap has a connection go over the link. gone, which may be nil, is called once when the caller's end of it is over: at
 // once, though the place that is called may hear of it later or never.
 func (l *Link) Wrap(c net.Conn, gone func()) *Conn {
-	w := &Conn{Conn: c, l: l, in: make(chan piece, queueMost), out: make(chan piece, queueMost), closed: make(chan struct{}),
-		late: make(chan struct{}), gone: gone}
+	w := &Conn{Conn: c, link: l, in: make(chan segment, maxQueuedSegments), out: make(chan segment, maxQueuedSegments), closed: make(chan struct{}),
+		expired: make(chan struct{}), onPeerClosed: gone}
 	l.mu.Lock()
 	if l.conns == nil {
 		l.conns = map[*Conn]struct{}{}
@@ -99,57 +99,57 @@
 	if refuse {
 		w.Reset() // before anything can be read from it
 	}
-	go w.receive()
-	go w.deliver()
+	go w.readLoop()
+	go w.writeLoop()
 	return w
 }
 
 // piece is bytes under way, or with err the end of them.
-type piece struct {
-	at   time.Time // when they were sent
-	data []byte
-	err  error
+type segment struct {
+	sentAt time.Time // when they were sent
+	data   []byte
+	err    error
 }
 
 // Conn is a connection as the place that is called has it.
 type Conn struct {
 	net.Conn
-	l       *Link
-	in, out chan piece
-	gone    func()
-	left    []byte    // received and not read yet
-	sent    time.Time // when that came from the caller
-	end     error
+	link         *Link
+	in, out      chan segment
+	onPeerClosed func()
+	unread       []byte    // received and not read yet
+	sentAt       time.Time // when that came from the caller
+	endErr       error
 
-	mu     sync.Mutex
-	goneAt time.Time
-	closed chan struct{}
-	over   bool
-	late   chan struct{} // closed when the read deadline has passed
-	timer  *time.Timer
+	mu           sync.Mutex
+	peerClosedAt time.Time
+	closed       chan struct{}
+	resetDone    bool
+	expired      chan struct{} // closed when the read deadline has passed
+	timer        *time.Timer
 }
 
 // receive takes bytes from the socket as they come.
-func (c *Conn) receive() {
+func (c *Conn) readLoop() {
 	for {
-		b := make([]byte, pieceMost)
+		b := make([]byte, maxReadSize)
 		n, err := c.Conn.Read(b)
 		if n > 0 {
 			select {
-			case c.in <- piece{at: time.Now(), data: b[:n]}:
+			case c.in <- segment{sentAt: time.Now(), data: b[:n]}:
 			case <-c.closed:
 				err = net.ErrClosed
 			}
 		}
 		if err != nil {
 			c.mu.Lock()
-			c.goneAt = time.Now()
+			c.peerClosedAt = time.Now()
 			c.mu.Unlock()
-			if c.gone != nil {
-				c.gone()
+			if c.onPeerClosed != nil {
+				c.onPeerClosed()
 			}
 			select {
-			case c.in <- piece{at: time.Now(), err: err}:
+			case c.in <- segment{sentAt: time.Now(), err: err}:
 			case <-c.closed:
 			}
 			return
@@ -159,26 +159,26 @@
 
 // pass waits until a piece may go its way, and says how much of it does; false when halt or the connection's end came
 // first.
-func (c *Conn) pass(p piece, way func(*Faults) *Way, halt <-chan struct{}) (n int, ok bool) {
+func (c *Conn) awaitDelivery(p segment, way func(*Faults) *Way, halt <-chan struct{}) (n int, ok bool) {
 	for {
 		if c.isReset() {
 			return 0, false
 		}
-		c.l.mu.Lock()
-		w := way(&c.l.faults)
-		wait := time.Until(p.at.Add(w.Delay))
-		change := c.l.change
+		c.link.mu.Lock()
+		w := way(&c.link.faults)
+		wait := time.Until(p.sentAt.Add(w.Delay))
+		change := c.link.change
 		if !w.Cut && wait <= 0 {
 			n = len(p.data)
 			if w.Half && n > 1 {
 				w.Half, w.Cut = false, true
 				n /= 2
 			}
-			c.l.mu.Unlock()
+			c.link.mu.Unlock()
 			return n, true
 		}
 		cut := w.Cut
-		c.l.mu.Unlock()
+		c.link.mu.Unlock()
 		due := time.NewTimer(wait)
 		if cut {
 			due.Stop()
@@ -207,47 +207,47 @@
 	}
 }
 
-func towards(f *Faults) *Way { return &f.To }
-func back(f *Faults) *Way    { return &f.From }
+func forwardWay(f *Faults) *Way { return &f.To }
+func returnWay(f *Faults) *Way  { return &f.From }
 
 // Read implements net.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	late := c.late
+	late := c.expired
 	c.mu.Unlock()
-	if len(c.left) == 0 && c.end == nil {
+	if len(c.unread) == 0 && c.endErr == nil {
 		select {
 		case p := <-c.in:
-			c.left, c.sent, c.end = p.data, p.at, p.err
+			c.unread, c.sentAt, c.endErr = p.data, p.sentAt, p.err
 		case <-late:
 			return 0, os.ErrDeadlineExceeded
 		case <-c.closed:
 			return 0, net.ErrClosed
 		}
 	}
-	n, ok := c.pass(piece{at: c.sent, data: c.left}, towards, late)
+	n, ok := c.awaitDelivery(segment{sentAt: c.sentAt, data: c.unread}, forwardWay, late)
 	switch {
 	case !ok:
-		return 0, c.why(late)
-	case c.end != nil:
-		return 0, c.end // told as late as the bytes before it
+		return 0, c.readError(late)
+	case c.endErr != nil:
+		return 0, c.endErr // told as late as the bytes before it
 	}
-	n = copy(b, c.left[:n])
-	c.left = c.left[n:]
+	n = copy(b, c.unread[:n])
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
 // Sent is when the bytes read last came from the caller, whatever time they took on the way.
-func (c *Conn) Sent() time.Time { return c.sent }
+func (c *Conn) Sent() time.Time { return c.sentAt }
 
 // Gone is when the caller's end was over; zero while it is not.
 func (c *Conn) Gone() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.goneAt
+	return c.peerClosedAt
 }
 
-func (c *Conn) why(late <-chan struct{}) error {
+func (c *Conn) readError(late <-chan struct{}) error {
 	select {
 	case <-late:
 		return os.ErrDeadlineExceeded
@@ -261,21 +261,21 @@
 	select {
 	case <-c.closed:
 		return 0, net.ErrClosed
-	case c.out <- piece{at: time.Now(), data: append([]byte(nil), b...)}:
+	case c.out <- segment{sentAt: time.Now(), data: append([]byte(nil), b...)}:
 		return len(b), nil
 	}
 }
 
 // deliver writes what is under way to the socket, and closes it once all has gone.
-func (c *Conn) deliver() {
+func (c *Conn) writeLoop() {
 	defer func() {
 		c.Conn.Close()
-		c.l.mu.Lock()
-		delete(c.l.conns, c)
-		c.l.mu.Unlock()
+		c.link.mu.Lock()
+		delete(c.link.conns, c)
+		c.link.mu.Unlock()
 	}()
 	for {
-		var p piece
+		var p segment
 		select {
 		case p = <-c.out:
 		case <-c.closed:
@@ -285,7 +285,7 @@
 			return
 		}
 		for len(p.data) > 0 {
-			n, ok := c.pass(p, back, nil)
+			n, ok := c.awaitDelivery(p, returnWay, nil)
 			if !ok {
 				return
 			}
@@ -300,7 +300,7 @@
 // Close implements net.Conn: the caller hears of it after all that was written, once the way back is whole.
 func (c *Conn) Close() error {
 	select {
-	case c.out <- piece{err: io.EOF}:
+	case c.out <- segment{err: io.EOF}:
 	default: // as much is under way as there may be: the connection is given up with it
 		c.Reset()
 	}
@@ -311,10 +311,10 @@
 func (c *Conn) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over {
+	if c.resetDone {
 		return
 	}
-	c.over = true
+	c.resetDone = true
 	// Before closed is told of: deliver closes the socket as well, and whoever comes first must send a reset.
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -332,7 +332,7 @@
 		c.timer = nil
 	}
 	late := make(chan struct{})
-	c.late = late
+	c.expired = late
 	if !t.IsZero() {
 		c.timer = time.AfterFunc(time.Until(t), func() { close(late) })
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -23,8 +23,8 @@
 
 const (
 	answerSlack = 60 * time.Millisecond // past its time an answer still counts for so long
-	dialLimit   = 2 * time.Second
-	shunFor     = 3 * time.Second // the front learns of a dispatcher's death and its return within some seconds
+	dialTimeout = 2 * time.Second
+	ejectFor    = 3 * time.Second // the front learns of a dispatcher's death and its return within some seconds
 )
 
 // Target is one dispatcher.
@@ -58,20 +58,20 @@
 
 // generator is a run under way.
 type generator struct {
-	o       Options
-	day     *world.Day
-	pools   []*pool
-	rec     *measure.Recorder
-	next    atomic.Uint64
-	done    atomic.Int64
-	resent  atomic.Int64
-	foreign atomic.Int64
-	noFiles atomic.Int64
-	noRoom  atomic.Int64
-	open    atomic.Int64
-	most    atomic.Int64
-	lagMu   sync.Mutex
-	lag     *hdrhistogram.Histogram
+	opts          Options
+	day           *world.Day
+	pools         []*pool
+	recorder      *measure.Recorder
+	next          atomic.Uint64
+	done          atomic.Int64
+	resent        atomic.Int64
+	mismatched    atomic.Int64
+	noDescriptors atomic.Int64
+	poolTimeouts  atomic.Int64
+	openConns     atomic.Int64
+	maxOpenConns  atomic.Int64
+	lagMu         sync.Mutex
+	lag           *hdrhistogram.Histogram
 }
 
 // Run sends all jobs and waits for their ends. When ctx is over it stops in order and gives what was measured so far.
@@ -79,15 +79,15 @@
 	if len(o.Targets) == 0 {
 		return nil, errors.New("load: no dispatcher to send to")
 	}
-	g := &generator{o: o, day: o.Day, lag: hdrhistogram.New(1, 60_000_000, 3)}
+	g := &generator{opts: o, day: o.Day, lag: hdrhistogram.New(1, 60_000_000, 3)}
 	var names []string
 	for _, c := range o.Day.Classes {
 		names = append(names, c.Name)
 	}
-	g.rec = measure.NewRecorder(names)
+	g.recorder = measure.NewRecorder(names)
 	room := max(int(float64(o.Day.Descriptors)*o.Day.Clients.Share), 4)
 	for i, t := range o.Targets {
-		g.pools = append(g.pools, &pool{g: g, number: i, Target: t, room: make(chan struct{}, room)})
+		g.pools = append(g.pools, &pool{g: g, number: i, Target: t, slots: make(chan struct{}, room)})
 	}
 	defer func() {
 		for _, p := range g.pools {
@@ -99,9 +99,9 @@
 		jobs = o.Day.Jobs
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 11))
-	self := watchSelf()
+	self := startSelfMonitor()
 	var wait sync.WaitGroup
-	res := &Result{Recorder: g.rec}
+	res := &Result{Recorder: g.recorder}
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 schedule:
@@ -121,7 +121,7 @@
 		}
 		res.Sent++
 		job, seed := &jobs[i], rng.Uint64()
-		wait.Go(func() { g.run(ctx, job, due, seed) })
+		wait.Go(func() { g.runJob(ctx, job, due, seed) })
 		if o.Done != nil {
 			o.Done(res.Sent, int(g.done.Load()))
 		}
@@ -141,16 +141,16 @@
 		}
 	}
 	res.Cut = res.Cut || ctx.Err() != nil
-	res.Resent, res.Foreign = int(g.resent.Load()), int(g.foreign.Load())
+	res.Resent, res.Foreign = int(g.resent.Load()), int(g.mismatched.Load())
 	res.Verdict = g.verdict(self, len(jobs))
 	return res, nil
 }
 
 // stamp is the audit's time.
-func (g *generator) stamp() int64 { return time.Since(g.o.LogZero).Microseconds() }
+func (g *generator) auditTime() int64 { return time.Since(g.opts.LogZero).Microseconds() }
 
 // run is one job from its intended send to its final answer.
-func (g *generator) run(ctx context.Context, job *world.Job, due time.Time, seed uint64) {
+func (g *generator) runJob(ctx context.Context, job *world.Job, due time.Time, seed uint64) {
 	defer g.done.Add(1)
 	lag := time.Since(due)
 	g.lagMu.Lock()
@@ -187,7 +187,7 @@
 	latency := time.Since(due)
 	s := measure.Sample{Class: job.Class, At: job.At, Latency: latency, Worth: c.Worth * job.Work.Seconds(), Tries: j.Tries(), Zone: job.Zone}
 	s.Outcome = Judge(c, job, r, latency)
-	g.rec.Add(s)
+	g.recorder.Add(s)
 }
 
 // Judge gives a job's outcome from its last try's result and its latency.
@@ -209,11 +209,11 @@
 }
 
 // verdict says whether the generator kept to its schedule, and if not, why.
-func (g *generator) verdict(self *self, jobs int) measure.Verdict {
+func (g *generator) verdict(self *selfMonitor, jobs int) measure.Verdict {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	v := measure.Verdict{LagP50: ms(g.lag.ValueAtQuantile(50)), LagP99: ms(g.lag.ValueAtQuantile(99)), LagMax: ms(g.lag.Max()),
-		Open: int(g.most.Load())}
-	v.CPU, v.Sched = self.figures()
+		Open: int(g.maxOpenConns.Load())}
+	v.CPU, v.Sched = self.usage()
 	limit := g.day.Generator
 	causes := []struct {
 		bad  bool
@@ -222,15 +222,15 @@
 		{v.LagP99 > limit.Lag.Seconds()*1000, fmt.Sprintf("send lag p99 %.1f ms is over %v", v.LagP99, limit.Lag)},
 		{v.CPU > limit.CPU, fmt.Sprintf("this process took %.0f%% of the machine's CPU, over %.0f%%", 100*v.CPU, 100*limit.CPU)},
 		{v.Sched > limit.Sched.Seconds()*1000, fmt.Sprintf("goroutines waited %.1f ms for a CPU at the 99th percentile, over %v", v.Sched, limit.Sched)},
-		{g.noFiles.Load() > 0, fmt.Sprintf("%d connections could not be opened for want of descriptors or ports here", g.noFiles.Load())},
-		{int(g.noRoom.Load())*100 > jobs, fmt.Sprintf("%d tries found no connection free in time", g.noRoom.Load())},
+		{g.noDescriptors.Load() > 0, fmt.Sprintf("%d connections could not be opened for want of descriptors or ports here", g.noDescriptors.Load())},
+		{int(g.poolTimeouts.Load())*100 > jobs, fmt.Sprintf("%d tries found no connection free in time", g.poolTimeouts.Load())},
 	}
 	for _, c := range causes {
 		if c.bad {
 			v.Causes = append(v.Causes, c.text)
 		}
 	}
-	v.Unsent = int(g.noRoom.Load() + g.noFiles.Load())
+	v.Unsent = int(g.poolTimeouts.Load() + g.noDescriptors.Load())
 	v.Valid = len(v.Causes) == 0
 	return v
 }
@@ -238,27 +238,27 @@
 // pool is the connections to one dispatcher.
 type pool struct {
 	Target
-	g      *generator
-	number int
-	room   chan struct{} // a place for each connection in use
-	mu     sync.Mutex
-	idle   []*conn
-	shun   time.Time
+	g            *generator
+	number       int
+	slots        chan struct{} // a place for each connection in use
+	mu           sync.Mutex
+	idle         []*conn
+	ejectedUntil time.Time
 }
 
-var errNoRoom = errors.New("all connections are in use")
+var errPoolExhausted = errors.New("all connections are in use")
 
 // get takes the idle connection used last, or opens one.
 func (p *pool) get(until time.Time) (*conn, error) {
 	select {
-	case p.room <- struct{}{}:
+	case p.slots <- struct{}{}:
 	default:
 		t := time.NewTimer(time.Until(until))
 		defer t.Stop()
 		select {
-		case p.room <- struct{}{}:
+		case p.slots <- struct{}{}:
 		case <-t.C:
-			return nil, errNoRoom
+			return nil, errPoolExhausted
 		}
 	}
 	for {
@@ -280,13 +280,13 @@
 }
 
 func (p *pool) dial() (*conn, error) {
-	c, err := net.DialTimeout("tcp", p.Addr, dialLimit)
+	c, err := net.DialTimeout("tcp", p.Addr, dialTimeout)
 	if err != nil {
-		<-p.room
+		<-p.slots
 		return nil, err
 	}
-	n := p.g.open.Add(1)
-	for most := p.g.most.Load(); n > most && !p.g.most.CompareAndSwap(most, n); most = p.g.most.Load() {
+	n := p.g.openConns.Add(1)
+	for most := p.g.maxOpenConns.Load(); n > most && !p.g.maxOpenConns.CompareAndSwap(most, n); most = p.g.maxOpenConns.Load() {
 	}
 	return newConn(c), nil
 }
@@ -301,11 +301,11 @@
 	} else {
 		p.drop(c)
 	}
-	<-p.room
+	<-p.slots
 }
 
 func (p *pool) drop(c *conn) {
-	p.g.open.Add(-1)
+	p.g.openConns.Add(-1)
 	c.Close()
 }
 
@@ -319,10 +319,10 @@
 }
 
 // shunned tells whether the front takes the dispatcher for dead.
-func (p *pool) shunned() bool {
+func (p *pool) ejected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Now().Before(p.shun)
+	return time.Now().Before(p.ejectedUntil)
 }
 
 // pick chooses a dispatcher for a client of a zone as the front does: at random among those of the zone that it does
@@ -331,7 +331,7 @@
 	for _, any := range []bool{false, true} {
 		var can []*pool
 		for _, p := range g.pools {
-			if !tried[p.number] && (any || p.Zone < 0 || p.Zone == zone) && !p.shunned() {
+			if !tried[p.number] && (any || p.Zone < 0 || p.Zone == zone) && !p.ejected() {
 				can = append(can, p)
 			}
 		}
@@ -357,15 +357,15 @@
 		}
 		tried[p.number] = true
 		switch {
-		case errors.Is(err, errNoRoom):
-			g.noRoom.Add(1)
+		case errors.Is(err, errPoolExhausted):
+			g.poolTimeouts.Add(1)
 			return nil, nil
 		case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.EADDRNOTAVAIL):
-			g.noFiles.Add(1)
+			g.noDescriptors.Add(1)
 			return nil, nil
 		}
 		p.mu.Lock()
-		p.shun = time.Now().Add(shunFor)
+		p.ejectedUntil = time.Now().Add(ejectFor)
 		p.mu.Unlock()
 	}
 }
--- a/internal/lab/load/self.go
+++ b/internal/lab/load/self.go
@@ -9,18 +9,18 @@
 )
 
 // self watches what the generator's own process does to the machine.
-type self struct {
-	begun time.Time
-	cpu   time.Duration
-	sched []uint64
+type selfMonitor struct {
+	started     time.Time
+	cpu         time.Duration
+	schedCounts []uint64
 }
 
 const schedMetric = "/sched/latencies:seconds"
 
-func watchSelf() *self {
-	s := &self{begun: time.Now(), cpu: cpuTime()}
+func startSelfMonitor() *selfMonitor {
+	s := &selfMonitor{started: time.Now(), cpu: cpuTime()}
 	if h := schedLatencies(); h != nil {
-		s.sched = append(s.sched, h.Counts...)
+		s.schedCounts = append(s.schedCounts, h.Counts...)
 	}
 	return s
 }
@@ -44,8 +44,8 @@
 
 // figures gives the share of all cores' time that the process took, and how long goroutines that could run waited for
 // a CPU, at the 99th percentile in milliseconds.
-func (s *self) figures() (cpu, sched float64) {
-	elapsed := time.Since(s.begun)
+func (s *selfMonitor) usage() (cpu, sched float64) {
+	elapsed := time.Since(s.started)
 	cpu = (cpuTime() - s.cpu).Seconds() / max(elapsed.Seconds(), 1e-3) / float64(runtime.NumCPU())
 	h := schedLatencies()
 	if h == nil {
@@ -55,8 +55,8 @@
 	counts := make([]uint64, len(h.Counts))
 	for i := range h.Counts {
 		counts[i] = h.Counts[i]
-		if i < len(s.sched) {
-			counts[i] -= s.sched[i]
+		if i < len(s.schedCounts) {
+			counts[i] -= s.schedCounts[i]
 		}
 		total += counts[i]
 	}
--- a/internal/lab/load/try.go
+++ b/internal/lab/load/try.go
@@ -50,30 +50,30 @@
 }
 
 // answer is a whole answer.
-type answer struct {
-	status int
-	after  time.Duration
-	close  bool
-	body   []byte
+type response struct {
+	status     int
+	retryAfter time.Duration
+	close      bool
+	body       []byte
 }
 
 // bodyMost bounds an answer's body: what a host's result may be.
-const bodyMost = 1 << 20
+const maxBody = 1 << 20
 
-var errAnswer = errors.New("malformed answer")
+var errMalformedResponse = errors.New("malformed answer")
 
 // read reads one answer. touched tells whether any byte came.
-func (c *conn) read() (a answer, touched bool, err error) {
+func (c *conn) read() (a response, touched bool, err error) {
 	line, err := c.r.ReadSlice('\n')
 	touched = len(line) > 0
 	if err != nil {
 		return a, touched, err
 	}
 	if len(line) < 13 || !bytes.HasPrefix(line, []byte("HTTP/1.")) {
-		return a, true, errAnswer
+		return a, true, errMalformedResponse
 	}
 	if a.status, err = strconv.Atoi(string(line[9:12])); err != nil {
-		return a, true, errAnswer
+		return a, true, errMalformedResponse
 	}
 	length, chunked := -1, false
 	for {
@@ -89,8 +89,8 @@
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "content-length":
-			if length, err = strconv.Atoi(value); err != nil || length < 0 || length > bodyMost {
-				return a, true, errAnswer
+			if length, err = strconv.Atoi(value); err != nil || length < 0 || length > maxBody {
+				return a, true, errMalformedResponse
 			}
 		case "transfer-encoding":
 			chunked = strings.EqualFold(value, "chunked")
@@ -98,13 +98,13 @@
 			a.close = strings.EqualFold(value, "close")
 		case "retry-after":
 			if s, err := strconv.ParseFloat(value, 64); err == nil && s > 0 && s < 1e6 {
-				a.after = time.Duration(s * float64(time.Second))
+				a.retryAfter = time.Duration(s * float64(time.Second))
 			}
 		}
 	}
 	switch {
 	case chunked:
-		a.body, err = io.ReadAll(io.LimitReader(httputil.NewChunkedReader(c.r), bodyMost))
+		a.body, err = io.ReadAll(io.LimitReader(httputil.NewChunkedReader(c.r), maxBody))
 		if err == nil {
 			_, err = c.r.ReadSlice('\n') // behind the last chunk
 		}
@@ -113,13 +113,13 @@
 		_, err = io.ReadFull(c.r, a.body)
 	default:
 		a.close = true
-		a.body, err = io.ReadAll(io.LimitReader(c.r, bodyMost))
+		a.body, err = io.ReadAll(io.LimitReader(c.r, maxBody))
 	}
 	return a, true, err
 }
 
 // request writes what a client sends.
-func (g *generator) request(b []byte, name, host string, job *world.Job, key string, wait time.Duration, marked bool) []byte {
+func (g *generator) appendRequest(b []byte, name, host string, job *world.Job, key string, wait time.Duration, marked bool) []byte {
 	class := g.day.Classes[job.Class].Name
 	body := emulate.Work{Micros: float64(job.Work.Microseconds()), Slots: job.Slots, Memory: job.Memory, Set: uint64(job.Set)}.Append(nil)
 	b = fmt.Appendf(b, "POST /%s", class)
@@ -139,7 +139,7 @@
 }
 
 // errStale says that a connection which had carried requests before ended in order without a byte of an answer.
-var errStale = errors.New("the connection was closed between two requests")
+var errStaleConn = errors.New("the connection was closed between two requests")
 
 // try sends a request and waits for its answer. A dispatcher may close a connection between two requests; where that
 // crosses one, the client sends it again on another connection, as the protocol says, under a name of its own so that the
@@ -157,22 +157,22 @@
 		if c == nil {
 			return client.Unsent, 0
 		}
-		name := fmt.Sprintf("%s%012x", g.o.Prefix, g.next.Add(1))
+		name := fmt.Sprintf("%s%012x", g.opts.Prefix, g.next.Add(1))
 		sent := time.Now()
-		if g.o.Log != nil {
-			g.o.Log.Sent(g.stamp(), name, job.Class, p.number)
+		if g.opts.Log != nil {
+			g.opts.Log.Sent(g.auditTime(), name, job.Class, p.number)
 		}
 		until := sent.Add(wait)
 		if !leaves {
 			until = until.Add(answerSlack)
 		}
-		a, err := g.exchange(ctx, c, g.request(nil, name, p.Addr, job, key, told, marked), until)
+		a, err := g.roundTrip(ctx, c, g.appendRequest(nil, name, p.Addr, job, key, told, marked), until)
 		result := client.Broken
 		switch {
 		case err == nil && a.status == 200:
 			result = client.Served
 			if !bytes.HasPrefix(a.body, []byte(name)) {
-				g.foreign.Add(1)
+				g.mismatched.Add(1)
 			}
 		case err == nil && (a.status == 429 || a.status == 503):
 			result = client.Refused
@@ -184,19 +184,19 @@
 			result = client.HungUp
 		case isTimeout(err):
 			result = client.Silent
-		case errors.Is(err, errStale) && !unsafe:
+		case errors.Is(err, errStaleConn) && !unsafe:
 			result = client.Unsent
 		}
 		extra := err == nil && c.r.Buffered() > 0
-		if g.o.Log != nil {
-			g.o.Log.Ended(g.stamp(), name, result, string(a.body))
+		if g.opts.Log != nil {
+			g.opts.Log.Ended(g.auditTime(), name, result, string(a.body))
 			if extra {
-				g.o.Log.Extra(name)
+				g.opts.Log.Extra(name)
 			}
 		}
 		p.put(c, err == nil && !a.close && !extra)
 		if result != client.Unsent {
-			return result, a.after
+			return result, a.retryAfter
 		}
 		g.resent.Add(1)
 	}
@@ -208,17 +208,17 @@
 }
 
 // exchange writes a request and reads its answer.
-func (g *generator) exchange(ctx context.Context, c *conn, text []byte, until time.Time) (answer, error) {
+func (g *generator) roundTrip(ctx context.Context, c *conn, text []byte, until time.Time) (response, error) {
 	c.SetDeadline(until)
 	defer context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })()
 	_, err := c.Write(text)
 	if err != nil && isTimeout(err) {
-		return answer{}, err
+		return response{}, err
 	}
 	// A dispatcher that has closed may have written why before.
 	a, touched, err := c.read()
 	if err != nil && !touched && c.uses > 0 && errors.Is(err, io.EOF) {
-		err = errStale
+		err = errStaleConn
 	}
 	return a, err
 }
--- a/internal/lab/mesh/gate.go
+++ b/internal/lab/mesh/gate.go
@@ -15,19 +15,19 @@
 )
 
 // dialLimit bounds how long the place behind a gate may take to accept.
-const dialLimit = 5 * time.Second
+const dialTimeout = 5 * time.Second
 
 // Gate carries connections to one place, each over a link that depends on who calls.
 type Gate struct {
-	ln    net.Listener
-	to    string
-	of    func(caller net.Addr) *link.Link // nil: nobody who may call
-	bytes func(caller net.Addr) *atomic.Int64
+	ln          net.Listener
+	target      string
+	linkFor     func(caller net.Addr) *link.Link // nil: nobody who may call
+	byteCounter func(caller net.Addr) *atomic.Int64
 
-	mu    sync.Mutex
-	open  map[*link.Conn]net.Conn
-	over  bool
-	conns sync.WaitGroup
+	mu     sync.Mutex
+	open   map[*link.Conn]net.Conn
+	closed bool
+	conns  sync.WaitGroup
 }
 
 // OpenGate listens at an address for calls to a place, which all go over one link.
@@ -40,7 +40,7 @@
 }
 
 func newGate(ln net.Listener, to string, of func(net.Addr) *link.Link, bytes func(net.Addr) *atomic.Int64) *Gate {
-	g := &Gate{ln: ln, to: to, of: of, bytes: bytes, open: map[*link.Conn]net.Conn{}}
+	g := &Gate{ln: ln, target: to, linkFor: of, byteCounter: bytes, open: map[*link.Conn]net.Conn{}}
 	g.conns.Go(g.accept)
 	return g
 }
@@ -58,20 +58,20 @@
 			time.Sleep(10 * time.Millisecond) // out of descriptors; those that are open must go on
 			continue
 		}
-		l := g.of(in.RemoteAddr())
+		l := g.linkFor(in.RemoteAddr())
 		if l == nil {
 			reset(in)
 			continue
 		}
 		g.mu.Lock()
-		if g.over {
+		if g.closed {
 			g.mu.Unlock()
 			reset(in)
 			continue
 		}
 		c := l.Wrap(in, nil)
 		g.open[c] = nil
-		g.conns.Go(func() { g.carry(c, in.RemoteAddr()) })
+		g.conns.Go(func() { g.forward(c, in.RemoteAddr()) })
 		g.mu.Unlock()
 	}
 }
@@ -85,7 +85,7 @@
 
 // carry takes a connection to its place once the first bytes have come over the link: before that a caller whose way there
 // is cut has reached nobody.
-func (g *Gate) carry(c *link.Conn, caller net.Addr) {
+func (g *Gate) forward(c *link.Conn, caller net.Addr) {
 	defer func() {
 		g.mu.Lock()
 		delete(g.open, c)
@@ -97,13 +97,13 @@
 		c.Reset()
 		return
 	}
-	up, err := net.DialTimeout("tcp", g.to, dialLimit)
+	up, err := net.DialTimeout("tcp", g.target, dialTimeout)
 	if err != nil {
 		c.Reset() // nobody is there
 		return
 	}
 	g.mu.Lock()
-	if g.over {
+	if g.closed {
 		g.mu.Unlock()
 		reset(up)
 		c.Reset()
@@ -112,8 +112,8 @@
 	g.open[c] = up
 	g.mu.Unlock()
 	var out io.Writer = up
-	if g.bytes != nil {
-		out = counted{up, g.bytes(caller)}
+	if g.byteCounter != nil {
+		out = countingWriter{up, g.byteCounter(caller)}
 	}
 	g.conns.Go(func() {
 		if _, err := io.Copy(c, up); err != nil {
@@ -134,12 +134,12 @@
 }
 
 // counted counts what goes one way.
-type counted struct {
+type countingWriter struct {
 	io.Writer
 	n *atomic.Int64
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingWriter) Write(b []byte) (int, error) {
 	n, err := c.Writer.Write(b)
 	c.n.Add(int64(n))
 	return n, err
@@ -148,7 +148,7 @@
 // Close ends all connections and waits until they have ended.
 func (g *Gate) Close() {
 	g.mu.Lock()
-	g.over = true
+	g.closed = true
 	g.ln.Close()
 	for c, up := range g.open {
 		c.Reset()
--- a/internal/lab/mesh/mesh_test.go
+++ b/internal/lab/mesh/mesh_test.go
@@ -96,7 +96,7 @@
 		m.Set(0, 1, link.Faults{})
 		who[0].say(t, m, 1, "whole")
 		heard(1, "whole")
-		m.seats[0].sent.Lost.Store(0)
+		m.endpoints[0].sent.Lost.Store(0)
 	}
 	m.Set(1, 0, link.Faults{From: link.Way{Twice: 1}}) // from the other end's view
 	who[0].say(t, m, 1, "twice")
