--- a/cmd/gwlab/demo.go
+++ b/cmd/gwlab/demo.go
@@ -20,7 +20,8 @@
 	"granitewing/lab"
 )
 
-// program finds the dispatcher's build: the flag's, or the one beside this program.
+// dispatcherBinary returns the absolute path of the dispatcher binary: the one given by the flag, or the one next to
+// this program.
 func dispatcherBinary(flag string) (string, error) {
 	if flag == "" {
 		self, err := os.Executable()
@@ -30,12 +31,13 @@
 		flag = filepath.Join(filepath.Dir(self), "granitewing")
 	}
 	if info, err := os.Stat(flag); err != nil || info.IsDir() {
-		return "", fmt.Errorf("no dispatcher at %s; build it or name it by --program", flag)
+		return "", fmt.Errorf("no dispatcher at %s; build it or set --program", flag)
 	}
 	return filepath.Abs(flag)
 }
 
-// readExperiment reads a file, or an experiment that ships.
+// readExperiment reads an experiment from a file or, if the name has neither a dot nor a slash, from those that ship
+// with the program.
 func readExperiment(name string) (*world.Spec, error) {
 	if strings.ContainsAny(name, "./") {
 		return world.Read(name)
@@ -52,7 +54,7 @@
 	return world.Parse("lab/"+name+".sexp", string(text))
 }
 
-// progress shows how far a run is, on a terminal alone.
+// progress returns functions that show how far a run is. It returns nils if standard error is not a terminal.
 func progress() (show func(sent, done, total int), label func(string)) {
 	if !term.IsTerminal(int(os.Stderr.Fd())) {
 		return nil, nil
@@ -73,16 +75,17 @@
 		}
 }
 
-// playing are the flags of the verbs that play experiments.
+// experimentFlags are the flags of the commands that run experiments.
 type experimentFlags struct {
-	Out     string  `help:"Folder for the report." placeholder:"DIR"`
-	Program string  `help:"The dispatcher's build; default: granitewing beside this program." placeholder:"FILE"`
-	Seed    *uint64 `help:"Another first seed than the experiment's." placeholder:"N"`
-	JSON    bool    `help:"Results as JSON."`
-	Profile string  `help:"Write a CPU profile of the laboratory's own process, which in virtual time runs the dispatchers' decisions." placeholder:"FILE"`
+	Out     string  `help:"Directory for the report." placeholder:"DIR"`
+	Program string  `help:"The dispatcher binary; default: granitewing next to this program." placeholder:"FILE"`
+	Seed    *uint64 `help:"First seed, instead of the experiment's." placeholder:"N"`
+	JSON    bool    `help:"Print results as JSON."`
+	Profile string  `help:"Write a CPU profile of this process, which in virtual time also runs the dispatchers' decisions." placeholder:"FILE"`
 }
 
-// play plays an experiment and reports.
+// runExperiment runs an experiment and reports its results. It returns an error if rules were violated, the run was
+// cut short or the load generator fell behind.
 func (p *experimentFlags) runExperiment(ctx runContext, spec *world.Spec) error {
 	if p.Seed != nil {
 		spec.Seed = *p.Seed
@@ -104,7 +107,7 @@
 		}
 	}
 	if _, err := spec.Draw(spec.Seed); err != nil {
-		return err // before anything is started
+		return err // before any process is started
 	}
 	var folder *report.Folder
 	if p.Out != "" {
@@ -150,9 +153,9 @@
 	case err != nil:
 		return err
 	case res.Broken() > 0:
-		return fmt.Errorf("%d breaches of the rules", res.Broken())
+		return fmt.Errorf("%d rule violations", res.Broken())
 	case res.Cut:
-		return errors.New("cut short; the figures are of what was measured until then")
+		return errors.New("cut short; the results cover what was measured until then")
 	case len(res.Invalid()) > 0:
 		return errInvalid
 	}
@@ -174,7 +177,7 @@
 
 type runCmd struct {
 	Experiment string `arg:"" help:"A file, or the name of an experiment that ships."`
-	Pairs      int    `help:"Another number of pairs than the experiment's." placeholder:"N"`
+	Pairs      int    `help:"Number of pairs, instead of the experiment's." placeholder:"N"`
 	experimentFlags
 }
 
@@ -189,11 +192,12 @@
 	return r.runExperiment(ctx, spec)
 }
 
-// fleetVerb plays real processes whatever their number; it says how to play a failure again.
+// fleetCmd runs an experiment with any number of real processes; on failure it prints the command that repeats the
+// run.
 type fleetCmd struct {
 	Experiment  string `arg:"" help:"A file, or the name of an experiment that ships."`
-	Dispatchers int    `help:"Another number of dispatchers than the experiment's." placeholder:"N"`
-	Hosts       int    `help:"Another number of hosts; the load and the data sets are scaled to it." placeholder:"M"`
+	Dispatchers int    `help:"Number of dispatchers, instead of the experiment's." placeholder:"N"`
+	Hosts       int    `help:"Number of hosts, instead of the experiment's; the load and the data sets are scaled with it." placeholder:"M"`
 	experimentFlags
 }
 
@@ -203,14 +207,14 @@
 		return err
 	}
 	if spec.Virtual {
-		return fmt.Errorf("%s plays in virtual time; gwlab run plays it", f.Experiment)
+		return fmt.Errorf("%s runs in virtual time; use gwlab run", f.Experiment)
 	}
 	if spec, err = spec.Resized(cmp.Or(f.Hosts, spec.Fleet.Hosts), cmp.Or(f.Dispatchers, spec.Dispatchers)); err != nil {
 		return err
 	}
 	err = f.runExperiment(ctx, spec)
 	if err != nil && ctx.Err() == nil {
-		return fmt.Errorf("%w\nplay it again: gwlab fleet %s --dispatchers %d --hosts %d --seed %d", err, f.Experiment, spec.Dispatchers, spec.Fleet.Hosts, spec.Seed)
+		return fmt.Errorf("%w\nto repeat it: gwlab fleet %s --dispatchers %d --hosts %d --seed %d", err, f.Experiment, spec.Dispatchers, spec.Fleet.Hosts, spec.Seed)
 	}
 	return err
 }
--- a/cmd/gwlab/verbs.go
+++ b/cmd/gwlab/verbs.go
@@ -27,11 +27,11 @@
 
 type loadCmd struct {
 	Experiment string   `arg:"" help:"A file, or the name of an experiment that ships."`
-	Target     []string `required:"" help:"A dispatcher's address, with @ZONE where it takes clients of one zone alone; repeatable." placeholder:"ADDR[@ZONE]"`
-	Prefix     string   `help:"Of the names of jobs; generators that run side by side must differ in it." default:"ld"`
-	Seed       *uint64  `help:"Another seed than the experiment's." placeholder:"N"`
-	Out        string   `help:"Folder for the report, which gwlab report can merge with others." placeholder:"DIR"`
-	JSON       bool     `help:"Results as JSON."`
+	Target     []string `required:"" help:"A dispatcher's address, with @ZONE if it takes clients of one zone only; repeatable." placeholder:"ADDR[@ZONE]"`
+	Prefix     string   `help:"Prefix of job names; must differ between generators that run at the same time." default:"ld"`
+	Seed       *uint64  `help:"Seed, instead of the experiment's." placeholder:"N"`
+	Out        string   `help:"Directory for the report, which gwlab report can merge with others." placeholder:"DIR"`
+	JSON       bool     `help:"Print results as JSON."`
 }
 
 func (l *loadCmd) Run(ctx runContext) error {
@@ -93,7 +93,7 @@
 	case err != nil:
 		return err
 	case res.Foreign > 0:
-		return fmt.Errorf("%d answers were not made for their request", res.Foreign)
+		return fmt.Errorf("%d answers belong to other requests", res.Foreign)
 	case !res.Verdict.Valid:
 		return errInvalid
 	}
@@ -102,10 +102,10 @@
 
 type emulateCmd struct {
 	Experiment string  `arg:"" help:"A file, or the name of an experiment that ships."`
-	Dir        string  `help:"Folder for the dispatchers' configurations." required:"" placeholder:"DIR"`
+	Dir        string  `help:"Directory for the dispatchers' configurations." required:"" placeholder:"DIR"`
 	Serve      bool    `help:"Start the dispatchers too."`
-	Program    string  `help:"The dispatcher's build; default: granitewing beside this program." placeholder:"FILE"`
-	Seed       *uint64 `help:"Another seed than the experiment's." placeholder:"N"`
+	Program    string  `help:"The dispatcher binary; default: granitewing next to this program." placeholder:"FILE"`
+	Seed       *uint64 `help:"Seed, instead of the experiment's." placeholder:"N"`
 }
 
 func (e *emulateCmd) Run(ctx runContext) error {
@@ -166,7 +166,7 @@
 		fmt.Printf("n%d zone %s target %s@%s\n", i, day.Zones[day.ZoneOf(i)], d.Addr, day.Zones[day.ZoneOf(i)])
 	}
 	fleet.Play(ctx, time.Now(), func(op world.Op) {
-		slog.Warn("emulate plays hosts and discovery alone; skipped", "what", op.Label)
+		slog.Warn("emulate runs only hosts and discovery; operation skipped", "what", op.Label)
 	})
 	<-ctx.Done()
 	for _, h := range log.HostLoads() {
@@ -180,8 +180,8 @@
 }
 
 type reportCmd struct {
-	Dirs []string `arg:"" help:"Folders of results."`
-	Out  string   `help:"Folder for the report." required:"" placeholder:"DIR"`
+	Dirs []string `arg:"" help:"Directories of results."`
+	Out  string   `help:"Directory for the report." required:"" placeholder:"DIR"`
 }
 
 func (r *reportCmd) Run() error {
@@ -210,16 +210,16 @@
 }
 
 type traceCmd struct {
-	Import traceImport `cmd:"" help:"Read a recorded trace, say what was found and write it in order. Example: gwlab trace import recorded.csv --out day.csv"`
-	Show   traceShow   `cmd:"" help:"Say what a trace holds. Example: gwlab trace show day.csv"`
+	Import traceImport `cmd:"" help:"Read a recorded trace, report what was found and write it in order. Example: gwlab trace import recorded.csv --out day.csv"`
+	Show   traceShow   `cmd:"" help:"Summarize a trace. Example: gwlab trace show day.csv"`
 	Scale  traceScale  `cmd:"" help:"Scale a trace in time and rate. Example: gwlab trace scale day.csv --rate 2.8 --out big.csv"`
 }
 
 type traceImport struct {
-	File string  `arg:"" help:"CSV with a line of names, or JSON lines (.jsonl, .ndjson)."`
-	Gaps string  `help:"What becomes of gaps: keep, close or fill." enum:"keep,close,fill" default:"keep"`
-	Gap  float64 `help:"Seconds without a job that count as a gap; default: found from the trace." placeholder:"S"`
-	Seed uint64  `help:"For what is drawn." default:"1"`
+	File string  `arg:"" help:"CSV with a header line, or JSON lines (.jsonl, .ndjson)."`
+	Gaps string  `help:"What to do with gaps: keep, close or fill." enum:"keep,close,fill" default:"keep"`
+	Gap  float64 `help:"Seconds without a job that count as a gap; default: derived from the trace." placeholder:"S"`
+	Seed uint64  `help:"Seed for random draws." default:"1"`
 	Out  string  `help:"CSV file to write." placeholder:"FILE"`
 }
 
@@ -265,7 +265,7 @@
 
 type traceShow struct {
 	File string `arg:"" help:"A trace."`
-	JSON bool   `help:"Results as JSON."`
+	JSON bool   `help:"Print results as JSON."`
 }
 
 func (t *traceShow) Run() error {
@@ -283,15 +283,15 @@
 
 type traceScale struct {
 	File string  `arg:"" help:"A trace."`
-	Pace float64 `help:"Times faster." default:"1"`
-	Rate float64 `help:"Times as many jobs." default:"1"`
-	Seed uint64  `help:"For what is drawn." default:"1"`
+	Pace float64 `help:"Speed-up factor." default:"1"`
+	Rate float64 `help:"Factor for the number of jobs." default:"1"`
+	Seed uint64  `help:"Seed for random draws." default:"1"`
 	Out  string  `help:"CSV file to write." required:"" placeholder:"FILE"`
 }
 
 func (t *traceScale) Run() error {
 	if t.Pace <= 0 || t.Rate <= 0 || t.Rate > 10_000 {
-		return errors.New("--pace and --rate want numbers above 0, the rate at most 10000")
+		return errors.New("--pace and --rate must be above 0, and --rate at most 10000")
 	}
 	tr, err := trace.ReadFile(t.File)
 	if err != nil {
@@ -304,7 +304,7 @@
 }
 
 type selfcheckCmd struct {
-	JSON bool `help:"Results as JSON."`
+	JSON bool `help:"Print results as JSON."`
 }
 
 func (s *selfcheckCmd) Run(ctx runContext) error {
@@ -323,20 +323,20 @@
 	case !r.Verdict.Valid:
 		return errInvalid
 	case !r.Good:
-		return errors.New("the generator's percentiles are not those computed from the stall")
+		return errors.New("the generator's percentiles differ from those computed from the stall")
 	}
 	return nil
 }
 
 type capacityCmd struct {
-	Pairs int           `help:"Plays of each rate by each generator." default:"5"`
-	Each  time.Duration `help:"Length of a play." default:"2s"`
-	Rates []int         `help:"Rates to try, growing." default:"1000,2000,5000,10000,15000,20000,25000,30000,40000,50000"`
-	JSON  bool          `help:"Results as JSON."`
+	Pairs int           `help:"Runs of each rate by each generator." default:"5"`
+	Each  time.Duration `help:"Length of a run." default:"2s"`
+	Rates []int         `help:"Rates to try, in increasing order." default:"1000,2000,5000,10000,15000,20000,25000,30000,40000,50000"`
+	JSON  bool          `help:"Print results as JSON."`
 }
 
 func (c *capacityCmd) Run(ctx runContext) error {
-	// The server is a process of its own, so that its work does not count as the generator's.
+	// The server runs in its own process, so that its CPU time does not count as the generator's.
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -370,7 +370,7 @@
 	return nil
 }
 
-// standIn serves until its standard input ends, so that it does not outlive whoever started it.
+// standInCmd serves until its standard input ends, so that it does not outlive the process that started it.
 type standInCmd struct{}
 
 func (standInCmd) Run() error {
@@ -385,7 +385,7 @@
 }
 
 type settingsCmd struct {
-	Format settingsFormat `cmd:"" help:"Write a file in the one form."`
+	Format settingsFormat `cmd:"" help:"Write a file in the canonical format."`
 }
 
 type settingsFormat struct {
--- a/internal/lab/emulate/discovery.go
+++ b/internal/lab/emulate/discovery.go
@@ -14,26 +14,26 @@
 	"granitewing/internal/lab/model"
 )
 
-// watchPulse is how often a watch says that it lives.
+// watchHeartbeat is the interval at which a watch sends an empty line to show that it is alive.
 const watchHeartbeat = 2 * time.Second
 
-// discovery is where one dispatcher asks for the list.
+// discovery is the discovery service as one dispatcher sees it.
 type discovery struct {
 	e           *Emulator
 	dispatcher  int
 	ln          net.Listener
 	link        link.Link
-	changed     chan struct{} // closed when the list changes, or the watches end; guarded by the emulator's lock
-	disconnects int           // how often all were cut
+	changed     chan struct{} // closed when the member list changes or the watches end; guarded by the emulator's lock
+	disconnects int           // how often all watches were closed
 }
 
-// wake lets all watches look at the list; the lock is held.
+// notifyWatches makes all watches read the member list again. The caller holds the emulator's lock.
 func (d *discovery) notifyWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// cut ends all watches; the lock is held.
+// closeWatches ends all watches. The caller holds the emulator's lock.
 func (d *discovery) closeWatches() {
 	d.disconnects++
 	d.notifyWatches()
@@ -81,7 +81,7 @@
 		e.mu.Unlock()
 		switch {
 		case silent:
-			r.Peek(1) // nothing is said until the dispatcher gives up
+			r.Peek(1) // send nothing until the dispatcher gives up
 			return
 		case down || req.URL.Path != "/v1/servers":
 			status := "404 Not Found"
@@ -127,7 +127,7 @@
 	return append(text, '\n')
 }
 
-// booked tells the audit what a dispatcher has been told.
+// logReported records in the audit log which member states a dispatcher has been sent.
 func (d *discovery) logReported(members []model.Member) {
 	at := d.e.now()
 	for _, m := range members {
@@ -135,7 +135,8 @@
 	}
 }
 
-// watch writes changes as they are told.
+// watch streams changes of the member list as they are published. index is the revision that the dispatcher already
+// has, or -1.
 func (d *discovery) watch(c net.Conn, index int64) {
 	e := d.e
 	if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
@@ -151,7 +152,7 @@
 	}
 	pulse := time.NewTicker(watchHeartbeat)
 	defer pulse.Stop()
-	// A dispatcher that leaves is noticed by its end, since nothing else comes from it.
+	// The dispatcher sends nothing after its request, so only the end of the connection shows that it has left.
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
--- a/internal/lab/emulate/emulate.go
+++ b/internal/lab/emulate/emulate.go
@@ -1,6 +1,10 @@
-// Package emulate plays a day's hosts and its discovery on loopback sockets in the platform's protocol, with the day's
-// failures. Each dispatcher is told the hosts at loopback addresses of its own (127.1.x.y), so that the emulator knows who
-// calls and has a link of its own between any dispatcher and any host.
+// Package emulate emulates the hosts (back ends that run jobs) and the discovery service of a day on loopback
+// sockets, in the platform's protocol and with the day's faults.
+//
+// New opens the addresses of an Emulator, Place returns what a dispatcher's configuration needs to reach them, Play
+// starts the day's faults, and Close ends everything. Each dispatcher gets loopback addresses of its own for the
+// hosts (127.1.x.y). The emulator thereby knows which dispatcher is calling, and has a separate link between each
+// dispatcher and each host on which it can inject faults.
 package emulate
 
 import (
@@ -19,26 +23,26 @@
 	"granitewing/internal/lab/world"
 )
 
-// linksMost bounds the links of an emulation; larger fleets are for virtual time.
+// maxLinks bounds the number of dispatcher-host links of an emulation; larger fleets run in virtual time.
 const maxLinks = 100_000
 
-// Emulator is a running fleet with its discovery.
+// Emulator is a running fleet of emulated hosts with its discovery service.
 type Emulator struct {
 	day   *world.Day
 	log   *audit.Log
 	start time.Time
 
-	mu               sync.Mutex // guards all below, the models included
+	mu               sync.Mutex // guards all fields below, including the models
 	hosts            []*host
 	usage            *spread.Watch
 	fabric           *model.Fabric
 	gangTimer        *time.Timer
-	steppingGangs    bool // gangs are being ended
+	steppingGangs    bool // stepGangs is running; it must not be entered again
 	directory        *model.Directory
 	directoryTimer   *time.Timer
 	discovery        []*discovery // by dispatcher
-	discoveryDown    bool         // discovery
-	discoverySilent  bool         // discovery
+	discoveryDown    bool         // discovery answers 503
+	discoverySilent  bool         // discovery accepts requests and never answers
 	partitionedZones map[[2]int]bool
 	attempts         uint64
 	conns            map[net.Conn]struct{}
@@ -54,29 +58,31 @@
 	model     *model.Host
 	endpoints []*endpoint // by dispatcher
 	ln        net.Listener
-	tcpPort   int        // its port, the same at all addresses
-	heldPort  *hold.Port // while it does not listen
+	tcpPort   int        // the same port at all loopback addresses
+	heldPort  *hold.Port // reserves the port while the host does not listen
 	streams   map[uint64]*stream
 	timer     *time.Timer
-	up        bool // it has joined and not stopped
+	up        bool // has joined and has not stopped or crashed
 	refusing  bool
 	vanished  bool
 	resetting bool
 }
 
-// port is where one dispatcher reaches one host.
+// endpoint is the address at which one dispatcher reaches one host, with the link between the two.
 type endpoint struct {
 	h          *host
 	dispatcher int
 	link       link.Link
-	delay      time.Duration // one way
+	delay      time.Duration // one-way delay added to loopback's own
 	muted      bool
 }
 
-// New opens all addresses. Hosts that join later have theirs already, and refuse until then.
+// New opens the addresses of all hosts and of the discovery service of each dispatcher. The address of a host that
+// joins later exists from the start and refuses connections until then. New returns an error if an address cannot be
+// opened or if the fleet has more than maxLinks dispatcher-host links.
 func New(day *world.Day, log *audit.Log) (*Emulator, error) {
 	if n := len(day.Machines) * day.Dispatchers; n > maxLinks {
-		return nil, fmt.Errorf("%d hosts for %d dispatchers want %d links; at most %d can be emulated, virtual time plays more",
+		return nil, fmt.Errorf("%d hosts for %d dispatchers need %d links; at most %d can be emulated; use virtual time for more",
 			len(day.Machines), day.Dispatchers, n, maxLinks)
 	}
 	e := &Emulator{day: day, log: log, start: time.Now(), conns: map[net.Conn]struct{}{}, partitionedZones: map[[2]int]bool{},
@@ -128,7 +134,8 @@
 	return e, nil
 }
 
-// delay is the time on the way beyond loopback's own; within a zone there is none.
+// delay returns the one-way delay between a dispatcher and a zone in addition to loopback's own; it is zero within a
+// zone.
 func (e *Emulator) delay(dispatcher, zone int) time.Duration {
 	if own := e.day.ZoneOf(dispatcher); own != zone {
 		return e.day.Delays[own*len(e.day.Zones)+zone]
@@ -136,13 +143,14 @@
 	return 0
 }
 
-// now is the day's time in microseconds.
+// now returns the time since the emulator's start in microseconds.
 func (e *Emulator) now() int64 { return time.Since(e.start).Microseconds() }
 
-// Start is when the emulator's clock showed 0.
+// Start returns the time at which the emulator's clock was zero.
 func (e *Emulator) Start() time.Time { return e.start }
 
-// Place tells a dispatcher where all are.
+// Place returns the addresses that go into a dispatcher's configuration: its own listener, its discovery service and
+// all hosts. listen is the dispatcher's listen address.
 func (e *Emulator) Place(dispatcher int, listen string) world.Place {
 	addrs := map[string]string{}
 	for _, h := range e.hosts {
@@ -152,8 +160,9 @@
 		Addr: func(id string) string { return addrs[id] }}
 }
 
-// Play carries out the day's operations from now on, each on a timer of its own; those on dispatchers and their store go to the
-// caller. It returns at once. What is so from the beginning is in place by then: a timer may fire after the first job has come.
+// Play schedules the day's operations relative to begin, each on its own timer, and returns at once. Operations on
+// dispatchers and on their store are passed to the dispatcher function. Operations at time zero or earlier are
+// applied before Play returns, because a timer might fire only after the first job has arrived.
 func (e *Emulator) Play(ctx context.Context, begin time.Time, dispatcher func(world.Op)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,7 +190,7 @@
 	}
 }
 
-// apply carries out one operation; the lock is held.
+// apply carries out one operation. The caller holds mu.
 func (e *Emulator) apply(op world.Op) {
 	now := e.now()
 	var h *host
@@ -241,7 +250,7 @@
 	e.armDirectoryTimer()
 }
 
-// FaultsOf is what the links of an operation suffer from it, none once it is over.
+// FaultsOf returns the link faults that an operation causes, or no faults if the operation ends them.
 func FaultsOf(op world.Op) link.Faults {
 	if !op.On {
 		return link.Faults{}
@@ -259,7 +268,8 @@
 	return link.Faults{To: way(l.Way != "from"), From: way(l.Way != "to"), Refuse: l.Manner == "reset"}
 }
 
-// suffer has the links between some dispatchers and hosts, or discovery, suffer what an operation says, or makes them whole.
+// applyLinkFaults sets or clears the faults of an operation on the links between dispatchers and hosts, or between
+// dispatchers and discovery.
 func (e *Emulator) applyLinkFaults(op world.Op) {
 	l, f := op.Link, FaultsOf(op)
 	set := func(l *link.Link) { l.Suffer(f) }
@@ -274,7 +284,7 @@
 	}
 }
 
-// rearm sets the timer of the list's next change.
+// armDirectoryTimer sets the timer for the next change of the member list.
 func (e *Emulator) armDirectoryTimer() {
 	if e.directoryTimer != nil {
 		e.directoryTimer.Stop()
@@ -303,14 +313,14 @@
 	})
 }
 
-// Spread tells how evenly the hosts have been used so far.
+// Spread returns a report on how evenly the hosts have been used so far.
 func (e *Emulator) Spread() *spread.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.usage.Report(e.now())
 }
 
-// Close ends all.
+// Close closes all listeners and connections and waits until their goroutines have ended.
 func (e *Emulator) Close() {
 	e.mu.Lock()
 	e.closed = true
--- a/internal/lab/emulate/gangs.go
+++ b/internal/lab/emulate/gangs.go
@@ -10,10 +10,11 @@
 	"granitewing/internal/lab/model"
 )
 
-// latestStep is how late the hosts may look at their gangs without a word in the log.
+// maxStepDelay is how late a gang step may run before it is logged.
 const maxStepDelay = 250 * time.Millisecond
 
-// part reads what a request says of being one part of several; nil where it says nothing, or the class has none.
+// parsePart reads the headers that make a request one part of a gang. It returns nil if the request has no such
+// headers, they are malformed, or the class has no gangs.
 func (e *Emulator) parsePart(req *http.Request, now int64) *model.Part {
 	p := &model.Part{Name: req.Header.Get("X-Txn"), Gang: e.day.GangOf(req.Header.Get("X-Lane"))}
 	if n, _ := fmt.Sscanf(req.Header.Get("X-Gang-Part"), "%d/%d", &p.Rank, &p.Parts); n != 2 || p.Gang == nil || p.Rank < 0 || p.Rank >= p.Parts {
@@ -27,10 +28,11 @@
 	return p
 }
 
-// step ends the parts whose gangs have ended, and sets the timer of the next; the lock is held.
+// stepGangs finishes the parts whose gangs have completed or failed, and sets the timer for the next step. The
+// caller holds mu.
 func (e *Emulator) stepGangs() {
 	if e.steppingGangs || e.closed {
-		return // a part that ends is told below
+		return // a part that finishes in the loop below calls back here through deliverNotes
 	}
 	e.steppingGangs = true
 	for {
@@ -59,13 +61,13 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if now := e.now(); now-next > maxStepDelay.Microseconds() {
-			slog.Warn("gangs are looked at late", "timer_late_us", fired-next, "lock_waited_us", now-fired)
+			slog.Warn("gang step ran late", "timer_late_us", fired-next, "lock_waited_us", now-fired)
 		}
 		e.stepGangs()
 	})
 }
 
-// Gangs tells what the hosts saw of gangs.
+// Gangs returns what the hosts observed of gangs so far.
 func (e *Emulator) Gangs() *model.GangReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/emulate/hosts.go
+++ b/internal/lab/emulate/hosts.go
@@ -15,10 +15,10 @@
 	"granitewing/internal/lab/model"
 )
 
-// The emulated hosts: where they listen, and what their state asks of that.
+// This file holds the listeners of the emulated hosts and the way a host's state affects them.
 
-// loopback listens on every address of 127.0.0.0/8 at once, and on no other interface: the address that a dispatcher was
-// told tells who calls.
+// loopbackListenConfig listens on every address of 127.0.0.0/8 at once and on no other interface. The address that a
+// connection was made to identifies the dispatcher, since each is given addresses of its own.
 var loopbackListenConfig = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var err error
 	if cerr := c.Control(func(fd uintptr) {
@@ -29,13 +29,13 @@
 	return err
 }}
 
-// addr is where a dispatcher finds the host.
+// addr returns the address at which a dispatcher reaches the host.
 func (h *host) addr(dispatcher int) string {
 	n := dispatcher + 1
 	return fmt.Sprintf("127.1.%d.%d:%d", n>>8, n&0xff, h.tcpPort)
 }
 
-// caller is the dispatcher that was told an address, nil where none was.
+// callerEndpoint returns the endpoint of the dispatcher that was given an address, or nil if no dispatcher was.
 func (h *host) callerEndpoint(a net.Addr) *endpoint {
 	t, ok := a.(*net.TCPAddr)
 	if !ok {
@@ -49,7 +49,8 @@
 	return h.endpoints[n]
 }
 
-// open listens, at the port of before where there was one: discovery's list names it.
+// startListening opens the host's listener. It uses the previous port if there was one, because the discovery list
+// names it.
 func (h *host) startListening() error {
 	h.release()
 	ln, err := loopbackListenConfig.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", h.tcpPort))
@@ -67,28 +68,29 @@
 	}
 	h.ln.Close()
 	h.ln = nil
-	// Calls are refused, and no other program is given the port meanwhile.
+	// The port stays reserved: connections are refused, and no other program can take it.
 	h.heldPort, _ = hold.Take(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(h.tcpPort)))
 }
 
-// release gives the port back to its host.
+// release frees the reserved port so that the host can listen on it.
 func (h *host) release() {
 	h.heldPort.Release()
 	h.heldPort = nil
 }
 
-// look has the figures of the fleet's use take note of it; the lock is held.
+// recordUsage updates the usage statistics of the fleet with the host's current state. The caller holds the
+// emulator's lock.
 func (h *host) recordUsage(now int64) {
 	h.e.usage.Look(now, h.number, h.model, h.up && !h.vanished && !h.refusing)
 }
 
-// listen opens or shuts a host's address as its state asks.
+// updateListener opens or closes the host's listener according to its state.
 func (h *host) updateListener() {
 	switch want := h.up && !h.refusing; {
 	case want && h.ln == nil:
 		if err := h.startListening(); err != nil {
 			if errors.Is(err, syscall.EADDRINUSE) {
-				// Another program was given the port meanwhile; it may let go of it.
+				// Another program has taken the port in the meantime; retry, as it may release it.
 				h.e.timers = append(h.e.timers, time.AfterFunc(100*time.Millisecond, func() {
 					h.e.mu.Lock()
 					defer h.e.mu.Unlock()
@@ -97,7 +99,7 @@
 					}
 				}))
 			}
-			slog.Warn("a host can't listen again", "err", err)
+			slog.Warn("host cannot listen again", "err", err)
 		}
 	case !want:
 		h.stopListening()
@@ -106,7 +108,8 @@
 	h.recordUsage(h.e.now())
 }
 
-// mute finds which ports say nothing. What was open under the silence is reset once it is over.
+// updateMuted recomputes which endpoints send nothing because the host vanished or its zone is partitioned.
+// Connections that were open while an endpoint was muted are reset when it recovers.
 func (h *host) updateMuted() {
 	for _, p := range h.endpoints {
 		zone := h.e.day.ZoneOf(p.dispatcher)
@@ -129,13 +132,13 @@
 	c.Close()
 }
 
-// crash ends a host's process.
+// crash ends the host's process.
 func (h *host) crash(now int64) {
 	h.model.Crash(now)
 	h.processGone(now)
 }
 
-// fell cleans up after a process that is gone.
+// processGone updates the audit log, streams, listener and links after the host's process has ended.
 func (h *host) processGone(now int64) {
 	h.up = false
 	for id, s := range h.streams {
@@ -161,7 +164,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // out of descriptors; those that are open must go on
+			time.Sleep(10 * time.Millisecond) // out of file descriptors; connections that are open must continue
 			continue
 		}
 		p := h.callerEndpoint(c.LocalAddr())
@@ -179,7 +182,7 @@
 	}
 }
 
-// arm sets the timer of what a host does next.
+// armTimer sets the timer for the next event of the host's model.
 func (h *host) armTimer() {
 	if h.timer != nil {
 		h.timer.Stop()
@@ -197,7 +200,8 @@
 	})
 }
 
-// tell hands a host's notes to those who wait for them; the lock is held.
+// deliverNotes passes the notes of the host's model to the streams that wait for them. The caller holds the
+// emulator's lock.
 func (h *host) deliverNotes(notes []model.Note) {
 	for _, n := range notes {
 		if s := h.streams[n.Attempt]; s != nil {
--- a/internal/lab/emulate/serve.go
+++ b/internal/lab/emulate/serve.go
@@ -18,32 +18,32 @@
 
 // Limits of an emulated host's connections.
 const (
-	idleTimeout    = 30 * time.Second // a connection that stood idle for so long is closed
-	readTimeout    = 10 * time.Second // a request that has begun must be whole by then
+	idleTimeout    = 30 * time.Second // an idle connection is closed after this time
+	readTimeout    = 10 * time.Second // a request that has begun must be complete within this time
 	maxBody        = 64 << 10
-	maxQueuedParts = 256 // lines of one answer that wait for the writer
+	maxQueuedParts = 256 // parts of one response that wait for the writer
 )
 
-// stream is the answer to one attempt.
+// stream is the response to one attempt.
 type stream struct {
 	h        *host
 	p        *endpoint
-	name     string // X-Txn
-	handle   int    // in the audit
+	name     string // value of X-Txn
+	handle   int    // of the attempt in the audit log
 	attempt  uint64
 	out      chan responsePart
 	headSent bool
-	done     chan struct{} // closed once the answer is written
+	done     chan struct{} // closed once the response is written
 }
 
-// line is a piece of an answer and when it is to leave.
+// responsePart is a piece of a response and the time at which it leaves the host.
 type responsePart struct {
 	sendAt time.Time
 	text   []byte
 	last   bool
 }
 
-// Work is what a job's body tells a host of it. The laboratory's clients write it.
+// Work describes what a job costs a host. The laboratory's clients send it as the body of a request.
 type Work struct {
 	Micros float64
 	Slots  float64
@@ -51,12 +51,12 @@
 	Set    uint64
 }
 
-// Append appends the body that tells it.
+// Append appends the JSON request body to b.
 func (w Work) Append(b []byte) []byte {
 	return fmt.Appendf(b, `{"work_us":%.0f,"slots":%g,"memory":%g,"set":%d}`, w.Micros, w.Slots, w.Memory, w.Set)
 }
 
-// parseWork reads a body. One that another client wrote is a job of a millisecond.
+// parseWork reads a request body. A body that another client wrote counts as a job of one millisecond.
 func parseWork(body []byte) Work {
 	w := Work{Micros: 1000, Slots: 1}
 	v, err := fastjson.ParseBytes(body)
@@ -73,18 +73,18 @@
 	return w
 }
 
-// server is one connection that a dispatcher has opened to a host.
+// serverConn is one connection that a dispatcher has opened to a host.
 type serverConn struct {
 	p       *endpoint
 	c       *link.Conn
-	current *stream // the answer under way; guarded by the emulator's lock
+	current *stream // the response in progress; guarded by the emulator's lock
 }
 
-// gone books that the dispatcher's end is over. By the rules an attempt is out no more then, though over a link that is cut
-// the host hears of it later and works on meanwhile.
+// peerClosed records that the dispatcher has closed its end. From then on the attempt no longer counts as
+// outstanding, although over a link that is cut the host learns of it later and keeps working until then.
 func (v *serverConn) peerClosed() {
 	e := v.p.h.e
-	now := e.now() // before the wait for the lock, which is long on a busy machine
+	now := e.now() // taken before the wait for the lock, which is long on a busy machine
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s := v.current; s != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// serve answers the requests of one connection, one after another, until it ends.
+// serve answers the requests of one connection, one after another, until the connection ends.
 func (v *serverConn) serve() {
 	p, c := v.p, v.c
 	e, h := p.h.e, p.h
@@ -112,13 +112,13 @@
 		if current == nil {
 			c.SetReadDeadline(time.Now().Add(idleTimeout))
 		} else {
-			c.SetReadDeadline(time.Time{}) // while a job runs only the dispatcher's end is awaited
+			c.SetReadDeadline(time.Time{}) // while a job runs, only the end of the dispatcher's connection is awaited
 		}
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
 		if current != nil {
-			<-current.done // a request behind one that is not answered waits
+			<-current.done // a pipelined request waits for the response before it
 			current = nil
 		}
 		first := c.Sent().Sub(e.start).Microseconds()
@@ -146,14 +146,15 @@
 	}
 }
 
-// take books an attempt and offers it to the host once it has come there; false where the connection is reset instead.
+// acceptAttempt records an attempt in the audit log and offers it to the host after the network delay. It returns
+// false if the connection is reset instead.
 func (v *serverConn) acceptAttempt(s *stream, first int64, req *http.Request, body []byte) bool {
 	p, c := v.p, v.c
 	e, h := p.h.e, p.h
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	// What was long on its way counts from when it was sent.
+	// An attempt that was delayed on the link counts from the time at which it was sent.
 	part := e.parsePart(req, now)
 	if part != nil {
 		s.handle = e.log.CamePart(first, c.Sent().Sub(e.start).Microseconds(), s.name, h.model.Name, h.model.Cell, p.dispatcher, part.Rank, part.Parts)
@@ -178,7 +179,7 @@
 	e.wait.Go(func() { s.write(c, out) })
 	offer := func() {
 		if h.streams[s.attempt] != s || e.closed {
-			return // the dispatcher has given it up on the way
+			return // the dispatcher cancelled it on the way
 		}
 		e.usage.Came(e.now(), h.number, h.model, p.dispatcher)
 		h.deliverNotes(h.model.Offer(e.now(), job))
@@ -201,12 +202,13 @@
 	return true
 }
 
-// closed ends an attempt whose connection is over, since a time if the dispatcher's end is; the lock is held.
-func (p *endpoint) connectionClosed(s *stream, gone time.Time) {
+// connectionClosed ends an attempt whose connection has ended. closedAt is when the dispatcher closed its end, zero
+// if it did not. The caller holds the emulator's lock.
+func (p *endpoint) connectionClosed(s *stream, closedAt time.Time) {
 	e, h := p.h.e, p.h
 	now := e.now()
-	if !gone.IsZero() {
-		now = gone.Sub(e.start).Microseconds()
+	if !closedAt.IsZero() {
+		now = closedAt.Sub(e.start).Microseconds()
 	}
 	e.log.Finish(now, s.name, s.handle, audit.Closed, "")
 	close(s.out)
@@ -220,13 +222,13 @@
 	}
 }
 
-// tell turns a note into what the platform's protocol says of it; the lock is held.
+// sendNote translates a note of the model into the platform's protocol. The caller holds the emulator's lock.
 func (s *stream) sendNote(n model.Note) {
 	h := s.h
-	state := func(name, more string) {
-		s.queueChunk(fmt.Appendf(nil, `{"id":%q,"from":%q,"state":%q%s}`+"\n", s.name, h.model.Name, name, more), false)
+	state := func(name, fields string) {
+		s.queueChunk(fmt.Appendf(nil, `{"id":%q,"from":%q,"state":%q%s}`+"\n", s.name, h.model.Name, name, fields), false)
 	}
-	end := func(e audit.End, answer string) {
+	finish := func(e audit.End, answer string) {
 		h.e.log.Finish(n.At, s.name, s.handle, e, answer)
 		delete(h.streams, s.attempt)
 	}
@@ -239,14 +241,14 @@
 		state("running", `,"share":`+strconv.FormatFloat(n.Share, 'f', 4, 64))
 	case model.Done, model.Repeat:
 		answer := Answer(s.name, h.model.Name)
-		end(audit.Done, answer)
+		finish(audit.Done, answer)
 		state("done", fmt.Sprintf(`,"result":%q`, answer))
 		s.queueChunk(nil, true)
 	case model.Full:
-		end(audit.Unstarted, "")
+		finish(audit.Unstarted, "")
 		s.queueRaw("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 	case model.Failed:
-		end(audit.Failed, "")
+		finish(audit.Failed, "")
 		if s.headSent {
 			state("failed", "")
 			s.queueChunk(nil, true)
@@ -254,20 +256,20 @@
 			s.queueRaw("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		}
 	case model.Returned:
-		end(audit.Unstarted, "")
+		finish(audit.Unstarted, "")
 		state("returned", "")
 		s.queueChunk(nil, true)
 	case model.Lost:
-		end(audit.Lost, "")
+		finish(audit.Lost, "")
 		state("lost", "")
 		s.queueChunk(nil, true)
 	}
 }
 
-// Answer is the result that a host makes of a job.
+// Answer returns the result body that a host produces for a job.
 func Answer(name, host string) string { return name + " done by " + host }
 
-// put queues a chunk, after the head where none was sent.
+// queueChunk queues a chunk, preceded by the response head if that has not been sent.
 func (s *stream) queueChunk(text []byte, last bool) {
 	var b []byte
 	if !s.headSent {
@@ -294,11 +296,11 @@
 	}
 	select {
 	case s.out <- responsePart{time.Now().Add(s.p.delay), b, last}:
-	default: // the dispatcher reads nothing, and its time-out will tell it so
+	default: // the dispatcher does not read, and notices by its own time-out
 	}
 }
 
-// write sends an answer, each piece after its time on the way.
+// write sends the parts of a response, each after its network delay.
 func (s *stream) write(c net.Conn, out <-chan responsePart) {
 	defer close(s.done)
 	for l := range out {
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -14,7 +14,7 @@
 	"granitewing/internal/lab/world"
 )
 
-// Results are all plays of an experiment.
+// Results holds the outcomes of all runs of an experiment and the comparisons of its variants.
 type Results struct {
 	Experiment  string       `json:"experiment"`
 	About       string       `json:"about"`
@@ -27,21 +27,22 @@
 	Cut         bool         `json:"cut_short"`
 }
 
-// Size is one point of a sweep.
+// Size is one point of a sweep over fleet sizes.
 type Size struct {
 	Hosts       int     `json:"hosts"`
 	Dispatchers int     `json:"dispatchers"`
 	Variant     string  `json:"variant"`
 	Jobs        int64   `json:"jobs"`
 	Service     float64 `json:"service"`
-	Decision    float64 `json:"decision_us"`    // CPU for a message with all its events
-	HeapPerHost float64 `json:"heap_per_host"`  // bytes, of one dispatcher
-	Pace        float64 `json:"times_realtime"` // virtual time by wall time
-	Length      float64 `json:"length_s"`       // of virtual time that was played
-	Partial     bool    `json:"partial"`        // the budget ended the play; its service is that of jobs that ended by then
+	Decision    float64 `json:"decision_us"`    // CPU time per message over all its events, in microseconds
+	HeapPerHost float64 `json:"heap_per_host"`  // bytes of one dispatcher's heap, divided by the number of hosts
+	Pace        float64 `json:"times_realtime"` // virtual time divided by wall time
+	Length      float64 `json:"length_s"`       // seconds of virtual time that were run
+	Partial     bool    `json:"partial"`        // the wall-time budget ended the run; Service covers the jobs that completed by then
 }
 
-// Broken counts the breaches of the rules over all plays of the module; plain policies know nothing of cold hosts.
+// Broken returns the number of rule violations that the audits found over all runs of the module. Runs of plain
+// policies are left out, because such policies do not know about hosts in slow start.
 func (r *Results) Broken() int {
 	n := 0
 	for _, p := range r.Plays {
@@ -52,7 +53,7 @@
 	return n
 }
 
-// Invalid lists the plays whose generator fell behind.
+// Invalid lists the runs whose load generator could not keep to its schedule, with the causes.
 func (r *Results) Invalid() []string {
 	var out []string
 	for _, p := range r.Plays {
@@ -63,8 +64,10 @@
 	return out
 }
 
-// Run plays an experiment: each pair on a seed of its own, its variants in an order that alternates, so that what
-// changes on the machine meanwhile falls on all alike.
+// Run runs an experiment. Each pair of runs has its own seed, and the order of the variants alternates from pair to
+// pair, so that changes on the machine during the experiment affect all variants alike. label, which may be nil, is
+// called with a description of each run before it starts. If ctx ends, Run returns what it has with Cut set. On an
+// error it also returns the results so far.
 func Run(ctx context.Context, spec *world.Spec, s Setup, label func(string)) (*Results, error) {
 	variants := spec.Variants
 	if len(variants) == 0 {
@@ -107,10 +110,10 @@
 	return r, nil
 }
 
-// sweep plays each size once a variant.
+// runSweep runs each fleet size of the sweep once per variant.
 func (r *Results) runSweep(ctx context.Context, spec *world.Spec, variants []world.Variant, s Setup, label func(string)) error {
 	if !spec.Virtual {
-		return fmt.Errorf("%s: a sweep plays in virtual time alone", spec.Where)
+		return fmt.Errorf("%s: a sweep runs in virtual time only", spec.Where)
 	}
 	s.Measure = true
 	for _, d := range spec.Sweep.Dispatchers {
@@ -141,32 +144,32 @@
 	return nil
 }
 
-// Comparison is one figure of a variant against the first variant's on the same seeds.
+// Comparison compares one metric of a variant with the same metric of the first variant on the same seeds.
 type Comparison struct {
 	Figure   string    `json:"figure"`
 	Variant  string    `json:"variant"`
 	Against  string    `json:"against"`
 	Pairs    int       `json:"pairs"`
-	Base     float64   `json:"base"`  // mean of the first variant
-	Mean     float64   `json:"mean"`  // of the differences, or of the ratios less 1
-	Lo       float64   `json:"lo"`    // 95% confidence interval
+	Base     float64   `json:"base"`  // mean of the metric over the runs of the first variant
+	Mean     float64   `json:"mean"`  // mean of the differences, or of the ratios minus 1
+	Lo       float64   `json:"lo"`    // lower bound of the 95% confidence interval
 	Hi       float64   `json:"hi"`    //
-	Flip     float64   `json:"flip"`  // p of the sign-flip test, two-sided
-	Least    float64   `json:"least"` // p that so few pairs can reach at all
+	Flip     float64   `json:"flip"`  // two-sided p-value of the sign-flip test
+	Least    float64   `json:"least"` // smallest p-value that this number of pairs can reach
 	Ratio    bool      `json:"ratio"` // Mean, Lo and Hi are relative
 	Verdict  string    `json:"verdict"`
 	Each     []float64 `json:"each"`
 	Smallest float64   `json:"median"`
 }
 
-// figure is something that is compared.
+// metric is a quantity of an outcome that is compared between variants.
 type metric struct {
 	name  string
 	ratio bool
 	of    func(*Outcome) float64
 }
 
-// byClass gives the service and the median latency of each class that plays have.
+// classMetrics returns the service and the median latency of each class in the runs.
 func classMetrics(plays []*Outcome) []metric {
 	var out []metric
 	if len(plays) == 0 {
@@ -179,8 +182,8 @@
 	return out
 }
 
-// figures are what is compared: shares by their differences, times and costs by their ratios, whose logarithms are
-// closer to a normal distribution.
+// metrics are the quantities that are compared. Shares are compared by their differences. Times and costs are
+// compared by their ratios, because the logarithms of ratios are closer to a normal distribution.
 var metrics = []metric{
 	{"service", false, func(o *Outcome) float64 { return o.Service }},
 	{"service of the worst class", false, func(o *Outcome) float64 {
@@ -204,7 +207,7 @@
 	{"fetched of begun", false, func(o *Outcome) float64 { return o.spreadReport().FetchShare }},
 }
 
-// spread gives the use of the hosts, nothing where it was not watched.
+// spreadReport returns the report on host usage, or an empty one if usage was not observed.
 func (o *Outcome) spreadReport() *spread.Report {
 	if o.Spread == nil {
 		return &spread.Report{}
@@ -212,7 +215,7 @@
 	return o.Spread
 }
 
-// compare sets each variant against the first, pair by pair.
+// compare compares each variant with the first one, pair by pair.
 func (r *Results) compare() {
 	bySeed := map[string]map[uint64]*Outcome{}
 	for _, p := range r.Plays {
@@ -247,10 +250,11 @@
 	}
 }
 
-// Compare gives the paired difference of b against a with a 95% interval by Student's t on the differences (of
-// logarithms, for ratios). The pairs share their day, so that differences vary far less than the figures themselves; t
-// is the interval for few of them. The sign-flip test beside it assumes nothing of their distribution but needs at
-// least 6 pairs to reach 5%. False where a figure is missing or fewer than two pairs were played.
+// Compare returns the paired difference of b against a with a 95% confidence interval by Student's t distribution on
+// the differences (for ratios, on the differences of logarithms). The runs of a pair share their day, so the
+// differences vary far less than the values themselves; Student's t suits the small number of pairs. The sign-flip
+// test makes no assumption about the distribution, but needs at least 6 pairs to reach 5%. Compare returns false if
+// a ratio has a value that is not positive, the lengths differ, or there are fewer than two pairs.
 func Compare(a, b []float64, ratio bool) (Comparison, bool) {
 	if len(a) < 2 || len(a) != len(b) {
 		return Comparison{}, false
@@ -292,15 +296,16 @@
 	return c, true
 }
 
-// signFlip gives how often chance makes a mean at least as far from nothing as the one seen, were the sign of each
-// difference a coin's. Up to 16 pairs all flips are counted, beyond them 20,000 drawn from a fixed seed.
+// signFlip returns the probability that the mean is at least as far from zero as observed if the sign of each
+// difference were random. It enumerates all sign combinations for up to 16 pairs and draws 20,000 from a fixed seed
+// for more.
 func signFlip(d []float64) float64 {
 	sum := 0.0
 	for _, v := range d {
 		sum += v
 	}
-	seen := math.Abs(sum) * (1 - 1e-12)
-	flips, far := 0, 0
+	observed := math.Abs(sum) * (1 - 1e-12)
+	flips, atLeast := 0, 0
 	try := func(sign func(int) bool) {
 		s := 0.0
 		for i, v := range d {
@@ -310,8 +315,8 @@
 				s -= v
 			}
 		}
-		if flips++; math.Abs(s) >= seen {
-			far++
+		if flips++; math.Abs(s) >= observed {
+			atLeast++
 		}
 	}
 	if len(d) <= 16 {
@@ -324,10 +329,11 @@
 			try(func(int) bool { return rng.IntN(2) == 1 })
 		}
 	}
-	return float64(far) / float64(flips)
+	return float64(atLeast) / float64(flips)
 }
 
-// judge says in plain words what an interval tells. A margin is for service alone.
+// setVerdict sets Verdict to a plain-text reading of the interval. margin is the equivalence margin; it applies to
+// shares such as service, not to ratios.
 func (c *Comparison) setVerdict(margin float64) {
 	within := margin > 0 && !c.Ratio && c.Lo >= -margin && c.Hi <= margin
 	switch {
--- a/internal/lab/experiment/peers.go
+++ b/internal/lab/experiment/peers.go
@@ -18,115 +18,118 @@
 	"granitewing/internal/lab/world"
 )
 
-// disturbs says whether a day has operations of a kind.
-func (t *cluster) hasOp(kind world.OpKind) bool {
-	return slices.ContainsFunc(t.day.Ops, func(o world.Op) bool { return o.Kind == kind })
+// hasOp reports whether the day has operations of a kind.
+func (c *cluster) hasOp(kind world.OpKind) bool {
+	return slices.ContainsFunc(c.day.Ops, func(o world.Op) bool { return o.Kind == kind })
 }
 
-func (t *cluster) hasClientFaults() bool { return t.hasOp(world.OpClients) }
+func (c *cluster) hasClientFaults() bool { return c.hasOp(world.OpClients) }
 
-// connect stands the mesh between the dispatchers, where their settings tell others the mesh's address of them.
-func (t *cluster) openMesh() (err error) {
-	own := cmp.Or(t.variant.Own, t.day.Own)
-	switch shares := strings.Contains(own, "{gossip}"); {
-	case strings.Contains(own, "{told}"):
-		t.mesh, err = mesh.Open(t.gossipAddrs, t.seed)
-	case shares && t.hasOp(world.OpPeers):
-		err = fmt.Errorf("variant %s: the links between dispatchers fail in this day, but its settings do not have them go over the rig's: they want (advertise \"{told}\")", t.variant.Name)
+// openMesh opens the mesh between the dispatchers if their settings advertise the mesh's addresses instead of their
+// own. It returns an error if the day has faults on the links between dispatchers but the settings bypass the mesh.
+func (c *cluster) openMesh() (err error) {
+	settings := cmp.Or(c.variant.Own, c.day.Own)
+	switch usesGossip := strings.Contains(settings, "{gossip}"); {
+	case strings.Contains(settings, "{told}"):
+		c.mesh, err = mesh.Open(c.gossipAddrs, c.seed)
+	case usesGossip && c.hasOp(world.OpPeers):
+		err = fmt.Errorf("variant %s: the day has faults on the links between dispatchers, but the settings bypass these links; they must contain (advertise \"{told}\")", c.variant.Name)
 	}
 	return err
 }
 
-// gate stands between the clients and a dispatcher, and says where it is.
-func (t *cluster) openClientGate(i int) (string, error) {
+// openClientGate opens a gate between the clients and dispatcher i, and returns its address.
+func (c *cluster) openClientGate(i int) (string, error) {
 	path := &link.Link{}
-	g, err := mesh.OpenGate("127.0.0.1:0", t.addrs[i], path)
+	g, err := mesh.OpenGate("127.0.0.1:0", c.addrs[i], path)
 	if err != nil {
 		return "", fmt.Errorf("clients of dispatcher %d: %w", i, err)
 	}
-	t.clientGates, t.clientLinks = append(t.clientGates, g), append(t.clientLinks, path)
+	c.clientGates, c.clientLinks = append(c.clientGates, g), append(c.clientLinks, path)
 	return g.Addr(), nil
 }
 
-// part has links of dispatchers with each other, or with clients, suffer what an operation says. Towards the dispatchers
-// named is what clients send to them; between dispatchers, to is what the others say to those named.
-func (t *cluster) applyLinkFaults(op world.Op) {
+// applyLinkFaults applies the faults of an operation to links between dispatchers, or between dispatchers and
+// clients. For client links the "to" direction is from the clients to the named dispatchers; between dispatchers it
+// is from the other dispatchers to the named ones.
+func (c *cluster) applyLinkFaults(op world.Op) {
 	f := emulate.FaultsOf(op)
 	if op.Kind == world.OpClients {
-		now := time.Since(t.fleet.Start()).Microseconds()
+		now := time.Since(c.fleet.Start()).Microseconds()
 		for _, d := range op.Dispatchers {
-			t.mu.Lock()
-			if from, suffers := t.partitionedSince[d]; suffers {
-				t.log.Killed(d, from, now) // what a client lost on its way is not held against the dispatcher
-				delete(t.partitionedSince, d)
+			c.mu.Lock()
+			if from, cut := c.partitionedSince[d]; cut {
+				c.log.Killed(d, from, now) // a request that is lost on the client's link is not the dispatcher's fault
+				delete(c.partitionedSince, d)
 			}
 			if op.On {
-				t.partitionedSince[d] = now
+				c.partitionedSince[d] = now
 			}
-			t.mu.Unlock()
-			t.clientLinks[d].Suffer(f)
+			c.mu.Unlock()
+			c.clientLinks[d].Suffer(f)
 		}
 		return
 	}
-	if t.mesh == nil {
-		return // they share nothing, and so nothing is between them
+	if c.mesh == nil {
+		return // the dispatchers do not talk to each other
 	}
 	for _, d := range op.Dispatchers {
 		for _, o := range op.Others {
 			if o == d || o < d && slices.Contains(op.Dispatchers, o) {
-				continue // those both named have one link, and it suffers once
+				continue // two named dispatchers share one link; apply the fault to it once
 			}
-			t.mesh.Set(o, d, f)
+			c.mesh.Set(o, d, f)
 		}
 	}
 }
 
-// look asks all doors at once.
-func (t *cluster) takeSnapshot(op world.Op) {
-	t.pendingSnapshots.Add(1)
-	defer t.pendingSnapshots.Done()
-	l := Look{At: op.At.Seconds(), Figures: make([]map[string]float64, t.day.Dispatchers)}
-	t.mu.Lock()
+// takeSnapshot queries the metrics of all running dispatchers concurrently.
+func (c *cluster) takeSnapshot(op world.Op) {
+	c.pendingSnapshots.Add(1)
+	defer c.pendingSnapshots.Done()
+	l := Look{At: op.At.Seconds(), Figures: make([]map[string]float64, c.day.Dispatchers)}
+	c.mu.Lock()
 	var wait sync.WaitGroup
-	for i, d := range t.running {
+	for i, d := range c.running {
 		wait.Go(func() {
 			f, err := d.Figures()
 			if err != nil {
-				return // it stands still, or ends just now
+				return // it is paused or shutting down
 			}
 			for name := range f {
 				if strings.Contains(name, "{member=") {
-					delete(f, name) // as many as there are pairs
+					delete(f, name) // one value per pair of dispatchers: too many to keep
 				}
 			}
 			l.Figures[i] = f
 		})
 	}
-	t.mu.Unlock()
+	c.mu.Unlock()
 	wait.Wait()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.snapshots = append(t.snapshots, l)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.snapshots = append(c.snapshots, l)
 }
 
-// looked gives what the doors have told, by time.
-func (t *cluster) sortedSnapshots() []Look {
-	t.pendingSnapshots.Wait()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	slices.SortFunc(t.snapshots, func(a, b Look) int { return cmp.Compare(a.At, b.At) })
-	return t.snapshots
+// sortedSnapshots waits for the pending snapshots and returns all of them ordered by time.
+func (c *cluster) sortedSnapshots() []Look {
+	c.pendingSnapshots.Wait()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	slices.SortFunc(c.snapshots, func(a, b Look) int { return cmp.Compare(a.At, b.At) })
+	return c.snapshots
 }
 
-// talk tells what went over the mesh since the start.
-func (t *cluster) meshTraffic(since time.Duration) *Talk {
-	if t.mesh == nil {
+// meshTraffic returns the traffic over the mesh per second and dispatcher, or nil without a mesh. since is the time
+// since the dispatchers were started.
+func (c *cluster) meshTraffic(since time.Duration) *Talk {
+	if c.mesh == nil {
 		return nil
 	}
 	out := &Talk{}
-	per := 1 / (since.Seconds() * float64(t.day.Dispatchers))
-	for i := range t.day.Dispatchers {
-		datagrams, bytes, lost := t.mesh.Sent(i)
+	per := 1 / (since.Seconds() * float64(c.day.Dispatchers))
+	for i := range c.day.Dispatchers {
+		datagrams, bytes, lost := c.mesh.Sent(i)
 		out.Datagrams += float64(datagrams) * per
 		out.Bytes += float64(bytes) * per
 		out.Lost += float64(lost) * per
@@ -134,49 +137,52 @@
 	return out
 }
 
-// seedsMost is how many members of a fleet the others are told to join.
+// maxGossipSeeds is the number of fleet members that each dispatcher is configured to join.
 const maxGossipSeeds = 3
 
-// places holds an address for each dispatcher's door, and one for its part in a fleet: a loopback address of its own, with a
-// port that is free there for datagrams and connections. They are held to the end of the play, as a dispatcher that is
-// started anew wants them again. The addresses of fleets are this process's own as well: datagrams can't be held.
-func (t *cluster) reserveAddresses(n int) error {
-	net8 := 2 + 2*(os.Getpid()%120) // the next one is that of the mesh's seats
+// reserveAddresses reserves, for each of n dispatchers, an address for its client listener and an address for its
+// membership in a fleet. The latter is on a loopback IP address of its own, with a port that is free there for both
+// datagrams and connections. The addresses stay reserved until the end of the run, because a dispatcher that is
+// restarted needs them again. The loopback network of the fleet addresses depends on the process ID, so that two
+// laboratories do not collide: datagram ports cannot be held.
+func (c *cluster) reserveAddresses(n int) error {
+	net8 := 2 + 2*(os.Getpid()%120) // the following network is that of the mesh's addresses
 	for i := range n {
-		door, err := hold.Take(netip.MustParseAddrPort("127.0.0.1:0"))
+		client, err := hold.Take(netip.MustParseAddrPort("127.0.0.1:0"))
 		if err != nil {
 			return fmt.Errorf("dispatcher %d: %w", i, err)
 		}
-		t.heldPorts, t.clientAddrs = append(t.heldPorts, door), append(t.clientAddrs, door.Addr().String())
-		part, err := hold.Both(netip.AddrFrom4([4]byte{127, byte(net8), byte((i + 1) >> 8), byte(i + 1)}))
+		c.heldPorts, c.clientAddrs = append(c.heldPorts, client), append(c.clientAddrs, client.Addr().String())
+		member, err := hold.Both(netip.AddrFrom4([4]byte{127, byte(net8), byte((i + 1) >> 8), byte(i + 1)}))
 		if err != nil {
 			return fmt.Errorf("gossip of dispatcher %d: %w", i, err)
 		}
-		t.heldPorts, t.gossipAddrs = append(t.heldPorts, part), append(t.gossipAddrs, part.Addr().String())
+		c.heldPorts, c.gossipAddrs = append(c.heldPorts, member), append(c.gossipAddrs, member.Addr().String())
 	}
 	return nil
 }
 
-// own gives a dispatcher's own settings, which name its files by play and number, and its place in a fleet.
-func (t *cluster) settingsFor(i int) string {
-	text := cmp.Or(t.variant.Own, t.day.Own)
+// settingsFor returns the settings of dispatcher i, with placeholders replaced: its file names, which contain the
+// run and the dispatcher's number, the URL of the store and its fleet addresses.
+func (c *cluster) settingsFor(i int) string {
+	text := cmp.Or(c.variant.Own, c.day.Own)
 	url := ""
-	if t.store != nil {
-		url = t.store.URL()
+	if c.store != nil {
+		url = c.store.URL()
 	}
 	if strings.Contains(text, "{gossip}") {
-		seeds := make([]string, min(len(t.gossipAddrs), maxGossipSeeds))
+		seeds := make([]string, min(len(c.gossipAddrs), maxGossipSeeds))
 		for k := range seeds {
-			seeds[k] = strconv.Quote(t.gossipAddrs[k])
-			if t.mesh != nil {
-				seeds[k] = strconv.Quote(t.mesh.Addr(k))
+			seeds[k] = strconv.Quote(c.gossipAddrs[k])
+			if c.mesh != nil {
+				seeds[k] = strconv.Quote(c.mesh.Addr(k))
 			}
 		}
-		told := t.gossipAddrs[i]
-		if t.mesh != nil {
-			told = t.mesh.Addr(i)
+		advertised := c.gossipAddrs[i]
+		if c.mesh != nil {
+			advertised = c.mesh.Addr(i)
 		}
-		text = strings.NewReplacer("{gossip}", t.gossipAddrs[i], "{told}", told, "{seeds}", strings.Join(seeds, " ")).Replace(text)
+		text = strings.NewReplacer("{gossip}", c.gossipAddrs[i], "{told}", advertised, "{seeds}", strings.Join(seeds, " ")).Replace(text)
 	}
-	return strings.NewReplacer("{dir}", t.setup.Dir, "{postgres}", url, "{name}", fmt.Sprintf("%s-%d-n%d", t.variant.Name, t.seed, i)).Replace(text)
+	return strings.NewReplacer("{dir}", c.setup.Dir, "{postgres}", url, "{name}", fmt.Sprintf("%s-%d-n%d", c.variant.Name, c.seed, i)).Replace(text)
 }
--- a/internal/lab/experiment/play.go
+++ b/internal/lab/experiment/play.go
@@ -1,5 +1,10 @@
-// Package experiment plays days: one, or pairs of two builds, settings or policies on the same seeds, and says whether
-// they differ.
+// Package experiment runs laboratory experiments and compares their variants.
+//
+// A world.Spec describes an experiment; drawing it with a seed gives a world.Day, the complete schedule of jobs,
+// hosts and faults. Play runs one day of one variant against real dispatcher processes on loopback sockets,
+// PlayVirtual runs it in virtual time inside this process, and each returns an Outcome. Run runs a whole experiment:
+// pairs of variants (two builds, settings or policies) on the same seeds, or a sweep over fleet sizes. Its Results
+// hold the outcomes and state whether the variants differ.
 package experiment
 
 import (
@@ -22,18 +27,18 @@
 	"granitewing/internal/record/pgstandin"
 )
 
-// Mark is something that happened, for the time axis of plots.
+// Mark is an event of the day, such as a fault, shown on the time axis of plots.
 type Mark struct {
 	At    float64 `json:"at_s"`
 	Label string  `json:"label"`
 }
 
-// Outcome is what one play of a day gave.
+// Outcome holds the measurements of one run of a day.
 type Outcome struct {
 	Experiment string             `json:"experiment"`
 	Variant    string             `json:"variant"`
 	Seed       uint64             `json:"seed"`
-	Policy     string             `json:"policy,omitempty"` // other than the module's
+	Policy     string             `json:"policy,omitempty"` // empty for the module's own policy
 	Virtual    bool               `json:"virtual"`
 	Cut        bool               `json:"cut_short"`
 	Service    float64            `json:"service"`
@@ -43,45 +48,47 @@
 	Audit      *audit.Report      `json:"audit"`
 	Marks      []Mark             `json:"failures"`
 	Hosts      []audit.HostLoad   `json:"hosts"`
-	Crowds     []audit.Crowd      `json:"crowds,omitempty"` // by class; of real processes
+	Crowds     []audit.Crowd      `json:"crowds,omitempty"` // by class; only for runs with real processes
 	Spread     *spread.Report     `json:"spread,omitempty"`
-	Gangs      *model.GangReport  `json:"gangs,omitempty"` // where a class is run in parts
+	Gangs      *model.GangReport  `json:"gangs,omitempty"` // only if a class runs jobs in parts (gangs)
 	Notes      []string           `json:"notes,omitempty"`
 	Resent     int                `json:"resent_by_clients"`
 	CPU        []float64          `json:"dispatcher_cpu_s,omitempty"`
-	Dead       float64            `json:"dispatchers_dead_s,omitempty"` // summed over dispatchers
-	Decision   float64            `json:"decision_us,omitempty"`        // CPU of the dispatchers for a message, all its events
-	Heap       float64            `json:"heap_bytes,omitempty"`         // of one dispatcher, in virtual time
+	Dead       float64            `json:"dispatchers_dead_s,omitempty"` // seconds, summed over dispatchers
+	Decision   float64            `json:"decision_us,omitempty"`        // dispatcher CPU time per message over all its events, in microseconds
+	Heap       float64            `json:"heap_bytes,omitempty"`         // bytes of one dispatcher's heap; virtual time only
 	Wall       float64            `json:"wall_s"`
-	Length     float64            `json:"length_s"` // of the day, virtual time included
+	Length     float64            `json:"length_s"` // length of the day in seconds, in virtual time if the run is virtual
 	Recorder   *measure.Recorder  `json:"recorder"`
-	Figures    map[string]float64 `json:"dispatcher_figures,omitempty"` // of the doors at the end, summed over dispatchers
+	Figures    map[string]float64 `json:"dispatcher_figures,omitempty"` // metrics of the dispatchers' admin endpoints at the end, summed over dispatchers
 	Looks      []Look             `json:"looks,omitempty"`
 	Talk       *Talk              `json:"talk,omitempty"`
 }
 
-// Look is what the doors told at a moment of the day.
+// Look is a snapshot of all dispatchers' metrics at one moment of the day.
 type Look struct {
 	At      float64              `json:"at_s"`
-	Figures []map[string]float64 `json:"figures"` // by dispatcher; none of one that is not there or does not answer
+	Figures []map[string]float64 `json:"figures"` // by dispatcher; nil for one that is not running or does not answer
 }
 
-// Talk is what dispatchers sent to each other over the rig's links, a second and dispatcher, from their start on.
+// Talk is the traffic between dispatchers over the mesh, per second and dispatcher, averaged from their start.
 type Talk struct {
 	Datagrams float64 `json:"datagrams"`
-	Bytes     float64 `json:"bytes"` // in datagrams, and on connections that it opened; headers not counted
-	Lost      float64 `json:"lost"`  // datagrams, to links that fail
+	Bytes     float64 `json:"bytes"` // in datagrams and on connections that the dispatcher opened, without headers
+	Lost      float64 `json:"lost"`  // datagrams dropped by faulty links
 }
 
-// Setup says how to play.
+// Setup holds the parameters of a run that do not come from the experiment.
 type Setup struct {
-	Program  string // the dispatcher's build
-	Dir      string // for configurations and logs
-	Measure  bool   // take the CPU time and memory of dispatchers in virtual time
+	Program  string // path of the dispatcher binary
+	Dir      string // directory for configurations and logs
+	Measure  bool   // measure the CPU time and memory of dispatchers in virtual time
 	Progress func(sent, done, total int)
 }
 
-// Play plays a day of a variant on sockets with real dispatchers.
+// Play runs one day of a variant with real dispatchers on sockets. Cancelling ctx cuts the run short: the outcome
+// then has Cut set and holds what was measured so far. It returns an error if the day cannot be drawn, if the
+// emulator, the store or a dispatcher does not start, or if the dispatchers' records cannot be read.
 func Play(ctx context.Context, spec *world.Spec, v world.Variant, seed uint64, s Setup) (*Outcome, error) {
 	day, err := spec.For(v).Draw(seed)
 	if err != nil {
@@ -96,37 +103,37 @@
 		return nil, err
 	}
 	defer fleet.Close()
-	theatre := &cluster{day: day, fleet: fleet, log: log, variant: v, seed: seed, setup: s,
+	cl := &cluster{day: day, fleet: fleet, log: log, variant: v, seed: seed, setup: s,
 		running: map[int]*stage.Dispatcher{}, addrs: map[int]string{}, deadSince: map[int]int64{}, pausedSince: map[int]int64{}, partitionedSince: map[int]int64{}, opLocks: make([]sync.Mutex, day.Dispatchers)}
-	defer theatre.stop()
+	defer cl.stop()
 	if day.Postgres {
-		if theatre.store, err = pgstandin.Start(filepath.Join(s.Dir, fmt.Sprintf("pg-%s-%d.db", v.Name, seed))); err != nil {
+		if cl.store, err = pgstandin.Start(filepath.Join(s.Dir, fmt.Sprintf("pg-%s-%d.db", v.Name, seed))); err != nil {
 			return nil, err
 		}
-		defer theatre.store.Close()
+		defer cl.store.Close()
 	}
 	var targets []load.Target
-	if err := theatre.reserveAddresses(day.Dispatchers); err != nil {
+	if err := cl.reserveAddresses(day.Dispatchers); err != nil {
 		return nil, err
 	}
-	if err := theatre.openMesh(); err != nil {
+	if err := cl.openMesh(); err != nil {
 		return nil, err
 	}
-	up := time.Now()
-	if err := theatre.startAll(ctx); err != nil {
+	startedAt := time.Now()
+	if err := cl.startAll(ctx); err != nil {
 		return nil, err
 	}
 	for i := range day.Dispatchers {
-		target := load.Target{Addr: theatre.addrs[i], Zone: day.ZoneOf(i)}
-		if theatre.hasClientFaults() {
-			if target.Addr, err = theatre.openClientGate(i); err != nil {
+		target := load.Target{Addr: cl.addrs[i], Zone: day.ZoneOf(i)}
+		if cl.hasClientFaults() {
+			if target.Addr, err = cl.openClientGate(i); err != nil {
 				return nil, err
 			}
 		}
 		targets = append(targets, target)
 	}
 	begin := time.Now().Add(100 * time.Millisecond)
-	fleet.Play(ctx, begin, theatre.applyOp)
+	fleet.Play(ctx, begin, cl.applyOp)
 	began := time.Now()
 	res, err := load.Run(ctx, load.Options{
 		Day: day, Targets: targets, Seed: seed, Begin: begin, Log: log, LogZero: fleet.Start(), Prefix: fmt.Sprintf("%04x", seed&0xffff),
@@ -142,24 +149,24 @@
 	o := newOutcome(spec, v, seed, day, res.Recorder)
 	o.Cut, o.Verdict, o.Resent, o.Wall = res.Cut, res.Verdict, res.Resent, time.Since(began).Seconds()
 	o.Length = o.Wall
-	o.Looks, o.Talk = theatre.sortedSnapshots(), theatre.meshTraffic(time.Since(up))
-	if o.Figures, err = theatre.sumMetrics(); err != nil {
+	o.Looks, o.Talk = cl.sortedSnapshots(), cl.meshTraffic(time.Since(startedAt))
+	if o.Figures, err = cl.sumMetrics(); err != nil {
 		o.Notes = append(o.Notes, err.Error())
 	}
-	if err := theatre.stop(); err != nil {
+	if err := cl.stop(); err != nil {
 		o.Notes = append(o.Notes, err.Error())
 	}
 	messages := 0
 	for _, r := range o.Rows[:len(o.Rows)-1] {
 		messages += int(r.Tries)
 	}
-	for _, c := range theatre.cpu {
+	for _, c := range cl.cpu {
 		o.CPU = append(o.CPU, c)
 		o.Decision += c * 1e6 / float64(max(messages, 1))
 	}
 	o.Audit, o.Dead = log.Check(), log.Dead()
 	if day.Records {
-		list, err := theatre.readRecords()
+		list, err := cl.readRecords()
 		if err != nil {
 			return nil, err
 		}
@@ -173,10 +180,12 @@
 	return o, nil
 }
 
-// auditMost is up to how many jobs a play in virtual time is audited; the records of more would take gigabytes.
+// maxAuditedJobs is the largest number of jobs for which a virtual-time run is audited; the audit log of more jobs
+// would take gigabytes.
 const maxAuditedJobs = 300_000
 
-// PlayVirtual plays a day of a variant in virtual time.
+// PlayVirtual runs one day of a variant in virtual time, without sockets or processes. Cancelling ctx cuts the run
+// short: the outcome then has Cut set and holds what was measured so far.
 func PlayVirtual(ctx context.Context, spec *world.Spec, v world.Variant, seed uint64, s Setup) (*Outcome, error) {
 	day, err := spec.For(v).Draw(seed)
 	if err != nil {
@@ -211,7 +220,7 @@
 	return o, nil
 }
 
-// gangs gives what was seen of gangs where a day has any.
+// gangReport returns r if a class of the day runs its jobs in parts, and nil otherwise.
 func gangReport(day *world.Day, r *model.GangReport) *model.GangReport {
 	for _, c := range day.Classes {
 		if c.Gang != nil {
@@ -221,7 +230,7 @@
 	return nil
 }
 
-// newOutcome begins an outcome with what all plays have.
+// newOutcome returns an outcome with the fields that all kinds of runs share.
 func newOutcome(spec *world.Spec, v world.Variant, seed uint64, day *world.Day, rec *measure.Recorder) *Outcome {
 	o := &Outcome{Experiment: spec.Name, Variant: v.Name, Seed: seed, Recorder: rec, Rows: rec.Rows(), Series: rec.Series(), Notes: day.Notes}
 	for _, op := range day.Ops {
@@ -231,7 +240,7 @@
 	return o
 }
 
-// NewLog makes the audit's log for a day.
+// NewLog returns an empty audit log for the classes of a day.
 func NewLog(day *world.Day) *audit.Log {
 	var classes []audit.Class
 	for _, c := range day.Classes {
@@ -240,7 +249,7 @@
 	return audit.New(classes)
 }
 
-// TempDir makes a folder for a run's configurations.
+// TempDir creates a temporary directory for the configurations of a run. The returned function removes it.
 func TempDir() (string, func(), error) {
 	dir, err := os.MkdirTemp("", "gwlab")
 	if err != nil {
@@ -249,10 +258,11 @@
 	return dir, func() { os.RemoveAll(dir) }, nil
 }
 
-// Loaded is the outcome of a generator alone, which sees no host and so audits nothing.
+// Loaded returns the outcome of a load generator that ran on its own. Such a run observes no host, so its outcome
+// has no audit.
 func Loaded(spec *world.Spec, day *world.Day, res *load.Result, wall time.Duration) *Outcome {
 	o := newOutcome(spec, world.Variant{Name: "load"}, spec.Seed, day, res.Recorder)
-	o.Marks = nil // the failures of its hosts are not known to have been played
+	o.Marks = nil // the generator does not know whether its day's faults were applied
 	o.Cut, o.Verdict, o.Resent, o.Wall, o.Length = res.Cut, res.Verdict, res.Resent, wall.Seconds(), wall.Seconds()
 	return o
 }
--- a/internal/lab/experiment/revive.go
+++ b/internal/lab/experiment/revive.go
@@ -5,43 +5,45 @@
 	"time"
 )
 
-// revive starts another process of a dispatcher's name at its address.
-func (t *cluster) restartDispatcher(i int) {
-	t.mu.Lock()
-	known := t.addrs[i] != "" && t.running[i] == nil && !t.closed
-	t.mu.Unlock()
-	if !known {
+// restartDispatcher starts a new process for dispatcher i, with the same name and address, if none is running.
+func (c *cluster) restartDispatcher(i int) {
+	c.mu.Lock()
+	startable := c.addrs[i] != "" && c.running[i] == nil && !c.closed
+	c.mu.Unlock()
+	if !startable {
 		return
 	}
-	if err := t.startWithRetry(i); err != nil {
-		slog.Error("a dispatcher did not come back", "dispatcher", i, "cause", err)
+	if err := c.startWithRetry(i); err != nil {
+		slog.Error("dispatcher did not restart", "dispatcher", i, "cause", err)
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if from, killed := t.deadSince[i]; killed && !t.closed {
-		t.log.Killed(i, from, time.Since(t.fleet.Start()).Microseconds())
-		delete(t.deadSince, i)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if from, killed := c.deadSince[i]; killed && !c.closed {
+		c.log.Killed(i, from, time.Since(c.fleet.Start()).Microseconds())
+		delete(c.deadSince, i)
 	}
 }
 
-// Starts of a process that ends at its start, since what it needs (its store of record) is in trouble.
+// Retries of a process that exits during its start because something it needs, such as its store of record, is
+// failing.
 const (
 	maxStartAttempts = 20
 	startRetryDelay  = 200 * time.Millisecond
 )
 
-// startAgain starts a process as a platform does: one that ends at its start is started again after a short delay.
-func (t *cluster) startWithRetry(i int) error {
+// startWithRetry starts a process as a platform would: if it exits during its start, it is started again after a
+// short delay.
+func (c *cluster) startWithRetry(i int) error {
 	for try := 1; ; try++ {
-		err := t.start(i)
-		t.mu.Lock()
-		over := t.closed
-		t.mu.Unlock()
-		if err == nil || over || try == maxStartAttempts {
+		err := c.start(i)
+		c.mu.Lock()
+		closed := c.closed
+		c.mu.Unlock()
+		if err == nil || closed || try == maxStartAttempts {
 			return err
 		}
-		slog.Warn("a dispatcher ended at its start", "dispatcher", i, "cause", err)
+		slog.Warn("dispatcher exited during its start", "dispatcher", i, "cause", err)
 		time.Sleep(startRetryDelay)
 	}
 }
--- a/internal/lab/experiment/theatre.go
+++ b/internal/lab/experiment/theatre.go
@@ -25,7 +25,7 @@
 	"granitewing/internal/record/pgstandin"
 )
 
-// theatre keeps the dispatchers of a play.
+// cluster manages the dispatcher processes of one run, the links and addresses between them, and their store.
 type cluster struct {
 	day     *world.Day
 	fleet   *emulate.Emulator
@@ -39,72 +39,74 @@
 	addrs            map[int]string
 	deadSince        map[int]int64
 	pausedSince      map[int]int64
-	partitionedSince map[int]int64       // from its clients
-	opLocks          []sync.Mutex        // by dispatcher
-	stopping         []*stage.Dispatcher // told to end; another of the name may run already
+	partitionedSince map[int]int64       // when a dispatcher was cut off from its clients
+	opLocks          []sync.Mutex        // by dispatcher; serializes operations on its process
+	stopping         []*stage.Dispatcher // told to shut down; a successor of the same name may already be running
 	crashes          []error
 	cpu              []float64
 	startCount       uint64
 	closed           bool
-	clientAddrs      []string // where each listens for clients
-	gossipAddrs      []string // where each takes part in a fleet
+	clientAddrs      []string // client listener, by dispatcher
+	gossipAddrs      []string // fleet membership, by dispatcher
 	heldPorts        []*hold.Port
 	mesh             *mesh.Mesh
-	clientGates      []*mesh.Gate // of clients, where a day disturbs them
-	clientLinks      []*link.Link // of clients to each dispatcher
+	clientGates      []*mesh.Gate // in front of each dispatcher, if the day has faults on client links
+	clientLinks      []*link.Link // from clients to each dispatcher
 	snapshots        []Look
 	pendingSnapshots sync.WaitGroup
 	store            *pgstandin.Server
-	storeMu          sync.Mutex // guards faults
+	storeMu          sync.Mutex // guards storeFaults
 	storeFaults      pgstandin.Faults
 }
 
-// start starts a dispatcher, at the address that is held for it. The lock is not held: others start meanwhile.
-func (t *cluster) start(i int) error {
-	t.mu.Lock()
-	t.startCount++
-	number, listen := t.startCount, t.clientAddrs[i]
-	t.mu.Unlock()
-	config, err := t.day.Config(i, t.seed+1000*number, t.fleet.Place(i, listen), t.variant.Set)
+// start starts dispatcher i at the address reserved for it. It does not hold mu while the process starts, so that
+// several can start concurrently.
+func (c *cluster) start(i int) error {
+	c.mu.Lock()
+	c.startCount++
+	number, listen := c.startCount, c.clientAddrs[i]
+	c.mu.Unlock()
+	config, err := c.day.Config(i, c.seed+1000*number, c.fleet.Place(i, listen), c.variant.Set)
 	if err != nil {
 		return err
 	}
 	var args []string
-	if own := t.settingsFor(i); own != "" {
-		path := t.settingsPath(i)
+	if own := c.settingsFor(i); own != "" {
+		path := c.settingsPath(i)
 		if err := os.WriteFile(path, []byte(own), 0o600); err != nil {
 			return err
 		}
 		args = []string{"serve", "--log", "text", "--settings", path}
 	}
-	d, err := stage.Start(t.setup.Program, t.setup.Dir, fmt.Sprintf("%s-%d-n%d-%d", t.variant.Name, t.seed, i, number), config, args...)
+	d, err := stage.Start(c.setup.Program, c.setup.Dir, fmt.Sprintf("%s-%d-n%d-%d", c.variant.Name, c.seed, i, number), config, args...)
 	if err != nil {
 		return err
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.closed {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
 		d.Kill()
 		return nil
 	}
-	t.running[i], t.addrs[i] = d, d.Addr
+	c.running[i], c.addrs[i] = d, d.Addr
 	return nil
 }
 
-// startMost bounds how many processes start at a time, so that each gets its share of the machine.
+// maxConcurrentStarts bounds the number of processes that start at a time, so that each gets its share of the
+// machine.
 const maxConcurrentStarts = 8
 
 // startAll starts all dispatchers and waits until they are ready.
-func (t *cluster) startAll(ctx context.Context) error {
+func (c *cluster) startAll(ctx context.Context) error {
 	var wait sync.WaitGroup
-	room := make(chan struct{}, maxConcurrentStarts)
-	errs := make([]error, t.day.Dispatchers)
-	for i := range t.day.Dispatchers {
-		room <- struct{}{}
+	slots := make(chan struct{}, maxConcurrentStarts)
+	errs := make([]error, c.day.Dispatchers)
+	for i := range c.day.Dispatchers {
+		slots <- struct{}{}
 		wait.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			if errs[i] = ctx.Err(); errs[i] == nil {
-				errs[i] = t.start(i)
+				errs[i] = c.start(i)
 			}
 		})
 	}
@@ -112,7 +114,7 @@
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	for i, d := range t.running {
+	for i, d := range c.running {
 		if err := d.Ready(ctx); err != nil {
 			return fmt.Errorf("dispatcher %d: %w", i, err)
 		}
@@ -120,22 +122,23 @@
 	return nil
 }
 
-func (t *cluster) settingsPath(i int) string {
-	return filepath.Join(t.setup.Dir, fmt.Sprintf("%s-%d-n%d.sexp", t.variant.Name, t.seed, i))
+func (c *cluster) settingsPath(i int) string {
+	return filepath.Join(c.setup.Dir, fmt.Sprintf("%s-%d-n%d.sexp", c.variant.Name, c.seed, i))
 }
 
-// records reads what the dispatchers have recorded, by their own verb.
-func (t *cluster) readRecords() ([]audit.Record, error) {
+// readRecords verifies and exports the message records of all dispatchers with the dispatcher's own "records"
+// commands.
+func (c *cluster) readRecords() ([]audit.Record, error) {
 	var all []audit.Record
-	if t.store != nil {
-		t.store.Set(pgstandin.Faults{}) // it is read when all is over
+	if c.store != nil {
+		c.store.Set(pgstandin.Faults{}) // the run is over, so the store is read without faults
 	}
-	for i := range t.day.Dispatchers {
-		if t.store != nil && i > 0 {
-			break // one database holds the records of all
+	for i := range c.day.Dispatchers {
+		if c.store != nil && i > 0 {
+			break // one database holds the records of all dispatchers
 		}
 		for _, verb := range []string{"verify", "export"} {
-			out, err := exec.Command(t.setup.Program, "records", verb, "--settings", t.settingsPath(i)).Output()
+			out, err := exec.Command(c.setup.Program, "records", verb, "--settings", c.settingsPath(i)).Output()
 			if err != nil {
 				var exit *exec.ExitError
 				if errors.As(err, &exit) {
@@ -158,94 +161,98 @@
 	return all, nil
 }
 
-// operate carries out what happens to a dispatcher's process, its door or its store.
-func (t *cluster) applyOp(op world.Op) {
-	i, now := op.Host, time.Since(t.fleet.Start()).Microseconds()
+// applyOp carries out an operation on a dispatcher's process, its admin endpoint, its links or its store.
+func (c *cluster) applyOp(op world.Op) {
+	i, now := op.Host, time.Since(c.fleet.Start()).Microseconds()
 	switch op.Kind {
 	case world.OpCordon, world.OpQuiesce:
-		t.adminCall(op)
+		c.adminCall(op)
 		return
 	case world.OpStoreSilent, world.OpStoreSlow, world.OpStoreResets:
-		t.applyStoreFault(op)
+		c.applyStoreFault(op)
 		return
 	case world.OpPeers, world.OpClients:
-		t.applyLinkFaults(op)
+		c.applyLinkFaults(op)
 		return
 	case world.OpLook:
-		t.takeSnapshot(op)
+		c.takeSnapshot(op)
 		return
 	}
-	// What happens to one dispatcher happens in its order: a kill waits until a start is over, and no start is made twice.
-	t.opLocks[i].Lock()
-	defer t.opLocks[i].Unlock()
+	// Operations on one dispatcher are serialized: a kill waits until a start is complete, and no dispatcher is started
+	// twice.
+	c.opLocks[i].Lock()
+	defer c.opLocks[i].Unlock()
 	if op.Kind == world.OpRevive {
-		t.restartDispatcher(i)
+		c.restartDispatcher(i)
 		return
 	}
-	now = time.Since(t.fleet.Start()).Microseconds()
-	t.mu.Lock()
-	d := t.running[i]
-	if t.closed || d == nil {
-		t.mu.Unlock()
+	now = time.Since(c.fleet.Start()).Microseconds()
+	c.mu.Lock()
+	d := c.running[i]
+	if c.closed || d == nil {
+		c.mu.Unlock()
 		return
 	}
 	switch op.Kind {
 	case world.OpKill:
-		t.deadSince[i] = now
-		delete(t.running, i)
+		c.deadSince[i] = now
+		delete(c.running, i)
 	case world.OpEnd:
-		t.stopping = append(t.stopping, d)
-		delete(t.running, i)
+		c.stopping = append(c.stopping, d)
+		delete(c.running, i)
 	}
-	t.mu.Unlock()
+	c.mu.Unlock()
 	switch op.Kind {
 	case world.OpKill:
 		d.Kill()
-		t.recordExit(i, d, nil)
+		c.recordExit(i, d, nil)
 	case world.OpEnd:
 		go func() {
 			err := d.Stop()
 			if errors.Is(err, stage.ErrKilled) {
-				// As a platform does it. What came before SIGTERM and would have run on is lost with it; a later one is not.
-				t.log.Killed(i, d.Killed().Sub(t.fleet.Start()).Microseconds(), now)
+				// Stop sent SIGTERM and, when the process did not exit, SIGKILL, as a platform does. Requests that arrived
+				// before the SIGTERM and were still running are lost with the process; requests that arrived later are not
+				// excused.
+				c.log.Killed(i, d.Killed().Sub(c.fleet.Start()).Microseconds(), now)
 				err = nil
 			}
-			t.recordExit(i, d, err)
+			c.recordExit(i, d, err)
 		}()
 	case world.OpPause:
 		if err := d.Pause(op.On); err != nil {
-			slog.Error("a dispatcher was not stopped or continued", "dispatcher", i, "cause", err)
+			slog.Error("dispatcher could not be paused or continued", "dispatcher", i, "cause", err)
 		}
-		t.mu.Lock()
-		defer t.mu.Unlock()
+		c.mu.Lock()
+		defer c.mu.Unlock()
 		if op.On {
-			t.pausedSince[i] = now
-		} else if from, was := t.pausedSince[i]; was {
-			delete(t.pausedSince, i)
-			t.log.Killed(i, from, now)
+			c.pausedSince[i] = now
+		} else if from, was := c.pausedSince[i]; was {
+			delete(c.pausedSince, i)
+			c.log.Killed(i, from, now)
 		}
 	}
 }
 
-// ended books a process that is over.
-func (t *cluster) recordExit(i int, d *stage.Dispatcher, err error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.cpu = append(t.cpu, d.CPU().Seconds())
-	t.stopping = slices.DeleteFunc(t.stopping, func(o *stage.Dispatcher) bool { return o == d })
+// recordExit records the CPU time and the error of a process that has exited.
+func (c *cluster) recordExit(i int, d *stage.Dispatcher, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cpu = append(c.cpu, d.CPU().Seconds())
+	c.stopping = slices.DeleteFunc(c.stopping, func(o *stage.Dispatcher) bool { return o == d })
 	if err != nil {
-		slog.Error("dispatcher", "number", i, "cause", err)
-		t.crashes = append(t.crashes, err)
+		slog.Error("dispatcher exited with an error", "number", i, "cause", err)
+		c.crashes = append(c.crashes, err)
 	}
 }
 
-// call makes an operators' call at the doors: each running dispatcher cordons a host or puts it back, or one dispatcher
-// drains or resumes. A dispatcher that is dead meanwhile, or one that is started again, does not hear of it.
-func (t *cluster) adminCall(op world.Op) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	name := t.day.Machines[op.Host].Name
-	line, to := "uncordon "+name, t.running
+// adminCall sends an operator command to the admin endpoints: every running dispatcher cordons or uncordons a host,
+// or one dispatcher quiesces or resumes. A dispatcher that is down at that time, or that restarts later, does not
+// receive the command.
+func (c *cluster) adminCall(op world.Op) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	name := c.day.Machines[op.Host].Name
+	line, to := "uncordon "+name, c.running
 	switch {
 	case op.Kind == world.OpCordon && op.On:
 		line = "cordon " + name
@@ -254,42 +261,42 @@
 		if op.On {
 			line = "quiesce"
 		}
-		if d := t.running[op.Host]; d != nil {
+		if d := c.running[op.Host]; d != nil {
 			to[op.Host] = d
 		}
 	}
 	for i, d := range to {
 		if answer, err := d.Call(line); err != nil || !strings.HasPrefix(answer, "YES") {
-			slog.Error("a call was not taken", "dispatcher", i, "call", line, "answer", answer, "cause", err)
+			slog.Error("admin command was rejected", "dispatcher", i, "call", line, "answer", answer, "cause", err)
 		}
 	}
 }
 
-// disturb sets what goes wrong at the store. It has a lock of its own: a dispatcher that starts while the store is silent
-// is waited for under the other one, and the end of the silence must not wait for it.
-func (t *cluster) applyStoreFault(op world.Op) {
-	t.storeMu.Lock()
-	defer t.storeMu.Unlock()
+// applyStoreFault sets the faults of the store. It uses a lock of its own: other code may hold mu while it waits for
+// a dispatcher that starts during an outage of the store, and ending the outage must not wait for that.
+func (c *cluster) applyStoreFault(op world.Op) {
+	c.storeMu.Lock()
+	defer c.storeMu.Unlock()
 	switch op.Kind {
 	case world.OpStoreSilent:
-		t.storeFaults.Silent = op.On
+		c.storeFaults.Silent = op.On
 	case world.OpStoreSlow:
-		t.storeFaults.Delay = op.Lag
+		c.storeFaults.Delay = op.Lag
 	}
-	f := t.storeFaults
+	f := c.storeFaults
 	if op.Kind == world.OpStoreResets {
 		f.ResetAfter, f.ResetBefore = op.Host/2, op.Host-op.Host/2
 	}
-	t.store.Set(f)
+	c.store.Set(f)
 }
 
-// figures sums what the doors of the running dispatchers count. Those of a dispatcher that was restarted count from its
-// start only.
-func (t *cluster) sumMetrics() (map[string]float64, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// sumMetrics sums the metrics of the running dispatchers' admin endpoints. A dispatcher that was restarted counts
+// from its last start only.
+func (c *cluster) sumMetrics() (map[string]float64, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	sum := map[string]float64{}
-	for i, d := range t.running {
+	for i, d := range c.running {
 		f, err := d.Figures()
 		if err != nil {
 			return nil, fmt.Errorf("dispatcher %d: %w", i, err)
@@ -301,64 +308,65 @@
 	return sum, nil
 }
 
-// end ends all dispatchers in order, at once, and tells what went wrong.
-func (t *cluster) stop() error {
-	t.mu.Lock()
-	if t.closed {
-		t.mu.Unlock()
+// stop shuts down all dispatchers gracefully and concurrently, and returns the errors of all that crashed. Calling
+// it again has no effect.
+func (c *cluster) stop() error {
+	c.mu.Lock()
+	if c.closed {
+		c.mu.Unlock()
 		return nil
 	}
 	defer func() {
-		for _, g := range t.clientGates {
+		for _, g := range c.clientGates {
 			g.Close()
 		}
-		if t.mesh != nil {
-			t.mesh.Close()
+		if c.mesh != nil {
+			c.mesh.Close()
 		}
-		for _, p := range t.heldPorts {
+		for _, p := range c.heldPorts {
 			p.Release()
 		}
 	}()
-	now := time.Since(t.fleet.Start()).Microseconds()
-	for i, from := range t.deadSince {
-		t.log.Killed(i, from, now)
+	now := time.Since(c.fleet.Start()).Microseconds()
+	for i, from := range c.deadSince {
+		c.log.Killed(i, from, now)
 	}
-	for i, from := range t.partitionedSince {
-		t.log.Killed(i, from, now)
+	for i, from := range c.partitionedSince {
+		c.log.Killed(i, from, now)
 	}
-	for i, from := range t.pausedSince {
-		t.log.Killed(i, from, now)
-		if d := t.running[i]; d != nil {
-			d.Pause(false) // SIGTERM waits for it
+	for i, from := range c.pausedSince {
+		c.log.Killed(i, from, now)
+		if d := c.running[i]; d != nil {
+			d.Pause(false) // a stopped process handles SIGTERM only after it is continued
 		}
 	}
-	var again []int
-	for i := range t.deadSince {
-		if t.day.Records {
-			again = append(again, i)
+	var restart []int
+	for i := range c.deadSince {
+		if c.day.Records {
+			restart = append(restart, i)
 		}
 	}
-	t.mu.Unlock()
-	for _, i := range again {
-		// Its store has what it left open until a start settles it.
-		if err := t.start(i); err != nil {
-			return fmt.Errorf("a dispatcher that was dead at the end did not start to settle its records: %w", err)
+	c.mu.Unlock()
+	for _, i := range restart {
+		// Records that it left open in its store are settled only by a new start.
+		if err := c.start(i); err != nil {
+			return fmt.Errorf("a dispatcher that was down at the end of the run did not start to settle its records: %w", err)
 		}
 	}
-	t.mu.Lock()
-	t.closed = true
-	running, leaving := t.running, slices.Clone(t.stopping)
-	t.mu.Unlock()
+	c.mu.Lock()
+	c.closed = true
+	running, leaving := c.running, slices.Clone(c.stopping)
+	c.mu.Unlock()
 	var wait sync.WaitGroup
 	for i, d := range running {
-		// It crashed where this gives an error: whatever it held is not excused, and the report says so.
-		wait.Go(func() { t.recordExit(i, d, d.Stop()) })
+		// An error here means that the process crashed. Its open requests are not excused, and the report shows the crash.
+		wait.Go(func() { c.recordExit(i, d, d.Stop()) })
 	}
 	for _, d := range leaving {
 		wait.Go(func() { d.Kill() })
 	}
 	wait.Wait()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return errors.Join(t.crashes...)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return errors.Join(c.crashes...)
 }
--- a/internal/lab/experiment/write.go
+++ b/internal/lab/experiment/write.go
@@ -10,7 +10,7 @@
 	"granitewing/internal/lab/measure"
 )
 
-// WriteComparisons writes them for people.
+// WriteComparisons writes the comparisons of the variants as a text table.
 func (r *Results) WriteComparisons(w io.Writer) {
 	if len(r.Comparisons) == 0 {
 		return
@@ -24,7 +24,7 @@
 	t.Flush()
 }
 
-// WriteSizes writes a sweep for people.
+// WriteSizes writes the points of a sweep as a text table.
 func (r *Results) WriteSizes(w io.Writer) {
 	if len(r.Sizes) == 0 {
 		return
@@ -48,7 +48,7 @@
 	}
 }
 
-// Write writes a result for people.
+// Write writes all results as text.
 func (r *Results) Write(w io.Writer) {
 	fmt.Fprintf(w, "%s: %s\n", r.Experiment, r.About)
 	if len(r.Sizes) > 0 {
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -1,5 +1,7 @@
-// Package link is the rig's hold on what two processes say to each other: a link carries the connections of one caller to
-// one place, and can be cut (both ways or one, in silence or by resets), made late, or stopped in the middle of a message.
+// Package link injects faults into the connections between two processes. A Link carries the connections of one
+// caller to one callee. It can be cut in one direction or both, silently or with resets, delayed, or stopped in the
+// middle of a message. Wrap puts a connection that the callee has accepted onto a link; Set changes the link's
+// faults.
 package link
 
 import (
@@ -10,40 +12,41 @@
 	"time"
 )
 
-// Way is what becomes of the bytes that go one way.
+// Way holds the faults of one direction of a link.
 type Way struct {
-	Cut   bool          // they wait until the link is whole again, as in a network that sends them once more
-	Half  bool          // the next piece comes half, then the way is cut
-	Delay time.Duration // they come so much later
+	Cut   bool          // bytes wait until the link is healed, as in a network that retransmits them
+	Half  bool          // half of the next segment is delivered, then the direction is cut
+	Delay time.Duration // added to the delivery of all bytes
 
-	// Of datagrams alone; a connection sends anew what is lost, and keeps its order.
-	Loss   float64       // share that does not come
-	Twice  float64       // share that comes twice
-	Spread time.Duration // they come up to so much later still, each by itself, and so out of order
+	// For datagrams only: a connection retransmits what is lost and preserves order.
+	Loss   float64       // fraction of datagrams that are lost
+	Twice  float64       // fraction of datagrams that are delivered twice
+	Spread time.Duration // random additional delay of up to this for each datagram, which reorders them
 }
 
-// Faults are what a link suffers.
+// Faults holds the faults of a link. The zero value is a healthy link.
 type Faults struct {
-	To, From Way  // towards the place that is called, and back
+	To, From Way  // towards the callee, and back to the caller
 	Refuse   bool // new connections are reset
 }
 
-// pieceMost bounds what is read from a socket at a time, queueMost what waits on the way of one connection. Beyond it
-// the sender's own socket fills up, as it would before a peer that has stopped reading.
+// maxReadSize bounds a single read from a socket, and maxQueuedSegments the segments of one connection that wait in
+// each direction. Beyond that the sender's own socket buffer fills up, as it would when a peer has stopped reading.
 const (
 	maxReadSize       = 16 << 10
 	maxQueuedSegments = 256
 )
 
-// Link carries any number of connections. Its zero value is whole.
+// Link carries any number of connections. Its zero value is healthy. It is safe for concurrent use.
 type Link struct {
 	mu     sync.Mutex
 	faults Faults
-	change chan struct{} // closed at the next change
+	change chan struct{} // closed at the next change of faults
 	conns  map[*Conn]struct{}
 }
 
-// Set has the link suffer what f says from now on; Faults{} makes it whole, and what waited goes on.
+// Set replaces the link's faults. Faults{} heals the link, and bytes that waited are delivered. Open connections are
+// not reset, even if f.Refuse is set.
 func (l *Link) Set(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,21 +57,21 @@
 	l.change = make(chan struct{})
 }
 
-// Suffer is Set, and resets what is open where the link refuses.
+// Suffer sets the faults as Set does, and resets open connections if f.Refuse is set.
 func (l *Link) Suffer(f Faults) {
 	if l.Set(f); f.Refuse {
 		l.Reset()
 	}
 }
 
-// Faults tells what the link suffers.
+// Faults returns the current faults.
 func (l *Link) Faults() Faults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults
 }
 
-// Reset resets all connections.
+// Reset resets all open connections.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	conns := make([]*Conn, 0, len(l.conns))
@@ -81,8 +84,8 @@
 	}
 }
 
-// Wrap has a connection go over the link. gone, which may be nil, is called once when the caller's end of it is over: at
-// once, though the place that is called may hear of it later or never.
+// Wrap makes a connection go over the link. gone, which may be nil, is called once when the caller's end is closed.
+// It is called immediately, although the callee may learn of the close later or never.
 func (l *Link) Wrap(c net.Conn, gone func()) *Conn {
 	w := &Conn{Conn: c, link: l, in: make(chan segment, maxQueuedSegments), out: make(chan segment, maxQueuedSegments), closed: make(chan struct{}),
 		expired: make(chan struct{}), onPeerClosed: gone}
@@ -104,21 +107,21 @@
 	return w
 }
 
-// piece is bytes under way, or with err the end of them.
+// segment is a run of bytes in transit or, if err is set, the end of the stream.
 type segment struct {
-	sentAt time.Time // when they were sent
+	sentAt time.Time // time of sending
 	data   []byte
 	err    error
 }
 
-// Conn is a connection as the place that is called has it.
+// Conn is a connection over a link as the callee uses it. It implements net.Conn.
 type Conn struct {
 	net.Conn
 	link         *Link
 	in, out      chan segment
 	onPeerClosed func()
-	unread       []byte    // received and not read yet
-	sentAt       time.Time // when that came from the caller
+	unread       []byte    // received and not yet read
+	sentAt       time.Time // when unread was received from the caller
 	endErr       error
 
 	mu           sync.Mutex
@@ -129,7 +132,7 @@
 	timer        *time.Timer
 }
 
-// receive takes bytes from the socket as they come.
+// readLoop reads bytes from the socket as they arrive.
 func (c *Conn) readLoop() {
 	for {
 		b := make([]byte, maxReadSize)
@@ -157,15 +160,15 @@
 	}
 }
 
-// pass waits until a piece may go its way, and says how much of it does; false when halt or the connection's end came
-// first.
-func (c *Conn) awaitDelivery(p segment, way func(*Faults) *Way, halt <-chan struct{}) (n int, ok bool) {
+// awaitDelivery waits until a segment may be delivered and returns how many of its bytes are. It returns false if
+// halt is closed or the connection ends first.
+func (c *Conn) awaitDelivery(p segment, direction func(*Faults) *Way, halt <-chan struct{}) (n int, ok bool) {
 	for {
 		if c.isReset() {
 			return 0, false
 		}
 		c.link.mu.Lock()
-		w := way(&c.link.faults)
+		w := direction(&c.link.faults)
 		wait := time.Until(p.sentAt.Add(w.Delay))
 		change := c.link.change
 		if !w.Cut && wait <= 0 {
@@ -197,7 +200,7 @@
 	}
 }
 
-// isReset tells whether the connection was reset: what had come over it by then is lost.
+// isReset reports whether the connection was reset. Bytes that had been received by then are lost.
 func (c *Conn) isReset() bool {
 	select {
 	case <-c.closed:
@@ -213,50 +216,50 @@
 // Read implements net.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	late := c.expired
+	expired := c.expired
 	c.mu.Unlock()
 	if len(c.unread) == 0 && c.endErr == nil {
 		select {
 		case p := <-c.in:
 			c.unread, c.sentAt, c.endErr = p.data, p.sentAt, p.err
-		case <-late:
+		case <-expired:
 			return 0, os.ErrDeadlineExceeded
 		case <-c.closed:
 			return 0, net.ErrClosed
 		}
 	}
-	n, ok := c.awaitDelivery(segment{sentAt: c.sentAt, data: c.unread}, forwardWay, late)
+	n, ok := c.awaitDelivery(segment{sentAt: c.sentAt, data: c.unread}, forwardWay, expired)
 	switch {
 	case !ok:
-		return 0, c.readError(late)
+		return 0, c.readError(expired)
 	case c.endErr != nil:
-		return 0, c.endErr // told as late as the bytes before it
+		return 0, c.endErr // reported with the same delay as the bytes before it
 	}
 	n = copy(b, c.unread[:n])
 	c.unread = c.unread[n:]
 	return n, nil
 }
 
-// Sent is when the bytes read last came from the caller, whatever time they took on the way.
+// Sent returns when the bytes read last were received from the caller, before any delay of the link.
 func (c *Conn) Sent() time.Time { return c.sentAt }
 
-// Gone is when the caller's end was over; zero while it is not.
+// Gone returns when the caller closed its end, or the zero time if it has not.
 func (c *Conn) Gone() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.peerClosedAt
 }
 
-func (c *Conn) readError(late <-chan struct{}) error {
+func (c *Conn) readError(expired <-chan struct{}) error {
 	select {
-	case <-late:
+	case <-expired:
 		return os.ErrDeadlineExceeded
 	default:
 		return net.ErrClosed
 	}
 }
 
-// Write implements net.Conn. What it takes may be on its way for any time.
+// Write implements net.Conn. It returns once the bytes are queued; the link may delay them for any time.
 func (c *Conn) Write(b []byte) (int, error) {
 	select {
 	case <-c.closed:
@@ -266,7 +269,7 @@
 	}
 }
 
-// deliver writes what is under way to the socket, and closes it once all has gone.
+// writeLoop writes queued segments to the socket and closes it after the last one.
 func (c *Conn) writeLoop() {
 	defer func() {
 		c.Conn.Close()
@@ -297,17 +300,18 @@
 	}
 }
 
-// Close implements net.Conn: the caller hears of it after all that was written, once the way back is whole.
+// Close implements net.Conn. The caller sees the close after all bytes that were written, once the direction back to
+// it is healed.
 func (c *Conn) Close() error {
 	select {
 	case c.out <- segment{err: io.EOF}:
-	default: // as much is under way as there may be: the connection is given up with it
+	default: // the queue is full: give up the connection and its bytes
 		c.Reset()
 	}
 	return nil
 }
 
-// Reset closes it at once; the caller sees a reset.
+// Reset closes the connection immediately; the caller sees a TCP reset.
 func (c *Conn) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -315,7 +319,8 @@
 		return
 	}
 	c.resetDone = true
-	// Before closed is told of: deliver closes the socket as well, and whoever comes first must send a reset.
+	// SO_LINGER is set before the closed channel is closed: writeLoop closes the socket as well, and whichever close
+	// comes first must send a reset.
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
@@ -323,7 +328,7 @@
 	c.Conn.Close()
 }
 
-// SetReadDeadline implements net.Conn; it holds for reads that begin after it.
+// SetReadDeadline implements net.Conn. It affects only reads that begin after it.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -331,16 +336,16 @@
 		c.timer.Stop()
 		c.timer = nil
 	}
-	late := make(chan struct{})
-	c.expired = late
+	expired := make(chan struct{})
+	c.expired = expired
 	if !t.IsZero() {
-		c.timer = time.AfterFunc(time.Until(t), func() { close(late) })
+		c.timer = time.AfterFunc(time.Until(t), func() { close(expired) })
 	}
 	return nil
 }
 
-// SetWriteDeadline implements net.Conn. Writes do not wait for the socket.
+// SetWriteDeadline implements net.Conn. It has no effect, as writes do not wait for the socket.
 func (c *Conn) SetWriteDeadline(time.Time) error { return nil }
 
-// SetDeadline implements net.Conn.
+// SetDeadline implements net.Conn. It sets the read deadline.
 func (c *Conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,6 @@
-// Package load sends a day's jobs to dispatchers over sockets. Arrivals wait for no answer, and latency counts from
-// the intended send. It says so when it could not keep to the schedule itself.
+// Package load sends a day's jobs to dispatchers over sockets as an open-loop generator: arrivals do not wait for
+// answers, and latency counts from the intended send time. Run sends the whole day and returns a Result, whose
+// Verdict reports whether the generator itself kept to the schedule.
 package load
 
 import (
@@ -22,41 +23,41 @@
 )
 
 const (
-	answerSlack = 60 * time.Millisecond // past its time an answer still counts for so long
+	answerSlack = 60 * time.Millisecond // an answer still counts if it arrives this long after its deadline
 	dialTimeout = 2 * time.Second
-	ejectFor    = 3 * time.Second // the front learns of a dispatcher's death and its return within some seconds
+	ejectFor    = 3 * time.Second // a front-end load balancer notices a dispatcher's death, or its return, within some seconds
 )
 
-// Target is one dispatcher.
+// Target is the address of one dispatcher.
 type Target struct {
 	Addr string
-	Zone int // -1: takes clients of every zone
+	Zone int // index of the zone whose clients it takes; -1: clients of every zone
 }
 
-// Options are what a run needs.
+// Options are the parameters of a run.
 type Options struct {
 	Day     *world.Day
 	Targets []Target
 	Seed    uint64
-	Begin   time.Time   // when the day's clock shows 0
+	Begin   time.Time   // when the day's clock is zero
 	Log     *audit.Log  // may be nil
-	LogZero time.Time   // when the audit's clock shows 0
-	Jobs    []world.Job // instead of the day's, in order of their times
-	Prefix  string      // of the names of tries; two generators at one fleet must differ in it
+	LogZero time.Time   // when the audit log's clock is zero
+	Jobs    []world.Job // sent instead of the day's, in order of time, if not nil
+	Prefix  string      // of the names of tries; must differ between generators that use the same fleet
 	Done    func(sent, done int)
 }
 
-// Result is what a run measured.
+// Result holds what a run measured.
 type Result struct {
 	Recorder *measure.Recorder
 	Verdict  measure.Verdict
-	Sent     int  // jobs
-	Resent   int  // tries written a second time since the dispatcher had closed the connection between two
-	Foreign  int  // answers that were not made for their request
-	Cut      bool // ended before the schedule was
+	Sent     int  // jobs sent
+	Resent   int  // tries that were sent again because the dispatcher had closed the connection between two requests
+	Foreign  int  // answers that belong to another request
+	Cut      bool // ended before the end of the schedule
 }
 
-// generator is a run under way.
+// generator is a run in progress.
 type generator struct {
 	opts          Options
 	day           *world.Day
@@ -74,7 +75,8 @@
 	lag           *hdrhistogram.Histogram
 }
 
-// Run sends all jobs and waits for their ends. When ctx is over it stops in order and gives what was measured so far.
+// Run sends all jobs and waits for their outcomes. When ctx ends it stops in order and returns what was measured so
+// far. It returns an error only if there are no targets.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if len(o.Targets) == 0 {
 		return nil, errors.New("load: no dispatcher to send to")
@@ -85,9 +87,9 @@
 		names = append(names, c.Name)
 	}
 	g.recorder = measure.NewRecorder(names)
-	room := max(int(float64(o.Day.Descriptors)*o.Day.Clients.Share), 4)
+	conns := max(int(float64(o.Day.Descriptors)*o.Day.Clients.Share), 4)
 	for i, t := range o.Targets {
-		g.pools = append(g.pools, &pool{g: g, number: i, Target: t, slots: make(chan struct{}, room)})
+		g.pools = append(g.pools, &pool{g: g, number: i, Target: t, slots: make(chan struct{}, conns)})
 	}
 	defer func() {
 		for _, p := range g.pools {
@@ -146,10 +148,10 @@
 	return res, nil
 }
 
-// stamp is the audit's time.
+// auditTime returns the time on the audit log's clock, in microseconds.
 func (g *generator) auditTime() int64 { return time.Since(g.opts.LogZero).Microseconds() }
 
-// run is one job from its intended send to its final answer.
+// runJob carries one job from its intended send time to its final answer, including retries.
 func (g *generator) runJob(ctx context.Context, job *world.Job, due time.Time, seed uint64) {
 	defer g.done.Add(1)
 	lag := time.Since(due)
@@ -166,10 +168,10 @@
 	var r client.Result
 	for {
 		wait, leaves, marked := j.Begin()
-		var after time.Duration
-		r, after = g.try(ctx, job, key, wait, leaves, marked, rng)
-		pause, again := j.Again(r, after)
-		if !again || ctx.Err() != nil {
+		var retryAfter time.Duration
+		r, retryAfter = g.try(ctx, job, key, wait, leaves, marked, rng)
+		pause, retry := j.Again(r, retryAfter)
+		if !retry || ctx.Err() != nil {
 			break
 		}
 		if pause > 0 {
@@ -182,7 +184,7 @@
 		}
 	}
 	if ctx.Err() != nil && r != client.Served {
-		return // it was not played to its end, so it says nothing
+		return // cut short, so its result says nothing
 	}
 	latency := time.Since(due)
 	s := measure.Sample{Class: job.Class, At: job.At, Latency: latency, Worth: c.Worth * job.Work.Seconds(), Tries: j.Tries(), Zone: job.Zone}
@@ -190,7 +192,7 @@
 	g.recorder.Add(s)
 }
 
-// Judge gives a job's outcome from its last try's result and its latency.
+// Judge returns the outcome of a job, given the result of its last try and its latency.
 func Judge(c *world.Class, job *world.Job, r client.Result, latency time.Duration) measure.Outcome {
 	switch r {
 	case client.Served:
@@ -208,7 +210,7 @@
 	return measure.Unanswered
 }
 
-// verdict says whether the generator kept to its schedule, and if not, why.
+// verdict reports whether the generator kept to its schedule and, if not, why.
 func (g *generator) verdict(self *selfMonitor, jobs int) measure.Verdict {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	v := measure.Verdict{LagP50: ms(g.lag.ValueAtQuantile(50)), LagP99: ms(g.lag.ValueAtQuantile(99)), LagMax: ms(g.lag.Max()),
@@ -235,12 +237,12 @@
 	return v
 }
 
-// pool is the connections to one dispatcher.
+// pool holds the connections to one dispatcher.
 type pool struct {
 	Target
 	g            *generator
 	number       int
-	slots        chan struct{} // a place for each connection in use
+	slots        chan struct{} // one token for each connection in use
 	mu           sync.Mutex
 	idle         []*conn
 	ejectedUntil time.Time
@@ -248,7 +250,8 @@
 
 var errPoolExhausted = errors.New("all connections are in use")
 
-// get takes the idle connection used last, or opens one.
+// get returns the most recently used idle connection, or opens one. If all connections are in use it waits until the
+// given time and then returns errPoolExhausted.
 func (p *pool) get(until time.Time) (*conn, error) {
 	select {
 	case p.slots <- struct{}{}:
@@ -271,7 +274,7 @@
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		p.mu.Unlock()
-		// One that the dispatcher has closed since, or that died with it, is not written to.
+		// Skip connections that the dispatcher has closed in the meantime, or that ended with its process.
 		if c.alive() {
 			return c, nil
 		}
@@ -286,12 +289,12 @@
 		return nil, err
 	}
 	n := p.g.openConns.Add(1)
-	for most := p.g.maxOpenConns.Load(); n > most && !p.g.maxOpenConns.CompareAndSwap(most, n); most = p.g.maxOpenConns.Load() {
+	for peak := p.g.maxOpenConns.Load(); n > peak && !p.g.maxOpenConns.CompareAndSwap(peak, n); peak = p.g.maxOpenConns.Load() {
 	}
 	return newConn(c), nil
 }
 
-// put gives a connection back; one that is not good any more is closed.
+// put returns a connection to the pool; it is closed if it can't be used again.
 func (p *pool) put(c *conn, good bool) {
 	if good {
 		p.mu.Lock()
@@ -318,32 +321,32 @@
 	p.idle = nil
 }
 
-// shunned tells whether the front takes the dispatcher for dead.
+// ejected reports whether clients currently treat the dispatcher as dead.
 func (p *pool) ejected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Now().Before(p.ejectedUntil)
 }
 
-// pick chooses a dispatcher for a client of a zone as the front does: at random among those of the zone that it does
-// not take for dead, or among the others where the zone has none.
+// pick chooses a dispatcher for a client of a zone as a front-end load balancer would: at random among those of the
+// zone that are not ejected, or among all others if the zone has none. It returns nil if none is left.
 func (g *generator) pick(zone int, rng *rand.Rand, tried map[int]bool) *pool {
-	for _, any := range []bool{false, true} {
-		var can []*pool
+	for _, anyZone := range []bool{false, true} {
+		var candidates []*pool
 		for _, p := range g.pools {
-			if !tried[p.number] && (any || p.Zone < 0 || p.Zone == zone) && !p.ejected() {
-				can = append(can, p)
+			if !tried[p.number] && (anyZone || p.Zone < 0 || p.Zone == zone) && !p.ejected() {
+				candidates = append(candidates, p)
 			}
 		}
-		if len(can) > 0 {
-			return can[rng.IntN(len(can))]
+		if len(candidates) > 0 {
+			return candidates[rng.IntN(len(candidates))]
 		}
 	}
 	return nil
 }
 
-// connect gives a connection to a dispatcher. A connection that can't be opened sent nothing, so another dispatcher may
-// be asked.
+// connect returns a connection to a dispatcher, or nils if there is none. Nothing has been sent if a connection
+// can't be opened, so connect tries another dispatcher.
 func (g *generator) connect(zone int, rng *rand.Rand, until time.Time) (*pool, *conn) {
 	tried := map[int]bool{}
 	for {
--- a/internal/lab/load/self.go
+++ b/internal/lab/load/self.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// self watches what the generator's own process does to the machine.
+// selfMonitor measures how much of the machine the generator's own process uses.
 type selfMonitor struct {
 	started     time.Time
 	cpu         time.Duration
@@ -42,8 +42,8 @@
 	return sample[0].Value.Float64Histogram()
 }
 
-// figures gives the share of all cores' time that the process took, and how long goroutines that could run waited for
-// a CPU, at the 99th percentile in milliseconds.
+// usage returns the share of all cores' time that the process has used since it was started to be monitored, and the
+// 99th percentile of the time that runnable goroutines waited for a CPU, in milliseconds.
 func (s *selfMonitor) usage() (cpu, sched float64) {
 	elapsed := time.Since(s.started)
 	cpu = (cpuTime() - s.cpu).Seconds() / max(elapsed.Seconds(), 1e-3) / float64(runtime.NumCPU())
--- a/internal/lab/load/try.go
+++ b/internal/lab/load/try.go
@@ -20,8 +20,8 @@
 	"granitewing/internal/lab/world"
 )
 
-// conn is a client's connection. net/http's transport is not used: it writes a request with an Idempotency-Key a
-// second time when a connection turns out stale, and nobody would know of that copy.
+// conn is a client's connection. It does not use net/http's transport, which repeats a request that has an
+// Idempotency-Key when a connection turns out to be stale: that copy would not be counted.
 type conn struct {
 	net.Conn
 	r    *bufio.Reader
@@ -30,7 +30,7 @@
 
 func newConn(c net.Conn) *conn { return &conn{Conn: c, r: bufio.NewReaderSize(c, 2048)} }
 
-// alive tells whether an idle connection is still open at the other end, as far as this machine has heard.
+// alive reports whether an idle connection is still open at the other end, as far as this machine knows.
 func (c *conn) alive() bool {
 	t, ok := c.Conn.(*net.TCPConn)
 	if !ok {
@@ -44,12 +44,12 @@
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = errors.Is(e, syscall.EAGAIN) // neither its end nor a byte that nobody asked for
+		open = errors.Is(e, syscall.EAGAIN) // neither closed nor with unsolicited bytes to read
 	})
 	return err == nil && open
 }
 
-// answer is a whole answer.
+// response is a complete HTTP response.
 type response struct {
 	status     int
 	retryAfter time.Duration
@@ -57,12 +57,12 @@
 	body       []byte
 }
 
-// bodyMost bounds an answer's body: what a host's result may be.
+// maxBody bounds the body of a response; a host's result may be this long.
 const maxBody = 1 << 20
 
 var errMalformedResponse = errors.New("malformed answer")
 
-// read reads one answer. touched tells whether any byte came.
+// read reads one response. touched reports whether any byte was received.
 func (c *conn) read() (a response, touched bool, err error) {
 	line, err := c.r.ReadSlice('\n')
 	touched = len(line) > 0
@@ -106,7 +106,7 @@
 	case chunked:
 		a.body, err = io.ReadAll(io.LimitReader(httputil.NewChunkedReader(c.r), maxBody))
 		if err == nil {
-			_, err = c.r.ReadSlice('\n') // behind the last chunk
+			_, err = c.r.ReadSlice('\n') // the line after the last chunk
 		}
 	case length >= 0:
 		a.body = make([]byte, length)
@@ -118,7 +118,7 @@
 	return a, true, err
 }
 
-// request writes what a client sends.
+// appendRequest appends the HTTP request of one try to b.
 func (g *generator) appendRequest(b []byte, name, host string, job *world.Job, key string, wait time.Duration, marked bool) []byte {
 	class := g.day.Classes[job.Class].Name
 	body := emulate.Work{Micros: float64(job.Work.Microseconds()), Slots: job.Slots, Memory: job.Memory, Set: uint64(job.Set)}.Append(nil)
@@ -138,17 +138,19 @@
 	return append(b, body...)
 }
 
-// errStale says that a connection which had carried requests before ended in order without a byte of an answer.
+// errStaleConn reports that a connection which had carried requests before was closed in order before any byte of an
+// answer.
 var errStaleConn = errors.New("the connection was closed between two requests")
 
-// try sends a request and waits for its answer. A dispatcher may close a connection between two requests; where that
-// crosses one, the client sends it again on another connection, as the protocol says, under a name of its own so that the
-// books can tell the two apart. A client whose job must not run twice can't know that it was not read, and does not.
+// try sends a request and waits for its answer. A dispatcher may close a connection between two requests. If a
+// request crosses such a close, the client sends it again on another connection, as the protocol allows, with a new
+// name so that the audit can tell the two apart. A client whose job must not run twice does not, since it cannot
+// know whether the first copy was read.
 func (g *generator) try(ctx context.Context, job *world.Job, key string, wait time.Duration, leaves, marked bool, rng *rand.Rand) (client.Result, time.Duration) {
-	told := wait
+	declared := wait
 	if leaves {
-		// One who will hang up does not know it yet.
-		told = g.day.Classes[job.Class].GiveUp
+		// A client that is going to hang up does not know it yet, so it sends its class's usual limit.
+		declared = g.day.Classes[job.Class].GiveUp
 	}
 	end := time.Now().Add(wait)
 	unsafe := g.day.Classes[job.Class].Repeat == "unsafe"
@@ -166,7 +168,7 @@
 		if !leaves {
 			until = until.Add(answerSlack)
 		}
-		a, err := g.roundTrip(ctx, c, g.appendRequest(nil, name, p.Addr, job, key, told, marked), until)
+		a, err := g.roundTrip(ctx, c, g.appendRequest(nil, name, p.Addr, job, key, declared, marked), until)
 		result := client.Broken
 		switch {
 		case err == nil && a.status == 200:
@@ -207,7 +209,7 @@
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// exchange writes a request and reads its answer.
+// roundTrip writes a request and reads its answer, until the given time or the end of ctx.
 func (g *generator) roundTrip(ctx context.Context, c *conn, text []byte, until time.Time) (response, error) {
 	c.SetDeadline(until)
 	defer context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })()
@@ -215,7 +217,7 @@
 	if err != nil && isTimeout(err) {
 		return response{}, err
 	}
-	// A dispatcher that has closed may have written why before.
+	// Read even after a failed write: a dispatcher that closed the connection may have sent the reason first.
 	a, touched, err := c.read()
 	if err != nil && !touched && c.uses > 0 && errors.Is(err, io.EOF) {
 		err = errStaleConn
--- a/internal/lab/mesh/gate.go
+++ b/internal/lab/mesh/gate.go
@@ -1,6 +1,7 @@
-// Package mesh is the rig's hold on what dispatchers say to each other and on what clients say to them: it stands between
-// them with an address of its own for each, knows who calls, and has a link for each two whose bytes and datagrams it
-// carries.
+// Package mesh injects faults into the traffic between dispatchers, and between clients and dispatchers. It is a
+// proxy: a Mesh listens on an address of its own for each member, identifies the caller by its IP address, and
+// forwards datagrams and connections over a separate link for each pair of members. A Gate is a proxy for
+// connections to a single address.
 package mesh
 
 import (
@@ -14,14 +15,14 @@
 	"granitewing/internal/lab/link"
 )
 
-// dialLimit bounds how long the place behind a gate may take to accept.
+// dialTimeout bounds how long the address behind a gate may take to accept a connection.
 const dialTimeout = 5 * time.Second
 
-// Gate carries connections to one place, each over a link that depends on who calls.
+// Gate forwards connections to one address, each over a link that depends on the caller.
 type Gate struct {
 	ln          net.Listener
 	target      string
-	linkFor     func(caller net.Addr) *link.Link // nil: nobody who may call
+	linkFor     func(caller net.Addr) *link.Link // returns nil for a caller that is not admitted
 	byteCounter func(caller net.Addr) *atomic.Int64
 
 	mu     sync.Mutex
@@ -30,7 +31,7 @@
 	conns  sync.WaitGroup
 }
 
-// OpenGate listens at an address for calls to a place, which all go over one link.
+// OpenGate listens at addr and forwards all connections to the address to over one link.
 func OpenGate(addr, to string, l *link.Link) (*Gate, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return g
 }
 
-// Addr is where it is called.
+// Addr returns the address at which the gate listens.
 func (g *Gate) Addr() string { return g.ln.Addr().String() }
 
 func (g *Gate) accept() {
@@ -55,7 +56,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // out of descriptors; those that are open must go on
+			time.Sleep(10 * time.Millisecond) // out of file descriptors; connections that are open must continue
 			continue
 		}
 		l := g.linkFor(in.RemoteAddr())
@@ -83,8 +84,8 @@
 	c.Close()
 }
 
-// carry takes a connection to its place once the first bytes have come over the link: before that a caller whose way there
-// is cut has reached nobody.
+// forward connects to the target once the first bytes have come over the link: until then, a caller whose direction
+// to the target is cut must not reach it.
 func (g *Gate) forward(c *link.Conn, caller net.Addr) {
 	defer func() {
 		g.mu.Lock()
@@ -99,7 +100,7 @@
 	}
 	up, err := net.DialTimeout("tcp", g.target, dialTimeout)
 	if err != nil {
-		c.Reset() // nobody is there
+		c.Reset() // nothing listens at the target
 		return
 	}
 	g.mu.Lock()
@@ -133,7 +134,7 @@
 	}
 }
 
-// counted counts what goes one way.
+// countingWriter counts the bytes written to it.
 type countingWriter struct {
 	io.Writer
 	n *atomic.Int64
@@ -145,7 +146,7 @@
 	return n, err
 }
 
-// Close ends all connections and waits until they have ended.
+// Close resets all connections and waits until they have ended.
 func (g *Gate) Close() {
 	g.mu.Lock()
 	g.closed = true
--- a/internal/lab/mesh/mesh.go
+++ b/internal/lab/mesh/mesh.go
@@ -12,47 +12,50 @@
 	"granitewing/internal/lab/link"
 )
 
-// flightMost bounds the datagrams under way; those beyond it are lost, as in a router whose queue is full.
+// maxInFlight bounds the number of delayed datagrams; those beyond it are lost, as in a router whose queue is full.
 const maxInFlight = 1 << 16
 
-// Mesh stands between members that each bind to an address of their own and tell the others the mesh's address for them.
+// Mesh is a proxy between members, each of which binds to an IP address of its own and advertises the mesh's address
+// for it to the others.
 type Mesh struct {
 	endpoints  []*endpoint
-	memberByIP map[string]int // by the IP address that a member calls from
+	memberByIP map[string]int // by the IP address from which a member calls
 	inFlight   atomic.Int64
 	wait       sync.WaitGroup
 
 	mu    sync.Mutex
 	rng   *rand.Rand
-	pairs map[[2]int]*pair // caller, called
+	pairs map[[2]int]*pair // key: caller, callee
 }
 
-// pair is what goes from one member to another.
+// pair holds the link and the faults from one member to another.
 type pair struct {
-	link   link.Link // of connections that the first opens
+	link   link.Link // carries the connections that the first member opens
 	faults link.Faults
 }
 
-// seat is where the others reach one member.
+// endpoint is the address at which the others reach one member.
 type endpoint struct {
 	m           *Mesh
 	index       int
 	memberAddr  *net.UDPAddr
 	ln          net.Listener
 	udp         *net.UDPConn
-	gate        *Gate // once all are open
+	gate        *Gate // set once all endpoints are open
 	sent        Sent
 	streamBytes atomic.Int64
 }
 
-// Sent counts what a member has sent to others, whether it came or not.
+// Sent counts what a member has sent to others, whether or not it was delivered.
 type Sent struct {
 	Datagrams atomic.Int64
-	Bytes     atomic.Int64 // of datagrams, without their headers
-	Lost      atomic.Int64 // datagrams that a link did not let through
+	Bytes     atomic.Int64 // of datagrams, without headers
+	Lost      atomic.Int64 // datagrams that a link dropped
 }
 
-// Open opens the mesh's address for each of some places, which are of different IP addresses. The seed draws what is lost.
+// Open opens an endpoint for each of the members' addresses, which must have different IP addresses. The seed
+// determines which datagrams are lost, duplicated or delayed. Open returns an error if two members share an IP
+// address or if an endpoint cannot be opened.
 func Open(places []string, seed uint64) (*Mesh, error) {
 	m := &Mesh{memberByIP: map[string]int{}, rng: rand.New(rand.NewPCG(seed, 0x6d657368)), pairs: map[[2]int]*pair{}}
 	for i, p := range places {
@@ -61,7 +64,7 @@
 			return nil, fmt.Errorf("mesh for %s: %w", p, err)
 		}
 	}
-	for i, s := range m.endpoints { // all of them are known before the first is called
+	for i, s := range m.endpoints { // only after all members are known
 		s.gate = newGate(s.ln, places[i], s.linkFrom, s.byteCounter)
 		m.wait.Go(s.receiveDatagrams)
 	}
@@ -69,32 +72,33 @@
 }
 
 func (m *Mesh) openEndpoint(i int, place string) error {
-	real, err := net.ResolveUDPAddr("udp4", place)
+	memberAddr, err := net.ResolveUDPAddr("udp4", place)
 	if err != nil {
 		return err
 	}
-	ip := real.IP.String()
-	if _, twice := m.memberByIP[ip]; twice {
-		return errors.New("two members call from one address, and can't be told apart")
+	ip := memberAddr.IP.String()
+	if _, duplicate := m.memberByIP[ip]; duplicate {
+		return errors.New("two members share an IP address")
 	}
 	m.memberByIP[ip] = i
-	// The same port for both, at an address of this seat's own, so that another program's ports hardly matter.
-	ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.%d.%d:0", real.IP.To4()[1]+1, (i+1)>>8, (i+1)&0xff))
+	// Datagrams and connections use the same port, on an IP address of this endpoint's own, so that collisions with
+	// other programs' ports are unlikely.
+	ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.%d.%d:0", memberAddr.IP.To4()[1]+1, (i+1)>>8, (i+1)&0xff))
 	if err != nil {
 		return err
 	}
-	at := ln.Addr().(*net.TCPAddr)
-	udp, err := net.ListenUDP("udp4", &net.UDPAddr{IP: at.IP, Port: at.Port})
+	addr := ln.Addr().(*net.TCPAddr)
+	udp, err := net.ListenUDP("udp4", &net.UDPAddr{IP: addr.IP, Port: addr.Port})
 	if err != nil {
 		ln.Close()
 		return err
 	}
 	udp.SetReadBuffer(1 << 20)
-	m.endpoints = append(m.endpoints, &endpoint{m: m, index: i, memberAddr: real, ln: ln, udp: udp})
+	m.endpoints = append(m.endpoints, &endpoint{m: m, index: i, memberAddr: memberAddr, ln: ln, udp: udp})
 	return nil
 }
 
-// link is what connections of a caller go over, nil of one that is no member.
+// linkFrom returns the link for connections of a caller, or nil if it is not a member.
 func (s *endpoint) linkFrom(a net.Addr) *link.Link {
 	from, known := s.m.memberAt(a)
 	if !known {
@@ -105,13 +109,13 @@
 	return &s.m.pairOf(from, s.index).link
 }
 
-// count is where the bytes of a caller are counted.
+// byteCounter returns the counter for the bytes that a caller sends on connections.
 func (s *endpoint) byteCounter(a net.Addr) *atomic.Int64 {
 	from, _ := s.m.memberAt(a)
 	return &s.m.endpoints[from].streamBytes
 }
 
-// caller finds the member that calls from an address.
+// memberAt returns the number of the member that calls from an address, and false if there is none.
 func (m *Mesh) memberAt(a net.Addr) (int, bool) {
 	var ip net.IP
 	switch a := a.(type) {
@@ -124,7 +128,7 @@
 	return i, known
 }
 
-// pair finds what goes from one to another; the lock is held.
+// pairOf returns the link and faults from one member to another. The caller holds mu.
 func (m *Mesh) pairOf(from, to int) *pair {
 	k := [2]int{from, to}
 	if m.pairs[k] == nil {
@@ -133,27 +137,29 @@
 	return m.pairs[k]
 }
 
-// Addr is where the others reach a member.
+// Addr returns the address at which the others reach member i.
 func (m *Mesh) Addr(i int) string { return m.endpoints[i].ln.Addr().String() }
 
-// Set has what goes between two members suffer: To is from a to b, From is from b to a.
+// Set replaces the faults between two members: f.To applies from a to b, f.From from b to a. It resets open
+// connections if f.Refuse is set.
 func (m *Mesh) Set(a, b int, f link.Faults) {
-	turned := link.Faults{To: f.From, From: f.To, Refuse: f.Refuse}
+	reversed := link.Faults{To: f.From, From: f.To, Refuse: f.Refuse}
 	m.mu.Lock()
-	there, back := m.pairOf(a, b), m.pairOf(b, a)
-	there.faults, back.faults = f, turned
+	forward, backward := m.pairOf(a, b), m.pairOf(b, a)
+	forward.faults, backward.faults = f, reversed
 	m.mu.Unlock()
-	there.link.Suffer(f)
-	back.link.Suffer(turned)
+	forward.link.Suffer(f)
+	backward.link.Suffer(reversed)
 }
 
-// Sent tells what a member has sent: datagrams, and bytes in datagrams and on connections that it opened.
+// Sent returns what member i has sent: datagrams, bytes in datagrams and on connections that it opened, and lost
+// datagrams.
 func (m *Mesh) Sent(i int) (datagrams, bytes, lost int64) {
 	s := m.endpoints[i]
 	return s.sent.Datagrams.Load(), s.sent.Bytes.Load() + s.streamBytes.Load(), s.sent.Lost.Load()
 }
 
-// receive carries the datagrams that come for one member.
+// receiveDatagrams forwards the datagrams that arrive for one member.
 func (s *endpoint) receiveDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
@@ -162,7 +168,7 @@
 			return
 		}
 		if err != nil {
-			continue // a destination that refused an earlier one
+			continue // an earlier datagram was refused by its destination
 		}
 		if caller, known := s.m.memberAt(from); known {
 			s.forwardDatagram(caller, buf[:n])
@@ -170,7 +176,7 @@
 	}
 }
 
-// carry has a datagram go its way: now, later, twice or not at all.
+// forwardDatagram delivers a datagram now, later, twice or not at all, as the faults say.
 func (s *endpoint) forwardDatagram(from int, b []byte) {
 	m := s.m
 	sent := &m.endpoints[from].sent
@@ -202,7 +208,7 @@
 	}
 	for _, wait := range waits[:copies] {
 		if wait == 0 {
-			s.udp.WriteToUDP(b, s.memberAddr) // where nobody is there it is lost, as on any network
+			s.udp.WriteToUDP(b, s.memberAddr) // lost if nobody listens there, as on any network
 			continue
 		}
 		if m.inFlight.Add(1) > maxInFlight {
@@ -218,7 +224,7 @@
 	}
 }
 
-// Close ends all.
+// Close closes all endpoints and connections.
 func (m *Mesh) Close() {
 	for _, s := range m.endpoints {
 		s.udp.Close()
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -1,9 +1,9 @@
-// Package lab holds the experiments that ship with the laboratory.
+// Package lab embeds the experiment files that ship with the laboratory.
 package lab
 
 import "embed"
 
-// Files are the shipped experiments, NAME.sexp each.
+// Files holds the shipped experiments; the file of experiment NAME is NAME.sexp.
 //
 //go:embed *.sexp
 var Files embed.FS
