--- a/cmd/gwlab/limits_test.go
+++ b/cmd/gwlab/limits_test.go
@@ -10,40 +10,42 @@
 	"granitewing/internal/lab/experiment"
 )
 
-// crowded is a day of twelve processes in three zones, which asks for twice the places, and three times the rate, of the
-// limits below.
-const crowded = `(experiment crowded (dispatchers 12) (length %s) (load (rate 60)) (generator (lag 1m) (cpu 100%%) (scheduling 1m)) (clients (retries 0))
+// limitExperiment runs twelve processes in three zones and requests twice the concurrency, and three times the rate,
+// of the limits below.
+const limitExperiment = `(experiment crowded (dispatchers 12) (length %s) (load (rate 60)) (generator (lag 1m) (cpu 100%%) (scheduling 1m)) (clients (retries 0))
   (class reading (share 0.9) (work 250ms) (aim 2s) (give-up 2s) (repeat safe))
   (class alert (share 0.1) (work 20ms) (aim 2s) (give-up 2s) (repeat unsafe))
   (data-sets (count 0)) (fleet (hosts 10)) %s)`
 
 const (
-	places = `(limits (keepers n0 n1 n2) (lease 1s) (limit readings (class reading) (open 6)))`
-	rate   = `(limits (keepers n0 n1 n2) (lease 1s) (limit readings (class reading) (rate 18) (burst 2s)))`
+	openLimit = `(limits (keepers n0 n1 n2) (lease 1s) (limit readings (class reading) (open 6)))`
+	rateLimit = `(limits (keepers n0 n1 n2) (lease 1s) (limit readings (class reading) (rate 18) (burst 2s)))`
 )
 
-// crowd plays it and gives what the hosts saw of the limited class.
-func crowd(t *testing.T, length, limits, faults string) (*experiment.Outcome, *audit.Crowd) {
+// runLimits runs limitExperiment and returns what the hosts observed of the limited class.
+func runLimits(t *testing.T, length, limits, faults string) (*experiment.Outcome, *audit.Crowd) {
 	t.Helper()
-	path := write(t, fmt.Sprintf(crowded, length, sharing(limits)+faults))
-	o, log, code := fleetOf(t, path, "--program", filepath.Join(filepath.Dir(gwlab), "granitewing-fleet"), "--seed", "4")
+	path := writeExperiment(t, fmt.Sprintf(limitExperiment, length, sharedState(limits)+faults))
+	o, log, code := runFleet(t, path, "--program", filepath.Join(filepath.Dir(gwlab), "granitewing-fleet"), "--seed", "4")
 	if code != 0 || o.Audit.Broken() > 0 || len(o.Crowds) == 0 {
 		t.Fatalf("exit %d\n%s\n%s", code, o.Audit, log)
 	}
 	return o, &o.Crowds[0]
 }
 
-// Without limits the hosts see more of the class than the limits allow, or the tests below would show nothing.
+// Without limits the hosts observe more of the class than the limits allow; otherwise the tests below would prove
+// nothing.
 func TestNoLimits(t *testing.T) {
 	t.Parallel()
-	_, c := crowd(t, "8s", "", "")
+	_, c := runLimits(t, "8s", "", "")
 	if c.Most <= 8 || c.Beyond(18) <= 2*18+4 {
 		t.Errorf("at most %d at once, %.1f beyond the rate", c.Most, c.Beyond(18))
 	}
 }
 
-// connected says at how many dispatchers of a look the rights count.
-func connected(l experiment.Look, of func(i int) bool) (n int) {
+// countConnected returns the number of dispatchers of a snapshot, among those selected by of, whose rights are
+// valid.
+func countConnected(l experiment.Look, of func(i int) bool) (n int) {
 	for i, f := range l.Figures {
 		if of(i) && f[`router_fleet_limit_connected{limit="readings"}`] == 1 {
 			n++
@@ -52,49 +54,49 @@
 	return n
 }
 
-func anyone(int) bool { return true }
+func everyDispatcher(int) bool { return true }
 
-// Links and processes fail while a fleet is at its limit: the hosts never see more than it allows, those cut off come down
-// to nothing, and all have rights again afterwards.
+// Links and processes fail while a fleet is at its limit. The hosts never observe more than it allows, dispatchers
+// that are cut off lose their rights, and all have rights again afterwards.
 func TestLimitsHold(t *testing.T) {
 	t.Parallel()
 	zone := func(i int) bool { return i%3 == 0 }
 	for name, c := range map[string]struct {
-		kinds  string // of limits, by their first letters
+		kinds  string // kinds of limits: p for open requests, r for a rate
 		faults string
-		out    func(i int) bool // who has no rights at the first look
-		least  int              // starts that the hosts see at least
+		out    func(i int) bool // which dispatchers have no rights at the first snapshot
+		least  int              // least number of starts that the hosts observe
 	}{
 		"nothing fails":                   {"pr", ``, nil, 120},
 		"a zone cut off":                  {"pr", `(link (at 8s) (for 6s) (of (zone dakar)) (peers others))`, zone, 60},
-		"a zone that is not heard":        {"p", `(link (at 8s) (for 6s) (of (zone dakar)) (peers others) (way from))`, zone, 60},
-		"a member stopped three leases":   {"p", `(pause-dispatcher (at 8s) (for 3s) (of (names n7)))`, nil, 80},
+		"a zone whose reports are lost":   {"p", `(link (at 8s) (for 6s) (of (zone dakar)) (peers others) (way from))`, zone, 60},
+		"a member stopped for 3 leases":   {"p", `(pause-dispatcher (at 8s) (for 3s) (of (names n7)))`, nil, 80},
 		"the dealer stopped":              {"pr", `(pause-dispatcher (at 8s) (for 3s) (of (names n0)))`, nil, 60},
-		"the dealer starts anew":          {"p", `(restart-dispatcher (at 8s) (for 300ms) (of (names n0)))`, nil, 60},
-		"three in ten start anew":         {"r", `(restart-dispatcher (at 8s) (for 300ms) (of (names n3 n5 n8 n10)))`, nil, 60},
+		"the dealer restarted":            {"p", `(restart-dispatcher (at 8s) (for 300ms) (of (names n0)))`, nil, 60},
+		"four of twelve restarted":        {"r", `(restart-dispatcher (at 8s) (for 300ms) (of (names n3 n5 n8 n10)))`, nil, 60},
 		"30% lost, late and out of order": {"p", `(link (at 7s) (for 8s) (of (share 100%)) (peers all) (manner late) (delay 100ms) (spread 300ms) (loss 30%) (twice 10%))`, nil, 25},
 	} {
 		for _, kind := range c.kinds {
-			limits := map[rune]string{'p': places, 'r': rate}[kind]
+			limits := map[rune]string{'p': openLimit, 'r': rateLimit}[kind]
 			t.Run(name+", "+string(kind), func(t *testing.T) {
 				t.Parallel()
-				o, seen := crowd(t, "23s", limits, c.faults+`(look (at 13500ms)) (look (at 22s))`)
-				// What a dispatcher has answered may be open at a host until that hears of it.
-				if limits == places && seen.Most > 6+1 {
-					t.Errorf("%d at once at the hosts, where 6 may be", seen.Most)
+				o, seen := runLimits(t, "23s", limits, c.faults+`(look (at 13500ms)) (look (at 22s))`)
+				// A request that its dispatcher has answered may still be open at a host until the host notices.
+				if limits == openLimit && seen.Most > 6+1 {
+					t.Errorf("%d at once at the hosts, where 6 are allowed", seen.Most)
 				}
-				if beyond := seen.Beyond(18 * 1.01); limits == rate && beyond > 36+2 {
-					t.Errorf("%.1f beyond the rate at the hosts, where 36 may be", beyond)
+				if beyond := seen.Beyond(18 * 1.01); limits == rateLimit && beyond > 36+2 {
+					t.Errorf("%.1f beyond the rate at the hosts, where 36 are allowed", beyond)
 				}
 				if len(seen.Starts) < c.least {
-					t.Errorf("the hosts saw %d, want %d: the limit is hardly used", len(seen.Starts), c.least)
+					t.Errorf("the hosts saw %d starts, want at least %d: the limit is hardly used", len(seen.Starts), c.least)
 				}
 				t.Logf("%d starts, %d at once, %.1f beyond the rate", len(seen.Starts), seen.Most, seen.Beyond(18))
-				if c.out != nil && connected(o.Looks[0], c.out) > 0 {
-					t.Errorf("%d of those cut off have rights 5 s later", connected(o.Looks[0], c.out))
+				if c.out != nil && countConnected(o.Looks[0], c.out) > 0 {
+					t.Errorf("%d of those cut off have rights 5 s later", countConnected(o.Looks[0], c.out))
 				}
-				// On a busy machine one or the other may just have missed a renewal.
-				if n := connected(o.Looks[1], anyone); n < 10 {
+				// On a busy machine one or two dispatchers may just have missed a renewal.
+				if n := countConnected(o.Looks[1], everyDispatcher); n < 10 {
 					t.Errorf("%d of 12 have rights at the end", n)
 				}
 			})
@@ -102,22 +104,23 @@
 	}
 }
 
-// A dealer that ends in order leaves no gap, and one that is killed none beyond its promises: the places of those that are
-// there are dealt on at once, not after the longest time to an answer.
-func TestDealerFollowed(t *testing.T) {
+// A dealer that shuts down gracefully leaves no gap, and one that is killed none beyond the expiry of its grants:
+// the slots of the remaining dispatchers are dealt out again immediately, not only after the longest time to an
+// answer.
+func TestDealerFailover(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		fault string
 		gap   float64 // seconds
 	}{
-		"ends":   {`(restart-dispatcher (at 8s) (for 5s) (of (names n0)))`, 1},
-		"killed": {`(kill-dispatcher (at 8s) (for 5s) (of (names n0)))`, 3},
+		"shut down": {`(restart-dispatcher (at 8s) (for 5s) (of (names n0)))`, 1},
+		"killed":    {`(kill-dispatcher (at 8s) (for 5s) (of (names n0)))`, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, seen := crowd(t, "13s", places, c.fault)
+			_, seen := runLimits(t, "13s", openLimit, c.fault)
 			if seen.Most > 6+1 {
-				t.Errorf("%d at once at the hosts, where 6 may be", seen.Most)
+				t.Errorf("%d at once at the hosts, where 6 are allowed", seen.Most)
 			}
 			n := 0
 			for _, at := range seen.Starts {
@@ -133,7 +136,7 @@
 	}
 }
 
-// What settings of limits are refused, with their place.
+// Invalid limit settings are refused, and the error names their place.
 func TestLimitSettings(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ limits, want string }{
@@ -145,8 +148,8 @@
 		{`(limits (keepers n0) (limit a (class nothing) (open 3)))`, `no class "nothing"`},
 		{`(limits (keepers n0) (limit a (class reading) (open 3) (floor 2)))`, "limits.limit.floor"},
 	} {
-		path := write(t, fmt.Sprintf(crowded, "1s", sharing(c.limits)))
-		_, log, code := call(t, "fleet", "--json", path, "--program", filepath.Join(filepath.Dir(gwlab), "granitewing-fleet"))
+		path := writeExperiment(t, fmt.Sprintf(limitExperiment, "1s", sharedState(c.limits)))
+		_, log, code := runGwlab(t, "fleet", "--json", path, "--program", filepath.Join(filepath.Dir(gwlab), "granitewing-fleet"))
 		if c.want == "" {
 			if code != 0 {
 				t.Errorf("%s: exit %d, %s", c.limits, code, log)
--- a/cmd/gwlab/load_test.go
+++ b/cmd/gwlab/load_test.go
@@ -10,10 +10,10 @@
 	"granitewing/internal/lab/report"
 )
 
-// Two generators beside an emulated fleet, merged to one report.
+// Two generators send to one emulated fleet, and their results are merged into one report.
 func TestLoadAndEmulate(t *testing.T) {
 	dir := t.TempDir()
-	path := write(t, fmt.Sprintf(light, "2s", ""))
+	path := writeExperiment(t, fmt.Sprintf(lightLoad, "2s", ""))
 	cmd := exec.Command(gwlab, "emulate", path, "--dir", filepath.Join(dir, "fleet"), "--serve")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -35,7 +35,7 @@
 	codes := make(chan int, 2)
 	for _, prefix := range []string{"a", "b"} {
 		go func() {
-			_, log, code := call(t, append([]string{"load", path, "--prefix", prefix, "--out", filepath.Join(dir, prefix)}, args...)...)
+			_, log, code := runGwlab(t, append([]string{"load", path, "--prefix", prefix, "--out", filepath.Join(dir, prefix)}, args...)...)
 			if code != 0 {
 				t.Errorf("exit %d: %s", code, log)
 			}
@@ -48,23 +48,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	merged, log, code := call(t, "report", filepath.Join(dir, "a"), filepath.Join(dir, "b"), "--out", filepath.Join(dir, "both"))
+	merged, log, code := runGwlab(t, "report", filepath.Join(dir, "a"), filepath.Join(dir, "b"), "--out", filepath.Join(dir, "both"))
 	both, err := report.Read(filepath.Join(dir, "both"))
 	if err != nil || code != 0 {
 		t.Fatalf("exit %d, %v\n%s\n%s", code, err, merged, log)
 	}
 	if a, b := one.Plays[0].Rows[2], both.Plays[0].Rows[2]; a.Asked == 0 || b.Asked != 2*a.Asked || b.InTime == 0 {
-		t.Errorf("%d asked by one, %d by both", a.Asked, b.Asked)
+		t.Errorf("%d jobs by one, %d by both", a.Asked, b.Asked)
 	}
 }
 
-// What the dispatchers' doors count agrees with what clients saw: each job served is one success of its class, and
-// every answer that a client read is counted once, as a success, a refusal or a failure.
+// The counters of the dispatchers' admin endpoints agree with what clients observed: each served job is one success
+// of its class, and every answer that a client read is counted once, as a success, a refusal or a failure.
 func TestFiguresAgreeWithClients(t *testing.T) {
 	t.Parallel()
-	o := playOne(t, fmt.Sprintf(light, "4s", ""), "")
+	o := runOne(t, fmt.Sprintf(lightLoad, "4s", ""), "")
 	if len(o.Figures) == 0 {
-		t.Fatalf("no figures; notes %q", o.Notes)
+		t.Fatalf("no metrics; notes %q", o.Notes)
 	}
 	var answered, dispatched float64
 	for _, row := range o.Rows[:len(o.Rows)-1] {
--- a/cmd/gwlab/main_test.go
+++ b/cmd/gwlab/main_test.go
@@ -20,7 +20,7 @@
 	"granitewing/lab"
 )
 
-// gwlab is the built laboratory, with the dispatcher beside it.
+// gwlab is the path of the built program; the dispatcher binaries are next to it.
 var gwlab string
 
 func TestMain(m *testing.M) {
@@ -35,14 +35,14 @@
 		}
 	}
 	flag.Parse()
-	flag.Set("test.parallel", "10") // the plays wait for the day's clock far more than they compute
+	flag.Set("test.parallel", "10") // the runs mostly wait for the day's clock and compute little
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// call runs the program and gives its output and exit code.
-func call(t *testing.T, args ...string) (stdout, stderr string, code int) {
+// runGwlab runs the program and returns its output and exit code.
+func runGwlab(t *testing.T, args ...string) (stdout, stderr string, code int) {
 	t.Helper()
 	cmd := exec.Command(gwlab, args...)
 	var out, log bytes.Buffer
@@ -55,13 +55,14 @@
 	return out.String(), log.String(), cmd.ProcessState.ExitCode()
 }
 
-// light is a load that even a busy machine takes with ease, so that what it shows is not how busy that is.
-const light = `(experiment light (length %s) (load (rate 12)) (generator (lag 1m) (cpu 100%%) (scheduling 1m))
+// lightLoad is a load that even a busy machine handles easily, so that results do not depend on how busy the machine
+// is.
+const lightLoad = `(experiment light (length %s) (load (rate 12)) (generator (lag 1m) (cpu 100%%) (scheduling 1m))
   (class reading (share 0.7) (work 20ms) (aim 20s) (give-up 25s) (repeat safe))
   (class alert (share 0.3) (work 20ms) (aim 20s) (give-up 25s) (repeat unsafe))
   (data-sets (count 0)) (fleet (hosts 3)) %s)`
 
-func write(t *testing.T, text string) string {
+func writeExperiment(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "x.sexp")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -70,10 +71,10 @@
 	return path
 }
 
-// Two laboratories at once, each with a dispatcher that dies in the middle and comes back: the death is counted and
-// ends neither, the rules hold, the reports are whole.
+// Two laboratories run at the same time, each with a dispatcher that is killed and comes back. The kill is counted
+// and ends neither run, the rules hold, and the reports are complete.
 func TestTwoLaboratoriesAtOnce(t *testing.T) {
-	path := write(t, fmt.Sprintf(light, "4s", `(kill-dispatcher (at 1s) (for 1s) (dispatcher 1)) (crash (at 2s) (for 1s) (hosts h1)) (drain (at 1s) (hosts h2) (grace 1s))`))
+	path := writeExperiment(t, fmt.Sprintf(lightLoad, "4s", `(kill-dispatcher (at 1s) (for 1s) (dispatcher 1)) (crash (at 2s) (for 1s) (hosts h1)) (drain (at 1s) (hosts h2) (grace 1s))`))
 	type done struct {
 		out, log string
 		code     int
@@ -83,7 +84,7 @@
 	for range 2 {
 		dir := filepath.Join(t.TempDir(), "report")
 		go func() {
-			out, log, code := call(t, "run", path, "--json", "--out", dir)
+			out, log, code := runGwlab(t, "run", path, "--json", "--out", dir)
 			results <- done{out, log, code, dir}
 		}()
 	}
@@ -99,11 +100,11 @@
 		o := res.Plays[0]
 		all := o.Rows[len(o.Rows)-1]
 		if all.Asked < 20 || all.InTime < all.Asked*8/10 || o.Audit.Broken() > 0 || len(o.Marks) != 6 {
-			t.Errorf("%d asked, %d in time, %d failures\n%s", all.Asked, all.InTime, len(o.Marks), o.Audit)
+			t.Errorf("%d jobs, %d in time, %d marks\n%s", all.Asked, all.InTime, len(o.Marks), o.Audit)
 		}
 		page, err := os.ReadFile(filepath.Join(d.dir, "index.html"))
 		if err != nil || !bytes.Contains(page, []byte("dispatcher 1 killed")) || bytes.Contains(page, []byte("src=\"http")) {
-			t.Errorf("the page is not whole: %v", err)
+			t.Errorf("the page is incomplete: %v", err)
 		}
 		for _, f := range []string{"service.svg", "service.png", "latency.png", "hosts.svg"} {
 			if info, err := os.Stat(filepath.Join(d.dir, f)); err != nil || info.Size() < 1000 {
@@ -112,14 +113,14 @@
 		}
 		var printed experiment.Results
 		if err := json.Unmarshal([]byte(d.out), &printed); err != nil || printed.Plays[0].Service != o.Service {
-			t.Errorf("standard output is no result: %v", err)
+			t.Errorf("standard output is not a result: %v", err)
 		}
 	}
 }
 
-// Ctrl-C ends a run in order: a report of what was measured until then, and no process left.
+// SIGINT ends a run in order: it reports what was measured until then and leaves no process behind.
 func TestInterrupt(t *testing.T) {
-	path := write(t, fmt.Sprintf(light, "10m", ""))
+	path := writeExperiment(t, fmt.Sprintf(lightLoad, "10m", ""))
 	dir := filepath.Join(t.TempDir(), "report")
 	mark := fmt.Sprintf("GWLAB_TEST=%d", time.Now().UnixNano())
 	cmd := exec.Command(gwlab, "run", path, "--out", dir, "--debug")
@@ -133,13 +134,13 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	// Once its dispatchers run it has begun.
-	for limit := time.Now().Add(30 * time.Second); len(marked(mark)) < 4; time.Sleep(20 * time.Millisecond) {
+	// The run has begun once its dispatchers are running.
+	for limit := time.Now().Add(30 * time.Second); len(processesWith(mark)) < 4; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("%d processes after 30 s", len(marked(mark)))
+			t.Fatalf("%d processes after 30 s", len(processesWith(mark)))
 		}
 	}
-	time.Sleep(300 * time.Millisecond) // for some jobs; none are needed
+	time.Sleep(300 * time.Millisecond) // leaves time for some jobs; the test needs none
 	cmd.Process.Signal(syscall.SIGINT)
 	go func() { new(bytes.Buffer).ReadFrom(log) }()
 	cmd.Wait()
@@ -150,13 +151,13 @@
 	if err != nil || !res.Cut || !strings.Contains(out.String(), "CUT SHORT") {
 		t.Errorf("report %v, output\n%s", err, out.String())
 	}
-	if left := marked(mark); len(left) > 0 {
+	if left := processesWith(mark); len(left) > 0 {
 		t.Errorf("processes left: %v", left)
 	}
 }
 
-// marked finds the processes that carry a mark in their environment.
-func marked(mark string) []string {
+// processesWith returns the /proc environ files of the processes whose environment contains mark.
+func processesWith(mark string) []string {
 	var out []string
 	files, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, f := range files {
@@ -167,7 +168,7 @@
 	return out
 }
 
-// What can't be played is refused before anything starts, with its place.
+// What can't be run is refused before anything starts, and the error names the place.
 func TestRefused(t *testing.T) {
 	full := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(full, nil, 0o600); err != nil {
@@ -176,29 +177,29 @@
 	for name, c := range map[string]struct {
 		args []string
 		code int
-		say  string
+		want string
 	}{
-		"a host that does not exist":       {[]string{"run", write(t, "(experiment x\n  (slow (at 1s) (hosts h9)))")}, 1, `x.sexp:2:3: slow.hosts: no host "h9"; there are h0 to h8`},
+		"a host that does not exist":       {[]string{"run", writeExperiment(t, "(experiment x\n  (slow (at 1s) (hosts h9)))")}, 1, `x.sexp:2:3: slow.hosts: no host "h9"; there are h0 to h8`},
 		"a report folder that is a file":   {[]string{"run", "calm", "--out", filepath.Join(full, "x")}, 1, "report folder: mkdir"},
 		"a full disk":                      {[]string{"run", "calm", "--out", "/dev/full"}, 1, "report folder: "},
 		"an experiment that does not ship": {[]string{"run", "nothing"}, 1, `no experiment "nothing" ships; there are calm,`},
 		"a dispatcher that is not there":   {[]string{"run", "calm", "--program", "/nowhere"}, 1, "no dispatcher at /nowhere"},
-		"a trace that is not there":        {[]string{"run", write(t, `(experiment x (load (stream (trace "gone.csv"))))`)}, 1, "gone.csv: no such file"},
+		"a trace that is not there":        {[]string{"run", writeExperiment(t, `(experiment x (load (stream (trace "gone.csv"))))`)}, 1, "gone.csv: no such file"},
 		"an unknown verb":                  {[]string{"dance"}, 2, "unexpected argument dance"},
 		"an unknown flag":                  {[]string{"run", "calm", "--speed", "9"}, 2, "unknown flag --speed"},
 		"a zone that does not exist":       {[]string{"load", "calm", "--target", "127.0.0.1:1@paris"}, 1, `no zone "paris"`},
-		"another policy on sockets":        {[]string{"run", write(t, `(experiment x (variant a (policy random)))`)}, 1, "plays in virtual time alone"},
+		"another policy on sockets":        {[]string{"run", writeExperiment(t, `(experiment x (variant a (policy random)))`)}, 1, "plays in virtual time alone"},
 	} {
-		out, log, code := call(t, c.args...)
-		if code != c.code || !strings.Contains(log, c.say) || strings.Count(strings.TrimSpace(log), "\n") > 0 || out != "" {
-			t.Errorf("%s: exit %d, want %d; %q lacks %q, or more was said: %q", name, code, c.code, log, c.say, out)
+		out, log, code := runGwlab(t, c.args...)
+		if code != c.code || !strings.Contains(log, c.want) || strings.Count(strings.TrimSpace(log), "\n") > 0 || out != "" {
+			t.Errorf("%s: exit %d, want %d; %q lacks %q, or there is more output: %q", name, code, c.code, log, c.want, out)
 		}
 	}
 }
 
-// The generator's percentiles are those computed from the schedule and the stall, and a closed loop's are not.
+// The open-loop percentiles match those computed from the schedule and the stall, and those of a closed loop do not.
 func TestSelfcheck(t *testing.T) {
-	out, log, code := call(t, "selfcheck", "--json")
+	out, log, code := runGwlab(t, "selfcheck", "--json")
 	if code == exitInvalid {
 		t.Skipf("this machine was too busy in all tries: %s", log)
 	}
@@ -220,7 +221,7 @@
 	}
 }
 
-// Every experiment that ships can be read and drawn; those in virtual time can be played by their verb.
+// Every shipped experiment can be read and drawn, and one in virtual time can be run.
 func TestShipped(t *testing.T) {
 	files, err := lab.Files.ReadDir(".")
 	if err != nil || len(files) < 5 {
@@ -237,13 +238,13 @@
 			t.Errorf("%s: %v", f.Name(), err)
 		}
 	}
-	out, log, code := call(t, "run", "zone-cut", "--pairs", "2")
+	out, log, code := runGwlab(t, "run", "zone-cut", "--pairs", "2")
 	if code != 0 || !strings.Contains(out, "two-choices") {
 		t.Errorf("exit %d\n%s\n%s", code, out, log)
 	}
 }
 
-// A trace goes from a recording through import and scaling into an experiment.
+// A recorded trace can be imported, scaled and used by an experiment.
 func TestTrace(t *testing.T) {
 	dir := t.TempDir()
 	var text strings.Builder
@@ -256,25 +257,25 @@
 	if err := os.WriteFile(raw, []byte(text.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, log, code := call(t, "trace", "import", raw, "--gaps", "close", "--gap", "0.9", "--out", day)
+	out, log, code := runGwlab(t, "trace", "import", raw, "--gaps", "close", "--gap", "0.9", "--out", day)
 	if code != 0 || !strings.Contains(out, "43 lines, 1 unsorted, 1 steps back, 1 repeated") || !strings.Contains(out, "2 gaps over 900ms") {
 		t.Fatalf("exit %d\n%s\n%s", code, out, log)
 	}
-	if out, log, code = call(t, "trace", "scale", day, "--rate", "2", "--pace", "2", "--out", big); code != 0 || !strings.Contains(out, "after: 84 jobs") {
+	if out, log, code = runGwlab(t, "trace", "scale", day, "--rate", "2", "--pace", "2", "--out", big); code != 0 || !strings.Contains(out, "after: 84 jobs") {
 		t.Fatalf("exit %d\n%s\n%s", code, out, log)
 	}
 	path := filepath.Join(dir, "x.sexp")
-	spec := strings.Replace(fmt.Sprintf(light, "1s", ""), "(load (rate 12))", `(virtual) (load (stream (trace "big.csv")))`, 1)
+	spec := strings.Replace(fmt.Sprintf(lightLoad, "1s", ""), "(load (rate 12))", `(virtual) (load (stream (trace "big.csv")))`, 1)
 	if err := os.WriteFile(path, []byte(spec), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if out, log, code = call(t, "run", path); code != 0 || !strings.Contains(out, "reading     84") || !strings.Contains(out, "trace big.csv: no gap") {
+	if out, log, code = runGwlab(t, "run", path); code != 0 || !strings.Contains(out, "reading     84") || !strings.Contains(out, "trace big.csv: no gap") {
 		t.Fatalf("exit %d\n%s\n%s", code, out, log)
 	}
 }
 
-// few is a load of a second by twelve processes, whose clients give up soon.
-const few = `(experiment few (dispatchers 12) (length %s) (load (rate 30)) (generator (lag 1m) (cpu 100%%) (scheduling 1m)) (clients (retries 0))
+// smallFleet is a short load on twelve dispatchers whose clients give up soon.
+const smallFleet = `(experiment few (dispatchers 12) (length %s) (load (rate 30)) (generator (lag 1m) (cpu 100%%) (scheduling 1m)) (clients (retries 0))
   (class reading (share 0.7) (work 20ms) (aim 2s) (give-up %s) (repeat safe))
   (class alert (share 0.3) (work 20ms) (aim 2s) (give-up %s) (repeat unsafe))
   (data-sets (count 0)) (fleet (hosts 4)) %s)`
--- a/internal/lab/emulate/discovery.go
+++ b/internal/lab/emulate/discovery.go
@@ -143,15 +143,15 @@
 		return
 	}
 	e.mu.Lock()
-	cuts := d.disconnects
+	disconnects := d.disconnects
 	e.mu.Unlock()
 	chunk := func(text []byte) bool {
 		c.SetWriteDeadline(time.Now().Add(readTimeout))
 		_, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
 		return err == nil
 	}
-	pulse := time.NewTicker(watchHeartbeat)
-	defer pulse.Stop()
+	heartbeat := time.NewTicker(watchHeartbeat)
+	defer heartbeat.Stop()
 	// The dispatcher sends nothing after its request, so only the end of the connection shows that it has left.
 	left := make(chan struct{})
 	go func() {
@@ -161,7 +161,7 @@
 	}()
 	for first := true; ; first = false {
 		e.mu.Lock()
-		told, ended, silent := d.changed, d.disconnects != cuts || e.closed, e.discoverySilent
+		changed, ended, silent := d.changed, d.disconnects != disconnects || e.closed, e.discoverySilent
 		members, complete := e.directory.Since(index)
 		revision := e.directory.Revision()
 		e.mu.Unlock()
@@ -176,8 +176,8 @@
 			index = revision
 		}
 		select {
-		case <-told:
-		case <-pulse.C:
+		case <-changed:
+		case <-heartbeat.C:
 			if !silent && !chunk([]byte("\n")) {
 				return
 			}
--- a/internal/lab/emulate/emulate_test.go
+++ b/internal/lab/emulate/emulate_test.go
@@ -18,10 +18,10 @@
 	"granitewing/logic"
 )
 
-const patience = 30 * time.Second // only ends tests that have failed
+const testTimeout = 30 * time.Second // reached only by tests that fail
 
-// fleet starts two hosts for one dispatcher.
-func fleet(t *testing.T) (*Emulator, *audit.Log) {
+// newFleet starts an emulator with two hosts and one dispatcher.
+func newFleet(t *testing.T) (*Emulator, *audit.Log) {
 	t.Helper()
 	spec, err := world.Parse("test", `(experiment test (dispatchers 1) (zones dakar) (fleet (hosts 2) (progress 0s)) (data-sets (count 0)) (discovery (lag 0s)))`)
 	if err != nil {
@@ -43,16 +43,16 @@
 	return e, log
 }
 
-func (e *Emulator) do(op world.Op) {
+func (e *Emulator) applyOp(op world.Op) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.apply(op)
 }
 
-// holds waits until a host holds so many jobs.
-func (e *Emulator) holds(t *testing.T, host, want int) {
+// awaitHeld waits until a host holds the wanted number of jobs.
+func (e *Emulator) awaitHeld(t *testing.T, host, want int) {
 	t.Helper()
-	for limit := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		e.mu.Lock()
 		held := e.hosts[host].model.Held()
 		e.mu.Unlock()
@@ -65,23 +65,23 @@
 	}
 }
 
-type peer struct {
+type dispatcherConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dial(t *testing.T, addr string) *peer {
+func dial(t *testing.T, addr string) *dispatcherConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { c.Close() })
-	return &peer{c, bufio.NewReader(c)}
+	return &dispatcherConn{c, bufio.NewReader(c)}
 }
 
-func (p *peer) send(t *testing.T, name string, work int) {
+func (p *dispatcherConn) send(t *testing.T, name string, work int) {
 	t.Helper()
 	body := Work{Micros: float64(work), Slots: 1}.Append(nil)
 	m := &platform.Message{Method: "POST", Target: "/a", Txn: name, Lane: "a", Body: body}
@@ -90,14 +90,14 @@
 	}
 }
 
-// ended reads until the relay's end with the dispatcher's own parser.
-func (p *peer) ended(t *testing.T, name string) (result logic.Result, content string) {
+// readOutcome reads one response with the dispatcher's own parser, until the connection is free again.
+func (p *dispatcherConn) readOutcome(t *testing.T, name string) (result logic.Result, content string) {
 	t.Helper()
-	over, free := false, false
+	ended, free := false, false
 	r := platform.NewRelay(func(n platform.Note) {
 		switch n.Kind {
 		case platform.NoteEnded:
-			over, result, content = true, n.Result, string(n.Content)
+			ended, result, content = true, n.Result, string(n.Content)
 		case platform.NoteFree:
 			free = true
 		}
@@ -106,7 +106,7 @@
 	b := make([]byte, 1)
 	for !free {
 		if _, err := p.r.Read(b); err != nil {
-			if over {
+			if ended {
 				return result, content
 			}
 			return logic.Broken, err.Error()
@@ -118,60 +118,61 @@
 	return result, content
 }
 
-// What hosts do on sockets, read by the dispatcher's own parser.
+// Emulated hosts follow the protocol, as read by the dispatcher's own parser: reuse of a connection, errors, resets,
+// cancellation, a crash and a restart at the same address.
 func TestHosts(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	e, log := fleet(t)
+	e, log := newFleet(t)
 	defer e.Close()
 	addr := e.hosts[0].addr(0)
 	a := dial(t, addr)
 	for i := range 3 { // one connection carries one job after another
 		name := fmt.Sprintf("t%d", i)
 		a.send(t, name, 100)
-		if r, c := a.ended(t, name); r != logic.Served || c != Answer(name, e.hosts[0].model.Name) {
+		if r, c := a.readOutcome(t, name); r != logic.Served || c != Answer(name, e.hosts[0].model.Name) {
 			t.Fatalf("%v %q", r, c)
 		}
 	}
-	e.do(world.Op{Kind: world.OpErrors, Host: 0, On: true})
+	e.applyOp(world.Op{Kind: world.OpErrors, Host: 0, On: true})
 	a.send(t, "bad", 100)
-	if r, _ := a.ended(t, "bad"); r != logic.Failed {
-		t.Errorf("a host that answers errors gave %v", r)
+	if r, _ := a.readOutcome(t, "bad"); r != logic.Failed {
+		t.Errorf("a host that answers errors: %v", r)
 	}
-	e.do(world.Op{Kind: world.OpErrors, Host: 0})
-	e.do(world.Op{Kind: world.OpReset, Host: 0, On: true})
+	e.applyOp(world.Op{Kind: world.OpErrors, Host: 0})
+	e.applyOp(world.Op{Kind: world.OpReset, Host: 0, On: true})
 	a.send(t, "reset", 100)
-	if r, _ := a.ended(t, "reset"); r != logic.Broken {
-		t.Errorf("a host that resets gave %v", r)
+	if r, _ := a.readOutcome(t, "reset"); r != logic.Broken {
+		t.Errorf("a host that resets: %v", r)
 	}
-	e.do(world.Op{Kind: world.OpReset, Host: 0})
-	// A dispatcher that closes stops the work.
+	e.applyOp(world.Op{Kind: world.OpReset, Host: 0})
+	// A dispatcher that closes its connection cancels the work.
 	b := dial(t, addr)
 	b.send(t, "given-up", 3_600_000_000)
 	if line, err := b.r.ReadString('\n'); err != nil || !strings.Contains(line, "200") {
 		t.Fatalf("%q %v", line, err)
 	}
 	b.Close()
-	e.holds(t, 0, 0)
-	// A crash resets what is open and refuses what is new; the address is the same after the restart.
+	e.awaitHeld(t, 0, 0)
+	// A crash resets open connections and refuses new ones; the address is the same after the restart.
 	c := dial(t, addr)
 	c.send(t, "lost", 3_600_000_000)
-	e.holds(t, 0, 1)
-	e.do(world.Op{Kind: world.OpCrash, Host: 0})
-	if r, _ := c.ended(t, "lost"); r != logic.Broken {
-		t.Errorf("a crash gave %v", r)
+	e.awaitHeld(t, 0, 1)
+	e.applyOp(world.Op{Kind: world.OpCrash, Host: 0})
+	if r, _ := c.readOutcome(t, "lost"); r != logic.Broken {
+		t.Errorf("after a crash: %v", r)
 	}
 	if k, err := net.Dial("tcp", addr); err == nil {
 		k.Close()
 		t.Error("a crashed host accepts connections")
 	}
-	// Meanwhile another program may take the address; once it lets go the host is back.
+	// Another program may take the address in the meantime; once it releases the address, the host listens again.
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.do(world.Op{Kind: world.OpRestart, Host: 0})
+	e.applyOp(world.Op{Kind: world.OpRestart, Host: 0})
 	ln.Close()
-	for limit := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if k, err := net.Dial("tcp", addr); err == nil {
 			k.Close()
 			break
@@ -182,35 +183,36 @@
 	}
 	d := dial(t, addr)
 	d.send(t, "again", 100)
-	if r, _ := d.ended(t, "again"); r != logic.Served {
+	if r, _ := d.readOutcome(t, "again"); r != logic.Served {
 		t.Errorf("after the restart %v", r)
 	}
 	if text := log.Check().String(); !strings.Contains(text, "given-up reached a host and no client sent it") {
-		t.Errorf("the audit knows nothing of it:\n%s", text)
+		t.Errorf("the audit did not report it:\n%s", text)
 	}
 }
 
-// A host that says nothing keeps what is open, and resets it once it is back.
-func TestSilence(t *testing.T) {
-	e, _ := fleet(t)
+// A vanished host keeps its connections open without sending, and resets them when it is back.
+func TestVanishedHost(t *testing.T) {
+	e, _ := newFleet(t)
 	defer e.Close()
 	a := dial(t, e.hosts[1].addr(0))
 	a.send(t, "t", 20_000)
 	if _, err := a.r.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	e.do(world.Op{Kind: world.OpVanish, Host: 1, On: true})
-	e.holds(t, 1, 0) // it ran, and said nothing of it
-	e.do(world.Op{Kind: world.OpVanish, Host: 1})
+	e.applyOp(world.Op{Kind: world.OpVanish, Host: 1, On: true})
+	e.awaitHeld(t, 1, 0) // the job ran, and the host did not report it
+	e.applyOp(world.Op{Kind: world.OpVanish, Host: 1})
 	text, err := io.ReadAll(a.r)
 	if err == nil || strings.Contains(string(text), "done") {
-		t.Errorf("after the silence %q, %v; want a reset", text, err)
+		t.Errorf("after the host is back: %q, %v; want a reset", text, err)
 	}
 }
 
-// The watch tells of changes as they come, ends when discovery goes down, and is refused until it is back.
+// A watch streams changes as they occur and ends when discovery goes down; new watches are refused until discovery
+// is back.
 func TestDiscovery(t *testing.T) {
-	e, log := fleet(t)
+	e, log := newFleet(t)
 	defer e.Close()
 	addr := e.discovery[0].ln.Addr().String()
 	watch := func(index int) (*bufio.Reader, *http.Response) {
@@ -227,28 +229,28 @@
 	if err != nil || !strings.Contains(line, `"complete":true`) || strings.Count(line, `"ready"`) != 2 {
 		t.Fatalf("%q %v", line, err)
 	}
-	e.do(world.Op{Kind: world.OpDrain, Host: 0})
+	e.applyOp(world.Op{Kind: world.OpDrain, Host: 0})
 	for line = "\n"; line == "\n" && err == nil; line, err = lines.ReadString('\n') {
 	}
 	if err != nil || !strings.Contains(line, `"complete":false`) || strings.Count(line, `"draining"`) != 1 {
 		t.Fatalf("%q %v", line, err)
 	}
-	e.do(world.Op{Kind: world.OpDown, On: true})
+	e.applyOp(world.Op{Kind: world.OpDown, On: true})
 	if _, err := io.ReadAll(lines); err == nil {
-		t.Error("the watch ended as if it were whole")
+		t.Error("the watch ended as if it were complete")
 	}
 	if _, resp := watch(2); resp.StatusCode != 503 {
 		t.Errorf("discovery is down and answers %d", resp.StatusCode)
 	}
-	e.do(world.Op{Kind: world.OpDown})
+	e.applyOp(world.Op{Kind: world.OpDown})
 	if _, resp := watch(2); resp.StatusCode != 200 {
 		t.Errorf("discovery is back and answers %d", resp.StatusCode)
 	}
-	// What was told is what the audit holds dispatchers to.
+	// The audit holds dispatchers to the member states that they were sent.
 	log.Sent(0, "late", 0, 0)
 	at := e.now() + 10_000_000
 	log.Finish(at+1, "late", log.Came(at, at, "late", e.hosts[0].model.Name, 0, 0), audit.Unstarted, "")
 	if rep := log.Check(); rep.Rules[2].Broken != 1 {
-		t.Errorf("an attempt ten seconds after the drain was told:\n%s", rep)
+		t.Errorf("an attempt ten seconds after the drain was published was not counted:\n%s", rep)
 	}
 }
--- a/internal/lab/emulate/serve.go
+++ b/internal/lab/emulate/serve.go
@@ -31,9 +31,9 @@
 	name     string // value of X-Txn
 	handle   int    // of the attempt in the audit log
 	attempt  uint64
-	out      chan responsePart
-	headSent bool
-	done     chan struct{} // closed once the response is written
+	out      chan responsePart // nil once the connection has ended
+	headSent bool              // the response head has been queued
+	done     chan struct{}     // closed once the response is written
 }
 
 // responsePart is a piece of a response and the time at which it leaves the host.
@@ -45,10 +45,10 @@
 
 // Work describes what a job costs a host. The laboratory's clients send it as the body of a request.
 type Work struct {
-	Micros float64
-	Slots  float64
-	Memory float64
-	Set    uint64
+	Micros float64 // work of the job in microseconds
+	Slots  float64 // slots that it occupies
+	Memory float64 // units of a host's memory that it occupies
+	Set    uint64  // data set that it uses, 0 for none
 }
 
 // Append appends the JSON request body to b.
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -18,13 +18,13 @@
 type Results struct {
 	Experiment  string       `json:"experiment"`
 	About       string       `json:"about"`
-	Virtual     bool         `json:"virtual"`
-	Margin      float64      `json:"margin,omitempty"`
+	Virtual     bool         `json:"virtual"`          // run in virtual time
+	Margin      float64      `json:"margin,omitempty"` // equivalence margin of service, as a fraction
 	Variants    []string     `json:"variants"`
 	Plays       []*Outcome   `json:"plays"`
 	Comparisons []Comparison `json:"comparisons,omitempty"`
-	Sizes       []Size       `json:"sizes,omitempty"`
-	Cut         bool         `json:"cut_short"`
+	Sizes       []Size       `json:"sizes,omitempty"` // of a sweep
+	Cut         bool         `json:"cut_short"`       // ended before all runs were complete
 }
 
 // Size is one point of a sweep over fleet sizes.
@@ -32,8 +32,8 @@
 	Hosts       int     `json:"hosts"`
 	Dispatchers int     `json:"dispatchers"`
 	Variant     string  `json:"variant"`
-	Jobs        int64   `json:"jobs"`
-	Service     float64 `json:"service"`
+	Jobs        int64   `json:"jobs"`           // jobs that arrived
+	Service     float64 `json:"service"`        // value of the jobs served in time divided by the value of all jobs
 	Decision    float64 `json:"decision_us"`    // CPU time per message over all its events, in microseconds
 	HeapPerHost float64 `json:"heap_per_host"`  // bytes of one dispatcher's heap, divided by the number of hosts
 	Pace        float64 `json:"times_realtime"` // virtual time divided by wall time
@@ -90,11 +90,11 @@
 			if label != nil {
 				label(fmt.Sprintf("%s %d/%d %s", spec.Name, k+1, pairs, v.Name))
 			}
-			play := Play
+			runDay := Play
 			if spec.Virtual {
-				play = PlayVirtual
+				runDay = PlayVirtual
 			}
-			o, err := play(ctx, spec, v, spec.Seed+uint64(k), s)
+			o, err := runDay(ctx, spec, v, spec.Seed+uint64(k), s)
 			if err != nil {
 				return r, fmt.Errorf("%s, seed %d: %w", v.Name, spec.Seed+uint64(k), err)
 			}
@@ -148,18 +148,18 @@
 type Comparison struct {
 	Figure   string    `json:"figure"`
 	Variant  string    `json:"variant"`
-	Against  string    `json:"against"`
+	Against  string    `json:"against"` // name of the first variant
 	Pairs    int       `json:"pairs"`
 	Base     float64   `json:"base"`  // mean of the metric over the runs of the first variant
 	Mean     float64   `json:"mean"`  // mean of the differences, or of the ratios minus 1
 	Lo       float64   `json:"lo"`    // lower bound of the 95% confidence interval
-	Hi       float64   `json:"hi"`    //
+	Hi       float64   `json:"hi"`    // upper bound
 	Flip     float64   `json:"flip"`  // two-sided p-value of the sign-flip test
 	Least    float64   `json:"least"` // smallest p-value that this number of pairs can reach
 	Ratio    bool      `json:"ratio"` // Mean, Lo and Hi are relative
 	Verdict  string    `json:"verdict"`
-	Each     []float64 `json:"each"`
-	Smallest float64   `json:"median"`
+	Each     []float64 `json:"each"`   // difference of each pair, in the unit of Mean
+	Smallest float64   `json:"median"` // median of Each
 }
 
 // metric is a quantity of an outcome that is compared between variants.
@@ -170,12 +170,12 @@
 }
 
 // classMetrics returns the service and the median latency of each class in the runs.
-func classMetrics(plays []*Outcome) []metric {
+func classMetrics(runs []*Outcome) []metric {
 	var out []metric
-	if len(plays) == 0 {
+	if len(runs) == 0 {
 		return nil
 	}
-	for i, r := range plays[0].Rows[:len(plays[0].Rows)-1] {
+	for i, r := range runs[0].Rows[:len(runs[0].Rows)-1] {
 		out = append(out, metric{"service of " + r.Class, false, func(o *Outcome) float64 { return o.Rows[i].Service }},
 			metric{"p50 of " + r.Class, true, func(o *Outcome) float64 { return o.Rows[i].P50.Seconds() }})
 	}
--- a/internal/lab/experiment/compare_test.go
+++ b/internal/lab/experiment/compare_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The interval and the test are those that the formulas give by hand for these five differences.
+// The interval and the sign-flip test agree with the formulas evaluated by hand for these five differences.
 func TestCompare(t *testing.T) {
 	a := []float64{0.50, 0.60, 0.70, 0.80, 0.90}
 	b := []float64{0.52, 0.61, 0.73, 0.84, 0.90}
@@ -17,13 +17,14 @@
 	if !ok || math.Abs(c.Mean-0.02) > 1e-9 || math.Abs(c.Lo-(0.02-half)) > 1e-6 || math.Abs(c.Hi-(0.02+half)) > 1e-6 {
 		t.Errorf("%+v; want 0.02 with half an interval of %.6f", c, half)
 	}
-	// Of the 32 flips only those that leave all four differences with one sign reach the sum; the fifth is nothing.
+	// Of the 32 sign combinations, only those that give all four nonzero differences the same sign reach the sum; the
+	// fifth difference is zero.
 	if math.Abs(c.Flip-4.0/32) > 1e-12 || c.Least != 1.0/16 {
 		t.Errorf("sign-flip %.4f (least %.4f), want 0.125", c.Flip, c.Least)
 	}
 	r, ok := Compare([]float64{1, 2, 4}, []float64{2, 4, 8}, true)
 	if !ok || math.Abs(r.Mean-1) > 1e-9 || math.Abs(r.Smallest-1) > 1e-9 {
-		t.Errorf("twice as much is %+v", r)
+		t.Errorf("doubled values compare as %+v", r)
 	}
 	for _, bad := range [][2][]float64{{{1}, {2}}, {{1, 2}, {1}}} {
 		if _, ok := Compare(bad[0], bad[1], false); ok {
@@ -31,13 +32,13 @@
 		}
 	}
 	if _, ok := Compare([]float64{1, 0}, []float64{1, 1}, true); ok {
-		t.Error("a ratio to nothing was compared")
+		t.Error("a ratio to zero was compared")
 	}
 }
 
-// Of comparisons of equals about one in twenty is taken for a difference; of ones with a true difference of four
-// standard errors, nearly all.
-func TestIntervalsKeepTheirPromise(t *testing.T) {
+// About one in twenty comparisons of equal variants is judged a difference. With a true difference of four standard
+// errors, nearly all are.
+func TestIntervalErrorRates(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	count := func(shift float64) int {
 		n := 0
@@ -55,10 +56,10 @@
 		return n
 	}
 	if n := count(0); n < 60 || n > 145 {
-		t.Errorf("%d of 2000 equals were told apart, want about 100", n)
+		t.Errorf("%d of 2000 comparisons of equals found a difference, want about 100", n)
 	}
 	if n := count(0.2); n < 1700 {
-		t.Errorf("%d of 2000 differences were found", n)
+		t.Errorf("%d of 2000 differences were found, want at least 1700", n)
 	}
 }
 
--- a/internal/lab/experiment/play.go
+++ b/internal/lab/experiment/play.go
@@ -40,9 +40,9 @@
 	Seed       uint64             `json:"seed"`
 	Policy     string             `json:"policy,omitempty"` // empty for the module's own policy
 	Virtual    bool               `json:"virtual"`
-	Cut        bool               `json:"cut_short"`
-	Service    float64            `json:"service"`
-	Rows       []measure.Row      `json:"classes"`
+	Cut        bool               `json:"cut_short"` // ended before the end of the day
+	Service    float64            `json:"service"`   // value of the jobs served in time divided by the value of all jobs
+	Rows       []measure.Row      `json:"classes"`   // one per class, then the total
 	Series     []measure.Point    `json:"seconds"`
 	Verdict    measure.Verdict    `json:"generator"`
 	Audit      *audit.Report      `json:"audit"`
@@ -52,13 +52,13 @@
 	Spread     *spread.Report     `json:"spread,omitempty"`
 	Gangs      *model.GangReport  `json:"gangs,omitempty"` // only if a class runs jobs in parts (gangs)
 	Notes      []string           `json:"notes,omitempty"`
-	Resent     int                `json:"resent_by_clients"`
+	Resent     int                `json:"resent_by_clients"` // see load.Result.Resent
 	CPU        []float64          `json:"dispatcher_cpu_s,omitempty"`
 	Dead       float64            `json:"dispatchers_dead_s,omitempty"` // seconds, summed over dispatchers
 	Decision   float64            `json:"decision_us,omitempty"`        // dispatcher CPU time per message over all its events, in microseconds
 	Heap       float64            `json:"heap_bytes,omitempty"`         // bytes of one dispatcher's heap; virtual time only
-	Wall       float64            `json:"wall_s"`
-	Length     float64            `json:"length_s"` // length of the day in seconds, in virtual time if the run is virtual
+	Wall       float64            `json:"wall_s"`                       // wall time in seconds
+	Length     float64            `json:"length_s"`                     // length of the day in seconds, in virtual time if the run is virtual
 	Recorder   *measure.Recorder  `json:"recorder"`
 	Figures    map[string]float64 `json:"dispatcher_figures,omitempty"` // metrics of the dispatchers' admin endpoints at the end, summed over dispatchers
 	Looks      []Look             `json:"looks,omitempty"`
@@ -73,17 +73,17 @@
 
 // Talk is the traffic between dispatchers over the mesh, per second and dispatcher, averaged from their start.
 type Talk struct {
-	Datagrams float64 `json:"datagrams"`
-	Bytes     float64 `json:"bytes"` // in datagrams and on connections that the dispatcher opened, without headers
-	Lost      float64 `json:"lost"`  // datagrams dropped by faulty links
+	Datagrams float64 `json:"datagrams"` // sent, whether or not they were delivered
+	Bytes     float64 `json:"bytes"`     // in datagrams and on connections that the dispatcher opened, without headers
+	Lost      float64 `json:"lost"`      // datagrams dropped by faulty links
 }
 
 // Setup holds the parameters of a run that do not come from the experiment.
 type Setup struct {
-	Program  string // path of the dispatcher binary
-	Dir      string // directory for configurations and logs
-	Measure  bool   // measure the CPU time and memory of dispatchers in virtual time
-	Progress func(sent, done, total int)
+	Program  string                      // path of the dispatcher binary
+	Dir      string                      // directory for configurations and logs
+	Measure  bool                        // measure the CPU time and memory of dispatchers in virtual time
+	Progress func(sent, done, total int) // called as jobs are sent and completed; may be nil
 }
 
 // Play runs one day of a variant with real dispatchers on sockets. Cancelling ctx cuts the run short: the outcome
--- a/internal/lab/experiment/theatre.go
+++ b/internal/lab/experiment/theatre.go
@@ -37,14 +37,14 @@
 	mu               sync.Mutex
 	running          map[int]*stage.Dispatcher
 	addrs            map[int]string
-	deadSince        map[int]int64
-	pausedSince      map[int]int64
-	partitionedSince map[int]int64       // when a dispatcher was cut off from its clients
+	deadSince        map[int]int64       // by dispatcher, in microseconds since the start of the emulator
+	pausedSince      map[int]int64       // likewise
+	partitionedSince map[int]int64       // likewise, for those cut off from their clients
 	opLocks          []sync.Mutex        // by dispatcher; serializes operations on its process
 	stopping         []*stage.Dispatcher // told to shut down; a successor of the same name may already be running
 	crashes          []error
-	cpu              []float64
-	startCount       uint64
+	cpu              []float64 // seconds, one value per process that has exited
+	startCount       uint64    // numbers the processes for their seeds and file names
 	closed           bool
 	clientAddrs      []string // client listener, by dispatcher
 	gossipAddrs      []string // fleet membership, by dispatcher
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -39,22 +39,22 @@
 	Day     *world.Day
 	Targets []Target
 	Seed    uint64
-	Begin   time.Time   // when the day's clock is zero
-	Log     *audit.Log  // may be nil
-	LogZero time.Time   // when the audit log's clock is zero
-	Jobs    []world.Job // sent instead of the day's, in order of time, if not nil
-	Prefix  string      // of the names of tries; must differ between generators that use the same fleet
-	Done    func(sent, done int)
+	Begin   time.Time            // when the day's clock is zero
+	Log     *audit.Log           // may be nil
+	LogZero time.Time            // when the audit log's clock is zero
+	Jobs    []world.Job          // sent instead of the day's, in order of time, if not nil
+	Prefix  string               // of the names of tries; must differ between generators that use the same fleet
+	Done    func(sent, done int) // called with the progress; may be nil
 }
 
 // Result holds what a run measured.
 type Result struct {
 	Recorder *measure.Recorder
-	Verdict  measure.Verdict
-	Sent     int  // jobs sent
-	Resent   int  // tries that were sent again because the dispatcher had closed the connection between two requests
-	Foreign  int  // answers that belong to another request
-	Cut      bool // ended before the end of the schedule
+	Verdict  measure.Verdict // whether the generator kept to its schedule
+	Sent     int             // jobs sent
+	Resent   int             // tries that were sent again because the dispatcher had closed the connection between two requests
+	Foreign  int             // answers that belong to another request
+	Cut      bool            // ended before the end of the schedule
 }
 
 // generator is a run in progress.
@@ -66,9 +66,9 @@
 	next          atomic.Uint64
 	done          atomic.Int64
 	resent        atomic.Int64
-	mismatched    atomic.Int64
-	noDescriptors atomic.Int64
-	poolTimeouts  atomic.Int64
+	mismatched    atomic.Int64 // answers to another request
+	noDescriptors atomic.Int64 // connections not opened for want of descriptors or local ports
+	poolTimeouts  atomic.Int64 // tries that got no connection in time
 	openConns     atomic.Int64
 	maxOpenConns  atomic.Int64
 	lagMu         sync.Mutex
@@ -245,7 +245,7 @@
 	slots        chan struct{} // one token for each connection in use
 	mu           sync.Mutex
 	idle         []*conn
-	ejectedUntil time.Time
+	ejectedUntil time.Time // clients avoid the dispatcher until then
 }
 
 var errPoolExhausted = errors.New("all connections are in use")
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -19,8 +19,8 @@
 	"granitewing/internal/lab/world"
 )
 
-// server answers each request by a script and counts them by name.
-func server(t *testing.T, answer func(n int, req *http.Request, c net.Conn) bool) string {
+// startServer answers each request with a function that receives the number of requests so far.
+func startServer(t *testing.T, answer func(n int, req *http.Request, c net.Conn) bool) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,12 +53,12 @@
 	return ln.Addr().String()
 }
 
-func say(c net.Conn, status, more, body string) {
+func respond(c net.Conn, status, more, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, more, len(body), body)
 }
 
-// play sends a few jobs of a class to a server.
-func play(t *testing.T, addr, spec string, begin time.Time) (*Result, *audit.Report) {
+// runLoad sends the jobs of an experiment to a server.
+func runLoad(t *testing.T, addr, spec string, begin time.Time) (*Result, *audit.Report) {
 	t.Helper()
 	s, err := world.Parse("test", spec)
 	if err != nil {
@@ -76,31 +76,34 @@
 	return res, log.Check()
 }
 
-const few = `(experiment few (class check (share 1) (work 1ms) (aim 20s) (give-up 20s) (repeat %s)) (data-sets (count 0))
+const shortLoad = `(experiment few (class check (share 1) (work 1ms) (aim 20s) (give-up 20s) (repeat %s)) (data-sets (count 0))
   (clients %s) (load (process even) (programme (constant (for 500ms) (rate 20)))))`
 
-// What a server does, what its clients make of it, and what they count.
+// Each kind of server behaviour leads to the expected outcome at the client and to the expected audit finding.
 func TestAnswers(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	echo := func(c net.Conn, req *http.Request) bool { say(c, "200 OK", "", req.Header.Get("X-Txn")); return true }
+	echo := func(c net.Conn, req *http.Request) bool {
+		respond(c, "200 OK", "", req.Header.Get("X-Txn"))
+		return true
+	}
 	for name, c := range map[string]struct {
 		repeat, clients string
 		answer          func(n int, req *http.Request, c net.Conn) bool
 		check           func(r *Result) bool
-		breach          string
+		finding         string
 	}{
 		"served": {"safe", "(retries 0)", func(_ int, req *http.Request, c net.Conn) bool { return echo(c, req) },
 			func(r *Result) bool { return r.Recorder.Rows()[0].InTime == 10 }, "which no host made"},
 		"refused thrice, then served": {"unsafe", "(retries 3)", func(_ int, req *http.Request, c net.Conn) bool {
 			if req.Header.Get("X-Resent") == "" {
-				say(c, "503 Service Unavailable", "Retry-After: 0.010\r\n", "")
+				respond(c, "503 Service Unavailable", "Retry-After: 0.010\r\n", "")
 				return true
 			}
 			return echo(c, req)
 		}, func(r *Result) bool { row := r.Recorder.Rows()[0]; return row.InTime == 10 && row.Tries == 20 }, "which no host made"},
-		"unsafe and failed is not sent again": {"unsafe", "(retries 3)", func(_ int, _ *http.Request, c net.Conn) bool { say(c, "502 Bad Gateway", "", ""); return true },
+		"unsafe and failed is not sent again": {"unsafe", "(retries 3)", func(_ int, _ *http.Request, c net.Conn) bool { respond(c, "502 Bad Gateway", "", ""); return true },
 			func(r *Result) bool { row := r.Recorder.Rows()[0]; return row.Failed == 10 && row.Tries == 10 }, ""},
-		"an answer for another": {"safe", "(retries 0)", func(_ int, _ *http.Request, c net.Conn) bool { say(c, "200 OK", "", "somebody's"); return true },
+		"an answer for another": {"safe", "(retries 0)", func(_ int, _ *http.Request, c net.Conn) bool { respond(c, "200 OK", "", "somebody's"); return true },
 			func(r *Result) bool { return r.Foreign == 10 }, "which no host made"},
 		"a second answer": {"safe", "(retries 0)", func(_ int, _ *http.Request, c net.Conn) bool {
 			fmt.Fprint(c, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n")
@@ -110,7 +113,7 @@
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			return false
 		}, func(r *Result) bool { return r.Recorder.Rows()[0].Unanswered == 10 }, "no whole answer"},
-		// A connection that closes between two requests costs the client nothing but a new one.
+		// A connection that closes between two requests costs the client only a new connection.
 		"closed between requests": {"safe", "(retries 0)", func(n int, req *http.Request, c net.Conn) bool {
 			echo(c, req)
 			return n%3 != 0
@@ -122,34 +125,35 @@
 		}, func(r *Result) bool { return r.Recorder.Rows()[0].InTime == 10 }, "which no host made"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := server(t, c.answer)
-			res, rep := play(t, addr, fmt.Sprintf(few, c.repeat, c.clients), time.Now())
+			addr := startServer(t, c.answer)
+			res, rep := runLoad(t, addr, fmt.Sprintf(shortLoad, c.repeat, c.clients), time.Now())
 			if !c.check(res) {
 				t.Errorf("%+v, foreign %d", res.Recorder.Rows()[0], res.Foreign)
 			}
-			if !strings.Contains(rep.String(), c.breach) || c.breach == "" && rep.Broken() > 0 {
-				t.Errorf("want a breach %q in\n%s", c.breach, rep)
+			if !strings.Contains(rep.String(), c.finding) || c.finding == "" && rep.Broken() > 0 {
+				t.Errorf("want the finding %q in\n%s", c.finding, rep)
 			}
 		})
 	}
 }
 
-// A generator that is behind its schedule says so, with the cause, whatever the answers; latency counts from the
-// intended send all the same.
-func TestFallingBehindIsTold(t *testing.T) {
-	addr := server(t, func(_ int, req *http.Request, c net.Conn) bool {
-		say(c, "200 OK", "", req.Header.Get("X-Txn"))
+// A generator that is behind its schedule reports this with the cause, whatever the answers. Latency still counts
+// from the intended send time.
+func TestLateGeneratorIsInvalid(t *testing.T) {
+	addr := startServer(t, func(_ int, req *http.Request, c net.Conn) bool {
+		respond(c, "200 OK", "", req.Header.Get("X-Txn"))
 		return true
 	})
-	res, _ := play(t, addr, fmt.Sprintf(few, "safe", "(retries 0)"), time.Now().Add(-5*time.Second))
+	res, _ := runLoad(t, addr, fmt.Sprintf(shortLoad, "safe", "(retries 0)"), time.Now().Add(-5*time.Second))
 	if v := res.Verdict; v.Valid || len(v.Causes) == 0 || !strings.Contains(v.Causes[0], "send lag p99") {
 		t.Errorf("five seconds late and %+v", v)
 	}
 	if row := res.Recorder.Rows()[0]; row.P50 < 4*time.Second {
 		t.Errorf("p50 %v; the schedule was five seconds earlier", row.P50)
 	}
-	// Its own CPU, against a limit that a busy process passes on each core, also where it has to share them.
-	tight := strings.Replace(fmt.Sprintf(few, "safe", "(retries 0)"), "(data-sets", "(generator (cpu 5%) (lag 1m) (scheduling 1m)) (data-sets", 1)
+	// The CPU limit is low enough that a process which is busy on every core exceeds it, even if it shares the cores
+	// with others.
+	tight := strings.Replace(fmt.Sprintf(shortLoad, "safe", "(retries 0)"), "(data-sets", "(generator (cpu 5%) (lag 1m) (scheduling 1m)) (data-sets", 1)
 	stop := make(chan struct{})
 	for range runtime.GOMAXPROCS(0) {
 		go func() {
@@ -162,22 +166,22 @@
 			}
 		}()
 	}
-	res, _ = play(t, addr, tight, time.Now())
+	res, _ = runLoad(t, addr, tight, time.Now())
 	close(stop)
 	if v := res.Verdict; v.Valid || !strings.Contains(strings.Join(v.Causes, ";"), "of the machine's CPU") {
 		t.Errorf("a busy process and %+v", v)
 	}
 }
 
-// A server at which all connections are in use: what waits for one counts from its intended send, and what finds none
-// is told as the generator's own lack.
-func TestConnectionsRunOut(t *testing.T) {
+// All connections to a server are in use. A try that waits for one counts from its intended send time, and a try
+// that finds none is reported as a limit of the generator itself.
+func TestPoolExhausted(t *testing.T) {
 	hold := make(chan struct{})
-	addr := server(t, func(_ int, _ *http.Request, _ net.Conn) bool { <-hold; return false })
+	addr := startServer(t, func(_ int, _ *http.Request, _ net.Conn) bool { <-hold; return false })
 	defer close(hold)
 	text := `(experiment full (descriptors 64) (class check (share 1) (work 1ms) (aim 1s) (give-up 300ms) (repeat safe)) (data-sets (count 0))
   (clients (retries 0) (connections 7%) (impatient 0)) (load (process even) (programme (constant (for 200ms) (rate 100)))))`
-	res, _ := play(t, addr, text, time.Now())
+	res, _ := runLoad(t, addr, text, time.Now())
 	if v := res.Verdict; v.Open != 4 || v.Unsent == 0 || v.Valid {
 		t.Errorf("four connections at most and %+v", v)
 	}
--- a/internal/lab/mesh/mesh_test.go
+++ b/internal/lab/mesh/mesh_test.go
@@ -15,16 +15,16 @@
 	"granitewing/internal/lab/link"
 )
 
-const bound = 10 * time.Second // a test that waits so long has failed
+const testTimeout = 10 * time.Second // reached only by tests that fail
 
-// member is one that binds to an address of its own, as dispatchers do.
+// member binds to an IP address of its own, as dispatchers do.
 type member struct {
 	udp *net.UDPConn
 	tcp *net.TCPListener
 }
 
-// two are two members with a mesh between them.
-func two(t *testing.T) (*Mesh, [2]member) {
+// newTwoMembers returns two members with a mesh between them.
+func newTwoMembers(t *testing.T) (*Mesh, [2]member) {
 	t.Helper()
 	var members [2]member
 	var places []string
@@ -50,8 +50,8 @@
 	return m, members
 }
 
-// say has a member send a datagram to where the other is told to be.
-func (m member) say(t *testing.T, mesh *Mesh, to int, text string) {
+// send sends a datagram to the mesh's address for another member.
+func (m member) send(t *testing.T, mesh *Mesh, to int, text string) {
 	t.Helper()
 	addr, err := net.ResolveUDPAddr("udp4", mesh.Addr(to))
 	if err != nil {
@@ -62,10 +62,10 @@
 	}
 }
 
-// hear gives the next datagram.
-func (m member) hear(t *testing.T) string {
+// receive returns the next datagram.
+func (m member) receive(t *testing.T) string {
 	t.Helper()
-	m.udp.SetReadDeadline(time.Now().Add(bound))
+	m.udp.SetReadDeadline(time.Now().Add(testTimeout))
 	b := make([]byte, 100)
 	n, err := m.udp.Read(b)
 	if err != nil {
@@ -74,57 +74,59 @@
 	return string(b[:n])
 }
 
-// Datagrams suffer what the link says: those that are cut or lost never come, so that the next one sent is the next heard.
+// Datagrams follow the faults of the link. Those that are cut or lost are never delivered, so the next datagram
+// received is the next one sent.
 func TestDatagrams(t *testing.T) {
-	m, who := two(t)
-	heard := func(to int, want string) {
+	m, who := newTwoMembers(t)
+	expect := func(to int, want string) {
 		t.Helper()
-		if got := who[to].hear(t); got != want {
-			t.Errorf("heard %q, want %q", got, want)
+		if got := who[to].receive(t); got != want {
+			t.Errorf("received %q, want %q", got, want)
 		}
 	}
 	cut := link.Way{Cut: true}
 	for _, f := range []link.Faults{{To: cut}, {To: link.Way{Loss: 1}}, {To: link.Way{Half: true}}, {Refuse: true}} {
 		m.Set(0, 1, f)
-		who[0].say(t, m, 1, "lost")
+		who[0].send(t, m, 1, "lost")
 		for _, _, lost := m.Sent(0); lost == 0; _, _, lost = m.Sent(0) {
 		}
 		if !f.Refuse {
-			who[1].say(t, m, 0, "back") // that way is whole
-			heard(0, "back")
+			who[1].send(t, m, 0, "back") // the opposite direction is healthy
+			expect(0, "back")
 		}
 		m.Set(0, 1, link.Faults{})
-		who[0].say(t, m, 1, "whole")
-		heard(1, "whole")
+		who[0].send(t, m, 1, "whole")
+		expect(1, "whole")
 		m.endpoints[0].sent.Lost.Store(0)
 	}
-	m.Set(1, 0, link.Faults{From: link.Way{Twice: 1}}) // from the other end's view
-	who[0].say(t, m, 1, "twice")
-	heard(1, "twice")
-	heard(1, "twice")
-	// What is spread over time comes in another order sooner or later.
+	m.Set(1, 0, link.Faults{From: link.Way{Twice: 1}}) // set from the other member's side
+	who[0].send(t, m, 1, "twice")
+	expect(1, "twice")
+	expect(1, "twice")
+	// Random delays eventually reorder datagrams.
 	m.Set(0, 1, link.Faults{To: link.Way{Spread: 20 * time.Millisecond}})
 	for round := range 20 {
 		for i := range 10 {
-			who[0].say(t, m, 1, fmt.Sprint(round, i))
+			who[0].send(t, m, 1, fmt.Sprint(round, i))
 		}
-		turned, last := false, ""
+		reordered, last := false, ""
 		for range 10 {
-			got := who[1].hear(t)
-			turned = turned || got < last
+			got := who[1].receive(t)
+			reordered = reordered || got < last
 			last = got
 		}
-		if turned {
+		if reordered {
 			return
 		}
 	}
-	t.Error("all came in order")
+	t.Error("all datagrams arrived in order")
 }
 
-// Connections go over the link of those two, whoever opened them, and a caller whose way is cut reaches nobody.
+// Connections go over the link of the two members, whichever of them opened it, and a caller whose direction is cut
+// reaches nobody.
 func TestConnections(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	m, who := two(t)
+	m, who := newTwoMembers(t)
 	defer m.Close()
 	m.Set(1, 0, link.Faults{To: link.Way{Cut: true}})
 	call := func(from, to int) net.Conn {
@@ -134,7 +136,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(bound))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		return c
 	}
 	a, b := call(0, 1), call(1, 0)
@@ -145,13 +147,13 @@
 			t.Fatal(err)
 		}
 	}
-	// 0 reaches 1, whose answer waits; 1 does not reach 0.
+	// Member 0 reaches 1, whose answer waits; member 1 does not reach 0.
 	at1, err := who[1].tcp.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer at1.Close()
-	at1.SetDeadline(time.Now().Add(bound))
+	at1.SetDeadline(time.Now().Add(testTimeout))
 	b2 := make([]byte, 2)
 	if _, err := io.ReadFull(at1, b2); err != nil || string(b2) != "in" {
 		t.Fatalf("%q, %v", b2, err)
@@ -159,27 +161,27 @@
 	at1.Write([]byte("no"))
 	a.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 	if _, err := a.Read(b2); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%v over a way that is cut", err)
+		t.Errorf("%v over a direction that is cut", err)
 	}
 	who[0].tcp.SetDeadline(time.Now().Add(30 * time.Millisecond))
 	if c, err := who[0].tcp.Accept(); err == nil {
 		c.Close()
-		t.Error("a caller whose way is cut was accepted")
+		t.Error("a caller whose direction is cut was accepted")
 	}
 	m.Set(0, 1, link.Faults{})
-	a.SetReadDeadline(time.Now().Add(bound))
+	a.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadFull(a, b2); err != nil || string(b2) != "no" {
-		t.Errorf("%q, %v once the way is whole", b2, err)
+		t.Errorf("%q, %v once the link is healed", b2, err)
 	}
-	who[0].tcp.SetDeadline(time.Now().Add(bound))
+	who[0].tcp.SetDeadline(time.Now().Add(testTimeout))
 	at0, err := who[0].tcp.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Its end comes through, as does a reset.
+	// A close is passed on, and so is a reset.
 	at0.Close()
 	if _, err := b.Read(b2); err == nil {
-		t.Error("a connection that the place has closed goes on")
+		t.Error("a connection that the target has closed goes on")
 	}
 	m.Set(0, 1, link.Faults{Refuse: true})
 	if _, err := a.Read(b2); err == nil {
@@ -187,19 +189,19 @@
 	}
 }
 
-// Only members are carried.
-func TestStrangers(t *testing.T) {
-	m, _ := two(t)
-	if c, err := net.Dial("tcp", m.Addr(0)); err == nil { // the reset may come before the caller knows that it is through
+// Only members' traffic is forwarded.
+func TestNonMembers(t *testing.T) {
+	m, _ := newTwoMembers(t)
+	if c, err := net.Dial("tcp", m.Addr(0)); err == nil { // the reset may arrive before Dial has rereordered
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(bound))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("a stranger's connection: %v", err)
+			t.Errorf("connection of a non-member: %v", err)
 		}
 	} else if !errors.Is(err, syscall.ECONNRESET) {
 		t.Fatal(err)
 	}
 	if _, err := Open([]string{"127.2.9.9:1", "127.2.9.9:2"}, 1); err == nil {
-		t.Error("two members of one address were taken")
+		t.Error("two members with one address were accepted")
 	}
 }
