--- a/internal/lab/emulate/discovery.go
+++ b/internal/lab/emulate/discovery.go
@@ -14,29 +14,29 @@
 	"granitewing/internal/lab/model"
 )
 
-// watchPulse is how often a watch says that it lives.
-const watchPulse = 2 * time.Second
+// watchHeartbeat is the interval at which a watch sends an empty line to show that it is alive.
+const watchHeartbeat = 2 * time.Second
 
-// discovery is where one dispatcher asks for the list.
+// discovery is the discovery service as one dispatcher sees it.
 type discovery struct {
-	e          *Emulator
-	dispatcher int
-	ln         net.Listener
-	link       link.Link
-	told       chan struct{} // closed when the list changes, or the watches end; guarded by the emulator's lock
-	cuts       int           // how often all were cut
+	e           *Emulator
+	dispatcher  int
+	ln          net.Listener
+	link        link.Link
+	changed     chan struct{} // closed when the member list changes or the watches end; guarded by the emulator's lock
+	disconnects int           // how often all watches were closed
 }
 
-// wake lets all watches look at the list; the lock is held.
-func (d *discovery) wake() {
-	close(d.told)
-	d.told = make(chan struct{})
+// notifyWatches makes all watches read the member list again. The caller holds the emulator's lock.
+func (d *discovery) notifyWatches() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// cut ends all watches; the lock is held.
-func (d *discovery) cut() {
-	d.cuts++
-	d.wake()
+// closeWatches ends all watches. The caller holds the emulator's lock.
+func (d *discovery) closeWatches() {
+	d.disconnects++
+	d.notifyWatches()
 }
 
 func (d *discovery) accept() {
@@ -77,11 +77,11 @@
 			return
 		}
 		e.mu.Lock()
-		down, silent := e.down, e.silent
+		down, silent := e.discoveryDown, e.discoverySilent
 		e.mu.Unlock()
 		switch {
 		case silent:
-			r.Peek(1) // nothing is said until the dispatcher gives up
+			r.Peek(1) // send nothing until the dispatcher gives up
 			return
 		case down || req.URL.Path != "/v1/servers":
 			status := "404 Not Found"
@@ -100,13 +100,13 @@
 			return
 		default:
 			e.mu.Lock()
-			members, revision := e.dir.All(), e.dir.Revision()
+			members, revision := e.directory.All(), e.directory.Revision()
 			e.mu.Unlock()
 			text := d.encode(revision, true, members)
 			if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text); err != nil {
 				return
 			}
-			d.booked(members)
+			d.logReported(members)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 func (d *discovery) encode(revision int64, complete bool, members []model.Member) []byte {
 	addr := func(id string) string {
 		for _, h := range d.e.hosts {
-			if h.m.Name == id {
+			if h.model.Name == id {
 				return h.addr(d.dispatcher)
 			}
 		}
@@ -127,31 +127,32 @@
 	return append(text, '\n')
 }
 
-// booked tells the audit what a dispatcher has been told.
-func (d *discovery) booked(members []model.Member) {
+// logReported records in the audit log which member states a dispatcher has been sent.
+func (d *discovery) logReported(members []model.Member) {
 	at := d.e.now()
 	for _, m := range members {
 		d.e.log.Told(at, d.dispatcher, m.ID, m.Phase == model.Ready)
 	}
 }
 
-// watch writes changes as they are told.
+// watch streams changes of the member list as they are published. index is the revision that the dispatcher already
+// has, or -1.
 func (d *discovery) watch(c net.Conn, index int64) {
 	e := d.e
 	if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
 		return
 	}
 	e.mu.Lock()
-	cuts := d.cuts
+	disconnects := d.disconnects
 	e.mu.Unlock()
 	chunk := func(text []byte) bool {
-		c.SetWriteDeadline(time.Now().Add(readLimit))
+		c.SetWriteDeadline(time.Now().Add(readTimeout))
 		_, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
 		return err == nil
 	}
-	pulse := time.NewTicker(watchPulse)
-	defer pulse.Stop()
-	// A dispatcher that leaves is noticed by its end, since nothing else comes from it.
+	heartbeat := time.NewTicker(watchHeartbeat)
+	defer heartbeat.Stop()
+	// The dispatcher sends nothing after its request, so only the end of the connection shows that it has left.
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
@@ -160,9 +161,9 @@
 	}()
 	for first := true; ; first = false {
 		e.mu.Lock()
-		told, ended, silent := d.told, d.cuts != cuts || e.closed, e.silent
-		members, complete := e.dir.Since(index)
-		revision := e.dir.Revision()
+		changed, ended, silent := d.changed, d.disconnects != disconnects || e.closed, e.discoverySilent
+		members, complete := e.directory.Since(index)
+		revision := e.directory.Revision()
 		e.mu.Unlock()
 		if ended {
 			return
@@ -171,12 +172,12 @@
 			if !chunk(d.encode(revision, complete, members)) {
 				return
 			}
-			d.booked(members)
+			d.logReported(members)
 			index = revision
 		}
 		select {
-		case <-told:
-		case <-pulse.C:
+		case <-changed:
+		case <-heartbeat.C:
 			if !silent && !chunk([]byte("\n")) {
 				return
 			}
--- a/internal/lab/emulate/hosts.go
+++ b/internal/lab/emulate/hosts.go
@@ -15,11 +15,11 @@
 	"granitewing/internal/lab/model"
 )
 
-// The emulated hosts: where they listen, and what their state asks of that.
+// This file holds the listeners of the emulated hosts and the way a host's state affects them.
 
-// loopback listens on every address of 127.0.0.0/8 at once, and on no other interface: the address that a dispatcher was
-// told tells who calls.
-var loopback = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+// loopbackListenConfig listens on every address of 127.0.0.0/8 at once and on no other interface. The address that a
+// connection was made to identifies the dispatcher, since each is given addresses of its own.
+var loopbackListenConfig = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var err error
 	if cerr := c.Control(func(fd uintptr) {
 		err = syscall.SetsockoptString(int(fd), syscall.SOL_SOCKET, syscall.SO_BINDTODEVICE, "lo")
@@ -29,88 +29,91 @@
 	return err
 }}
 
-// addr is where a dispatcher finds the host.
+// addr returns the address at which a dispatcher reaches the host.
 func (h *host) addr(dispatcher int) string {
 	n := dispatcher + 1
-	return fmt.Sprintf("127.1.%d.%d:%d", n>>8, n&0xff, h.tcp)
+	return fmt.Sprintf("127.1.%d.%d:%d", n>>8, n&0xff, h.tcpPort)
 }
 
-// caller is the dispatcher that was told an address, nil where none was.
-func (h *host) caller(a net.Addr) *port {
+// callerEndpoint returns the endpoint of the dispatcher that was given an address, or nil if no dispatcher was.
+func (h *host) callerEndpoint(a net.Addr) *endpoint {
 	t, ok := a.(*net.TCPAddr)
 	if !ok {
 		return nil
 	}
 	ip := t.IP.To4()
 	n := int(ip[2])<<8 + int(ip[3]) - 1
-	if ip[1] != 1 || n < 0 || n >= len(h.ports) {
+	if ip[1] != 1 || n < 0 || n >= len(h.endpoints) {
 		return nil
 	}
-	return h.ports[n]
+	return h.endpoints[n]
 }
 
-// open listens, at the port of before where there was one: discovery's list names it.
-func (h *host) open() error {
+// startListening opens the host's listener. It uses the previous port if there was one, because the discovery list
+// names it.
+func (h *host) startListening() error {
 	h.release()
-	ln, err := loopback.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", h.tcp))
+	ln, err := loopbackListenConfig.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", h.tcpPort))
 	if err != nil {
-		return fmt.Errorf("host %s: %w", h.m.Name, err)
+		return fmt.Errorf("host %s: %w", h.model.Name, err)
 	}
-	h.ln, h.tcp = ln, ln.Addr().(*net.TCPAddr).Port
+	h.ln, h.tcpPort = ln, ln.Addr().(*net.TCPAddr).Port
 	h.e.wait.Go(func() { h.accept(ln) })
 	return nil
 }
 
-func (h *host) shut() {
+func (h *host) stopListening() {
 	if h.ln == nil {
 		return
 	}
 	h.ln.Close()
 	h.ln = nil
-	// Calls are refused, and no other program is given the port meanwhile.
-	h.hold, _ = hold.Take(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(h.tcp)))
+	// The port stays reserved: connections are refused, and no other program can take it.
+	h.heldPort, _ = hold.Take(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(h.tcpPort)))
 }
 
-// release gives the port back to its host.
+// release frees the reserved port so that the host can listen on it.
 func (h *host) release() {
-	h.hold.Release()
-	h.hold = nil
+	h.heldPort.Release()
+	h.heldPort = nil
 }
 
-// look has the figures of the fleet's use take note of it; the lock is held.
-func (h *host) look(now int64) {
-	h.e.watch.Look(now, h.number, h.m, h.up && !h.vanish && !h.refuses)
+// recordUsage updates the usage statistics of the fleet with the host's current state. The caller holds the
+// emulator's lock.
+func (h *host) recordUsage(now int64) {
+	h.e.usage.Look(now, h.number, h.model, h.up && !h.vanished && !h.refusing)
 }
 
-// listen opens or shuts a host's address as its state asks.
-func (h *host) listen() {
-	switch want := h.up && !h.refuses; {
+// updateListener opens or closes the host's listener according to its state.
+func (h *host) updateListener() {
+	switch want := h.up && !h.refusing; {
 	case want && h.ln == nil:
-		if err := h.open(); err != nil {
+		if err := h.startListening(); err != nil {
 			if errors.Is(err, syscall.EADDRINUSE) {
-				// Another program was given the port meanwhile; it may let go of it.
+				// Another program has taken the port in the meantime; retry, as it may release it.
 				h.e.timers = append(h.e.timers, time.AfterFunc(100*time.Millisecond, func() {
 					h.e.mu.Lock()
 					defer h.e.mu.Unlock()
 					if !h.e.closed {
-						h.listen()
+						h.updateListener()
 					}
 				}))
 			}
-			slog.Warn("a host can't listen again", "err", err)
+			slog.Warn("host cannot listen again", "err", err)
 		}
 	case !want:
-		h.shut()
+		h.stopListening()
 	}
-	h.mute()
-	h.look(h.e.now())
+	h.updateMuted()
+	h.recordUsage(h.e.now())
 }
 
-// mute finds which ports say nothing. What was open under the silence is reset once it is over.
-func (h *host) mute() {
-	for _, p := range h.ports {
+// updateMuted recomputes which endpoints send nothing because the host vanished or its zone is partitioned.
+// Connections that were open while an endpoint was muted are reset when it recovers.
+func (h *host) updateMuted() {
+	for _, p := range h.endpoints {
 		zone := h.e.day.ZoneOf(p.dispatcher)
-		muted := h.vanish || h.e.parted[[2]int{min(zone, h.m.Zone), max(zone, h.m.Zone)}]
+		muted := h.vanished || h.e.partitionedZones[[2]int{min(zone, h.model.Zone), max(zone, h.model.Zone)}]
 		if p.muted && !muted {
 			p.link.Reset()
 		}
@@ -129,28 +132,28 @@
 	c.Close()
 }
 
-// crash ends a host's process.
+// crash ends the host's process.
 func (h *host) crash(now int64) {
-	h.m.Crash(now)
-	h.fell(now)
+	h.model.Crash(now)
+	h.processGone(now)
 }
 
-// fell cleans up after a process that is gone.
-func (h *host) fell(now int64) {
+// processGone updates the audit log, streams, listener and links after the host's process has ended.
+func (h *host) processGone(now int64) {
 	h.up = false
 	for id, s := range h.streams {
 		h.e.log.Finish(now, s.name, s.handle, audit.Lost, "")
 		delete(h.streams, id)
 	}
-	h.shut()
-	for _, p := range h.ports {
+	h.stopListening()
+	for _, p := range h.endpoints {
 		p.link.Reset()
 	}
 	if h.timer != nil {
 		h.timer.Stop()
 	}
-	h.look(now)
-	h.e.step()
+	h.recordUsage(now)
+	h.e.stepGangs()
 }
 
 func (h *host) accept(ln net.Listener) {
@@ -161,30 +164,30 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // out of descriptors; those that are open must go on
+			time.Sleep(10 * time.Millisecond) // out of file descriptors; connections that are open must continue
 			continue
 		}
-		p := h.caller(c.LocalAddr())
+		p := h.callerEndpoint(c.LocalAddr())
 		e.mu.Lock()
 		if e.closed || h.ln != ln || p == nil {
 			e.mu.Unlock()
 			reset(c)
 			continue
 		}
-		s := &server{p: p}
-		s.c = p.link.Wrap(c, s.gone)
+		s := &serverConn{p: p}
+		s.c = p.link.Wrap(c, s.peerClosed)
 		e.conns[s.c] = struct{}{}
 		e.wait.Go(s.serve)
 		e.mu.Unlock()
 	}
 }
 
-// arm sets the timer of what a host does next.
-func (h *host) arm() {
+// armTimer sets the timer for the next event of the host's model.
+func (h *host) armTimer() {
 	if h.timer != nil {
 		h.timer.Stop()
 	}
-	next := h.m.Next()
+	next := h.model.Next()
 	if next == model.Never {
 		return
 	}
@@ -192,19 +195,20 @@
 		h.e.mu.Lock()
 		defer h.e.mu.Unlock()
 		if !h.e.closed {
-			h.tell(h.m.Advance(h.e.now()))
+			h.deliverNotes(h.model.Advance(h.e.now()))
 		}
 	})
 }
 
-// tell hands a host's notes to those who wait for them; the lock is held.
-func (h *host) tell(notes []model.Note) {
+// deliverNotes passes the notes of the host's model to the streams that wait for them. The caller holds the
+// emulator's lock.
+func (h *host) deliverNotes(notes []model.Note) {
 	for _, n := range notes {
 		if s := h.streams[n.Attempt]; s != nil {
-			s.tell(n)
+			s.sendNote(n)
 		}
 	}
-	h.look(h.e.now())
-	h.arm()
-	h.e.step()
+	h.recordUsage(h.e.now())
+	h.armTimer()
+	h.e.stepGangs()
 }
--- a/internal/lab/load/self.go
+++ b/internal/lab/load/self.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// self watches what the generator's own process does to the machine.
-type self struct {
-	begun time.Time
-	cpu   time.Duration
-	sched []uint64
+// selfMonitor measures how much of the machine the generator's own process uses.
+type selfMonitor struct {
+	started     time.Time
+	cpu         time.Duration
+	schedCounts []uint64
 }
 
 const schedMetric = "/sched/latencies:seconds"
 
-func watchSelf() *self {
-	s := &self{begun: time.Now(), cpu: cpuTime()}
+func startSelfMonitor() *selfMonitor {
+	s := &selfMonitor{started: time.Now(), cpu: cpuTime()}
 	if h := schedLatencies(); h != nil {
-		s.sched = append(s.sched, h.Counts...)
+		s.schedCounts = append(s.schedCounts, h.Counts...)
 	}
 	return s
 }
@@ -42,10 +42,10 @@
 	return sample[0].Value.Float64Histogram()
 }
 
-// figures gives the share of all cores' time that the process took, and how long goroutines that could run waited for
-// a CPU, at the 99th percentile in milliseconds.
-func (s *self) figures() (cpu, sched float64) {
-	elapsed := time.Since(s.begun)
+// usage returns the share of all cores' time that the process has used since it was started to be monitored, and the
+// 99th percentile of the time that runnable goroutines waited for a CPU, in milliseconds.
+func (s *selfMonitor) usage() (cpu, sched float64) {
+	elapsed := time.Since(s.started)
 	cpu = (cpuTime() - s.cpu).Seconds() / max(elapsed.Seconds(), 1e-3) / float64(runtime.NumCPU())
 	h := schedLatencies()
 	if h == nil {
@@ -55,8 +55,8 @@
 	counts := make([]uint64, len(h.Counts))
 	for i := range h.Counts {
 		counts[i] = h.Counts[i]
-		if i < len(s.sched) {
-			counts[i] -= s.sched[i]
+		if i < len(s.schedCounts) {
+			counts[i] -= s.schedCounts[i]
 		}
 		total += counts[i]
 	}
--- a/internal/lab/mesh/gate.go
+++ b/internal/lab/mesh/gate.go
@@ -1,6 +1,7 @@
-// Package mesh is the rig's hold on what dispatchers say to each other and on what clients say to them: it stands between
-// them with an address of its own for each, knows who calls, and has a link for each two whose bytes and datagrams it
-// carries.
+// Package mesh injects faults into the traffic between dispatchers, and between clients and dispatchers. It is a
+// proxy: a Mesh listens on an address of its own for each member, identifies the caller by its IP address, and
+// forwards datagrams and connections over a separate link for each pair of members. A Gate is a proxy for
+// connections to a single address.
 package mesh
 
 import (
@@ -14,23 +15,23 @@
 	"granitewing/internal/lab/link"
 )
 
-// dialLimit bounds how long the place behind a gate may take to accept.
-const dialLimit = 5 * time.Second
+// dialTimeout bounds how long the address behind a gate may take to accept a connection.
+const dialTimeout = 5 * time.Second
 
-// Gate carries connections to one place, each over a link that depends on who calls.
+// Gate forwards connections to one address, each over a link that depends on the caller.
 type Gate struct {
-	ln    net.Listener
-	to    string
-	of    func(caller net.Addr) *link.Link // nil: nobody who may call
-	bytes func(caller net.Addr) *atomic.Int64
+	ln          net.Listener
+	target      string
+	linkFor     func(caller net.Addr) *link.Link // returns nil for a caller that is not admitted
+	byteCounter func(caller net.Addr) *atomic.Int64
 
-	mu    sync.Mutex
-	open  map[*link.Conn]net.Conn
-	over  bool
-	conns sync.WaitGroup
+	mu     sync.Mutex
+	open   map[*link.Conn]net.Conn
+	closed bool
+	conns  sync.WaitGroup
 }
 
-// OpenGate listens at an address for calls to a place, which all go over one link.
+// OpenGate listens at addr and forwards all connections to the address to over one link.
 func OpenGate(addr, to string, l *link.Link) (*Gate, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -40,12 +41,12 @@
 }
 
 func newGate(ln net.Listener, to string, of func(net.Addr) *link.Link, bytes func(net.Addr) *atomic.Int64) *Gate {
-	g := &Gate{ln: ln, to: to, of: of, bytes: bytes, open: map[*link.Conn]net.Conn{}}
+	g := &Gate{ln: ln, target: to, linkFor: of, byteCounter: bytes, open: map[*link.Conn]net.Conn{}}
 	g.conns.Go(g.accept)
 	return g
 }
 
-// Addr is where it is called.
+// Addr returns the address at which the gate listens.
 func (g *Gate) Addr() string { return g.ln.Addr().String() }
 
 func (g *Gate) accept() {
@@ -55,23 +56,23 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // out of descriptors; those that are open must go on
+			time.Sleep(10 * time.Millisecond) // out of file descriptors; connections that are open must continue
 			continue
 		}
-		l := g.of(in.RemoteAddr())
+		l := g.linkFor(in.RemoteAddr())
 		if l == nil {
 			reset(in)
 			continue
 		}
 		g.mu.Lock()
-		if g.over {
+		if g.closed {
 			g.mu.Unlock()
 			reset(in)
 			continue
 		}
 		c := l.Wrap(in, nil)
 		g.open[c] = nil
-		g.conns.Go(func() { g.carry(c, in.RemoteAddr()) })
+		g.conns.Go(func() { g.forward(c, in.RemoteAddr()) })
 		g.mu.Unlock()
 	}
 }
@@ -83,9 +84,9 @@
 	c.Close()
 }
 
-// carry takes a connection to its place once the first bytes have come over the link: before that a caller whose way there
-// is cut has reached nobody.
-func (g *Gate) carry(c *link.Conn, caller net.Addr) {
+// forward connects to the target once the first bytes have come over the link: until then, a caller whose direction
+// to the target is cut must not reach it.
+func (g *Gate) forward(c *link.Conn, caller net.Addr) {
 	defer func() {
 		g.mu.Lock()
 		delete(g.open, c)
@@ -97,13 +98,13 @@
 		c.Reset()
 		return
 	}
-	up, err := net.DialTimeout("tcp", g.to, dialLimit)
+	up, err := net.DialTimeout("tcp", g.target, dialTimeout)
 	if err != nil {
-		c.Reset() // nobody is there
+		c.Reset() // nothing listens at the target
 		return
 	}
 	g.mu.Lock()
-	if g.over {
+	if g.closed {
 		g.mu.Unlock()
 		reset(up)
 		c.Reset()
@@ -112,8 +113,8 @@
 	g.open[c] = up
 	g.mu.Unlock()
 	var out io.Writer = up
-	if g.bytes != nil {
-		out = counted{up, g.bytes(caller)}
+	if g.byteCounter != nil {
+		out = countingWriter{up, g.byteCounter(caller)}
 	}
 	g.conns.Go(func() {
 		if _, err := io.Copy(c, up); err != nil {
@@ -133,22 +134,22 @@
 	}
 }
 
-// counted counts what goes one way.
-type counted struct {
+// countingWriter counts the bytes written to it.
+type countingWriter struct {
 	io.Writer
 	n *atomic.Int64
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingWriter) Write(b []byte) (int, error) {
 	n, err := c.Writer.Write(b)
 	c.n.Add(int64(n))
 	return n, err
 }
 
-// Close ends all connections and waits until they have ended.
+// Close resets all connections and waits until they have ended.
 func (g *Gate) Close() {
 	g.mu.Lock()
-	g.over = true
+	g.closed = true
 	g.ln.Close()
 	for c, up := range g.open {
 		c.Reset()
