--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -141,7 +141,7 @@
 var (
 	listKinds = [...]logic.ListKind{logic.ListCached, logic.ListFailed, logic.ListFull, logic.ListDelta}
 	results   = [...]logic.Result{logic.Served, logic.Failed, logic.Refused, logic.TimedOut,
-		logic.ConnectFailed, logic.Broken, logic.Cancelled, logic.Moot}
+		logic.ConnectFailed, logic.Broken, logic.Cancelled, logic.NotSent}
 )
 
 // translate calls the scheduler's method for an event and returns acts with the resulting actions appended.
@@ -185,7 +185,7 @@
 			Elapsed: int64(e.Elapsed), Settled: e.Settled, Report: e.Stats,
 		}, acts)
 	case wire.EvHangup:
-		return s.HangUp(now, logic.JobID(e.Job), acts)
+		return s.ClientGone(now, logic.JobID(e.Job), acts)
 	case wire.EvWake:
 		return s.Wake(now, e.Token, acts)
 	case wire.EvInbox:
--- a/internal/driver/crossing_test.go
+++ b/internal/driver/crossing_test.go
@@ -315,7 +315,7 @@
 	s := &upstream{addr: "a", parser: platform.NewRelay(func(platform.Note) {})}
 	s.conn = &conn{d: d, socket: near, writeQueue: make(chan func() []byte, 1), continueReading: make(chan bool, 1), closed: make(chan struct{})}
 	msg := &platform.Message{Method: "POST", Target: "/readings", Txn: "t1", Lane: "readings"}
-	s.start(&attempt{id: memory.RelayID{Message: 1}, msg: msg, addr: "a", deadline: d.now() + 1_000_000})
+	s.start(&attempt{id: memory.AttemptID{Message: 1}, msg: msg, addr: "a", deadline: d.now() + 1_000_000})
 	elapsed = 900 * time.Millisecond
 	go s.writeLoop(func(error) {})
 	r := bufio.NewReader(server)
@@ -359,9 +359,9 @@
 // belongs to the other.
 func TestReplacedProcessSparesServersInSlowStart(t *testing.T) {
 	for _, replaced := range []bool{false, true} {
-		x := newHarness(t, logic.Class{Name: "readings", Aim: 100_000, Deadline: 60_000_000, WorkerKind: -1})
+		x := newHarness(t, logic.Class{Name: "readings", TargetLatency: 100_000, Deadline: 60_000_000, WorkerKind: -1})
 		settings := x.d.cfg.Settings
-		settings.Cold, settings.StartCapacity, settings.FallWindow, settings.FallMultiple = 24_000_000, 0.3, 2_000_000, 30
+		settings.SlowStart, settings.StartCapacity, settings.OverloadWindow, settings.OverloadMultiple = 24_000_000, 0.3, 2_000_000, 30
 		core, err := memory.New(settings, 7)
 		if err != nil {
 			t.Fatal(err)
@@ -423,14 +423,14 @@
 // Errors of this machine do not count against a server; the server's own do.
 func TestDialErrors(t *testing.T) {
 	for errno, want := range map[syscall.Errno]logic.Result{
-		syscall.EMFILE: logic.Moot, syscall.ENFILE: logic.Moot, syscall.ENOBUFS: logic.Moot, syscall.ENOMEM: logic.Moot,
-		syscall.EADDRNOTAVAIL: logic.Moot, syscall.ENETUNREACH: logic.Moot, syscall.EAGAIN: logic.Moot,
+		syscall.EMFILE: logic.NotSent, syscall.ENFILE: logic.NotSent, syscall.ENOBUFS: logic.NotSent, syscall.ENOMEM: logic.NotSent,
+		syscall.EADDRNOTAVAIL: logic.NotSent, syscall.ENETUNREACH: logic.NotSent, syscall.EAGAIN: logic.NotSent,
 		syscall.ECONNREFUSED: logic.ConnectFailed, syscall.ETIMEDOUT: logic.ConnectFailed,
 		syscall.EHOSTUNREACH: logic.ConnectFailed, syscall.ECONNRESET: logic.ConnectFailed,
 	} {
 		x := newHarness(t)
 		var failures failureCounter
-		x.d.core.Tell(&failures)
+		x.d.core.ReportHealthTo(&failures)
 		x.listServers("s-a")
 		failure := error(&net.OpError{Op: "dial", Net: "tcp", Err: fmt.Errorf("connect: %w", errno)})
 		x.d.dial = func(string, time.Duration) (net.Conn, error) { return nil, failure }
--- a/internal/driver/downstream.go
+++ b/internal/driver/downstream.go
@@ -351,7 +351,7 @@
 		id := n.messageID
 		delete(d.openRequests, id)
 		d.deferred = append(d.deferred, func() {
-			d.execute(d.core.HangUp(d.now(), id))
+			d.execute(d.core.ClientGone(d.now(), id))
 			if d.journal != nil {
 				d.journal.Left(d.now(), id)
 				d.journal.flush()
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -59,7 +59,7 @@
 	tenants       map[string]int
 	downstreams   map[*downstream]struct{}
 	openRequests  map[memory.ID]*downstream
-	attempts      map[memory.RelayID]*attempt
+	attempts      map[memory.AttemptID]*attempt
 	pool          pool
 	watches       inventoryWatches
 	starts        inventory.Starts // start times of the servers
@@ -120,7 +120,7 @@
 		cfg: cfg, core: core, clock: newClock(), log: log, ln: ln, lanes: cfg.Lanes(), tenants: cfg.Tenants(), shutdownPlan: shutdownPlanFor(cfg.Settings.Classes),
 		events: make(chan func(), maxQueuedEvents), done: make(chan struct{}),
 		stopAccepting: make(chan struct{}), dial: dialTCP,
-		downstreams: map[*downstream]struct{}{}, openRequests: map[memory.ID]*downstream{}, attempts: map[memory.RelayID]*attempt{},
+		downstreams: map[*downstream]struct{}{}, openRequests: map[memory.ID]*downstream{}, attempts: map[memory.AttemptID]*attempt{},
 		pool: pool{servers: map[string]*serverConns{}}, limits: limitsFor(cfg.Sockets, cfg.MemoryMB),
 		metrics: newMetrics(cfg.Settings.Classes), cordonUpdates: latest.New[[]string](), startedAt: time.Now(),
 		files: osFileSystem{}, tempSuffix: fmt.Sprintf("%d-%x", os.Getpid(), time.Now().UnixNano()),
@@ -180,7 +180,7 @@
 // updateServing updates the numbers of listed and avoided servers in the metrics, and the health of this process. It
 // is called after every change of the inventory, the cordons, the drain and the stop, on which alone these depend.
 func (d *Driver) updateServing() {
-	listed, avoided := d.core.Census()
+	listed, avoided := d.core.HostCounts()
 	d.metrics.targets.Store(int64(listed))
 	d.metrics.disabled.Store(int64(avoided))
 	d.serving.Store(d.acceptingClients() && avoided < listed)
@@ -203,17 +203,17 @@
 		case memory.Send:
 			d.sendAttempt(c)
 		case memory.Drop:
-			d.cancelAttempt(c.Relay)
+			d.cancelAttempt(c.Attempt)
 		case memory.Answer:
-			if n := d.openRequests[c.Relay.Message]; n != nil {
-				delete(d.openRequests, c.Relay.Message)
+			if n := d.openRequests[c.Attempt.Message]; n != nil {
+				delete(d.openRequests, c.Attempt.Message)
 				n.answer(c)
 			}
 		case memory.Wake:
 			d.wakeAt(c.At)
 		case memory.Watch:
 			d.requestInventory()
-		case memory.Leave:
+		case memory.CloseIdle:
 			d.pool.closeIdle(c.Addr)
 		}
 	}
--- a/internal/driver/errors.go
+++ b/internal/driver/errors.go
@@ -31,7 +31,7 @@
 // dialResult returns the result of an attempt whose connection could not be made.
 func dialResult(err error) logic.Result {
 	if isLocalError(err) {
-		return logic.Moot
+		return logic.NotSent
 	}
 	return logic.ConnectFailed
 }
--- a/internal/driver/inventory.go
+++ b/internal/driver/inventory.go
@@ -29,7 +29,7 @@
 
 func newWatches(cfg *platform.Config, now int64) inventoryWatches {
 	rng := rand.New(rand.NewPCG(cfg.Seed, 7))
-	limits := inventory.Limits{Pushed: cfg.Settings.Pushed, AskWithin: cfg.Settings.AskWithin, Grace: cfg.Settings.DrainGrace}
+	limits := inventory.Limits{Pushed: cfg.Settings.Pushed, AskWithin: cfg.Settings.ListValidity, Grace: cfg.Settings.DrainGrace}
 	return inventoryWatches{tracker: inventory.New(now, limits, cfg.Known.Revision, rng.Float64), open: map[inventory.Call]*watch{}}
 }
 
@@ -67,10 +67,10 @@
 			d.execute(d.core.Inventory(d.now(), logic.ListFailed, nil))
 		case inventory.Doubt:
 			d.log.Warn("inventory stale, sending no new requests", "cause", c.Cause)
-			d.execute(d.core.Doubt(d.now(), true))
+			d.execute(d.core.SetMembershipStale(d.now(), true))
 		case inventory.Trust:
 			d.log.Info("inventory up to date again")
-			d.execute(d.core.Doubt(d.now(), false))
+			d.execute(d.core.SetMembershipStale(d.now(), false))
 		}
 	}
 	if w.timer != nil {
@@ -161,9 +161,9 @@
 	how := logic.ListDelta
 	if l.Complete {
 		how = logic.ListFull
-		before, _ := d.core.Census()
+		before, _ := d.core.HostCounts()
 		defer func() {
-			if now, _ := d.core.Census(); now < before/2 {
+			if now, _ := d.core.HostCounts(); now < before/2 {
 				d.log.Warn("inventory lists less than half as many hosts as before", "before", before, "now", now)
 			}
 		}()
--- a/internal/driver/limits.go
+++ b/internal/driver/limits.go
@@ -16,13 +16,13 @@
 	places      map[memory.ID]limit.Places // of open requests that hold any
 }
 
-// Enter implements memory.Limits.
-func (l *fleetLimits) Enter(now int64, id memory.ID, tenant, class int) (memory.Right, int64) {
+// Admit implements memory.Limits.
+func (l *fleetLimits) Admit(now int64, id memory.ID, tenant, class int) (memory.LimitResult, int64) {
 	verdict, places := l.participant.Enter(now, tenant, class)
 	if places != (limit.Places{}) {
 		l.places[id] = places
 	}
-	return [...]memory.Right{limit.Free: memory.Unlimited, limit.Inside: memory.Inside, limit.Beyond: memory.Beyond, limit.Refuse: memory.Over}[verdict], l.participant.Longest(tenant, class)
+	return [...]memory.LimitResult{limit.Free: memory.Unlimited, limit.Inside: memory.WithinShare, limit.Beyond: memory.BeyondShare, limit.Refuse: memory.OverLimit}[verdict], l.participant.Longest(tenant, class)
 }
 
 // Answered implements memory.Limits.
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -81,7 +81,7 @@
 		d.core.Limit(d.sharing.rights)
 		if s.Gangs != nil {
 			part := d.sharing.rights.participant
-			d.sharing.gangs = gang.New(*s.Gangs, part.Holder(), part.Lease(), d.core.Places)
+			d.sharing.gangs = gang.New(*s.Gangs, part.Holder(), part.Lease(), d.core.EachGangHost)
 			d.core.Gang(d.sharing.gangs)
 		}
 	}
@@ -101,7 +101,7 @@
 	for _, n := range h.News {
 		s.ledger.Hear(now-time.Since(n.At).Microseconds(), n.Report) // refused reports are counted in the ledger
 	}
-	s.hosts = d.core.Numbers(s.hosts[:0])
+	s.hosts = d.core.WorkerIDs(s.hosts[:0])
 	s.believed = s.ledger.Tell(now, s.hosts, d.core)
 	s.seq++
 	own := ledger.Of(d.cfg.Name, s.Incarnation, s.seq, now, d.core)
@@ -118,7 +118,7 @@
 		s.rights.exchange(s.Peers)
 	}
 	if s.gangs != nil {
-		d.execute(d.core.Gathered(d.now()))
+		d.execute(d.core.ReconsiderGangs(d.now()))
 	}
 	if s.seq%metricsEvery == 1 {
 		text := s.metricsText(now)
--- a/internal/driver/stop.go
+++ b/internal/driver/stop.go
@@ -41,7 +41,7 @@
 func (d *Driver) stop() {
 	d.stoppedAt = time.Now()
 	if d.successor.Load() {
-		d.core.Yield()
+		d.core.YieldSlowStartBudget()
 		d.stopListener()
 	}
 	d.log.Info("stopping", "open", d.core.Open(), "successor", d.listenerStopped)
--- a/internal/driver/upstream.go
+++ b/internal/driver/upstream.go
@@ -12,7 +12,7 @@
 
 // attempt is one attempt to run a request on a server.
 type attempt struct {
-	id       memory.RelayID
+	id       memory.AttemptID
 	msg      *platform.Message
 	addr     string
 	deadline int64
@@ -103,7 +103,7 @@
 
 // sendAttempt starts an attempt on the most recently used idle connection to its server, or on a new one.
 func (d *Driver) sendAttempt(c memory.Command) {
-	n := d.openRequests[c.Relay.Message]
+	n := d.openRequests[c.Attempt.Message]
 	if n == nil {
 		return // the client has just left; the core is notified next and cancels the attempt
 	}
@@ -111,7 +111,7 @@
 		n.teardown()
 		return
 	}
-	r := &attempt{id: c.Relay, msg: n.msg, addr: c.Addr, deadline: c.Until}
+	r := &attempt{id: c.Attempt, msg: n.msg, addr: c.Addr, deadline: c.Until}
 	if g := c.Gang; g != nil {
 		r.part = &platform.Part{Rank: g.Rank, Peers: g.Peers, Within: time.Duration(g.Within) * time.Microsecond}
 	}
@@ -123,7 +123,7 @@
 	}
 	if d.pool.connsTo(r.addr) >= d.limits.perServer || d.pool.count >= d.limits.upstreams && !d.pool.evictIdle() {
 		// The connection limit is no fault of the server, which must not be marked as unreachable.
-		d.deferred = append(d.deferred, func() { d.finishAttempt(r, logic.Moot, nil) })
+		d.deferred = append(d.deferred, func() { d.finishAttempt(r, logic.NotSent, nil) })
 		return
 	}
 	d.pool.adjust(r.addr, 1)
@@ -153,9 +153,9 @@
 	switch {
 	case left || d.attempts[r.id] != r:
 		s.putIdle()
-	case !d.core.May(d.now(), r.id):
+	case !d.core.MayStart(d.now(), r.id):
 		s.teardown()
-		d.finishAttempt(r, logic.Moot, nil)
+		d.finishAttempt(r, logic.NotSent, nil)
 	default:
 		s.start(r)
 	}
@@ -335,14 +335,14 @@
 // attemptTimedOut ends an attempt whose time is up. If its connection is not made yet, the request was never sent.
 func (d *Driver) attemptTimedOut(r *attempt) {
 	if r.upstream == nil {
-		d.finishAttempt(r, logic.Moot, nil)
+		d.finishAttempt(r, logic.NotSent, nil)
 		return
 	}
 	d.finishAttempt(r, logic.TimedOut, nil)
 }
 
 // cancelAttempt stops an attempt that the core cancelled.
-func (d *Driver) cancelAttempt(id memory.RelayID) {
+func (d *Driver) cancelAttempt(id memory.AttemptID) {
 	if r := d.attempts[id]; r != nil {
 		d.releaseAttempt(r)
 	}
--- a/internal/fleet/court/court.go
+++ b/internal/fleet/court/court.go
@@ -30,7 +30,7 @@
 // it.
 func New(self string, zone int, core *memory.Core) *Court {
 	book := verdict.NewBook(zone)
-	core.Tell(book)
+	core.ReportHealthTo(book)
 	return &Court{book: book, judge: verdict.NewJudge(self, book)}
 }
 
@@ -42,9 +42,9 @@
 // included; every is the time between two rounds.
 func (c *Court) Sit(now int64, l *ledger.Ledger, core *memory.Core, members int, every time.Duration, own *ledger.Report) {
 	for _, r := range l.Ran(now) {
-		core.HeardRan(now, r.Host, r.Run, r.Work)
+		core.RecordOthersRuns(now, r.Host, r.Run, r.Work)
 	}
-	core.Ran(now, func(host logic.WorkerID, run, work float64) {
+	core.Runs(now, func(host logic.WorkerID, run, work float64) {
 		if work > ledger.RanLeast {
 			own.Ran = append(own.Ran, ledger.Ran{Host: host, Run: run, Work: work})
 		}
@@ -66,7 +66,7 @@
 	before := c.ejected
 	c.ejected = map[logic.WorkerID]bool{}
 	for _, v := range c.verdicts {
-		core.Verdict(now, v.Host, now+verdictRounds*every.Microseconds())
+		core.EjectUntil(now, v.Host, now+verdictRounds*every.Microseconds())
 		c.ejected[v.Host] = true
 		if !before[v.Host] {
 			c.begun++
--- a/internal/fleet/gang/gang.go
+++ b/internal/fleet/gang/gang.go
@@ -45,7 +45,7 @@
 }
 
 // Hosts passes the hosts to tell that may be sent a part with that work in seconds.
-type Hosts func(now int64, work float64, tell func(logic.View))
+type Hosts func(now int64, work float64, tell func(logic.WorkerView))
 
 // Counts are totals of gangs by outcome.
 type Counts struct {
--- a/internal/fleet/gang/gang_test.go
+++ b/internal/fleet/gang/gang_test.go
@@ -33,9 +33,9 @@
 
 func newFixture(t *testing.T) *fixture {
 	class := func(name string, repeat logic.Repeat) logic.Class {
-		return logic.Class{Name: name, Aim: 5 * sec, Deadline: 9 * sec, Worth: 1, Repeat: repeat, WorkerKind: -1}
+		return logic.Class{Name: name, TargetLatency: 5 * sec, Deadline: 9 * sec, Value: 1, Repeat: repeat, WorkerKind: -1}
 	}
-	core, err := memory.New(logic.Config{Classes: []logic.Class{class("safe", logic.RepeatSafe), class("unsafe", logic.RepeatUnsafe)}, TellsStart: true, MayCancel: true, MaxAttempts: 3}, 1)
+	core, err := memory.New(logic.Config{Classes: []logic.Class{class("safe", logic.RepeatSafe), class("unsafe", logic.RepeatUnsafe)}, ReportsStart: true, MayCancel: true, MaxAttempts: 3}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 		o.Kinds = append(o.Kinds, gang.Kind{Class: class, Parts: 3, Least: 3, Pattern: pattern.Ring, Within: sec, Wait: 3 * sec})
 	}
 	e.slots = limit.New(e.now, limit.Options{Self: lease.Owner{Name: "n0", Incarnation: 1}, Keepers: []string{"n0"}, Lease: sec, Room: 1})
-	core.Gang(gang.New(o, e.slots.Holder(), sec, core.Places))
+	core.Gang(gang.New(o, e.slots.Holder(), sec, core.EachGangHost))
 	var hosts []memory.Host
 	for i := range 6 {
 		hosts = append(hosts, host(i, logic.Ready))
@@ -68,7 +68,7 @@
 				e.slots.Hear(e.now, m)
 			}
 		}
-		e.record(e.core.Gathered(e.now))
+		e.record(e.core.ReconsiderGangs(e.now))
 	}
 }
 
@@ -82,15 +82,15 @@
 }
 
 // eachPart applies do to the parts of a gang with ranks from <= rank < to.
-func (e *fixture) eachPart(id memory.ID, from, to int, do func(r memory.RelayID) []memory.Command) {
+func (e *fixture) eachPart(id memory.ID, from, to int, do func(r memory.AttemptID) []memory.Command) {
 	for rank := from; rank < to; rank++ {
-		e.record(do(memory.RelayID{Message: id, Attempt: rank}))
+		e.record(do(memory.AttemptID{Message: id, Attempt: rank}))
 	}
 }
 
-func (e *fixture) began(r memory.RelayID) []memory.Command { return e.core.Started(e.now, r) }
+func (e *fixture) began(r memory.AttemptID) []memory.Command { return e.core.Started(e.now, r) }
 
-func (e *fixture) served(r memory.RelayID) []memory.Command {
+func (e *fixture) served(r memory.AttemptID) []memory.Command {
 	return e.core.Ended(e.now, r, logic.Served, fmt.Appendf(nil, "part %d", r.Attempt))
 }
 
@@ -129,13 +129,13 @@
 		"all parts are served":          {func(e *fixture, id memory.ID) { e.eachPart(id, 0, 3, e.served) }, `served "part 0"`, `served "part 0"`},
 		"two of three parts are served": {func(e *fixture, id memory.ID) { e.eachPart(id, 1, 3, e.served) }, "", ""},
 		"a part fails": {func(e *fixture, id memory.ID) {
-			e.record(e.core.Ended(e.now, memory.RelayID{Message: id, Attempt: 1}, logic.Failed, nil))
+			e.record(e.core.Ended(e.now, memory.AttemptID{Message: id, Attempt: 1}, logic.Failed, nil))
 		}, `drop, drop, refused ""`, `drop, drop, failed ""`},
 		"a part fails and another is served after it": {func(e *fixture, id memory.ID) {
-			e.record(e.core.Ended(e.now, memory.RelayID{Message: id, Attempt: 1}, logic.Broken, nil))
+			e.record(e.core.Ended(e.now, memory.AttemptID{Message: id, Attempt: 1}, logic.Broken, nil))
 			e.eachPart(id, 0, 1, e.served)
 		}, `drop, drop, refused ""`, `drop, drop, failed ""`},
-		"its client leaves":      {func(e *fixture, id memory.ID) { e.record(e.core.HangUp(e.now, id)) }, "drop, drop, drop", "drop, drop, drop"},
+		"its client leaves":      {func(e *fixture, id memory.ID) { e.record(e.core.ClientGone(e.now, id)) }, "drop, drop, drop", "drop, drop, drop"},
 		"its client's time ends": {func(e *fixture, id memory.ID) { e.record(e.core.Expire(e.now, id)) }, `failed "", drop, drop, drop`, `failed "", drop, drop, drop`},
 	} {
 		for class, want := range []string{c.safe, c.unsafe} {
@@ -180,7 +180,7 @@
 	if got := e.commands(); got != `drop, drop, drop, refused ""` {
 		t.Errorf("the lease ends while two of three have begun: %s", got)
 	}
-	if e.core.May(e.now, memory.RelayID{Message: id, Attempt: 2}) {
+	if e.core.MayStart(e.now, memory.AttemptID{Message: id, Attempt: 2}) {
 		t.Error("a part may be sent though its gang has ended")
 	}
 
--- a/internal/fleet/gang/place/place.go
+++ b/internal/fleet/gang/place/place.go
@@ -144,7 +144,7 @@
 	if t < h.After {
 		return 1
 	}
-	return min(logic.LateChance(t-h.After+h.Room, h.Backlog), 1)
+	return min(logic.ViolationProbability(t-h.After+h.Room, h.Backlog), 1)
 }
 
 // setParts sets the number of parts to place.
--- a/internal/fleet/gang/seek.go
+++ b/internal/fleet/gang/seek.go
@@ -83,9 +83,9 @@
 		clear(p.rackNumbers) // they belong to replaced hosts
 	}
 	factor := p.waitFactor()
-	p.hosts(now, g.Work, func(v logic.View) {
+	p.hosts(now, g.Work, func(v logic.WorkerView) {
 		h := place.Host{ID: uint32(v.ID), Spot: topology.Spot{Rack: p.rackNumber(v.Zone, v.Cell), Zone: v.Zone},
-			Backlog: v.Backlog * factor, Room: v.Room, Pace: v.Pace, Push: v.Push}
+			Backlog: v.Backlog * factor, Room: v.Headroom, Pace: v.Slowdown, Push: v.CongestionCost}
 		if u := taken[h.ID]; u != nil {
 			others.Add(h.Spot, float64(u.Rack), float64(u.Zone))
 			if over := len(u.freeIn) - p.options.Room; over >= 0 {
@@ -209,7 +209,7 @@
 // for a new placement at once.
 func (p *Part) hostsAvailable(now int64, g *gang) bool {
 	may := map[uint32]bool{}
-	p.hosts(now, g.Work, func(v logic.View) { may[uint32(v.ID)] = true })
+	p.hosts(now, g.Work, func(v logic.WorkerView) { may[uint32(v.ID)] = true })
 	gone := slices.ContainsFunc(g.placement.Hosts, func(h place.Host) bool { return !may[h.ID] })
 	if gone {
 		g.placedAt = now - rescoreInterval
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -271,10 +271,10 @@
 
 // Telling receives the sums that Tell makes.
 type Telling interface {
-	// Heard takes the work, in slot-seconds, that the other dispatchers have at a host, as of the time at.
-	Heard(now int64, host logic.WorkerID, work float64, at int64)
-	// HeardDemand takes the other dispatchers' demand for a data set, in slots a second, which is valid until a time.
-	HeardDemand(set uint64, load float64, until int64)
+	// RecordOthersBacklog takes the work, in slot-seconds, that the other dispatchers have at a host, as of the time at.
+	RecordOthersBacklog(now int64, host logic.WorkerID, work float64, at int64)
+	// RecordOthersDemand takes the other dispatchers' demand for a data set, in slots a second, which is valid until a time.
+	RecordOthersDemand(set uint64, load float64, until int64)
 }
 
 // validPeers returns the reports that count now and the number of members that they cover. These are either the reports
@@ -330,10 +330,10 @@
 	scale := math.Max(float64(l.members)/float64(heard), 1)
 	when := int64(at / float64(heard))
 	for _, h := range hosts {
-		to.Heard(now, h, l.workByHost[h]*scale, when)
+		to.RecordOthersBacklog(now, h, l.workByHost[h]*scale, when)
 	}
 	for set, load := range l.loadBySet {
-		to.HeardDemand(set, load*scale, when+l.limits.Believe)
+		to.RecordOthersDemand(set, load*scale, when+l.limits.Believe)
 	}
 	return heard
 }
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -19,10 +19,10 @@
 	sets map[uint64]float64
 }
 
-func (t *received) Heard(_ int64, host logic.WorkerID, work float64, at int64) {
+func (t *received) RecordOthersBacklog(_ int64, host logic.WorkerID, work float64, at int64) {
 	t.work[host], t.at = work, at
 }
-func (t *received) HeardDemand(set uint64, load float64, _ int64) { t.sets[set] = load }
+func (t *received) RecordOthersDemand(set uint64, load float64, _ int64) { t.sets[set] = load }
 
 // sums returns what a ledger passes on at a time.
 func sums(l *Ledger, now int64, hosts ...logic.WorkerID) *received {
--- a/internal/fleet/market/market.go
+++ b/internal/fleet/market/market.go
@@ -59,7 +59,7 @@
 // Sit runs one round: it puts this dispatcher's own load into its report and updates the price from that and the valid
 // loads of other members. members is the number of dispatchers in the fleet, this one included.
 func (m *Market) Sit(now int64, l *ledger.Ledger, core *memory.Core, members int, own *ledger.Report) {
-	waiting, capacity := core.Waits()
+	waiting, capacity := core.PendingWork()
 	own.Load = m.gauge.Load(now, waiting)
 	sum, heard := l.Load(now)
 	sum.Add(own.Load, 1)
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/virtual/clients.go
@@ -124,7 +124,7 @@
 		sim.after(clientDelay, func() {
 			if !d.down && d.requests[req.id] == req {
 				delete(d.requests, req.id)
-				d.execute(d.callCore(func(now int64) []memory.Command { return d.core.HangUp(now, req.id) }))
+				d.execute(d.callCore(func(now int64) []memory.Command { return d.core.ClientGone(now, req.id) }))
 			}
 		})
 	})
--- a/internal/lab/virtual/dispatcher.go
+++ b/internal/lab/virtual/dispatcher.go
@@ -44,7 +44,7 @@
 	listRevision  int64 // revision of the host list that the core has; -1 if the whole list must be requested
 	watching      bool
 	requests      map[memory.ID]*clientRequest
-	attempts      map[memory.RelayID]*attempt
+	attempts      map[memory.AttemptID]*attempt
 	wakeSeq       int
 	readyHosts    map[string]bool // hosts reported as ready
 	classes       []logic.Class
@@ -77,7 +77,7 @@
 	d.startGangs()
 	d.names, d.classes = cfg.Names(), cfg.Settings.Classes
 	d.down, d.watching, d.listRevision = false, false, cfg.Known.Revision
-	d.requests, d.attempts, d.readyHosts = map[memory.ID]*clientRequest{}, map[memory.RelayID]*attempt{}, map[string]bool{}
+	d.requests, d.attempts, d.readyHosts = map[memory.ID]*clientRequest{}, map[memory.AttemptID]*attempt{}, map[string]bool{}
 	d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Inventory(now, logic.ListCached, cfg.Known.Hosts) }))
 	return nil
 }
@@ -117,10 +117,10 @@
 		case memory.Send:
 			d.startAttempt(c)
 		case memory.Drop:
-			d.cancelAttempt(c.Relay)
+			d.cancelAttempt(c.Attempt)
 		case memory.Answer:
-			if req := d.requests[c.Relay.Message]; req != nil {
-				delete(d.requests, c.Relay.Message)
+			if req := d.requests[c.Attempt.Message]; req != nil {
+				delete(d.requests, c.Attempt.Message)
 				d.answerClient(req, c)
 			}
 		case memory.Wake:
@@ -194,14 +194,14 @@
 
 // startAttempt starts an attempt.
 func (d *dispatcher) startAttempt(c memory.Command) {
-	req := d.requests[c.Relay.Message]
+	req := d.requests[c.Attempt.Message]
 	h := d.sim.hostsByName[c.Addr]
 	if req == nil || h == nil {
 		return
 	}
-	a := &attempt{request: req, id: c.Relay, dispatcher: d, generation: d.generation, host: h, gang: c.Gang}
-	d.attempts[c.Relay] = a
-	req.attempts[c.Relay.Attempt] = a
+	a := &attempt{request: req, id: c.Attempt, dispatcher: d, generation: d.generation, host: h, gang: c.Gang}
+	d.attempts[c.Attempt] = a
+	req.attempts[c.Attempt.Attempt] = a
 	d.sim.after(d.sim.networkDelay(d, h), func() {
 		if !a.ended {
 			d.sim.deliverAttempt(a)
@@ -226,7 +226,7 @@
 }
 
 // cancelAttempt cancels an attempt that the core has given up.
-func (d *dispatcher) cancelAttempt(id memory.RelayID) {
+func (d *dispatcher) cancelAttempt(id memory.AttemptID) {
 	if a := d.attempts[id]; a != nil {
 		a.ended = true
 		delete(d.attempts, id)
@@ -255,14 +255,14 @@
 	}
 	d.down, d.downSince = true, d.sim.now
 	d.avoidedUntil = d.sim.now + frontEndRetryDelay
-	for _, a := range sorted(d.attempts, func(id memory.RelayID) int64 { return int64(id.Message)<<8 + int64(id.Attempt) }) {
+	for _, a := range sorted(d.attempts, func(id memory.AttemptID) int64 { return int64(id.Message)<<8 + int64(id.Attempt) }) {
 		a.ended = true
 		d.sim.cancelAttempt(a)
 	}
 	for _, req := range sorted(d.requests, func(id memory.ID) int64 { return int64(id) }) {
 		d.sim.after(clientDelay, func() { d.sim.finishRequest(req, client.Broken, 0, "") })
 	}
-	d.requests, d.attempts = map[memory.ID]*clientRequest{}, map[memory.RelayID]*attempt{}
+	d.requests, d.attempts = map[memory.ID]*clientRequest{}, map[memory.AttemptID]*attempt{}
 }
 
 // restart starts a new process after a kill.
@@ -280,7 +280,7 @@
 
 // resetConnections breaks the dispatcher's connections to a host.
 func (d *dispatcher) resetConnections(h *host) {
-	for _, a := range sorted(d.attempts, func(id memory.RelayID) int64 { return int64(id.Message)<<8 + int64(id.Attempt) }) {
+	for _, a := range sorted(d.attempts, func(id memory.AttemptID) int64 { return int64(id.Message)<<8 + int64(id.Attempt) }) {
 		if a.host == h {
 			d.sim.cancelAttempt(a)
 			d.endAttempt(a, logic.Broken, "")
--- a/internal/lab/virtual/gangs.go
+++ b/internal/lab/virtual/gangs.go
@@ -158,7 +158,7 @@
 	o := gangOptions(sim.day, s.Gangs, d.rng)
 	g := &gangs{leases: limit.New(sim.now, limit.Options{Self: lease.Owner{Name: d.name, Incarnation: uint64(d.generation)},
 		Keepers: sim.leaseKeepers(), Lease: gangLease, Room: o.Room})}
-	g.part = gang.New(o, g.leases.Holder(), gangLease, core.Places)
+	g.part = gang.New(o, g.leases.Holder(), gangLease, core.EachGangHost)
 	core.Gang(g.part)
 	d.gangs = g
 }
@@ -194,7 +194,7 @@
 			}
 		})
 	}
-	d.execute(d.callCore(func(now int64) []memory.Command { return core.Gathered(now) }))
+	d.execute(d.callCore(func(now int64) []memory.Command { return core.ReconsiderGangs(now) }))
 }
 
 // drawDelivery draws whether a datagram of dispatcher d reaches dispatcher o.
--- a/internal/lab/virtual/policy.go
+++ b/internal/lab/virtual/policy.go
@@ -13,11 +13,11 @@
 type dispatcherCore interface {
 	Arrive(now int64, m memory.Message, deadline int64) (memory.ID, []memory.Command)
 	Inventory(now int64, how logic.ListKind, hosts []memory.Host) []memory.Command
-	Started(now int64, r memory.RelayID) []memory.Command
-	Taken(now int64, r memory.RelayID) []memory.Command
-	Progress(now int64, r memory.RelayID, share float64) []memory.Command
-	Ended(now int64, r memory.RelayID, result logic.Result, content []byte) []memory.Command
-	HangUp(now int64, id memory.ID) []memory.Command
+	Started(now int64, r memory.AttemptID) []memory.Command
+	Taken(now int64, r memory.AttemptID) []memory.Command
+	Progress(now int64, r memory.AttemptID, share float64) []memory.Command
+	Ended(now int64, r memory.AttemptID, result logic.Result, content []byte) []memory.Command
+	ClientGone(now int64, id memory.ID) []memory.Command
 	Expire(now int64, id memory.ID) []memory.Command
 	Wake(now int64) []memory.Command
 }
@@ -111,13 +111,13 @@
 	}
 	m.host = h
 	h.outstanding++
-	c.emit(memory.Command{Kind: memory.Send, Relay: memory.RelayID{Message: id, Attempt: m.attempts}, Addr: h.Addr, Until: max(m.deadline, now+1)})
+	c.emit(memory.Command{Kind: memory.Send, Attempt: memory.AttemptID{Message: id, Attempt: m.attempts}, Addr: h.Addr, Until: max(m.deadline, now+1)})
 	m.attempts++
 }
 
 func (c *plainPolicy) answer(id memory.ID, cmd memory.Command) {
 	delete(c.messages, id)
-	cmd.Kind, cmd.Relay = memory.Answer, memory.RelayID{Message: id}
+	cmd.Kind, cmd.Attempt = memory.Answer, memory.AttemptID{Message: id}
 	c.emit(cmd)
 }
 
@@ -153,12 +153,12 @@
 	return c.commands
 }
 
-func (c *plainPolicy) Started(int64, memory.RelayID) []memory.Command           { return nil }
-func (c *plainPolicy) Taken(int64, memory.RelayID) []memory.Command             { return nil }
-func (c *plainPolicy) Progress(int64, memory.RelayID, float64) []memory.Command { return nil }
-func (c *plainPolicy) Wake(int64) []memory.Command                              { return nil }
+func (c *plainPolicy) Started(int64, memory.AttemptID) []memory.Command           { return nil }
+func (c *plainPolicy) Taken(int64, memory.AttemptID) []memory.Command             { return nil }
+func (c *plainPolicy) Progress(int64, memory.AttemptID, float64) []memory.Command { return nil }
+func (c *plainPolicy) Wake(int64) []memory.Command                                { return nil }
 
-func (c *plainPolicy) Ended(now int64, r memory.RelayID, result logic.Result, content []byte) []memory.Command {
+func (c *plainPolicy) Ended(now int64, r memory.AttemptID, result logic.Result, content []byte) []memory.Command {
 	c.commands = c.commands[:0]
 	m := c.messages[r.Message]
 	if m == nil || r.Attempt != m.attempts-1 || m.host == nil {
@@ -171,7 +171,7 @@
 		c.answer(r.Message, memory.Command{Verdict: memory.Served, Content: content})
 	case now >= m.deadline || result == logic.TimedOut:
 		c.answer(r.Message, memory.Command{Verdict: memory.Failed})
-	case result == logic.Refused, result == logic.ConnectFailed, result == logic.Moot, c.classes[m.class].Repeat == logic.RepeatSafe:
+	case result == logic.Refused, result == logic.ConnectFailed, result == logic.NotSent, c.classes[m.class].Repeat == logic.RepeatSafe:
 		c.startAttempt(now, r.Message)
 	default:
 		c.answer(r.Message, memory.Command{Verdict: memory.Failed})
@@ -179,12 +179,12 @@
 	return c.commands
 }
 
-func (c *plainPolicy) HangUp(_ int64, id memory.ID) []memory.Command {
+func (c *plainPolicy) ClientGone(_ int64, id memory.ID) []memory.Command {
 	c.commands = c.commands[:0]
 	if m := c.messages[id]; m != nil {
 		if m.host != nil {
 			m.host.outstanding--
-			c.emit(memory.Command{Kind: memory.Drop, Relay: memory.RelayID{Message: id, Attempt: m.attempts - 1}})
+			c.emit(memory.Command{Kind: memory.Drop, Attempt: memory.AttemptID{Message: id, Attempt: m.attempts - 1}})
 		}
 		delete(c.messages, id)
 	}
@@ -196,7 +196,7 @@
 	if m := c.messages[id]; m != nil {
 		if m.host != nil {
 			m.host.outstanding--
-			c.emit(memory.Command{Kind: memory.Drop, Relay: memory.RelayID{Message: id, Attempt: m.attempts - 1}})
+			c.emit(memory.Command{Kind: memory.Drop, Attempt: memory.AttemptID{Message: id, Attempt: m.attempts - 1}})
 		}
 		c.answer(id, memory.Command{Verdict: memory.Failed})
 	}
--- a/internal/lab/virtual/sharing.go
+++ b/internal/lab/virtual/sharing.go
@@ -33,7 +33,7 @@
 	if !ok || d.down {
 		return
 	}
-	d.hostIDs = core.Numbers(d.hostIDs[:0])
+	d.hostIDs = core.WorkerIDs(d.hostIDs[:0])
 	slices.Sort(d.hostIDs)
 	d.ledger.Members(len(sim.dispatchers) - 1)
 	d.callCore(func(now int64) []memory.Command {
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -138,7 +138,7 @@
 // attempt is one attempt of a dispatcher to run a message at a host.
 type attempt struct {
 	request     *clientRequest
-	id          memory.RelayID
+	id          memory.AttemptID
 	dispatcher  *dispatcher
 	generation  int // number of the dispatcher's process
 	host        *host
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -164,10 +164,10 @@
 		t.Fatal(err)
 	}
 	s := c.Settings
-	if c.Name != "n1" || c.Seed != 7 || len(c.Known.Hosts) != 9 || c.Known.Hosts[0].Addr != "at-"+HostName(0) || s.Self != 1 || s.Zone != 1 || s.Schedulers != 3 || s.Cold != 1000 {
+	if c.Name != "n1" || c.Seed != 7 || len(c.Known.Hosts) != 9 || c.Known.Hosts[0].Addr != "at-"+HostName(0) || s.Self != 1 || s.Zone != 1 || s.Schedulers != 3 || s.SlowStart != 1000 {
 		t.Errorf("%+v", c)
 	}
-	if k := s.Classes[3]; k.Name != "alert-send" || k.Repeat != logic.RepeatUnsafe || k.Deadline != 9 || k.Stretch != 2 || s.Classes[2].Repeat != logic.RepeatKeyed {
+	if k := s.Classes[3]; k.Name != "alert-send" || k.Repeat != logic.RepeatUnsafe || k.Deadline != 9 || k.TargetPerWork != 2 || s.Classes[2].Repeat != logic.RepeatKeyed {
 		t.Errorf("%+v", s.Classes)
 	}
 	for _, bad := range []Change{{"Rules.Cold", "{"}, {"Nowhere.Cold", "1"}, {"Classes.9.Aim", "1"}, {"Classes", "1"}} {
--- a/internal/lifecycle/log.go
+++ b/internal/lifecycle/log.go
@@ -77,17 +77,17 @@
 	if s.MayCopy {
 		fmt.Fprintln(w, "copies: a second copy may be sent while the first waits, where the class allows a repeat")
 	}
-	if s.HidesRetry {
+	if s.RetriesUnmarked {
 		fmt.Fprintln(w, "retries: clients do not mark them; less time left than the class's deadline tells")
 	}
 	for _, t := range s.Tenants {
-		fmt.Fprintf(w, "tenant %s: %g jobs a second over %d dispatchers; one beyond them counts %g of its worth\n", t.Name, t.Quota, s.Schedulers, s.OverShare)
+		fmt.Fprintf(w, "tenant %s: %g jobs a second over %d dispatchers; one beyond them counts %g of its worth\n", t.Name, t.Quota, s.Schedulers, s.OverQuotaValue)
 	}
 	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 	repeats := []string{"must never run twice", "keyed: a rack drops repeats", "safe to repeat"}
 	for _, c := range s.Classes {
 		fmt.Fprintf(w, "class %s: wanted within %v plus %g times its work, given up after %v, worth %g, %s\n",
-			c.Name, us(c.Aim), c.Stretch, us(c.Deadline), c.Worth, repeats[c.Repeat])
+			c.Name, us(c.TargetLatency), c.TargetPerWork, us(c.Deadline), c.Value, repeats[c.Repeat])
 	}
 	if product != nil && product.Fleet != nil {
 		f := product.Fleet
--- a/internal/memory/core.go
+++ b/internal/memory/core.go
@@ -24,8 +24,8 @@
 // ID identifies an open message.
 type ID = logic.JobID
 
-// RelayID identifies one attempt of a message. It is not reused while a late event may still refer to it.
-type RelayID struct {
+// AttemptID identifies one attempt of a message. It is not reused while a late event may still refer to it.
+type AttemptID struct {
 	Message ID
 	Attempt int
 }
@@ -59,12 +59,12 @@
 
 // The kinds of command, each with the fields of Command that it uses.
 const (
-	Send   CommandKind = iota // Relay, Addr, Until: send the message to the host at Addr, with Until as the deadline
-	Drop                      // Relay: cancel the attempt; this must be done before the next command
-	Answer                    // Relay.Message, Verdict, After, Content: send the final answer to the client
-	Wake                      // At: call Core.Wake at that time
-	Watch                     // open the watch on the inventory
-	Leave                     // Addr: close the idle connections to this address
+	Send      CommandKind = iota // Relay, Addr, Until: send the message to the host at Addr, with Until as the deadline
+	Drop                         // Relay: cancel the attempt; this must be done before the next command
+	Answer                       // Relay.Message, Verdict, After, Content: send the final answer to the client
+	Wake                         // At: call Core.Wake at that time
+	Watch                        // open the watch on the inventory
+	CloseIdle                    // Addr: close the idle connections to this address
 )
 
 // Verdict is the kind of a final answer.
@@ -81,7 +81,7 @@
 // Command is an action for the driver. Commands are executed in order.
 type Command struct {
 	Kind    CommandKind
-	Relay   RelayID
+	Attempt AttemptID
 	Addr    string
 	Until   int64 // deadline of the client's wait, in microseconds
 	Verdict Verdict
@@ -165,16 +165,16 @@
 	id := c.lastID
 	if _, open := c.openNames[m.Name]; open {
 		// Hosts identify a job by its name, so to them this would be a second copy of the one that is open.
-		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Duplicate})
+		c.emit(Command{Kind: Answer, Attempt: AttemptID{Message: id}, Verdict: Duplicate})
 		return id, c.commands
 	}
 	if c.cfg.MaxOpen > 0 && len(c.messages) >= c.cfg.MaxOpen {
-		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: retryAfterFull})
+		c.emit(Command{Kind: Answer, Attempt: AttemptID{Message: id}, Verdict: Refused, After: retryAfterFull})
 		return id, c.commands
 	}
 	deadline, share, admitted := c.applyLimits(now, id, m, deadline)
 	if !admitted {
-		c.emit(Command{Kind: Answer, Relay: RelayID{Message: id}, Verdict: Refused, After: retryAfterOverLimit})
+		c.emit(Command{Kind: Answer, Attempt: AttemptID{Message: id}, Verdict: Refused, After: retryAfterOverLimit})
 		return id, c.commands
 	}
 	c.retryBudget.credit()
@@ -188,14 +188,14 @@
 	}
 	c.actions = c.sched.Arrive(now, logic.Job{
 		ID: id, Key: m.Subject, Class: m.Class, Tenant: m.Tenant, Hint: m.Hint, Slots: m.Slots, Memory: m.Memory,
-		Deadline: deadline, Repeated: m.Repeated, Share: share, Price: c.price(),
+		Deadline: deadline, Repeated: m.Repeated, Share: share, SlotPrice: c.price(),
 	}, c.actions)
 	c.reportDemand(now)
 	return id, c.applyActions(now)
 }
 
 // Started records that the host of an attempt has begun to run it.
-func (c *Core) Started(now int64, r RelayID) []Command {
+func (c *Core) Started(now int64, r AttemptID) []Command {
 	c.resetOutput()
 	if c.outstandingAttempt(r) == nil {
 		return c.commands
@@ -209,10 +209,10 @@
 }
 
 // Taken records that the host of an attempt has accepted the message; it may run it later.
-func (c *Core) Taken(now int64, r RelayID) []Command { return c.Progress(now, r, 0) }
+func (c *Core) Taken(now int64, r AttemptID) []Command { return c.Progress(now, r, 0) }
 
 // Progress records the completed share (0 to 1) of an attempt's work.
-func (c *Core) Progress(now int64, r RelayID, share float64) []Command {
+func (c *Core) Progress(now int64, r AttemptID, share float64) []Command {
 	c.resetOutput()
 	if c.outstandingAttempt(r) != nil && c.messages[r.Message].gang == nil {
 		c.actions = c.sched.Progress(now, r.Message, r.Attempt, share, c.actions)
@@ -221,7 +221,7 @@
 }
 
 // Ended records the outcome of an attempt. content is the result if the outcome is logic.Served.
-func (c *Core) Ended(now int64, r RelayID, result logic.Result, content []byte) []Command {
+func (c *Core) Ended(now int64, r AttemptID, result logic.Result, content []byte) []Command {
 	c.resetOutput()
 	if c.outstandingAttempt(r) == nil {
 		return c.commands
@@ -234,12 +234,12 @@
 	return c.applyActions(now)
 }
 
-// HangUp records that the client of a message has disconnected.
-func (c *Core) HangUp(now int64, id ID) []Command {
+// ClientGone records that the client of a message has disconnected.
+func (c *Core) ClientGone(now int64, id ID) []Command {
 	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
 		c.markAnswered(id, m)
-		c.actions = c.sched.HangUp(now, id, c.actions)
+		c.actions = c.sched.ClientGone(now, id, c.actions)
 	}
 	return c.finishMessage(now, id)
 }
@@ -250,7 +250,7 @@
 	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
 		c.answer(id, m, Command{Verdict: Failed})
-		c.actions = c.sched.HangUp(now, id, c.actions)
+		c.actions = c.sched.ClientGone(now, id, c.actions)
 	}
 	return c.finishMessage(now, id)
 }
@@ -261,7 +261,7 @@
 	c.resetOutput()
 	if m := c.messages[id]; m != nil && !m.answered {
 		c.answer(id, m, Command{Verdict: Refused, After: after})
-		c.actions = c.sched.HangUp(now, id, c.actions)
+		c.actions = c.sched.ClientGone(now, id, c.actions)
 	}
 	return c.finishMessage(now, id)
 }
@@ -278,7 +278,7 @@
 func (c *Core) emit(cmd Command) { c.commands = append(c.commands, cmd) }
 
 // outstandingAttempt returns the attempt, or nil if it is unknown or has an outcome already.
-func (c *Core) outstandingAttempt(r RelayID) *attempt {
+func (c *Core) outstandingAttempt(r AttemptID) *attempt {
 	m := c.messages[r.Message]
 	if m == nil || r.Attempt < 0 || r.Attempt >= len(m.attempts) || !m.attempts[r.Attempt].outstanding {
 		return nil
@@ -294,9 +294,9 @@
 		case logic.ActSend:
 			c.send(now, a)
 		case logic.ActCancel:
-			r := RelayID{a.Job, a.Attempt}
+			r := AttemptID{a.Job, a.Attempt}
 			if c.outstandingAttempt(r) != nil {
-				c.emit(Command{Kind: Drop, Relay: r})
+				c.emit(Command{Kind: Drop, Attempt: r})
 				c.completeAttempt(now, r, logic.Cancelled, nil)
 			}
 		case logic.ActRefuse, logic.ActFail:
@@ -329,15 +329,15 @@
 }
 
 // completeAttempt records the outcome of an attempt and passes it on to the decision module.
-func (c *Core) completeAttempt(now int64, r RelayID, result logic.Result, content []byte) {
+func (c *Core) completeAttempt(now int64, r AttemptID, result logic.Result, content []byte) {
 	m := c.messages[r.Message]
 	a := &m.attempts[r.Attempt]
 	a.outstanding = false
 	m.outstanding--
 	c.reportHealth(now, a.worker, result)
-	a.mayHaveRun = result != logic.ConnectFailed && result != logic.Refused && result != logic.Moot
+	a.mayHaveRun = result != logic.ConnectFailed && result != logic.Refused && result != logic.NotSent
 	m.mayHaveRun = m.mayHaveRun || a.mayHaveRun
-	if c.cfg.FreeConnects && result == logic.ConnectFailed {
+	if c.cfg.UncountedConnects && result == logic.ConnectFailed {
 		m.uncounted++
 	}
 	if result == logic.Served && !m.answered {
@@ -352,7 +352,7 @@
 // answer emits the single final answer of a message.
 func (c *Core) answer(id ID, m *message, cmd Command) {
 	c.markAnswered(id, m)
-	cmd.Kind, cmd.Relay = Answer, RelayID{Message: id}
+	cmd.Kind, cmd.Attempt = Answer, AttemptID{Message: id}
 	c.emit(cmd)
 }
 
--- a/internal/memory/core_test.go
+++ b/internal/memory/core_test.go
@@ -14,11 +14,11 @@
 
 func testConfig() logic.Config {
 	class := func(r logic.Repeat) logic.Class {
-		return logic.Class{Aim: 500_000, Stretch: 2, Deadline: 3_000_000, Worth: 1, Repeat: r, Window: 40_000_000, WorkerKind: -1}
+		return logic.Class{TargetLatency: 500_000, TargetPerWork: 2, Deadline: 3_000_000, Value: 1, Repeat: r, Window: 40_000_000, WorkerKind: -1}
 	}
 	return logic.Config{
 		Classes:    []logic.Class{class(logic.RepeatSafe), class(logic.RepeatKeyed), class(logic.RepeatUnsafe)},
-		Resolution: 1000, MaxAttempts: 3, MayCancel: true, TellsStart: true, MustAsk: true, MaxOpen: 2,
+		Resolution: 1000, MaxAttempts: 3, MayCancel: true, ReportsStart: true, NeedsSubscription: true, MaxOpen: 2,
 	}
 }
 
@@ -41,7 +41,7 @@
 	p.now += 1000
 	fmt.Fprintf(&p.out, "> %s\n", line)
 	f := strings.Fields(line)
-	var r RelayID
+	var r AttemptID
 	if len(f) > 1 {
 		fmt.Sscanf(f[1], "%d/%d", &r.Message, &r.Attempt)
 	}
@@ -80,7 +80,7 @@
 		fmt.Sscan(f[1]+" "+f[2], &share, &most)
 		p.c.Retries(share, most)
 	case "census":
-		listed, avoided := p.c.Census()
+		listed, avoided := p.c.HostCounts()
 		fmt.Fprintf(&p.out, "%d listed, %d avoided\n", listed, avoided)
 	case "started":
 		cmds = p.c.Started(p.now, r)
@@ -91,7 +91,7 @@
 	case "ended":
 		cmds = p.c.Ended(p.now, r, logic.Result(slices.Index(results, f[2])), []byte("swell"))
 	case "hangup":
-		cmds = p.c.HangUp(p.now, r.Message)
+		cmds = p.c.ClientGone(p.now, r.Message)
 	case "expire":
 		cmds = p.c.Expire(p.now, r.Message)
 	case "wait":
@@ -112,14 +112,14 @@
 	for _, c := range cmds {
 		switch c.Kind {
 		case Send:
-			fmt.Fprintf(&p.out, "send %d/%d to %s\n", c.Relay.Message, c.Relay.Attempt, c.Addr)
+			fmt.Fprintf(&p.out, "send %d/%d to %s\n", c.Attempt.Message, c.Attempt.Attempt, c.Addr)
 		case Drop:
-			fmt.Fprintf(&p.out, "drop %d/%d\n", c.Relay.Message, c.Relay.Attempt)
+			fmt.Fprintf(&p.out, "drop %d/%d\n", c.Attempt.Message, c.Attempt.Attempt)
 		case Answer:
-			fmt.Fprintf(&p.out, "answer %d %s %s\n", c.Relay.Message, answers[c.Verdict], c.Content)
+			fmt.Fprintf(&p.out, "answer %d %s %s\n", c.Attempt.Message, answers[c.Verdict], c.Content)
 		case Watch:
 			p.out.WriteString("watch\n")
-		case Leave:
+		case CloseIdle:
 			fmt.Fprintf(&p.out, "leave %s\n", c.Addr)
 		}
 	}
@@ -185,7 +185,7 @@
 		"host drains":     func(c *Core, now int64) { c.Inventory(now, logic.ListDelta, host(logic.Draining)) },
 		"host gone":       func(c *Core, now int64) { c.Inventory(now, logic.ListDelta, host(logic.Gone)) },
 		"host cordoned":   func(c *Core, now int64) { c.Cordon(now, "s-a", true) },
-		"client left":     func(c *Core, now int64) { c.HangUp(now, 1) },
+		"client left":     func(c *Core, now int64) { c.ClientGone(now, 1) },
 		"nothing changed": func(*Core, int64) {},
 	} {
 		c, err := New(testConfig(), 7)
@@ -199,7 +199,7 @@
 			t.Fatalf("%s: nothing sent: %v", name, cmds)
 		}
 		change(c, now+1)
-		if got, want := c.May(0, RelayID{id, 0}), name == "nothing changed"; got != want {
+		if got, want := c.MayStart(0, AttemptID{id, 0}), name == "nothing changed"; got != want {
 			t.Errorf("%s: May %t, want %t", name, got, want)
 		}
 	}
@@ -219,13 +219,13 @@
 		now := int64(1_000_000_000)
 		c.Inventory(now, logic.ListFull, []Host{{Name: "s-a", Addr: "a", Phase: logic.Ready}, {Name: "s-b", Addr: "b", Phase: logic.Ready}})
 		id, _ := c.Arrive(now, Message{}, now+2_000_000)
-		if cmds := c.Ended(now+20_000, RelayID{id, 0}, result, nil); !slices.ContainsFunc(cmds, func(k Command) bool { return k.Kind == Send }) {
+		if cmds := c.Ended(now+20_000, AttemptID{id, 0}, result, nil); !slices.ContainsFunc(cmds, func(k Command) bool { return k.Kind == Send }) {
 			t.Fatalf("after %v: not sent again: %v", result, cmds)
 		}
-		if !c.May(now+80_000, RelayID{id, 1}) {
+		if !c.MayStart(now+80_000, AttemptID{id, 1}) {
 			t.Errorf("after %v: May refuses the repeat within the window", result)
 		}
-		if got := c.May(now+101_000, RelayID{id, 1}); got != neverRan {
+		if got := c.MayStart(now+101_000, AttemptID{id, 1}); got != neverRan {
 			t.Errorf("after %v: May after the window: %t", result, got)
 		}
 	}
--- a/internal/memory/evidence.go
+++ b/internal/memory/evidence.go
@@ -7,8 +7,8 @@
 	Note(now int64, host logic.WorkerID, ok bool)
 }
 
-// Tell passes observations of hosts on to e; call it before the first message.
-func (c *Core) Tell(e Evidence) { c.evidence = e }
+// ReportHealthTo passes observations of hosts on to e; call it before the first message.
+func (c *Core) ReportHealthTo(e Evidence) { c.evidence = e }
 
 // reportHealth reports what an outcome shows about its host. A timeout is not reported: under overload all hosts
 // have timeouts.
@@ -24,21 +24,21 @@
 	}
 }
 
-// Verdict ejects a host that the fleet considers bad, until a time or until its own successful responses show
+// EjectUntil ejects a host that the fleet considers bad, until a time or until its own successful responses show
 // otherwise.
-func (c *Core) Verdict(now int64, host logic.WorkerID, until int64) {
-	c.sched.Verdict(now, host, until)
+func (c *Core) EjectUntil(now int64, host logic.WorkerID, until int64) {
+	c.sched.EjectUntil(now, host, until)
 }
 
-// Ran calls visit with the running time and the work of this dispatcher's own attempts at each host, weighted
+// Runs calls visit with the running time and the work of this dispatcher's own attempts at each host, weighted
 // towards recent ones.
-func (c *Core) Ran(now int64, visit func(host logic.WorkerID, run, work float64)) {
-	c.sched.Ran(now, visit)
+func (c *Core) Runs(now int64, visit func(host logic.WorkerID, run, work float64)) {
+	c.sched.Runs(now, visit)
 }
 
-// HeardRan takes the same totals of all other dispatchers together.
-func (c *Core) HeardRan(now int64, host logic.WorkerID, run, work float64) {
-	c.sched.HeardRan(now, host, run, work)
+// RecordOthersRuns takes the same totals of all other dispatchers together.
+func (c *Core) RecordOthersRuns(now int64, host logic.WorkerID, run, work float64) {
+	c.sched.RecordOthersRuns(now, host, run, work)
 }
 
 // Hosts calls visit for each known host with its worker id, in no particular order.
--- a/internal/memory/gangs.go
+++ b/internal/memory/gangs.go
@@ -81,10 +81,10 @@
 // Gang enables gangs, decided by g; call it before the first message.
 func (c *Core) Gang(g Gangs) { c.gangs = g }
 
-// Places calls visit for each host that may be sent a part, with its estimates for a part of that much work.
-func (c *Core) Places(now int64, work float64, visit func(logic.View)) {
-	c.sched.View(now, work, func(v logic.View) {
-		if v.Trusted && v.Warm && c.acceptsWork(c.hosts[v.ID]) {
+// EachGangHost calls visit for each host that may be sent a part, with its estimates for a part of that much work.
+func (c *Core) EachGangHost(now int64, work float64, visit func(logic.WorkerView)) {
+	c.sched.EachWorkerView(now, work, func(v logic.WorkerView) {
+		if v.Trusted && v.FullCapacity && c.acceptsWork(c.hosts[v.ID]) {
 			visit(v)
 		}
 	})
@@ -97,10 +97,10 @@
 		deadline = now + class.Deadline
 	}
 	work := max(float64(m.Hint)/1e6, 1e-3)
-	j := GangJob{ID: id, Class: m.Class, Work: work, Deadline: deadline, Worth: class.Worth, LateWorth: class.LateWorth, Stretch: class.Stretch, Price: c.price()}
-	j.Late = min(now+class.Aim+int64(class.Stretch*work*1e6), deadline)
+	j := GangJob{ID: id, Class: m.Class, Work: work, Deadline: deadline, Worth: class.Value, LateWorth: class.LateValue, Stretch: class.TargetPerWork, Price: c.price()}
+	j.Late = min(now+class.TargetLatency+int64(class.TargetPerWork*work*1e6), deadline)
 	totalWork := work * float64(c.gangs.Parts(m.Class))
-	if c.cfg.WorthByWork {
+	if c.cfg.ValueByWork {
 		j.Worth *= totalWork
 	}
 	if share > 0 {
@@ -113,8 +113,8 @@
 	c.applyGangActions(now, c.gangs.Arrive(now, j))
 }
 
-// Gathered reconsiders the gangs after the slot reports of the other dispatchers have come in.
-func (c *Core) Gathered(now int64) []Command {
+// ReconsiderGangs reconsiders the gangs after the slot reports of the other dispatchers have come in.
+func (c *Core) ReconsiderGangs(now int64) []Command {
 	c.resetOutput()
 	if c.gangs != nil {
 		c.applyGangActions(now, c.gangs.Round(now))
@@ -159,26 +159,26 @@
 		m.attempts = append(m.attempts, attempt{worker: id, sentAt: now, outstanding: true})
 		m.gang.work = append(m.gang.work, a.Run)
 		m.outstanding++
-		c.sched.Occupy(id, a.Run)
-		c.emit(Command{Kind: Send, Relay: RelayID{a.ID, rank}, Addr: peers[rank], Until: max(m.deadline, now+1), Gang: &GangPart{rank, peers, a.Within}})
+		c.sched.AdjustBacklog(id, a.Run)
+		c.emit(Command{Kind: Send, Attempt: AttemptID{a.ID, rank}, Addr: peers[rank], Until: max(m.deadline, now+1), Gang: &GangPart{rank, peers, a.Within}})
 	}
 }
 
 // partStarted records that a part has begun to run. From then on about half of its time remains on average.
-func (c *Core) partStarted(now int64, r RelayID, m *message) {
+func (c *Core) partStarted(now int64, r AttemptID, m *message) {
 	remaining := m.gang.work[r.Attempt] / 2
-	c.sched.Occupy(m.attempts[r.Attempt].worker, remaining-m.gang.work[r.Attempt])
+	c.sched.AdjustBacklog(m.attempts[r.Attempt].worker, remaining-m.gang.work[r.Attempt])
 	m.gang.work[r.Attempt] = remaining
 	c.gangs.Began(now, r.Message, r.Attempt)
 }
 
 // partEnded records the outcome of a part.
-func (c *Core) partEnded(now int64, r RelayID, m *message, result logic.Result, content []byte) {
+func (c *Core) partEnded(now int64, r AttemptID, m *message, result logic.Result, content []byte) {
 	a := &m.attempts[r.Attempt]
 	a.outstanding = false
 	m.outstanding--
-	c.sched.Occupy(a.worker, -m.gang.work[r.Attempt])
-	m.mayHaveRun = m.mayHaveRun || result != logic.ConnectFailed && result != logic.Refused && result != logic.Moot
+	c.sched.AdjustBacklog(a.worker, -m.gang.work[r.Attempt])
+	m.mayHaveRun = m.mayHaveRun || result != logic.ConnectFailed && result != logic.Refused && result != logic.NotSent
 	if result == logic.ConnectFailed || result == logic.Broken {
 		// Only these count against the host: any other failure may be caused by another part.
 		c.reportHealth(now, a.worker, result)
@@ -196,11 +196,11 @@
 func (c *Core) dropParts(now int64, id ID, m *message) {
 	for rank := range m.attempts {
 		if a := &m.attempts[rank]; a.outstanding {
-			c.emit(Command{Kind: Drop, Relay: RelayID{id, rank}})
+			c.emit(Command{Kind: Drop, Attempt: AttemptID{id, rank}})
 			a.outstanding = false
 			m.outstanding--
 			m.mayHaveRun = true
-			c.sched.Occupy(a.worker, -m.gang.work[rank])
+			c.sched.AdjustBacklog(a.worker, -m.gang.work[rank])
 		}
 	}
 	c.gangs.Left(id)
--- a/internal/memory/hosts.go
+++ b/internal/memory/hosts.go
@@ -60,25 +60,25 @@
 	if id, ok := c.workerIDs[name]; ok {
 		h := c.hosts[id]
 		if on && h.Phase == logic.Ready {
-			c.emit(Command{Kind: Leave, Addr: h.Addr})
+			c.emit(Command{Kind: CloseIdle, Addr: h.Addr})
 		}
 		c.actions = c.sched.Workers(now, logic.ListDelta, []logic.WorkerInfo{c.workerInfo(id, h.Host)}, c.actions)
 	}
 	return true, c.applyActions(now)
 }
 
-// Doubt marks the membership as stale (on) or as reliable again. While it is stale any host may have drained
+// SetMembershipStale marks the membership as stale (on) or as reliable again. While it is stale any host may have drained
 // without a report to this dispatcher, so nothing new is sent and messages wait until their clients give up.
-func (c *Core) Doubt(now int64, on bool) []Command {
+func (c *Core) SetMembershipStale(now int64, on bool) []Command {
 	c.resetOutput()
 	c.stale = on
-	c.actions = c.sched.Doubt(now, on, c.actions)
+	c.actions = c.sched.SetMembershipStale(now, on, c.actions)
 	return c.applyActions(now)
 }
 
-// Yield prepares for another process to take over from this dispatcher: from now on its remaining sends go only to
+// YieldSlowStartBudget prepares for another process to take over from this dispatcher: from now on its remaining sends go only to
 // hosts that are past their slow start.
-func (c *Core) Yield() { c.sched.Yield() }
+func (c *Core) YieldSlowStartBudget() { c.sched.YieldSlowStartBudget() }
 
 // Restore applies a cordon that an earlier process of this dispatcher had, whether the host is listed or not.
 func (c *Core) Restore(now int64, name string) []Command {
@@ -98,9 +98,9 @@
 	return names
 }
 
-// Census returns the number of listed hosts, and of those that receive no new work because they are cordoned or
+// HostCounts returns the number of listed hosts, and of those that receive no new work because they are cordoned or
 // not in the ready phase.
-func (c *Core) Census() (listed, avoided int) {
+func (c *Core) HostCounts() (listed, avoided int) {
 	for _, h := range c.hosts {
 		if h.Phase != logic.Ready || c.cordoned[h.Name] {
 			avoided++
@@ -135,7 +135,7 @@
 		return id
 	}
 	if old != nil && old.Phase == logic.Ready && !c.cordoned[e.Name] && (e.Phase != logic.Ready || old.Addr != e.Addr) {
-		c.emit(Command{Kind: Leave, Addr: old.Addr})
+		c.emit(Command{Kind: CloseIdle, Addr: old.Addr})
 	}
 	c.workerIDs[e.Name] = id
 	c.hosts[id] = &host{Host: e, id: id}
@@ -144,7 +144,7 @@
 
 func (c *Core) removeHost(h *host) {
 	if h.Phase == logic.Ready {
-		c.emit(Command{Kind: Leave, Addr: h.Addr})
+		c.emit(Command{Kind: CloseIdle, Addr: h.Addr})
 	}
 	delete(c.hosts, h.id)
 	delete(c.workerIDs, h.Name)
--- a/internal/memory/limits.go
+++ b/internal/memory/limits.go
@@ -3,22 +3,22 @@
 // Fleet-wide limits, of which this dispatcher holds a part. The core does not know how the parts are allocated. It
 // asks once per message, never waits for an answer, and reports when the message is answered.
 
-// Right is the result of a check against the limits.
-type Right uint8
+// LimitResult is the result of a check against the limits.
+type LimitResult uint8
 
 // The results of a check.
 const (
-	Unlimited Right = iota
-	Inside          // counts as within the tenant's share
-	Beyond          // counts as beyond the tenant's share
-	Over            // must be refused at once
+	Unlimited   LimitResult = iota
+	WithinShare             // counts as within the tenant's share
+	BeyondShare             // counts as beyond the tenant's share
+	OverLimit               // must be refused at once
 )
 
 // Limits is consulted once for each message.
 type Limits interface {
-	// Enter reserves what a message needs under the limits, if it is available. A message that occupies a place must
+	// Admit reserves what a message needs under the limits, if it is available. A message that occupies a place must
 	// be answered within maxWait microseconds; 0 means no bound.
-	Enter(now int64, id ID, tenant, class int) (r Right, maxWait int64)
+	Admit(now int64, id ID, tenant, class int) (r LimitResult, maxWait int64)
 	// Answered returns the reservation of a message; calling it for a message without one has no effect.
 	Answered(id ID)
 }
@@ -39,7 +39,7 @@
 	if c.limits == nil {
 		return deadline, 0, true
 	}
-	right, maxWait := c.limits.Enter(now, id, m.Tenant, m.Class)
+	right, maxWait := c.limits.Admit(now, id, m.Tenant, m.Class)
 	if maxWait > 0 {
 		if deadline <= 0 {
 			deadline = now + c.cfg.Classes[min(max(m.Class, 0), len(c.cfg.Classes)-1)].Deadline
@@ -47,12 +47,12 @@
 		deadline = min(deadline, now+maxWait)
 	}
 	switch right {
-	case Inside:
+	case WithinShare:
 		share = 1
-	case Beyond:
-		share = max(c.cfg.OverShare, minOverShare)
+	case BeyondShare:
+		share = max(c.cfg.OverQuotaValue, minOverShare)
 	}
-	return deadline, share, right != Over
+	return deadline, share, right != OverLimit
 }
 
 // markAnswered records that a message has its answer or that its client has left, and returns its reservation.
--- a/internal/memory/prices.go
+++ b/internal/memory/prices.go
@@ -25,11 +25,11 @@
 // reportDemand reports the message that has just arrived to the prices.
 func (c *Core) reportDemand(now int64) {
 	if c.prices != nil {
-		worth, work, slack := c.sched.Weighed()
+		worth, work, slack := c.sched.LastJobEstimate()
 		c.prices.Asked(now, worth, work, slack)
 	}
 }
 
-// Waits returns this dispatcher's slot-seconds of work waiting at hosts, and the slot-seconds per second that the
+// PendingWork returns this dispatcher's slot-seconds of work waiting at hosts, and the slot-seconds per second that the
 // ready hosts can process.
-func (c *Core) Waits() (work, capacity float64) { return c.sched.Waits() }
+func (c *Core) PendingWork() (work, capacity float64) { return c.sched.PendingWork() }
--- a/internal/memory/retries.go
+++ b/internal/memory/retries.go
@@ -40,12 +40,12 @@
 }
 
 // giveUp answers a message whose next attempt has no token.
-func (c *Core) giveUp(now int64, r RelayID, m *message) {
+func (c *Core) giveUp(now int64, r AttemptID, m *message) {
 	c.retryBudget.denied++
 	verdict := Refused
 	if m.mayHaveRun {
 		verdict = Failed
 	}
 	c.answer(r.Message, m, Command{Verdict: verdict, After: retryAfterOverLimit})
-	c.completeAttempt(now, r, logic.Moot, nil)
+	c.completeAttempt(now, r, logic.NotSent, nil)
 }
--- a/internal/record/journal.go
+++ b/internal/record/journal.go
@@ -204,7 +204,7 @@
 func (j *Journal) Filter(now int64, cmds []memory.Command) []memory.Command {
 	out := make([]memory.Command, 0, len(cmds))
 	for _, c := range cmds {
-		e := j.open[c.Relay.Message]
+		e := j.open[c.Attempt.Message]
 		switch {
 		case e == nil:
 			out = append(out, c)
@@ -244,7 +244,7 @@
 func (j *Journal) recordDrop(now int64, c memory.Command, e *entry) bool {
 	held := false
 	for i, h := range e.heldSends {
-		if h.cmd.Relay == c.Relay {
+		if h.cmd.Attempt == c.Attempt {
 			e.heldSends = append(e.heldSends[:i], e.heldSends[i+1:]...)
 			held = true
 			j.untrackIfNoSends(e)
@@ -281,7 +281,7 @@
 }
 
 // Started records that a host has begun to run an attempt.
-func (j *Journal) Started(r memory.RelayID) {
+func (j *Journal) Started(r memory.AttemptID) {
 	if e := j.open[r.Message]; e != nil && len(e.rec.Attempts) > 0 {
 		if a := &e.rec.Attempts[len(e.rec.Attempts)-1]; a.Result == Unknown && !a.Started {
 			a.Started = true
@@ -291,7 +291,7 @@
 }
 
 // Ended records the end of an attempt. It has to be called before the core is notified of the end.
-func (j *Journal) Ended(now int64, r memory.RelayID, result logic.Result) {
+func (j *Journal) Ended(now int64, r memory.AttemptID, result logic.Result) {
 	if e := j.open[r.Message]; e != nil {
 		j.recordEnd(now, e, ResultOf(result))
 	}
--- a/internal/record/journal_test.go
+++ b/internal/record/journal_test.go
@@ -28,15 +28,15 @@
 }
 
 func send(id memory.ID, attempt int) memory.Command {
-	return memory.Command{Kind: memory.Send, Relay: memory.RelayID{Message: id, Attempt: attempt}, Addr: fmt.Sprintf("h%d", attempt)}
+	return memory.Command{Kind: memory.Send, Attempt: memory.AttemptID{Message: id, Attempt: attempt}, Addr: fmt.Sprintf("h%d", attempt)}
 }
 
 func served(id memory.ID, content string) memory.Command {
-	return memory.Command{Kind: memory.Answer, Relay: memory.RelayID{Message: id}, Verdict: memory.Served, Content: []byte(content)}
+	return memory.Command{Kind: memory.Answer, Attempt: memory.AttemptID{Message: id}, Verdict: memory.Served, Content: []byte(content)}
 }
 
 func verdict(id memory.ID, v memory.Verdict) memory.Command {
-	return memory.Command{Kind: memory.Answer, Relay: memory.RelayID{Message: id}, Verdict: v}
+	return memory.Command{Kind: memory.Answer, Attempt: memory.AttemptID{Message: id}, Verdict: v}
 }
 
 func take(j *Journal, now int64, id memory.ID, class int, key string) {
@@ -51,7 +51,7 @@
 		if c.Kind == memory.Answer {
 			s += []string{"-served", "-refused", "-failed", "-duplicate"}[c.Verdict]
 		}
-		out = append(out, fmt.Sprintf("%s %d", s, c.Relay.Message))
+		out = append(out, fmt.Sprintf("%s %d", s, c.Attempt.Message))
 	}
 	return strings.Join(out, ", ")
 }
@@ -89,8 +89,8 @@
 		t.Errorf("written: %+v", b)
 	}
 	for id := range memory.ID(5) {
-		j.Started(memory.RelayID{Message: id})
-		j.Ended(10, memory.RelayID{Message: id}, logic.Served)
+		j.Started(memory.AttemptID{Message: id})
+		j.Ended(10, memory.AttemptID{Message: id}, logic.Served)
 	}
 	expect(t, "answers", j.Filter(10, []memory.Command{served(1, "a"), served(2, "b"), served(3, "c"), served(4, "d")}), "answer-served 3, answer-served 4")
 	b, out = write(t, j, 11, nil)
@@ -121,7 +121,7 @@
 	take(j, 0, 1, alert, "")
 	j.Filter(0, []memory.Command{send(1, 0)})
 	b := j.Batch(0)
-	drop := memory.Command{Kind: memory.Drop, Relay: memory.RelayID{Message: 1}}
+	drop := memory.Command{Kind: memory.Drop, Attempt: memory.AttemptID{Message: 1}}
 	expect(t, "cancelled while held", j.Filter(1, []memory.Command{drop, send(1, 1)}), "")
 	out, _ := j.Wrote(2, nil)
 	expect(t, "write of the first attempt", out, "")
@@ -131,7 +131,7 @@
 		t.Errorf("%+v then %+v", b, b2)
 	}
 	// An attempt that was sent is stopped as usual.
-	expect(t, "cancelled after it was sent", j.Filter(4, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: 1, Attempt: 1}}}), "drop 1")
+	expect(t, "cancelled after it was sent", j.Filter(4, []memory.Command{{Kind: memory.Drop, Attempt: memory.AttemptID{Message: 1, Attempt: 1}}}), "drop 1")
 }
 
 // A write that ends with an error is repeated whether or not it was executed, and no command is released until a
@@ -169,8 +169,8 @@
 	if j.Batch(1) == nil {
 		t.Fatal("nothing to write")
 	}
-	j.Ended(2, memory.RelayID{Message: 2}, logic.Served)
-	j.Ended(2, memory.RelayID{Message: 3}, logic.Failed)
+	j.Ended(2, memory.AttemptID{Message: 2}, logic.Served)
+	j.Ended(2, memory.AttemptID{Message: 3}, logic.Failed)
 	expect(t, "answers", j.Filter(2, []memory.Command{served(2, "x"), verdict(3, memory.Failed)}), "")
 	if next := j.Next(); next != 101 {
 		t.Errorf("the write times out at %d, want 101", next)
@@ -180,7 +180,7 @@
 	if !changed || !slices.Equal(refuse, []memory.ID{1}) {
 		t.Errorf("changed %t, refuse %v", changed, refuse)
 	}
-	expect(t, "the refusal", j.Filter(101, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: 1}}, verdict(1, memory.Refused)}), "answer-refused 1")
+	expect(t, "the refusal", j.Filter(101, []memory.Command{{Kind: memory.Drop, Attempt: memory.AttemptID{Message: 1}}, verdict(1, memory.Refused)}), "answer-refused 1")
 	if j.Admit(alert) || !j.Admit(batch) || !j.Admit(reading) || !j.Admit(probe) {
 		t.Error("while the store is unavailable, exactly the classes that need it must be refused")
 	}
@@ -232,7 +232,7 @@
 	take(j, 0, 1, alert, "")
 	j.Filter(0, []memory.Command{send(1, 0)})
 	write(t, j, 0, nil)
-	j.Ended(1, memory.RelayID{Message: 1}, logic.Cancelled)
+	j.Ended(1, memory.AttemptID{Message: 1}, logic.Cancelled)
 	j.Left(1, 1)
 	b, out := write(t, j, 2, nil)
 	expect(t, "after the client left", out, "")
@@ -341,10 +341,10 @@
 	for _, c := range cmds {
 		switch c.Kind {
 		case memory.Send:
-			w.atHost[c.Relay.Message] = true
+			w.atHost[c.Attempt.Message] = true
 		case memory.Answer:
-			w.answered[c.Relay.Message] = c
-			w.answeredWhileOpen[c.Relay.Message] = w.j.Breaker.Open()
+			w.answered[c.Attempt.Message] = c
+			w.answeredWhileOpen[c.Attempt.Message] = w.j.Breaker.Open()
 		}
 	}
 }
@@ -394,14 +394,14 @@
 		w.execute(more)
 		for _, r := range refuse {
 			w.attempts[r] = -1
-			w.execute(w.j.Filter(w.now, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: r, Attempt: attempts - 1}}, verdict(r, memory.Refused)}))
+			w.execute(w.j.Filter(w.now, []memory.Command{{Kind: memory.Drop, Attempt: memory.AttemptID{Message: r, Attempt: attempts - 1}}, verdict(r, memory.Refused)}))
 		}
 	case 5: // the host serves the message
 		if !w.atHost[id] || attempts < 1 {
 			return false
 		}
 		w.attempts[id] = -1
-		w.j.Ended(w.now, memory.RelayID{Message: id, Attempt: attempts - 1}, logic.Served)
+		w.j.Ended(w.now, memory.AttemptID{Message: id, Attempt: attempts - 1}, logic.Served)
 		w.execute(w.j.Filter(w.now, []memory.Command{served(id, "x")}))
 	case 6: // the host returns the message, and it goes to another host
 		if !w.atHost[id] || attempts != 1 {
@@ -409,14 +409,14 @@
 		}
 		w.atHost[id] = false
 		w.attempts[id] = 2
-		w.j.Ended(w.now, memory.RelayID{Message: id, Attempt: 0}, logic.Refused)
+		w.j.Ended(w.now, memory.AttemptID{Message: id, Attempt: 0}, logic.Refused)
 		w.execute(w.j.Filter(w.now, []memory.Command{send(id, 1)}))
 	case 7: // the connection to the host breaks, and the core answers failed
 		if !w.atHost[id] || attempts < 1 {
 			return false
 		}
 		w.attempts[id] = -1
-		w.j.Ended(w.now, memory.RelayID{Message: id, Attempt: attempts - 1}, logic.Broken)
+		w.j.Ended(w.now, memory.AttemptID{Message: id, Attempt: attempts - 1}, logic.Broken)
 		w.execute(w.j.Filter(w.now, []memory.Command{verdict(id, memory.Failed)}))
 	}
 	return true
@@ -516,13 +516,13 @@
 		execute := func(cmds []memory.Command) {
 			for _, c := range cmds {
 				if c.Kind == memory.Answer {
-					if answered[c.Relay.Message] {
-						t.Fatalf("%d was answered twice", c.Relay.Message)
+					if answered[c.Attempt.Message] {
+						t.Fatalf("%d was answered twice", c.Attempt.Message)
 					}
-					answered[c.Relay.Message] = true
+					answered[c.Attempt.Message] = true
 				}
 				if c.Kind == memory.Send {
-					sent[c.Relay.Message] = true
+					sent[c.Attempt.Message] = true
 				}
 			}
 		}
@@ -532,7 +532,7 @@
 					t.Fatalf("%d was sent, but is to be refused", id)
 				}
 				delete(open, id)
-				execute(j.Filter(now, []memory.Command{{Kind: memory.Drop, Relay: memory.RelayID{Message: id}}, verdict(id, memory.Refused)}))
+				execute(j.Filter(now, []memory.Command{{Kind: memory.Drop, Attempt: memory.AttemptID{Message: id}}, verdict(id, memory.Refused)}))
 			}
 		}
 		finish := func(err error) {
@@ -576,7 +576,7 @@
 				}
 				delete(open, id)
 				result := rapid.SampledFrom([]logic.Result{logic.Served, logic.Failed, logic.Refused}).Draw(t, "result")
-				j.Ended(now, memory.RelayID{Message: id}, result)
+				j.Ended(now, memory.AttemptID{Message: id}, result)
 				execute(j.Filter(now, []memory.Command{map[logic.Result]memory.Command{logic.Served: served(id, "x"), logic.Failed: verdict(id, memory.Failed),
 					logic.Refused: verdict(id, memory.Refused)}[result]}))
 			case 3:
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -110,7 +110,7 @@
 		return Broke
 	case logic.Cancelled:
 		return CalledOff
-	case logic.Moot:
+	case logic.NotSent:
 		return Unsent
 	}
 	return NoGood
--- a/internal/seam/checked.go
+++ b/internal/seam/checked.go
@@ -10,14 +10,14 @@
 // whether the operation can proceed, and is nil where it always can. Choose returns one of the numbers 0 to n-1, to
 // explore alternatives. Both are set only while a check runs; otherwise operations do not wait for a schedule.
 var (
-	Turn   func(ready func() bool, objects ...any)
-	Choose func(n int) int
+	WaitScheduled func(ready func() bool, objects ...any)
+	Choose        func(n int) int
 )
 
 // waitScheduled calls Turn while a check runs.
 func waitScheduled(ready func() bool, objects ...any) {
-	if Turn != nil {
-		Turn(ready, objects...)
+	if WaitScheduled != nil {
+		WaitScheduled(ready, objects...)
 	}
 }
 
--- a/internal/wire/platform/config.go
+++ b/internal/wire/platform/config.go
@@ -91,9 +91,9 @@
 		return nil, err
 	}
 	// On sockets, lists come only on request, whatever the simulator does.
-	c.Settings.MustAsk = true
+	c.Settings.NeedsSubscription = true
 	// An attempt counts here once its last byte has arrived at the host, so one whose connect failed does not count.
-	c.Settings.FreeConnects = true
+	c.Settings.UncountedConnects = true
 	for i, t := range c.Settings.Tenants {
 		if t.Name == "" {
 			return nil, fmt.Errorf("settings: Tenants.%d.Name: want a name", i)
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -174,12 +174,12 @@
 		Known: List{Revision: 4, Complete: true, Hosts: []memory.Host{{Name: "s-0a", Addr: "127.0.0.1:2", Zone: 1, Kind: 1,
 			Cell: 3, Weight: 1.5, UpSince: 7000, Phase: logic.Ready}}},
 		Settings: logic.Config{
-			Schedulers: 1, Zones: 2, MustAsk: true, FreeConnects: true, OverShare: 1, Progress: 2_000_000, MaxAttempts: 3, ConnectTimeout: 150000, ConnIdle: 30000000,
+			Schedulers: 1, Zones: 2, NeedsSubscription: true, UncountedConnects: true, OverQuotaValue: 1, Progress: 2_000_000, MaxAttempts: 3, ConnectTimeout: 150000, ConnIdle: 30000000,
 			MaxOpen: 9, Pushed: true, ZoneNames: []string{"dakar", "saint_louis"}, KindNames: []string{"m1", "m2"},
 			Tenants: []logic.Tenant{{Name: "coast_guard", Quota: 8}, {Name: "harbour"}},
 			Classes: []logic.Class{
-				{Name: "readings", Aim: 1, Stretch: 2.5, Worth: 1, Repeat: logic.RepeatSafe, WorkerKind: -1},
-				{Name: "ingest", Stretch: 2, Worth: 1, Repeat: logic.RepeatKeyed, WorkerKind: -1}},
+				{Name: "readings", TargetLatency: 1, TargetPerWork: 2.5, Value: 1, Repeat: logic.RepeatSafe, WorkerKind: -1},
+				{Name: "ingest", TargetPerWork: 2, Value: 1, Repeat: logic.RepeatKeyed, WorkerKind: -1}},
 		},
 	}
 	if diff := cmp.Diff(want, got, cmpopts.EquateEmpty()); diff != "" {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -25,32 +25,32 @@
 		}
 	}
 	c := logic.Config{
-		Schedulers:  s.count("Balancers", 1),
-		Self:        s.count("SelfIndex", 0),
-		Zone:        s.count("Zone", 0),
-		Zones:       max(1, len(s.list("Zones"))),
-		MustAsk:     s["Discovery"] == "subscribe",
-		WorthByWork: s["WorthBy"] == "work",
-		OverShare:   s.float("OverShareWorth", 1),
-		TellsStart:  s.flag("FamilyInfo.TellsStart"),
-		Progress:    s.micros("FamilyInfo.Progress", 0),
-		Resolution:  s.micros("Resolution", 0),
+		Schedulers:        s.count("Balancers", 1),
+		Self:              s.count("SelfIndex", 0),
+		Zone:              s.count("Zone", 0),
+		Zones:             max(1, len(s.list("Zones"))),
+		NeedsSubscription: s["Discovery"] == "subscribe",
+		ValueByWork:       s["WorthBy"] == "work",
+		OverQuotaValue:    s.float("OverShareWorth", 1),
+		ReportsStart:      s.flag("FamilyInfo.TellsStart"),
+		Progress:          s.micros("FamilyInfo.Progress", 0),
+		Resolution:        s.micros("Resolution", 0),
 
 		MayCancel: s.flag("Limits.Cancelling"),
 		MayCopy:   s.flag("Limits.SecondCopies"),
 
-		MaxAttempts:   s.count("Limits.MaxAttempts", 1),
-		HidesRetry:    s["Clients.MarksRetry"] == "false", // if not said, a short wait is no sign of a retry
-		MaxRetryAfter: s.micros("Limits.MaxRetryAfter", 0),
+		MaxAttempts:     s.count("Limits.MaxAttempts", 1),
+		RetriesUnmarked: s["Clients.MarksRetry"] == "false", // if not said, a short wait is no sign of a retry
+		MaxRetryAfter:   s.micros("Limits.MaxRetryAfter", 0),
 
-		AnswerSlack:   s.micros("Rules.AnswerSlack", 0),
-		DrainGrace:    s.micros("Rules.DrainGrace", 0),
-		StartCapacity: s.float("Rules.StartCapacity", 0),
-		Cold:          s.micros("Rules.Cold", 0),
-		FallWindow:    s.micros("Rules.Fall", 0),
-		FallMultiple:  s.float("Rules.FallMultiple", 0),
+		AnswerSlack:      s.micros("Rules.AnswerSlack", 0),
+		DrainGrace:       s.micros("Rules.DrainGrace", 0),
+		StartCapacity:    s.float("Rules.StartCapacity", 0),
+		SlowStart:        s.micros("Rules.Cold", 0),
+		OverloadWindow:   s.micros("Rules.Fall", 0),
+		OverloadMultiple: s.float("Rules.FallMultiple", 0),
 
-		PriceCross: s.float("Charges.CrossZone", 0),
+		CrossZoneCost: s.float("Charges.CrossZone", 0),
 
 		ZoneNames:      s.list("Zones"),
 		KindNames:      s.list("Skus"),
@@ -58,7 +58,7 @@
 		ConnIdle:       s.micros("Limits.ConnIdle", 0),
 		MaxOpen:        s.count("Limits.MaxOpen", 0),
 		Pushed:         s["Discovery"] == "automatic",
-		AskWithin:      s.micros("Rules.AskWithin", 0),
+		ListValidity:   s.micros("Rules.AskWithin", 0),
 	}
 	// Limits.RetryAfter says whether the simulator's clients receive retry advice; if not, the simulator drops it. On
 	// sockets the Retry-After header is always allowed, so the advice is always given.
@@ -90,10 +90,10 @@
 	for i := range out {
 		p := "Classes." + strconv.Itoa(i) + "."
 		out[i] = logic.Class{
-			Name: s[p+"Name"],
-			Aim:  s.micros(p+"Aim", 0), Deadline: s.micros(p+"Deadline", 0),
-			Stretch: s.float(p+"AimStretch", 0), Worth: s.float(p+"Gain", 1),
-			LateWorth: s.float(p+"LateValue", 0), Window: s.micros(p+"RepeatWindow", 0),
+			Name:          s[p+"Name"],
+			TargetLatency: s.micros(p+"Aim", 0), Deadline: s.micros(p+"Deadline", 0),
+			TargetPerWork: s.float(p+"AimStretch", 0), Value: s.float(p+"Gain", 1),
+			LateValue: s.float(p+"LateValue", 0), Window: s.micros(p+"RepeatWindow", 0),
 			Streamed: s.flag(p + "Streamed"), WorkerKind: -1,
 		}
 		switch s[p+"Semantics"] {
@@ -115,7 +115,7 @@
 		}
 		if i < len(stretch) {
 			if v, err := strconv.ParseFloat(stretch[i], 64); err == nil && validNumber(v) {
-				out[i].Stretch = v
+				out[i].TargetPerWork = v
 			}
 		}
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -166,8 +166,8 @@
 		t.Fatal(err)
 	}
 	k := c.Classes[0]
-	if c.Schedulers != 3 || k.Aim != 300000 || k.Repeat != logic.RepeatKeyed || k.Group != logic.GroupZone ||
-		k.WorkerKind != 1 || k.Stretch != 1.5 || c.Cold != 0 {
+	if c.Schedulers != 3 || k.TargetLatency != 300000 || k.Repeat != logic.RepeatKeyed || k.Group != logic.GroupZone ||
+		k.WorkerKind != 1 || k.TargetPerWork != 1.5 || c.SlowStart != 0 {
 		t.Errorf("config %+v", c)
 	}
 	want := []logic.Field{logic.FieldFreeSlots, logic.FieldUnknown, logic.FieldService}
@@ -191,8 +191,8 @@
 func TestHidesRetry(t *testing.T) {
 	for line, want := range map[string]bool{"": false, "Clients.MarksRetry=true": false, "Clients.MarksRetry=false": true, "Clients.MarksRetry=0": false} {
 		c, err := ParseSettings([]byte("Classes.count=1\n" + line))
-		if err != nil || c.HidesRetry != want {
-			t.Errorf("%q: HidesRetry %t, error %v; want %t", line, c.HidesRetry, err, want)
+		if err != nil || c.RetriesUnmarked != want {
+			t.Errorf("%q: HidesRetry %t, error %v; want %t", line, c.RetriesUnmarked, err, want)
 		}
 	}
 }
--- a/logic/api.go
+++ b/logic/api.go
@@ -54,17 +54,17 @@
 
 // Class describes one class of jobs. Durations are microseconds.
 type Class struct {
-	Name       string  // label used by the callers of this deployment; no decision depends on it
-	Aim        int64   // target latency: answers within Aim + Stretch x work earn the full value; default Deadline
-	Stretch    float64 // growth of the target latency with the job's own work
-	Deadline   int64   // how long a client waits; used where a job states no deadline; default 10 s
-	Worth      float64 // value of a job, or of a unit of its work (Config.WorthByWork)
-	LateWorth  float64 // fraction of the value that a late answer still earns
-	Repeat     Repeat  // whether and where the job may run again
-	Group      Group   // for RepeatKeyed: the workers that drop each other's repeats
-	Window     int64   // how long repeats are dropped, from the sending of the first attempt that may have run
-	WorkerKind int     // the only kind of worker that can run it; -1 for any
-	Streamed   bool    // answers are streamed; no decision depends on it
+	Name          string  // label used by the callers of this deployment; no decision depends on it
+	TargetLatency int64   // target latency: answers within Aim + Stretch x work earn the full value; default Deadline
+	TargetPerWork float64 // growth of the target latency with the job's own work
+	Deadline      int64   // how long a client waits; used where a job states no deadline; default 10 s
+	Value         float64 // value of a job, or of a unit of its work (Config.WorthByWork)
+	LateValue     float64 // fraction of the value that a late answer still earns
+	Repeat        Repeat  // whether and where the job may run again
+	Group         Group   // for RepeatKeyed: the workers that drop each other's repeats
+	Window        int64   // how long repeats are dropped, from the sending of the first attempt that may have run
+	WorkerKind    int     // the only kind of worker that can run it; -1 for any
+	Streamed      bool    // answers are streamed; no decision depends on it
 }
 
 // Tenant is one of the parties that share the fleet.
@@ -97,29 +97,29 @@
 	Tenants    []Tenant // tenants; Job.Tenant is an index into it; empty where there are no quotas
 	Reports    []Field  // the values of a load report, in order; empty where workers send none
 
-	MustAsk     bool    // the worker list comes only to subscribers
-	WorthByWork bool    // Class.Worth counts for each unit of work
-	OverShare   float64 // fraction of its value that a job beyond its tenant's quota has
-	TellsStart  bool    // workers report when a job starts
-	Progress    int64   // interval at which workers report the progress of a running job; 0 = never
-	Resolution  int64   // smallest interval between events; default 1000
+	NeedsSubscription bool    // the worker list comes only to subscribers
+	ValueByWork       bool    // Class.Worth counts for each unit of work
+	OverQuotaValue    float64 // fraction of its value that a job beyond its tenant's quota has
+	ReportsStart      bool    // workers report when a job starts
+	Progress          int64   // interval at which workers report the progress of a running job; 0 = never
+	Resolution        int64   // smallest interval between events; default 1000
 
 	MayCancel bool // attempts may be cancelled
 	MayCopy   bool // two attempts of a job may be outstanding at once
 
-	MaxAttempts   int   // attempts per job; default 1
-	FreeConnects  bool  // an attempt that never reached its worker does not count
-	HidesRetry    bool  // clients do not mark retries; a remaining time shorter than the class's deadline shows them
-	MaxRetryAfter int64 // longest Retry-After that clients follow; 0 = they follow none
+	MaxAttempts       int   // attempts per job; default 1
+	UncountedConnects bool  // an attempt that never reached its worker does not count
+	RetriesUnmarked   bool  // clients do not mark retries; a remaining time shorter than the class's deadline shows them
+	MaxRetryAfter     int64 // longest Retry-After that clients follow; 0 = they follow none
 
-	AnswerSlack   int64   // how long after the client's deadline an answer still counts
-	DrainGrace    int64   // how long sends to a draining worker are tolerated; no decision depends on it
-	StartCapacity float64 // lowest share of its capacity that a starting worker has; default 0.1
-	Cold          int64   // length of a worker's slow start; 0 = workers start with full capacity
-	FallWindow    int64   // window over which the load of a worker in slow start is counted; default 1 s
-	FallMultiple  float64 // it fails beyond this multiple of its current capacity; default 1
+	AnswerSlack      int64   // how long after the client's deadline an answer still counts
+	DrainGrace       int64   // how long sends to a draining worker are tolerated; no decision depends on it
+	StartCapacity    float64 // lowest share of its capacity that a starting worker has; default 0.1
+	SlowStart        int64   // length of a worker's slow start; 0 = workers start with full capacity
+	OverloadWindow   int64   // window over which the load of a worker in slow start is counted; default 1 s
+	OverloadMultiple float64 // it fails beyond this multiple of its current capacity; default 1
 
-	PriceCross float64 // points of value lost for an attempt that leaves the zone
+	CrossZoneCost float64 // points of value lost for an attempt that leaves the zone
 
 	// No decision depends on the fields below; they serve the code that carries the decisions out.
 	ZoneNames      []string // by zone number
@@ -128,7 +128,7 @@
 	ConnIdle       int64    // workers close a connection that has been idle for this long
 	MaxOpen        int      // jobs held at once; 0 = no limit
 	Pushed         bool     // the worker list counts as known at once, whether it was requested or not
-	AskWithin      int64    // how long a list stays valid after its request without a subscription; 0 = without end
+	ListValidity   int64    // how long a list stays valid after its request without a subscription; 0 = without end
 }
 
 // Phase is the state of a worker in the worker list.
@@ -165,17 +165,17 @@
 
 // Job is a request on its arrival.
 type Job struct {
-	ID       JobID
-	Key      uint64  // data set that it needs; 0 = none
-	Class    int     // index into Config.Classes; out of range counts as the last class
-	Tenant   int     // index into Config.Tenants; any other number where it is none of them
-	Hint     int64   // expected work on a standard core, microseconds; 0 = unknown
-	Slots    float64 // slots it occupies; below 1 counts as 1
-	Memory   float64 // memory units it occupies; a worker has one for each slot
-	Deadline int64   // when the client gives up, in microseconds; 0 = after Class.Deadline
-	Repeated bool    // the client has tried before
-	Share    float64 // fraction of its value that it has by the limits of the whole fleet; 0 = these do not decide it
-	Price    float64 // value of the work that one slot could do in a second instead; 0 = the fleet has spare capacity
+	ID        JobID
+	Key       uint64  // data set that it needs; 0 = none
+	Class     int     // index into Config.Classes; out of range counts as the last class
+	Tenant    int     // index into Config.Tenants; any other number where it is none of them
+	Hint      int64   // expected work on a standard core, microseconds; 0 = unknown
+	Slots     float64 // slots it occupies; below 1 counts as 1
+	Memory    float64 // memory units it occupies; a worker has one for each slot
+	Deadline  int64   // when the client gives up, in microseconds; 0 = after Class.Deadline
+	Repeated  bool    // the client has tried before
+	Share     float64 // fraction of its value that it has by the limits of the whole fleet; 0 = these do not decide it
+	SlotPrice float64 // value of the work that one slot could do in a second instead; 0 = the fleet has spare capacity
 }
 
 // Result states how an attempt ended.
@@ -190,7 +190,7 @@
 	ConnectFailed               // the attempt never reached the worker
 	Broken                      // the connection failed during the attempt; it may have run
 	Cancelled                   // cancelled; it may have run
-	Moot                        // never sent
+	NotSent                     // never sent
 	Unusable                    // the worker rejected the job as invalid; to be safe, it counts as one that may have run
 )
 
--- a/logic/backlog.go
+++ b/logic/backlog.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// Heard records the slot-work, in seconds, that the other schedulers have at a worker, as of time at. It counts
+// RecordOthersBacklog records the slot-work, in seconds, that the other schedulers have at a worker, as of time at. It counts
 // like an own observation; a report older than the last observation is ignored.
-func (s *Scheduler) Heard(now int64, id WorkerID, work float64, at int64) {
+func (s *Scheduler) RecordOthersBacklog(now int64, id WorkerID, work float64, at int64) {
 	s.now = max(s.now, now)
 	if i, ok := s.byID[id]; ok && at >= s.workers[i].othersBacklogAt {
 		w := &s.workers[i]
@@ -85,8 +85,8 @@
 	}
 }
 
-// HeardDemand records the slots per second that the other schedulers need for a data set; valid until a time.
-func (s *Scheduler) HeardDemand(key uint64, load float64, until int64) {
+// RecordOthersDemand records the slots per second that the other schedulers need for a data set; valid until a time.
+func (s *Scheduler) RecordOthersDemand(key uint64, load float64, until int64) {
 	h := s.affinityOf(key)
 	h.reportedLoad, h.reportedUntil = load, until
 }
--- a/logic/checker_test.go
+++ b/logic/checker_test.go
@@ -28,7 +28,7 @@
 	for _, k := range cases {
 		c := &checker{now: 50_000_000, workers: map[WorkerID]*checkWorker{}, hints: map[JobID]float64{}}
 		c.cfg = Config{Classes: make([]Class, cls+1), MaxAttempts: 3, MayCopy: true, DrainGrace: 250_000,
-			Cold: 10_000_000, StartCapacity: 0.2, FallMultiple: 2.5, FallWindow: 2_000_000}
+			SlowStart: 10_000_000, StartCapacity: 0.2, OverloadMultiple: 2.5, OverloadWindow: 2_000_000}
 		for i := range c.cfg.Classes {
 			c.cfg.Classes[i] = Class{Repeat: RepeatUnsafe, WorkerKind: -1}
 		}
--- a/logic/cold.go
+++ b/logic/cold.go
@@ -9,9 +9,9 @@
 	fewRequests    = 30.0 // allowance in requests of mean work below which the tolerated excess is relatively larger
 )
 
-// Yield makes this scheduler send nothing more to workers in slow start, because the process that takes over
+// YieldSlowStartBudget makes this scheduler send nothing more to workers in slow start, because the process that takes over
 // from it uses this scheduler's part of their budgets.
-func (s *Scheduler) Yield() { s.yielded = true }
+func (s *Scheduler) YieldSlowStartBudget() { s.yielded = true }
 
 // slowStartAllows reports whether a worker may be sent this work. It protects a worker in slow start from
 // overload by the sum of all schedulers, and from more work than it can do.
@@ -30,14 +30,14 @@
 	}
 	k := &s.kinds[w.info.Kind]
 	capacity := min(s.slotsOf(w), max(k.slots, initialSlots)) / max(s.kindSlowdown(k), 1)
-	n := s.cfg.FallMultiple * s.warmupFactor(w) * capacity * seconds(s.cfg.FallWindow) / s.meanWork
+	n := s.cfg.OverloadMultiple * s.warmupFactor(w) * capacity * seconds(s.cfg.OverloadWindow) / s.meanWork
 	all := uint64(s.cfg.Schedulers)
 	turns := min(max(uint64(slowStartShare*n), 1), all)
 	part := slowStartShare * n * s.meanWork / float64(turns)
-	if slot := s.now / s.cfg.FallWindow; w.slowStartSlot != slot {
+	if slot := s.now / s.cfg.OverloadWindow; w.slowStartSlot != slot {
 		w.slowStartSlot, w.slowStartUsed = slot, 0
 	}
-	if s.yielded || w.slowStartSlot == s.startedAt/s.cfg.FallWindow {
+	if s.yielded || w.slowStartSlot == s.startedAt/s.cfg.OverloadWindow {
 		// The previous process of this scheduler, or its successor, owns this scheduler's part of the slot.
 		return false
 	}
@@ -63,9 +63,9 @@
 // warmupFactor returns the share of its capacity that a worker is assumed to have, from Config.StartCapacity to 1.
 // It grows with the square of time, slower than linear, since it is work that warms a worker up.
 func (s *Scheduler) warmupFactor(w *worker) float64 {
-	if s.cfg.Cold <= 0 || w.info.UpSince <= 0 || s.now-w.info.UpSince >= s.cfg.Cold {
+	if s.cfg.SlowStart <= 0 || w.info.UpSince <= 0 || s.now-w.info.UpSince >= s.cfg.SlowStart {
 		return 1
 	}
-	x := seconds(max(s.now-w.info.UpSince, 0)) / seconds(s.cfg.Cold)
+	x := seconds(max(s.now-w.info.UpSince, 0)) / seconds(s.cfg.SlowStart)
 	return s.cfg.StartCapacity + (1-s.cfg.StartCapacity)*x*x
 }
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -33,7 +33,7 @@
 func checkSlowStartBudget(t *testing.T, n int, multiple float64) {
 	const window, moments = 2_000_000, 40
 	c := testConfig()
-	c.Schedulers, c.Cold, c.StartCapacity, c.FallWindow, c.FallMultiple = n, 24_000_000, 0.3, window, multiple
+	c.Schedulers, c.SlowStart, c.StartCapacity, c.OverloadWindow, c.OverloadMultiple = n, 24_000_000, 0.3, window, multiple
 	list := readyWorkers(1)
 	list[0].UpSince = t0
 	fleet := newFleet(t, c, list)
@@ -107,16 +107,16 @@
 // A process that has been replaced must leave the slow-start budget to its successor.
 func TestSlowStartBudgetIsLeftToTheSuccessor(t *testing.T) {
 	c := testConfig()
-	c.Cold, c.StartCapacity, c.FallWindow, c.FallMultiple = 24_000_000, 0.3, 2_000_000, 3
+	c.SlowStart, c.StartCapacity, c.OverloadWindow, c.OverloadMultiple = 24_000_000, 0.3, 2_000_000, 3
 	s := mustNew(t, c)
 	list := readyWorkers(1)
 	list[0].UpSince = t0
 	s.Workers(t0, ListFull, list, nil)
-	s.now = t0 + c.FallWindow
+	s.now = t0 + c.OverloadWindow
 	if maxAllowedWork(s) == 0 {
 		t.Error("nothing may be sent to a worker in slow start")
 	}
-	if s.Yield(); maxAllowedWork(s) != 0 {
+	if s.YieldSlowStartBudget(); maxAllowedWork(s) != 0 {
 		t.Error("a process that was replaced still sends to it")
 	}
 }
--- a/logic/cost.go
+++ b/logic/cost.go
@@ -11,10 +11,10 @@
 	missPenalty     = 1.0  // cost in mean jobs of a fetch beyond its time: it evicts a data set still in demand
 )
 
-// LateChance returns the probability that a job misses its target on a worker with estimated backlog u when it
+// ViolationProbability returns the probability that a job misses its target on a worker with estimated backlog u when it
 // tolerates the backlog tau, both in seconds. It is the indicator 1(u >= tau) of the paper's cost averaged over
 // the error of the estimate, which is modelled as a gamma distribution of shape 2 with mean u.
-func LateChance(tau, u float64) float64 {
+func ViolationProbability(tau, u float64) float64 {
 	if tau <= 0 {
 		return 1
 	}
@@ -31,9 +31,9 @@
 	u := s.backlog(w)
 	run := w.slowdown*j.work + fetch
 	tau := seconds(j.targetAt-s.now) - s.baseDelay[w.info.Zone]*1.5 - run + w.headroomFor(j.slots, s.meanWork)
-	violation = LateChance(tau, u)
+	violation = ViolationProbability(tau, u)
 	total = s.congestionCost(w, u, j.slots*(j.work+fetch/w.slowdown)/s.meanWork)
-	total += j.value*max(violation*(1-s.cfg.Classes[j.class].LateWorth), s.failureProbability(w)) + s.crossZoneCost(w) + missPenalty*miss
+	total += j.value*max(violation*(1-s.cfg.Classes[j.class].LateValue), s.failureProbability(w)) + s.crossZoneCost(w) + missPenalty*miss
 	if s.now < w.ejectedUntil {
 		total += ejectionPenalty * j.value
 	}
@@ -58,5 +58,5 @@
 	if w.info.Zone == s.cfg.Zone {
 		return 0
 	}
-	return s.cfg.PriceCross
+	return s.cfg.CrossZoneCost
 }
--- a/logic/estimate.go
+++ b/logic/estimate.go
@@ -19,7 +19,7 @@
 func (s *Scheduler) initEstimates() {
 	s.table, s.rho = value.For(0.5), 0.5
 	for i, c := range s.cfg.Classes {
-		s.classWork[i] = float64(c.Aim) / 1e6
+		s.classWork[i] = float64(c.TargetLatency) / 1e6
 		s.classRate[i], s.classShare[i] = 0.01, 1
 		s.fetchTime += s.classWork[i] / float64(len(s.cfg.Classes))
 	}
@@ -71,7 +71,7 @@
 	for i, r := range s.classRate {
 		c := &s.cfg.Classes[i]
 		s.classWeight[i] = (r + 1e-3) / total * s.jobValue(i, s.classWork[i]) / s.meanValue *
-			(1 - c.LateWorth) * s.classShare[i]
+			(1 - c.LateValue) * s.classShare[i]
 	}
 	capacity := 0.0
 	for _, i := range s.ready {
@@ -93,8 +93,8 @@
 
 // jobValue returns the value of a job of a class with the given work.
 func (s *Scheduler) jobValue(class int, work float64) float64 {
-	if s.cfg.WorthByWork {
-		return s.cfg.Classes[class].Worth * work
+	if s.cfg.ValueByWork {
+		return s.cfg.Classes[class].Value * work
 	}
-	return s.cfg.Classes[class].Worth
+	return s.cfg.Classes[class].Value
 }
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -9,7 +9,7 @@
 // The caller of a scheduler carries out the actions of each call in their order; this example prints them.
 func ExampleScheduler() {
 	s, err := logic.New(logic.Config{
-		Classes:     []logic.Class{{Aim: 500_000, Deadline: 2_000_000, Worth: 1, Repeat: logic.RepeatSafe, WorkerKind: -1}},
+		Classes:     []logic.Class{{TargetLatency: 500_000, Deadline: 2_000_000, Value: 1, Repeat: logic.RepeatSafe, WorkerKind: -1}},
 		MaxAttempts: 3,
 	}, 1)
 	if err != nil {
--- a/logic/failures_test.go
+++ b/logic/failures_test.go
@@ -11,8 +11,8 @@
 
 func testConfig() Config {
 	return Config{
-		Classes: []Class{{Aim: 500_000, Stretch: 1, Deadline: 3_000_000, Worth: 1, Repeat: RepeatSafe, WorkerKind: -1}},
-		Zones:   1, Resolution: 1000, MaxAttempts: 4, MayCancel: true, MayCopy: true, TellsStart: true, AnswerSlack: 4000,
+		Classes: []Class{{TargetLatency: 500_000, TargetPerWork: 1, Deadline: 3_000_000, Value: 1, Repeat: RepeatSafe, WorkerKind: -1}},
+		Zones:   1, Resolution: 1000, MaxAttempts: 4, MayCancel: true, MayCopy: true, ReportsStart: true, AnswerSlack: 4000,
 	}
 }
 
@@ -129,7 +129,7 @@
 	if got := sends(arrive(s, t0+1, 1)); s.workers[s.byID[got[0]]].info.Kind != 0 {
 		t.Fatalf("without observations the fast kind should be chosen, got worker %v", got)
 	}
-	s.HangUp(t0+2, 1, nil)
+	s.ClientGone(t0+2, 1, nil)
 	s.kinds[0].meanBacklog = 30 // long queues were observed at the fast kind
 	for i := range s.workers {
 		s.workers[i].othersBacklogAt = 0
@@ -181,13 +181,13 @@
 	for self := range n {
 		c := testConfig()
 		c.Schedulers, c.Self = n, self
-		c.Cold, c.StartCapacity, c.FallWindow, c.FallMultiple = 20_000_000, 0.1, 2_000_000, 2.5
+		c.SlowStart, c.StartCapacity, c.OverloadWindow, c.OverloadMultiple = 20_000_000, 0.1, 2_000_000, 2.5
 		s := mustNew(t, c)
 		list := readyWorkers(2)
 		list[0].UpSince = t0
 		s.Workers(t0, ListFull, list, nil)
 		s.meanWork = 0.1
-		s.now = t0 + c.FallWindow // in the slot in which it started a scheduler sends nothing there
+		s.now = t0 + c.OverloadWindow // in the slot in which it started a scheduler sends nothing there
 		if s.slowStartAllows(&s.workers[0], 0.1) {
 			allowed++
 		}
@@ -227,7 +227,7 @@
 
 func TestOldListIsUsedWhileListCallsFail(t *testing.T) {
 	c := testConfig()
-	c.MustAsk = true
+	c.NeedsSubscription = true
 	s := mustNew(t, c)
 	if acts := s.Workers(t0, ListCached, readyWorkers(2), nil); !has(acts, ActSubscribe) {
 		t.Fatal("no subscription requested after the cached list")
@@ -246,7 +246,7 @@
 
 func TestTenantBeyondQuotaHasLowerValue(t *testing.T) {
 	c := testConfig()
-	c.Tenants, c.OverShare = []Tenant{{Quota: 1}}, 0.1
+	c.Tenants, c.OverQuotaValue = []Tenant{{Quota: 1}}, 0.1
 	s := mustNew(t, c)
 	s.now = t0
 	for n := range 10 {
@@ -389,7 +389,7 @@
 // worker in slow start more than it can take.
 func TestRestartWithOldList(t *testing.T) {
 	c := testConfig()
-	c.Cold, c.StartCapacity, c.FallMultiple, c.FallWindow = 20_000_000, 0.1, 2, 1_000_000
+	c.SlowStart, c.StartCapacity, c.OverloadMultiple, c.OverloadWindow = 20_000_000, 0.1, 2, 1_000_000
 	s := mustNew(t, c)
 	list := readyWorkers(3)
 	list[2].UpSince = t0 - 1000
@@ -454,7 +454,7 @@
 // looks cheaper. A fetch costs more than its own time: it evicts a data set that is still in demand.
 func TestJobGoesToWorkerWithItsDataSet(t *testing.T) {
 	c := testConfig()
-	c.Classes[0].Aim, c.Classes[0].Deadline = 5_000_000, 30_000_000
+	c.Classes[0].TargetLatency, c.Classes[0].Deadline = 5_000_000, 30_000_000
 	s := mustNew(t, c)
 	s.Workers(t0, ListFull, readyWorkers(6), nil)
 	at := t0 + 60_000_000 // arrival rates are known by then
@@ -474,7 +474,7 @@
 func progressConfig() Config {
 	c := testConfig()
 	c.MayCopy, c.MaxAttempts, c.Progress = false, 3, 2_000_000
-	c.Classes[0].Aim, c.Classes[0].Deadline = 1_000_000, 60_000_000
+	c.Classes[0].TargetLatency, c.Classes[0].Deadline = 1_000_000, 60_000_000
 	return c
 }
 
@@ -593,7 +593,7 @@
 		"unmarked retry too late":    {false, true, 2_000_000, false},
 	} {
 		c := testConfig()
-		c.HidesRetry = test.hidden
+		c.RetriesUnmarked = test.hidden
 		s := mustNew(t, c)
 		s.Workers(t0, ListFull, readyWorkers(2), nil)
 		acts := s.Arrive(t0, Job{ID: 1, Hint: 100_000, Repeated: test.repeated, Deadline: t0 + test.left}, nil)
@@ -657,7 +657,7 @@
 func TestWaitSoFarCountsAsBacklog(t *testing.T) {
 	c := testConfig()
 	c.Schedulers, c.MayCopy, c.Classes[0].Repeat = 80, false, RepeatUnsafe
-	c.Classes[0].Aim = 20_000_000
+	c.Classes[0].TargetLatency = 20_000_000
 	s := mustNew(t, c)
 	s.Workers(t0, ListFull, readyWorkers(1), nil)
 	s.Arrive(t0, Job{ID: 1, Hint: 100_000, Deadline: t0 + 60_000_000}, nil)
@@ -703,7 +703,7 @@
 func TestSlowdownLearnedFromFewNoisyRuns(t *testing.T) {
 	r := rand.New(rand.NewSource(3))
 	c := testConfig()
-	c.Schedulers, c.TellsStart, c.Classes[0].Aim = 80, false, 60_000_000
+	c.Schedulers, c.ReportsStart, c.Classes[0].TargetLatency = 80, false, 60_000_000
 	c.Classes[0].Deadline = 60_000_000
 	s := mustNew(t, c)
 	s.Workers(t0, ListFull, readyWorkers(12), nil)
@@ -733,9 +733,9 @@
 	for _, n := range []int{1, 10, 80} {
 		r := rand.New(rand.NewSource(int64(n)))
 		c := testConfig()
-		c.Classes[0].Aim, c.Classes[0].Stretch, c.Classes[0].Deadline = 5_000_000, 10, 60_000_000
-		c.Schedulers, c.Cold, c.StartCapacity, c.FallWindow, c.FallMultiple = n, 24_000_000, 0.13, 2_000_000, 3
-		c.TellsStart = false
+		c.Classes[0].TargetLatency, c.Classes[0].TargetPerWork, c.Classes[0].Deadline = 5_000_000, 10, 60_000_000
+		c.Schedulers, c.SlowStart, c.StartCapacity, c.OverloadWindow, c.OverloadMultiple = n, 24_000_000, 0.13, 2_000_000, 3
+		c.ReportsStart = false
 		list := readyWorkers(60)
 		for i := range 36 {
 			list[i].UpSince = t0 - int64(r.Intn(2_000_000))
@@ -766,7 +766,7 @@
 			for i := range list {
 				sum := 0.0
 				for _, o := range list[:i+1] {
-					if list[i].at-o.at < c.FallWindow {
+					if list[i].at-o.at < c.OverloadWindow {
 						sum += o.work
 					}
 				}
@@ -792,7 +792,7 @@
 func TestManySchedulersSpreadAHotDataSet(t *testing.T) {
 	const n = 80
 	c := testConfig()
-	c.Schedulers, c.TellsStart = n, false
+	c.Schedulers, c.ReportsStart = n, false
 	fleet := newFleet(t, c, readyWorkers(60))
 	r := rand.New(rand.NewSource(5))
 	got, total := map[WorkerID]int{}, 0
@@ -862,7 +862,7 @@
 	calls := make([][]int64, 5) // times of each round's requests
 	for self := range n {
 		c := testConfig()
-		c.Schedulers, c.Self, c.MustAsk = n, self, true
+		c.Schedulers, c.Self, c.NeedsSubscription = n, self, true
 		s, err := New(c, uint64(self+1))
 		if err != nil {
 			t.Fatal(err)
@@ -911,7 +911,7 @@
 func TestFailedConnectsDoNotCountAsAttempts(t *testing.T) {
 	for _, free := range []bool{false, true} {
 		c := testConfig()
-		c.FreeConnects, c.MaxAttempts, c.MayCopy = free, 2, false
+		c.UncountedConnects, c.MaxAttempts, c.MayCopy = free, 2, false
 		s := mustNew(t, c)
 		s.Workers(t0, ListCached, readyWorkers(20), nil)
 		runJob := func(id JobID, results ...Result) (made int) {
--- a/logic/health.go
+++ b/logic/health.go
@@ -38,7 +38,7 @@
 		run := seconds(o.Elapsed) - s.baseDelay[w.info.Zone]*1.5
 		if a.started != 0 {
 			run = seconds(s.now - a.started)
-		} else if s.cfg.TellsStart {
+		} else if s.cfg.ReportsStart {
 			return
 		} else {
 			s.contention -= s.contention * contentionGain
@@ -54,7 +54,7 @@
 			// No process listens there; the list or a new process will bring the worker back. An early try costs an attempt.
 			w.ejectedUntil = max(w.ejectedUntil, s.now+maxEjection)
 			s.recordFailure(w)
-			if s.cfg.FreeConnects {
+			if s.cfg.UncountedConnects {
 				j.uncounted++
 			}
 		}
--- a/logic/list.go
+++ b/logic/list.go
@@ -46,7 +46,7 @@
 	s.listVersion++
 	if how != ListCached {
 		s.listFailures = 0
-	} else if s.cfg.MustAsk && !s.subscribed {
+	} else if s.cfg.NeedsSubscription && !s.subscribed {
 		s.subscribed = true
 		s.emit(Action{Kind: ActSubscribe})
 	}
--- a/logic/notes.go
+++ b/logic/notes.go
@@ -87,7 +87,7 @@
 		return s.end()
 	}
 	w := &s.workers[a.worker]
-	a.outstanding, a.neverRan = false, o.Result == Refused || o.Result == ConnectFailed || o.Result == Moot
+	a.outstanding, a.neverRan = false, o.Result == Refused || o.Result == ConnectFailed || o.Result == NotSent
 	j.outstanding--
 	w.outstanding--
 	if a.started != 0 {
--- a/logic/pace.go
+++ b/logic/pace.go
@@ -64,7 +64,7 @@
 // so the network delay and the running time on this worker are subtracted; the headroom is added, because slots must
 // fill up before anything waits.
 func (s *Scheduler) tolerableBacklog(w *worker, c *Class, work, base float64) float64 {
-	return seconds(c.Aim) + c.Stretch*work - base*1.5 - w.slowdown*work + w.headroom
+	return seconds(c.TargetLatency) + c.TargetPerWork*work - base*1.5 - w.slowdown*work + w.headroom
 }
 
 // learnRun updates the slowdown of a worker, its kind and the fleet from a run.
--- a/logic/place.go
+++ b/logic/place.go
@@ -99,7 +99,7 @@
 	}
 	c := &s.cfg.Classes[class]
 	*j = job{id: in.ID, inUse: true, generation: j.generation + 1, class: class, tenant: in.Tenant, key: in.Key, slots: 1,
-		work: s.classWork[class], maxWork: s.classWork[class], arrived: s.now, deadline: in.Deadline, slotPrice: in.Price}
+		work: s.classWork[class], maxWork: s.classWork[class], arrived: s.now, deadline: in.Deadline, slotPrice: in.SlotPrice}
 	if in.Hint > 0 {
 		hint, mean := seconds(in.Hint), &s.classWork[class]
 		j.work = math.Pow(*mean, 1-hintWeight) * math.Pow(hint, hintWeight)
@@ -115,12 +115,12 @@
 		j.deadline = s.now + c.Deadline
 	}
 	firstSent := s.now
-	if in.Repeated || s.cfg.HidesRetry {
+	if in.Repeated || s.cfg.RetriesUnmarked {
 		// The target latency counts from the first try, whose time follows from the remaining time. A retry served late
 		// has no value.
 		firstSent = min(firstSent, j.deadline-c.Deadline)
 	}
-	j.targetAt = min(firstSent+c.Aim+int64(c.Stretch*j.work*1e6), j.deadline)
+	j.targetAt = min(firstSent+c.TargetLatency+int64(c.TargetPerWork*j.work*1e6), j.deadline)
 	s.countArrival(j)
 	s.refreshEstimates()
 	s.recordDemand(j)
@@ -141,7 +141,7 @@
 	case len(s.quotaUsed) == 0:
 		return 1
 	case t < 0 || t >= len(s.quotaUsed):
-		return s.cfg.OverShare // where there are quotas, a job without a known tenant counts as beyond them
+		return s.cfg.OverQuotaValue // where there are quotas, a job without a known tenant counts as beyond them
 	case s.cfg.Tenants[t].Quota <= 0:
 		return 1
 	}
@@ -152,7 +152,7 @@
 		s.quotaUsed[t]++
 		return 1
 	}
-	return s.cfg.OverShare
+	return s.cfg.OverQuotaValue
 }
 
 // place sends a job to the worker of lowest cost, holds it while there is none, or ends it by finish when its time is
--- a/logic/review.go
+++ b/logic/review.go
@@ -50,7 +50,7 @@
 		s.scheduleReview(i, s.answerBy(j))
 		return
 	}
-	if s.cfg.TellsStart && !slices.ContainsFunc(j.attempts[:j.attemptCount], func(a attempt) bool { return a.outstanding && !a.cancelled && a.started != 0 }) {
+	if s.cfg.ReportsStart && !slices.ContainsFunc(j.attempts[:j.attemptCount], func(a attempt) bool { return a.outstanding && !a.cancelled && a.started != 0 }) {
 		s.recordMissingStarts(j)
 		if s.moveIfBetter(i) {
 			return
--- a/logic/rules.go
+++ b/logic/rules.go
@@ -10,14 +10,14 @@
 	contentionThreshold   = 0.5  // share of attempts without a free slot from which slow starts are not a worker's fault
 )
 
-// HeldUp is the longest delay, in microseconds, of a dispatcher between a decision and the write that follows from it.
-const HeldUp = 150_000
+// MaxWriteDelay is the longest delay, in microseconds, of a dispatcher between a decision and the write that follows from it.
+const MaxWriteDelay = 150_000
 
 // RepeatWithin returns the microseconds after the first sending of a keyed job that may have run in which another
 // attempt may be decided on. The margin to Class.Window ensures that workers still drop the repeat when its bytes are
 // written.
 func (c *Config) RepeatWithin(class int) int64 {
-	return c.Classes[class].Window - 4*c.Resolution - HeldUp
+	return c.Classes[class].Window - 4*c.Resolution - MaxWriteDelay
 }
 
 // mayAttempt reports whether the job may be sent to a worker. It prevents a second effect of the job: every attempt,
@@ -111,5 +111,5 @@
 	if s.now < s.othersKnownUntil {
 		n = 1 // the other schedulers' part is known too
 	}
-	return violation >= refusalThreshold && s.cfg.Classes[j.class].LateWorth <= 0 && (s.mayRefuse(j) || s.contention*n >= contentionThreshold*min(fewSchedulers, n))
+	return violation >= refusalThreshold && s.cfg.Classes[j.class].LateValue <= 0 && (s.mayRefuse(j) || s.contention*n >= contentionThreshold*min(fewSchedulers, n))
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -135,19 +135,19 @@
 // of slots of standard speed, which the outcomes drawn do not exceed, so this is the loosest legal bound.
 func (c *checker) checkSlowStartBudget(w *checkWorker, work float64) {
 	age := c.now - w.info.UpSince
-	if c.cfg.Cold == 0 || w.info.UpSince <= 0 || age >= c.cfg.Cold {
+	if c.cfg.SlowStart == 0 || w.info.UpSince <= 0 || age >= c.cfg.SlowStart {
 		return
 	}
 	w.slowStartSends = append(w.slowStartSends, checkedSend{c.now, work})
 	sum := 0.0
 	for _, s := range w.slowStartSends {
-		if c.now-s.at < c.cfg.FallWindow {
+		if c.now-s.at < c.cfg.OverloadWindow {
 			sum += s.work
 		}
 	}
-	share := c.cfg.StartCapacity + (1-c.cfg.StartCapacity)*float64(max(age, 0))/float64(c.cfg.Cold)
+	share := c.cfg.StartCapacity + (1-c.cfg.StartCapacity)*float64(max(age, 0))/float64(c.cfg.SlowStart)
 	const slots = 4.0 // as in the load reports that are drawn
-	if limit := c.cfg.FallMultiple * share * slots * float64(c.cfg.FallWindow) / 1e6; sum > limit {
+	if limit := c.cfg.OverloadMultiple * share * slots * float64(c.cfg.OverloadWindow) / 1e6; sum > limit {
 		c.violation("worker %d in slow start was sent %.3f s of work, limit %.3f", w.info.ID, sum, limit)
 	}
 }
@@ -164,11 +164,11 @@
 func ruleConfig(r *rand.Rand) Config {
 	tick := []int64{1000, 5000, 20000}[r.Intn(3)]
 	c := Config{
-		Schedulers: []int{1, 2, 8, 60}[r.Intn(4)], Zones: 2, Zone: r.Intn(2), MustAsk: r.Intn(2) == 0,
-		WorthByWork: r.Intn(2) == 0, OverShare: 0.1, TellsStart: r.Intn(3) > 0, Resolution: tick,
+		Schedulers: []int{1, 2, 8, 60}[r.Intn(4)], Zones: 2, Zone: r.Intn(2), NeedsSubscription: r.Intn(2) == 0,
+		ValueByWork: r.Intn(2) == 0, OverQuotaValue: 0.1, ReportsStart: r.Intn(3) > 0, Resolution: tick,
 		MayCancel: r.Intn(4) > 0, MayCopy: r.Intn(2) == 0,
 		MaxAttempts: 1 + r.Intn(6), AnswerSlack: 4 * tick, DrainGrace: 250_000, StartCapacity: 0.2,
-		Cold: 10_000_000, FallWindow: 2_000_000, FallMultiple: 2.5, MaxRetryAfter: 1_000_000,
+		SlowStart: 10_000_000, OverloadWindow: 2_000_000, OverloadMultiple: 2.5, MaxRetryAfter: 1_000_000,
 		Tenants: []Tenant{{Quota: 30}, {Quota: 2}},
 	}
 	if r.Intn(2) == 0 {
@@ -176,8 +176,8 @@
 	}
 	for _, k := range []Repeat{RepeatSafe, RepeatKeyed, RepeatUnsafe} {
 		for _, g := range []Group{GroupAll, GroupZone, GroupCell} {
-			c.Classes = append(c.Classes, Class{Aim: 200_000, Stretch: 1.5, Deadline: 2_000_000, Worth: 1 + float64(g),
-				LateWorth: 0.2 * float64(g), Repeat: k, Group: g, Window: 600_000, WorkerKind: int(g) - 1})
+			c.Classes = append(c.Classes, Class{TargetLatency: 200_000, TargetPerWork: 1.5, Deadline: 2_000_000, Value: 1 + float64(g),
+				LateValue: 0.2 * float64(g), Repeat: k, Group: g, Window: 600_000, WorkerKind: int(g) - 1})
 		}
 	}
 	return c
@@ -209,10 +209,10 @@
 		case k < 48 && len(c.order) > 0:
 			id := c.order[r.Intn(len(c.order))]
 			c.jobs[id].closed = true
-			c.apply(s.HangUp(c.now, id, buf[:0]))
+			c.apply(s.ClientGone(c.now, id, buf[:0]))
 		case k < 50:
-			s.Heard(c.now, WorkerID(r.Intn(12)), r.ExpFloat64()*5, c.now-int64(r.Intn(3_000_000)))
-			s.HeardDemand(uint64(r.Intn(5)), r.ExpFloat64()*20, c.now+int64(r.Intn(3_000_000)))
+			s.RecordOthersBacklog(c.now, WorkerID(r.Intn(12)), r.ExpFloat64()*5, c.now-int64(r.Intn(3_000_000)))
+			s.RecordOthersDemand(uint64(r.Intn(5)), r.ExpFloat64()*20, c.now+int64(r.Intn(3_000_000)))
 		case k < 52: // invalid events: attempts that were never made must be ignored
 			c.apply(s.Outcome(c.now-r.Int63n(9_000_000), Outcome{Job: JobID(r.Intn(n + 2)), Attempt: 7}, buf[:0]))
 			c.apply(s.Started(c.now, JobID(r.Intn(n+2)), -1, buf[:0]))
@@ -326,7 +326,7 @@
 			continue
 		}
 		switch {
-		case c.cfg.TellsStart && !a.started && r.Intn(2) == 0:
+		case c.cfg.ReportsStart && !a.started && r.Intn(2) == 0:
 			a.started = true
 			c.apply(s.Started(c.now, id, k, nil))
 		case a.started && r.Intn(4) == 0:
@@ -342,10 +342,10 @@
 	a := &j.attempts[k]
 	a.outstanding = false
 	res := Result(r.Intn(8))
-	if a.started && (res == Refused || res == ConnectFailed || res == Moot) {
+	if a.started && (res == Refused || res == ConnectFailed || res == NotSent) {
 		res = Broken
 	}
-	a.neverRan = res == Refused || res == ConnectFailed || res == Moot
+	a.neverRan = res == Refused || res == ConnectFailed || res == NotSent
 	if res == Served && !j.closed {
 		j.answers++
 		j.closed = true
--- a/logic/scheduler.go
+++ b/logic/scheduler.go
@@ -18,8 +18,8 @@
 	cfg.MaxAttempts = min(max(cfg.MaxAttempts, 1), maxAttemptsKept)
 	cfg.Zones = max(cfg.Zones, 1)
 	cfg.Resolution = orDefault(cfg.Resolution, 1000)
-	cfg.FallWindow = orDefault(cfg.FallWindow, 1_000_000)
-	cfg.StartCapacity, cfg.FallMultiple = orDefault(cfg.StartCapacity, 0.1), orDefault(cfg.FallMultiple, 1)
+	cfg.OverloadWindow = orDefault(cfg.OverloadWindow, 1_000_000)
+	cfg.StartCapacity, cfg.OverloadMultiple = orDefault(cfg.StartCapacity, 0.1), orDefault(cfg.OverloadMultiple, 1)
 	cfg.Classes = slices.Clone(cfg.Classes)
 	n := len(cfg.Classes)
 	s := &Scheduler{
@@ -33,7 +33,7 @@
 	for i := range cfg.Classes {
 		c := &s.cfg.Classes[i]
 		c.Deadline = orDefault(c.Deadline, 10_000_000)
-		c.Aim = orDefault(c.Aim, c.Deadline)
+		c.TargetLatency = orDefault(c.TargetLatency, c.Deadline)
 	}
 	s.initEstimates()
 	s.refreshEstimates()
@@ -82,8 +82,8 @@
 	a.slotWork = 0
 }
 
-// HangUp takes the event that a client has disconnected.
-func (s *Scheduler) HangUp(now int64, id JobID, out []Action) []Action {
+// ClientGone takes the event that a client has disconnected.
+func (s *Scheduler) ClientGone(now int64, id JobID, out []Action) []Action {
 	s.begin(now, out)
 	if i, ok := s.byJob[id]; ok && !s.jobs[i].answered {
 		s.markAnswered(&s.jobs[i])
--- a/logic/state.go
+++ b/logic/state.go
@@ -160,26 +160,26 @@
 	lastEstimate     [3]float64 // result of Weighed
 }
 
-// Doubt switches on or off that the worker list may be stale and must not be acted on. Meanwhile jobs wait, as they do
+// SetMembershipStale switches on or off that the worker list may be stale and must not be acted on. Meanwhile jobs wait, as they do
 // while there is no worker.
-func (s *Scheduler) Doubt(now int64, on bool, out []Action) []Action {
+func (s *Scheduler) SetMembershipStale(now int64, on bool, out []Action) []Action {
 	s.begin(now, out)
 	s.membershipStale = on
 	return s.end()
 }
 
-// Verdict ejects a worker until a time, by a decision of the fleet. As any ejection it adds to the worker's cost and
+// EjectUntil ejects a worker until a time, by a decision of the fleet. As any ejection it adds to the worker's cost and
 // ends with the next sign of life.
-func (s *Scheduler) Verdict(now int64, id WorkerID, until int64) {
+func (s *Scheduler) EjectUntil(now int64, id WorkerID, until int64) {
 	s.now = max(s.now, now)
 	if i, ok := s.byID[id]; ok {
 		s.workers[i].ejectedUntil = max(s.workers[i].ejectedUntil, until)
 	}
 }
 
-// Ran calls tell with the running times and work, in seconds, of this scheduler's own runs at each worker. Recent runs
+// Runs calls tell with the running times and work, in seconds, of this scheduler's own runs at each worker. Recent runs
 // have the highest weight.
-func (s *Scheduler) Ran(now int64, tell func(id WorkerID, run, work float64)) {
+func (s *Scheduler) Runs(now int64, tell func(id WorkerID, run, work float64)) {
 	s.now = max(s.now, now)
 	for i := range s.workers {
 		if w := &s.workers[i]; w.known && w.work > 0 {
@@ -189,8 +189,8 @@
 	}
 }
 
-// HeardRan records the same sums of all other schedulers together, in place of those recorded before.
-func (s *Scheduler) HeardRan(now int64, id WorkerID, run, work float64) {
+// RecordOthersRuns records the same sums of all other schedulers together, in place of those recorded before.
+func (s *Scheduler) RecordOthersRuns(now int64, id WorkerID, run, work float64) {
 	s.now = max(s.now, now)
 	if i, ok := s.byID[id]; ok {
 		s.decayStats(&s.workers[i])
@@ -207,15 +207,15 @@
 	}
 }
 
-// Weighed returns the estimates for the job that arrived last: its value in units of the settings, its slot-work in
+// LastJobEstimate returns the estimates for the job that arrived last: its value in units of the settings, its slot-work in
 // seconds, and for how many seconds it can wait and still meet its target.
-func (s *Scheduler) Weighed() (worth, work, slack float64) {
+func (s *Scheduler) LastJobEstimate() (worth, work, slack float64) {
 	return s.lastEstimate[0], s.lastEstimate[1], s.lastEstimate[2]
 }
 
-// Waits returns the slot-work, in seconds, of this scheduler that has been sent and has not started, and the slot-work
+// PendingWork returns the slot-work, in seconds, of this scheduler that has been sent and has not started, and the slot-work
 // per second that all ready workers can do.
-func (s *Scheduler) Waits() (work, capacity float64) {
+func (s *Scheduler) PendingWork() (work, capacity float64) {
 	for i := range s.jobs {
 		for _, a := range s.jobs[i].attempts[:s.jobs[i].attemptCount] {
 			if a.outstanding && a.started == 0 && !a.cancelled {
@@ -230,23 +230,23 @@
 	return work, capacity
 }
 
-// View is the state of a worker for callers that place the parts of one job at several workers. Times are seconds.
-type View struct {
-	ID         WorkerID
-	Zone, Cell int
-	Trusted    bool    // the worker is not ejected
-	Warm       bool    // the worker has its full capacity
-	Backlog    float64 // seconds to drain
-	Room       float64 // largest backlog with which a job still starts at once, on average
-	Pace       float64 // running time for a second of work
-	// Push is the cost, in units of value of the settings, that a second of one slot here causes to later jobs. It follows
+// WorkerView is the state of a worker for callers that place the parts of one job at several workers. Times are seconds.
+type WorkerView struct {
+	ID           WorkerID
+	Zone, Cell   int
+	Trusted      bool    // the worker is not ejected
+	FullCapacity bool    // the worker has its full capacity
+	Backlog      float64 // seconds to drain
+	Headroom     float64 // largest backlog with which a job still starts at once, on average
+	Slowdown     float64 // running time for a second of work
+	// CongestionCost is the cost, in units of value of the settings, that a second of one slot here causes to later jobs. It follows
 	// from the value function, and is limited to the value of the work that the slot could do, since that much work can
 	// be refused instead.
-	Push float64
+	CongestionCost float64
 }
 
-// View calls tell with each ready worker, in the order of IDs, as seen by a job with the given work in seconds.
-func (s *Scheduler) View(now int64, work float64, tell func(View)) {
+// EachWorkerView calls tell with each ready worker, in the order of IDs, as seen by a job with the given work in seconds.
+func (s *Scheduler) EachWorkerView(now int64, work float64, tell func(WorkerView)) {
 	s.now = max(s.now, now)
 	s.refreshEstimates()
 	work = max(work, 1e-3)
@@ -254,14 +254,14 @@
 		w := &s.workers[i]
 		s.derive(w)
 		u := s.backlog(w)
-		tell(View{ID: w.info.ID, Zone: w.info.Zone, Cell: w.info.Cell, Trusted: s.now >= w.ejectedUntil, Warm: s.warmupFactor(w) == 1, Backlog: u,
-			Room: w.headroomFor(1, s.meanWork), Pace: w.slowdown, Push: s.meanValue / w.slowdown * min(s.congestionCost(w, u, work/s.meanWork)/work, 1/s.meanWork)})
+		tell(WorkerView{ID: w.info.ID, Zone: w.info.Zone, Cell: w.info.Cell, Trusted: s.now >= w.ejectedUntil, FullCapacity: s.warmupFactor(w) == 1, Backlog: u,
+			Headroom: w.headroomFor(1, s.meanWork), Slowdown: w.slowdown, CongestionCost: s.meanValue / w.slowdown * min(s.congestionCost(w, u, work/s.meanWork)/work, 1/s.meanWork)})
 	}
 }
 
-// Occupy adds slot-work in seconds that another component placed to this scheduler's work at a worker; a negative
+// AdjustBacklog adds slot-work in seconds that another component placed to this scheduler's work at a worker; a negative
 // value removes it.
-func (s *Scheduler) Occupy(id WorkerID, work float64) {
+func (s *Scheduler) AdjustBacklog(id WorkerID, work float64) {
 	if i, ok := s.byID[id]; ok {
 		s.workers[i].ownBacklog = max(s.workers[i].ownBacklog+work, 0)
 	}
--- a/logic/told_test.go
+++ b/logic/told_test.go
@@ -9,7 +9,7 @@
 	c.Schedulers = max(c.Schedulers, 1)
 	s := newFleet(t, c, readyWorkers(2))[0]
 	slow, other := &s.workers[s.byID[1]], &s.workers[s.byID[2]]
-	s.HeardRan(t0, 1, 40, 10)
+	s.RecordOthersRuns(t0, 1, 40, 10)
 	now := s.slowdownOf(slow)
 	if now < 2*s.slowdownOf(other) {
 		t.Errorf("slowdown %g, of the other worker %g, after runs of four times the work", now, s.slowdownOf(other))
@@ -19,7 +19,7 @@
 	if later := s.slowdownOf(slow); later > (now+s.slowdownOf(other))/2 {
 		t.Errorf("slowdown %g, and %g forty seconds later", now, later)
 	}
-	s.Verdict(s.now, 1, s.now+1_000_000)
+	s.EjectUntil(s.now, 1, s.now+1_000_000)
 	if to := sends(s.Arrive(s.now, Job{ID: 1, Deadline: s.now + 2_000_000}, nil)); len(to) != 1 || to[0] != 2 {
 		t.Errorf("sent to %v under a verdict on worker 1", to)
 	}
