--- a/internal/driver/inventory.go
+++ b/internal/driver/inventory.go
@@ -16,7 +16,7 @@
 
 // inventoryWatches carries out the actions of inventory.Keeper: connections to discovery and one timer.
 type inventoryWatches struct {
-	tracker *inventory.Keeper
+	tracker *inventory.Tracker
 	open    map[inventory.Call]*watch
 	timer   *time.Timer
 }
@@ -65,10 +65,10 @@
 			w.close(c.Call)
 		case inventory.Fail:
 			d.execute(d.core.Inventory(d.now(), logic.ListFailed, nil))
-		case inventory.Doubt:
+		case inventory.Stale:
 			d.log.Warn("inventory stale, sending no new requests", "cause", c.Cause)
 			d.execute(d.core.SetMembershipStale(d.now(), true))
-		case inventory.Trust:
+		case inventory.Reliable:
 			d.log.Info("inventory up to date again")
 			d.execute(d.core.SetMembershipStale(d.now(), false))
 		}
@@ -124,7 +124,7 @@
 		how, whole := inventory.Refused, false
 		if err == nil {
 			whole, err = parser.Feed(b)
-			how = inventory.Spoilt
+			how = inventory.Malformed
 			if parser.Fresh() {
 				d.watches.tracker.Heard(d.now(), id)
 			}
@@ -192,7 +192,7 @@
 }
 
 // watchFailed reports the end of a connection to discovery to the tracker.
-func (d *Driver) watchFailed(id inventory.Call, err error, how inventory.How) {
+func (d *Driver) watchFailed(id inventory.Call, err error, how inventory.EndReason) {
 	if d.watches.open[id] == nil {
 		return
 	}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -29,11 +29,11 @@
 
 // The parts of the time budget, in microseconds.
 const (
-	Silence              = 2_400_000 // without a byte, after which a watch counts as silent
-	Spread               = 400_000   // maximum of the random time added to Silence
-	Patience             = 2_200_000 // timeout of a call until its next byte, connecting included
-	ToldSilent           = 6_000_000 // after a watch or call fell silent, its missed changes count as notified
-	ToldMoved            = 4_000_000 // after discovery has moved, its changes count as notified
+	SilenceTimeout       = 2_400_000 // without a byte, after which a watch counts as silent
+	SilenceJitter        = 400_000   // maximum of the random time added to Silence
+	CallTimeout          = 2_200_000 // timeout of a call until its next byte, connecting included
+	NotifiedAfterSilence = 6_000_000 // after a watch or call fell silent, its missed changes count as notified
+	NotifiedAfterMove    = 4_000_000 // after discovery has moved, its changes count as notified
 	actMargin            = 250_000   // part of the drain grace that is reserved for acting on the change
 	pushedRetryGap       = 200_000   // before a failed call is repeated if lists are pushed; doubled at most by a random part
 	failedValidityFactor = 4         // after a failed call, a list stays valid this many times AskWithin without a watch
@@ -54,11 +54,11 @@
 
 // The kinds of command, each with the fields of Command that it uses.
 const (
-	Dial  Kind = iota // Call, Index: connect to discovery and request the changes after Index
-	Close             // Call: close the connection; its later events are ignored
-	Fail              // the query failed; call Ask when it is time to query again
-	Doubt             // Cause: membership is stale, from now on no host is sent anything
-	Trust             // membership is reliable again
+	Dial     Kind = iota // Call, Index: connect to discovery and request the changes after Index
+	Close                // Call: close the connection; its later events are ignored
+	Fail                 // the query failed; call Ask when it is time to query again
+	Stale                // Cause: membership is stale, from now on no host is sent anything
+	Reliable             // membership is reliable again
 )
 
 // All is the Index that requests the whole list instead of changes.
@@ -72,13 +72,13 @@
 	Cause string
 }
 
-// How is the way in which a connection to discovery ended.
-type How uint8
+// EndReason is the way in which a connection to discovery ended.
+type EndReason uint8
 
 // The ways in which a connection ends.
 const (
-	Refused How = iota // discovery or its machine refused: connection refused or reset, error status, end of the response
-	Spoilt             // the response could not be decoded
+	Refused   EndReason = iota // discovery or its machine refused: connection refused or reset, error status, end of the response
+	Malformed                  // the response could not be decoded
 )
 
 // call is one connection to discovery.
@@ -90,9 +90,9 @@
 	formerAddress bool  // it goes to an address that discovery has left
 }
 
-// Keeper decides how to follow discovery. Its methods take the time in microseconds, which never decreases. It is
+// Tracker decides how to follow discovery. Its methods take the time in microseconds, which never decreases. It is
 // not safe for concurrent use.
-type Keeper struct {
+type Tracker struct {
 	limits   Limits
 	random   func() float64
 	now      int64
@@ -114,21 +114,21 @@
 
 // New returns a Keeper that starts with a list of the revision index, or without one for All. random returns
 // numbers from 0 to 1.
-func New(now int64, l Limits, index int64, random func() float64) *Keeper {
-	return &Keeper{limits: l, random: random, now: now, revision: index, knownUntil: now}
+func New(now int64, l Limits, index int64, random func() float64) *Tracker {
+	return &Tracker{limits: l, random: random, now: now, revision: index, knownUntil: now}
 }
 
 // Ready returns the commands since its last call. The slice is valid until the next one is emitted.
-func (k *Keeper) Ready() []Command {
+func (k *Tracker) Ready() []Command {
 	out := k.commands
 	k.commands = k.commands[:0]
 	return out
 }
 
-func (k *Keeper) emit(c Command) { k.commands = append(k.commands, c) }
+func (k *Tracker) emit(c Command) { k.commands = append(k.commands, c) }
 
 // Ask opens the watch, unless there is a healthy one or a call awaits its answer.
-func (k *Keeper) Ask(now int64) {
+func (k *Tracker) Ask(now int64) {
 	k.advance(now)
 	if k.pending == nil && !k.watchHealthy() {
 		k.dial()
@@ -139,7 +139,7 @@
 // Moved records that discovery has another address from now on. Its revisions may be unrelated to the old ones, so
 // the whole list is requested. The old watch may still deliver changes that were written to it, and is read until
 // the new address answers.
-func (k *Keeper) Moved(now int64) {
+func (k *Tracker) Moved(now int64) {
 	k.advance(now)
 	k.revision, k.movedAt = All, now
 	if k.watch != nil {
@@ -151,7 +151,7 @@
 }
 
 // Heard records bytes on a connection that show that discovery is alive.
-func (k *Keeper) Heard(now int64, id Call) {
+func (k *Tracker) Heard(now int64, id Call) {
 	k.advance(now)
 	for _, c := range [...]*call{k.watch, k.pending} {
 		if c == nil || c.id != id {
@@ -167,7 +167,7 @@
 
 // Listed takes a list received on a connection and reports whether to accept it. A list with a lower revision is
 // rejected, since it is older than the current one. The connection is then closed and the whole list is requested.
-func (k *Keeper) Listed(now int64, id Call, revision int64, complete bool) bool {
+func (k *Tracker) Listed(now int64, id Call, revision int64, complete bool) bool {
 	k.advance(now)
 	defer k.updateStale()
 	fromWatch := k.watch != nil && k.watch.id == id
@@ -182,7 +182,7 @@
 		}
 		k.revision = All
 		k.emit(Command{Kind: Close, Call: id})
-		k.handleEnd(id, Spoilt)
+		k.handleEnd(id, Malformed)
 		return false
 	}
 	if fromFormerAddress {
@@ -200,13 +200,13 @@
 }
 
 // Ended records the end of a connection.
-func (k *Keeper) Ended(now int64, id Call, how How) {
+func (k *Tracker) Ended(now int64, id Call, how EndReason) {
 	k.advance(now)
 	k.handleEnd(id, how)
 	k.updateStale()
 }
 
-func (k *Keeper) handleEnd(id Call, how How) {
+func (k *Tracker) handleEnd(id Call, how EndReason) {
 	switch {
 	case k.watch != nil && k.watch.id == id:
 		switch {
@@ -233,7 +233,7 @@
 // retry schedules another call. If lists are pushed, every change counts at once: a watch that ended is reopened
 // at once and a failed call is repeated shortly after. Otherwise the decision module chooses the time, which
 // spreads the calls of all dispatchers.
-func (k *Keeper) retry(how How) {
+func (k *Tracker) retry(how EndReason) {
 	switch {
 	case !k.limits.Pushed:
 		k.emit(Command{Kind: Fail})
@@ -245,15 +245,15 @@
 }
 
 // Wake handles timeouts; call it at the time that Next returns.
-func (k *Keeper) Wake(now int64) {
+func (k *Tracker) Wake(now int64) {
 	k.advance(now)
-	if w := k.watch; w != nil && k.silentSince == 0 && now >= w.lastByteAt+Silence+w.jitter {
+	if w := k.watch; w != nil && k.silentSince == 0 && now >= w.lastByteAt+SilenceTimeout+w.jitter {
 		k.silentSince = w.lastByteAt
 		if k.pending == nil {
 			k.dial()
 		}
 	}
-	if p := k.pending; p != nil && now >= p.lastByteAt+Patience {
+	if p := k.pending; p != nil && now >= p.lastByteAt+CallTimeout {
 		// Timed out: no answer says that discovery is down or busy, so another call starts at once.
 		k.failedCallStart, k.unresponsive = p.startedAt, true
 		if k.silentSince == 0 {
@@ -269,7 +269,7 @@
 }
 
 // Next returns the time at which Wake must be called; 0 = not before another event.
-func (k *Keeper) Next() int64 {
+func (k *Tracker) Next() int64 {
 	next := int64(0)
 	earliest := func(at int64) {
 		if at != 0 && (next == 0 || at < next) {
@@ -277,10 +277,10 @@
 		}
 	}
 	if w := k.watch; w != nil && k.silentSince == 0 {
-		earliest(w.lastByteAt + Silence + w.jitter)
+		earliest(w.lastByteAt + SilenceTimeout + w.jitter)
 	}
 	if k.pending != nil {
-		earliest(k.pending.lastByteAt + Patience)
+		earliest(k.pending.lastByteAt + CallTimeout)
 	} else {
 		earliest(k.retryAt)
 	}
@@ -292,7 +292,7 @@
 
 // assumedNotifiedAt returns the time from which changes that were not received count as notified, and the reason;
 // 0 = not before another event.
-func (k *Keeper) assumedNotifiedAt() (at int64, cause string) {
+func (k *Tracker) assumedNotifiedAt() (at int64, cause string) {
 	if k.limits.Pushed && k.unresponsive {
 		return 0, ""
 	}
@@ -302,14 +302,14 @@
 		}
 	}
 	if k.silentSince != 0 {
-		earliest(k.silentSince+ToldSilent, "no data from discovery")
+		earliest(k.silentSince+NotifiedAfterSilence, "no data from discovery")
 	}
 	if k.movedAt != 0 {
-		earliest(k.movedAt+ToldMoved, "the new address of discovery has not answered")
+		earliest(k.movedAt+NotifiedAfterMove, "the new address of discovery has not answered")
 	}
 	switch {
 	case k.watch != nil:
-		earliest(k.watch.lastByteAt+ToldSilent, "no data from discovery")
+		earliest(k.watch.lastByteAt+NotifiedAfterSilence, "no data from discovery")
 	case k.limits.Pushed && k.movedAt == 0:
 		earliest(k.knownUntil, "no watch is open and lists are pushed")
 	case !k.limits.Pushed && k.limits.AskWithin > 0:
@@ -323,10 +323,10 @@
 }
 
 // grace returns how long after assumedNotifiedAt sends are tolerated, less the time needed to act.
-func (k *Keeper) grace() int64 { return max(k.limits.Grace-actMargin, 0) }
+func (k *Tracker) grace() int64 { return max(k.limits.Grace-actMargin, 0) }
 
 // updateStale emits a command when the membership becomes stale or reliable again.
-func (k *Keeper) updateStale() {
+func (k *Tracker) updateStale() {
 	at, cause := k.assumedNotifiedAt()
 	stale := at != 0 && k.now >= at+k.grace()
 	if stale == k.stale {
@@ -334,27 +334,27 @@
 	}
 	k.stale = stale
 	if stale {
-		k.emit(Command{Kind: Doubt, Cause: cause})
+		k.emit(Command{Kind: Stale, Cause: cause})
 	} else {
-		k.emit(Command{Kind: Trust})
+		k.emit(Command{Kind: Reliable})
 	}
 }
 
 // watchHealthy reports whether a watch at the present address is open and not silent.
-func (k *Keeper) watchHealthy() bool {
+func (k *Tracker) watchHealthy() bool {
 	return k.watch != nil && !k.watch.formerAddress && k.silentSince == 0
 }
 
-func (k *Keeper) advance(now int64) { k.now = max(k.now, now) }
+func (k *Tracker) advance(now int64) { k.now = max(k.now, now) }
 
-func (k *Keeper) dial() {
+func (k *Tracker) dial() {
 	k.lastCall++
 	k.retryAt = 0
-	k.pending = &call{id: k.lastCall, startedAt: k.now, lastByteAt: k.now, jitter: int64(k.random() * Spread)}
+	k.pending = &call{id: k.lastCall, startedAt: k.now, lastByteAt: k.now, jitter: int64(k.random() * SilenceJitter)}
 	k.emit(Command{Kind: Dial, Call: k.lastCall, Index: k.revision})
 }
 
-func (k *Keeper) closeCall(c **call) {
+func (k *Tracker) closeCall(c **call) {
 	if *c != nil {
 		k.emit(Command{Kind: Close, Call: (*c).id})
 		*c = nil
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -51,7 +51,7 @@
 	return out.String()
 }
 
-func printCommands(out *strings.Builder, now int64, k *Keeper) {
+func printCommands(out *strings.Builder, now int64, k *Tracker) {
 	for _, c := range k.Ready() {
 		switch c.Kind {
 		case Dial:
@@ -60,9 +60,9 @@
 			fmt.Fprintf(out, "%d close %d\n", now/1000, c.Call)
 		case Fail:
 			fmt.Fprintf(out, "%d fail\n", now/1000)
-		case Doubt:
+		case Stale:
 			fmt.Fprintf(out, "%d stale: %s\n", now/1000, c.Cause)
-		case Trust:
+		case Reliable:
 			fmt.Fprintf(out, "%d reliable\n", now/1000)
 		}
 	}
--- a/internal/inventory/search_test.go
+++ b/internal/inventory/search_test.go
@@ -30,7 +30,7 @@
 }
 
 type state struct {
-	keeper Keeper
+	keeper Tracker
 	model  discoveryModel
 	pushed bool
 	from   *state // the previous state, and the move that led here
@@ -219,10 +219,10 @@
 	notifiedAt := int64(1 << 62)
 	if a.model.silentSince != 0 && a.model.silentSince <= changedAt && !a.model.down && (a.model.watch != 0 || changedAt <= a.model.watchEndedAt) {
 		// Missed by a silent watch.
-		notifiedAt = min(notifiedAt, max(a.model.silentSince+ToldSilent, changedAt))
+		notifiedAt = min(notifiedAt, max(a.model.silentSince+NotifiedAfterSilence, changedAt))
 	}
 	if a.model.movedAt != 0 {
-		notifiedAt = min(notifiedAt, max(a.model.movedAt+ToldMoved, changedAt))
+		notifiedAt = min(notifiedAt, max(a.model.movedAt+NotifiedAfterMove, changedAt))
 	}
 	if a.model.watch == 0 && l.Pushed && a.model.silentSince == 0 && a.model.movedAt == 0 {
 		notifiedAt = min(notifiedAt, changedAt)
@@ -283,7 +283,7 @@
 }
 
 // search runs all orders of moves up to a depth and returns the first one that violates the property.
-func search(l Limits, depth int, mutate func(*Keeper)) (path string, states int) {
+func search(l Limits, depth int, mutate func(*Tracker)) (path string, states int) {
 	start := &state{keeper: *New(tick, l, 0, func() float64 { return 0.5 }), pushed: l.Pushed}
 	start.model.now = tick
 	start.keeper.Ask(tick)
@@ -338,16 +338,16 @@
 	for _, m := range []struct {
 		name   string
 		limits Limits
-		mutate func(*Keeper)
+		mutate func(*Tracker)
 	}{
-		{"membership never stale", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) { k.stale = false }},
-		{"a silent watch closed and forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) {
+		{"membership never stale", Limits{AskWithin: askWithin, Grace: grace}, func(k *Tracker) { k.stale = false }},
+		{"a silent watch closed and forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Tracker) {
 			if k.silentSince != 0 {
 				k.silentSince, k.watch = 0, nil
 			}
 		}},
-		{"the move of discovery forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Keeper) { k.movedAt = 0 }},
-		{"pushed lists treated as queried ones", Limits{Pushed: true, Grace: grace}, func(k *Keeper) { k.limits.Pushed = false }},
+		{"the move of discovery forgotten", Limits{AskWithin: askWithin, Grace: grace}, func(k *Tracker) { k.movedAt = 0 }},
+		{"pushed lists treated as queried ones", Limits{Pushed: true, Grace: grace}, func(k *Tracker) { k.limits.Pushed = false }},
 	} {
 		if path, _ := search(m.limits, 13, m.mutate); path == "" {
 			t.Errorf("%s: no order violates the property", m.name)
