--- a/internal/driver/door.go
+++ b/internal/driver/door.go
@@ -86,7 +86,7 @@
 		}
 		return door.AppendNo(nil, "not serving")
 	case door.Counters:
-		return door.AppendFigures(nil, d.metrics.text())
+		return door.AppendMetrics(nil, d.metrics.text())
 	}
 	answer := make(chan []byte, 1)
 	wait := time.NewTimer(adminOwnerTimeout)
--- a/internal/driver/downstream.go
+++ b/internal/driver/downstream.go
@@ -17,7 +17,7 @@
 // is buffered, up to limits.readAhead bytes.
 type downstream struct {
 	*conn
-	parser             *platform.North
+	parser             *platform.RequestReader
 	unparsed           []byte            // bytes read after the current request
 	arrivals           arrivals          // when the bytes in unparsed were received
 	receivedAt         int64             // when the last byte of the request was received, Unix microseconds
--- a/internal/driver/inventory.go
+++ b/internal/driver/inventory.go
@@ -125,14 +125,14 @@
 		if err == nil {
 			whole, err = parser.Feed(b)
 			how = inventory.Malformed
-			if parser.Fresh() {
+			if parser.Alive() {
 				d.watches.tracker.Heard(d.now(), id)
 			}
 		}
 		if err == nil {
 			err = staleErr
 		}
-		if errors.Is(err, platform.ErrTurnedAway) {
+		if errors.Is(err, platform.ErrStatus) {
 			how = inventory.Refused
 		}
 		if err != nil {
--- a/internal/driver/upstream.go
+++ b/internal/driver/upstream.go
@@ -25,7 +25,7 @@
 type upstream struct {
 	*conn
 	addr         string
-	parser       *platform.Relay
+	parser       *platform.ResponseReader
 	attempt      *attempt
 	writePending bool // the writer has not yet reported that the whole request was written
 	counted      bool // the request was written whole and counted in the metrics
--- a/internal/wire/door/door.go
+++ b/internal/wire/door/door.go
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// LineMost bounds the line of a call in bytes, its line end included. Worker ids are far shorter.
-const LineMost = 512
+// MaxLine bounds the line of a call in bytes, its line end included. Worker ids are far shorter.
+const MaxLine = 512
 
 // Verb is the operation that a caller requests.
 type Verb uint8
@@ -44,7 +44,7 @@
 
 // ErrTooLong reports a line of more than LineMost bytes. The bytes after it cannot be separated from it, so the
 // caller is answered and disconnected.
-var ErrTooLong = fmt.Errorf("line longer than %d bytes", LineMost)
+var ErrTooLong = fmt.Errorf("line longer than %d bytes", MaxLine)
 
 // Reader assembles the bytes of one connection into a line.
 type Reader struct {
@@ -57,7 +57,7 @@
 // carries one call.
 func (r *Reader) Feed(b []byte) (c Call, done bool, err error) {
 	if i := bytes.IndexByte(b, '\n'); i >= 0 {
-		if len(r.buf)+i+1 > LineMost {
+		if len(r.buf)+i+1 > MaxLine {
 			return Call{}, true, ErrTooLong
 		}
 		line := append(r.buf, b[:i]...)
@@ -65,7 +65,7 @@
 		c, err := Parse(string(bytes.TrimSuffix(line, []byte{'\r'})))
 		return c, true, err
 	}
-	if len(r.buf)+len(b) >= LineMost {
+	if len(r.buf)+len(b) >= MaxLine {
 		return Call{}, true, ErrTooLong
 	}
 	r.buf = append(r.buf, b...)
@@ -103,8 +103,8 @@
 // AppendNo appends a NO line with its reason.
 func AppendNo(b []byte, reason string) []byte { return appendLine(b, "NO", reason) }
 
-// AppendFigures appends a YES line, the metrics in the Prometheus text format unchanged, and the line END.
-func AppendFigures(b []byte, metrics []byte) []byte {
+// AppendMetrics appends a YES line, the metrics in the Prometheus text format unchanged, and the line END.
+func AppendMetrics(b []byte, metrics []byte) []byte {
 	b = append(b, "YES\n"...)
 	b = append(b, metrics...)
 	if len(metrics) > 0 && metrics[len(metrics)-1] != '\n' {
--- a/internal/wire/door/door_test.go
+++ b/internal/wire/door/door_test.go
@@ -61,7 +61,7 @@
 // A line beyond the bound is rejected whether or not its end has arrived, and nothing more is buffered.
 func TestTooLong(t *testing.T) {
 	var r Reader
-	for i := 0; i < LineMost/64-1; i++ {
+	for i := 0; i < MaxLine/64-1; i++ {
 		if _, done, err := r.Feed(bytes.Repeat([]byte("x"), 64)); done || err != nil {
 			t.Fatalf("piece %d: done %v, error %v", i, done, err)
 		}
@@ -70,14 +70,14 @@
 		t.Fatalf("done %v, error %v; want ErrTooLong", done, err)
 	}
 	var s Reader
-	if _, done, err := s.Feed(append(bytes.Repeat([]byte("x"), LineMost), '\n')); !done || !errors.Is(err, ErrTooLong) {
+	if _, done, err := s.Feed(append(bytes.Repeat([]byte("x"), MaxLine), '\n')); !done || !errors.Is(err, ErrTooLong) {
 		t.Fatalf("whole: done %v, error %v; want ErrTooLong", done, err)
 	}
 }
 
 func TestAnswers(t *testing.T) {
 	got := string(AppendNo(AppendYes(nil, ""), "two\nlines"))
-	got += string(AppendFigures(nil, []byte("router_concurrent 3")))
+	got += string(AppendMetrics(nil, []byte("router_concurrent 3")))
 	want := "YES\nNO two lines\nYES\nrouter_concurrent 3\nEND\n"
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
@@ -94,7 +94,7 @@
 		var r Reader
 		for i := 0; i < len(text); i += size {
 			c, done, err := r.Feed(text[i:min(i+size, len(text))])
-			if len(r.buf) >= LineMost {
+			if len(r.buf) >= MaxLine {
 				t.Fatalf("keeps %d bytes", len(r.buf))
 			}
 			if !done {
--- a/internal/wire/platform/inventory.go
+++ b/internal/wire/platform/inventory.go
@@ -62,8 +62,8 @@
 	return l, nil
 }
 
-// ErrTurnedAway is the error for a response of discovery with a status other than 200.
-var ErrTurnedAway = errors.New("discovery answered with status")
+// ErrStatus is the error for a response of discovery with a status other than 200.
+var ErrStatus = errors.New("discovery answered with status")
 
 // Watch reads the lists of discovery: the whole list if it was requested first, then the changes.
 type Watch struct {
@@ -103,7 +103,7 @@
 func (w *Watch) Feed(b []byte) (listed bool, err error) {
 	used, complete, err := w.resp.feed(b, func() {
 		if w.resp.status != 200 {
-			w.statusErr = fmt.Errorf("%w %d", ErrTurnedAway, w.resp.status)
+			w.statusErr = fmt.Errorf("%w %d", ErrStatus, w.resp.status)
 		}
 	}, w.feedBody)
 	if err == nil && complete {
@@ -124,9 +124,9 @@
 	return true, nil
 }
 
-// Fresh reports whether the bytes fed last show that discovery is alive. A blank line between lists does; one
+// Alive reports whether the bytes fed last show that discovery is alive. A blank line between lists does; one
 // within a list that never ends does not.
-func (w *Watch) Fresh() bool { return !w.resp.inBody || w.splitter.progressed }
+func (w *Watch) Alive() bool { return !w.resp.inBody || w.splitter.progressed }
 
 func (w *Watch) feedBody(data []byte) error {
 	if w.statusErr != nil {
--- a/internal/wire/platform/north.go
+++ b/internal/wire/platform/north.go
@@ -41,8 +41,8 @@
 	Continue  bool // the client waits for 100 Continue before it sends the body
 }
 
-// North reads the requests on one client connection.
-type North struct {
+// RequestReader reads the requests on one client connection.
+type RequestReader struct {
 	lanes   map[string]Lane
 	tenants map[string]int
 	head    head
@@ -51,15 +51,15 @@
 }
 
 // NewNorth returns a reader for the classes and tenants of the settings.
-func NewNorth(lanes map[string]Lane, tenants map[string]int) *North {
-	return &North{lanes: lanes, tenants: tenants}
+func NewNorth(lanes map[string]Lane, tenants map[string]int) *RequestReader {
+	return &RequestReader{lanes: lanes, tenants: tenants}
 }
 
 // Partial reports whether a message has begun and is incomplete.
-func (n *North) Partial() bool { return n.msg != nil || len(n.head.buf) > 0 }
+func (n *RequestReader) Partial() bool { return n.msg != nil || len(n.head.buf) > 0 }
 
 // Size returns the bytes buffered of an incomplete message.
-func (n *North) Size() int {
+func (n *RequestReader) Size() int {
 	if n.msg != nil {
 		return len(n.msg.Body)
 	}
@@ -67,7 +67,7 @@
 }
 
 // Awaited reports whether the client waits for 100 Continue; true once per message.
-func (n *North) Awaited() bool {
+func (n *RequestReader) Awaited() bool {
 	if n.msg == nil || !n.msg.Continue {
 		return false
 	}
@@ -77,7 +77,7 @@
 
 // Feed consumes bytes up to the end of one message. After a Fault here the end of the message is unknown, so the
 // driver must answer it and close the connection.
-func (n *North) Feed(b []byte) (used int, m *Message, fault *Fault) {
+func (n *RequestReader) Feed(b []byte) (used int, m *Message, fault *Fault) {
 	if n.msg == nil {
 		k, whole, err := n.head.feed(b)
 		used = k
@@ -115,7 +115,7 @@
 var errBodyTooLarge = errors.New("body is over 64 KiB")
 
 // parseHead parses a complete head and determines the framing of the body.
-func (n *North) parseHead() *Fault {
+func (n *RequestReader) parseHead() *Fault {
 	err := n.head.validate()
 	var first string
 	var f textproto.MIMEHeader
@@ -170,7 +170,7 @@
 }
 
 // parseRequest fills in a message from its head.
-func (n *North) parseRequest(m *Message, f textproto.MIMEHeader) *Fault {
+func (n *RequestReader) parseRequest(m *Message, f textproto.MIMEHeader) *Fault {
 	path, query, _ := strings.Cut(m.Target, "?")
 	if path == "/healthz" {
 		m.Health = m.Method == "GET"
@@ -241,7 +241,7 @@
 
 // tenantIndex returns the index of the tenant named by X-Org, or -1 if the header is absent, unknown or repeated.
 // Such a message has no tenant share, but it is not rejected, because it can still be served.
-func (n *North) tenantIndex(named []string) int {
+func (n *RequestReader) tenantIndex(named []string) int {
 	if len(named) == 1 {
 		if t, known := n.tenants[settingsName(named[0])]; known {
 			return t
--- a/internal/wire/platform/relay.go
+++ b/internal/wire/platform/relay.go
@@ -71,8 +71,8 @@
 	return append(b, m.Body...)
 }
 
-// Relay reads the responses on one connection to a back-end host, one at a time.
-type Relay struct {
+// ResponseReader reads the responses on one connection to a back-end host, one at a time.
+type ResponseReader struct {
 	resp    response
 	lines   lineSplitter
 	parser  fastjson.Parser
@@ -88,12 +88,12 @@
 )
 
 // NewRelay returns a reader that passes its notes to notify.
-func NewRelay(notify func(Note)) *Relay {
-	return &Relay{lines: lineSplitter{maxLen: maxLine}, notify: notify}
+func NewRelay(notify func(Note)) *ResponseReader {
+	return &ResponseReader{lines: lineSplitter{maxLen: maxLine}, notify: notify}
 }
 
 // Begin prepares for the response to the message with the given id, whose request is about to be sent.
-func (r *Relay) Begin(id string) {
+func (r *ResponseReader) Begin(id string) {
 	r.resp.reset()
 	r.lines.reset()
 	r.id, r.pending, r.ended = id, true, false
@@ -101,7 +101,7 @@
 
 // Feed processes received bytes. After an error the connection cannot be used any more, and an attempt without a
 // reported outcome counts as broken.
-func (r *Relay) Feed(b []byte) error {
+func (r *ResponseReader) Feed(b []byte) error {
 	if !r.pending {
 		return errUnexpectedBytes
 	}
@@ -121,13 +121,13 @@
 	return nil
 }
 
-func (r *Relay) reportEnd(result logic.Result, content []byte) {
+func (r *ResponseReader) reportEnd(result logic.Result, content []byte) {
 	r.ended = true
 	r.notify(Note{Kind: NoteEnded, Result: result, Content: content})
 }
 
 // head processes the status line: every status but 200 is an outcome by itself.
-func (r *Relay) head() {
+func (r *ResponseReader) head() {
 	switch s := r.resp.status; {
 	case s == 200:
 		r.notify(Note{Kind: NoteTaken})
@@ -142,7 +142,7 @@
 }
 
 // line processes one JSON object.
-func (r *Relay) line(text []byte) error {
+func (r *ResponseReader) line(text []byte) error {
 	if r.ended || len(text) == 0 {
 		return nil
 	}
