--- a/cmd/granitewing-fleet/main_test.go
+++ b/cmd/granitewing-fleet/main_test.go
@@ -189,7 +189,11 @@
 	f, _ := peer(t, "p", "t", 7, bind)
 	seq := uint64(0)
 	sendReport := func(r func() *ledger.Report) func(*status) bool {
-		return func(*status) bool { seq++; f.Tell([]ledger.Out{{Report: r(), To: []string{"n0"}}}); return false }
+		return func(*status) bool {
+			seq++
+			f.SendReports([]ledger.Out{{Report: r(), To: []string{"n0"}}})
+			return false
+		}
 	}
 	unless := func(do, want func(*status) bool) func(*status) bool {
 		return func(s *status) bool { return want(s) || do(s) }
@@ -260,7 +264,7 @@
 	ours, _ := peer(t, "q", "ours", 1, bind)
 	defer ours.Leave()
 	waitForStatus(t, admin, "the one of this fleet", func(s *status) bool { return s.Members == 1 })
-	if h := theirs.Take(); len(h.Members) != 0 {
+	if h := theirs.ReceiveReports(); len(h.Members) != 0 {
 		t.Errorf("a member of another fleet sees %d of this one", len(h.Members))
 	}
 }
--- a/internal/driver/door.go
+++ b/internal/driver/door.go
@@ -16,10 +16,10 @@
 	adminWriteTimeout = time.Second
 )
 
-// Door serves admin calls on a listener of its own until the listener is closed. Health checks and metrics are
+// ServeAdmin serves admin calls on a listener of its own until the listener is closed. Health checks and metrics are
 // answered without the owner, so a busy core does not delay them. Calls that change the dispatcher are posted to the
 // owner.
-func (d *Driver) Door(ln net.Listener) {
+func (d *Driver) ServeAdmin(ln net.Listener) {
 	slots := make(chan struct{}, maxAdminCallers)
 	for {
 		c, err := ln.Accept()
--- a/internal/driver/door_test.go
+++ b/internal/driver/door_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	go d.Door(ln)
+	go d.ServeAdmin(ln)
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -79,8 +79,8 @@
 	shutdownPlan     shutdownPlan // of a SIGTERM without a successor process
 	serving          atomic.Bool  // health as the admin endpoint reports it: servers are known and clients are accepted
 	metrics          *metrics
-	cordonUpdates    latest.Place[[]string] // to the cordonSyncer
-	startedAt        time.Time              // when this process started
+	cordonUpdates    latest.Mailbox[[]string] // to the cordonSyncer
+	startedAt        time.Time                // when this process started
 	files            fileSystem
 	tempSuffix       string        // unique to this process; in the names of temporary files
 	previousStart    startRecord   // start announced by the process before this one
--- a/internal/driver/files_test.go
+++ b/internal/driver/files_test.go
@@ -154,12 +154,12 @@
 		t.Setenv("TMPDIR", t.TempDir())
 		now := time.Now()
 		first := announcedDriver(t, now)
-		if first.Succeeded() {
+		if first.HasSuccessor() {
 			t.Errorf("step %v: a single process has a successor", step)
 		}
 		second := announcedDriver(t, now.Add(step))
-		if !first.Succeeded() || second.Succeeded() {
-			t.Errorf("step %v: the first has a successor %t, the second %t", step, first.Succeeded(), second.Succeeded())
+		if !first.HasSuccessor() || second.HasSuccessor() {
+			t.Errorf("step %v: the first has a successor %t, the second %t", step, first.HasSuccessor(), second.HasSuccessor())
 		}
 	}
 }
@@ -174,13 +174,13 @@
 			faulty := &faultyFileSystem{call: call, err: errno}
 			second.files = faulty
 			second.Announce()
-			if first.Succeeded() {
+			if first.HasSuccessor() {
 				t.Fatalf("%s %v: a partial announcement was visible", call, errno)
 			}
 			faulty.err = nil
 			second.retryAnnounce()
-			if !first.Succeeded() || second.Succeeded() {
-				t.Errorf("%s %v: the first has a successor %t, the second %t", call, errno, first.Succeeded(), second.Succeeded())
+			if !first.HasSuccessor() || second.HasSuccessor() {
+				t.Errorf("%s %v: the first has a successor %t, the second %t", call, errno, first.HasSuccessor(), second.HasSuccessor())
 			}
 		}
 	}
@@ -191,8 +191,8 @@
 	next := announcedDriver(t, time.Now().Add(time.Second))
 	late.files = osFileSystem{}
 	late.retryAnnounce()
-	if next.Succeeded() || !late.Succeeded() {
-		t.Errorf("the later one has a successor %t, the earlier one %t", next.Succeeded(), late.Succeeded())
+	if next.HasSuccessor() || !late.HasSuccessor() {
+		t.Errorf("the later one has a successor %t, the earlier one %t", next.HasSuccessor(), late.HasSuccessor())
 	}
 }
 
@@ -204,11 +204,11 @@
 		if err := os.WriteFile(filepath.Join(os.TempDir(), filepath.Base(d.stateFile("start"))), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if d.Former() {
+		if d.PredecessorRunning() {
 			t.Errorf("%q: reports a running former process", text)
 		}
 		d.Announce()
-		if d.Succeeded() {
+		if d.HasSuccessor() {
 			t.Errorf("%q: reports a successor", text)
 		}
 	}
--- a/internal/driver/inventory.go
+++ b/internal/driver/inventory.go
@@ -33,8 +33,8 @@
 	return inventoryWatches{tracker: inventory.New(now, limits, cfg.Known.Revision, rng.Float64), open: map[inventory.Call]*watch{}}
 }
 
-// Reload changes the address of discovery. It is safe for use by any goroutine.
-func (d *Driver) Reload(discovery string) {
+// SetDiscovery changes the address of discovery. It is safe for use by any goroutine.
+func (d *Driver) SetDiscovery(discovery string) {
 	d.post(func() {
 		if discovery != d.cfg.Discovery {
 			d.cfg.Discovery = discovery
--- a/internal/driver/journal.go
+++ b/internal/driver/journal.go
@@ -17,9 +17,9 @@
 
 // Records configures the recording of requests in a store of record.
 type Records struct {
-	Journal *record.Journal
-	Store   record.Store
-	Limit   time.Duration // of one write, after which it counts as failed
+	Journal      *record.Journal
+	Store        record.Store
+	WriteTimeout time.Duration // of one write, after which it counts as failed
 }
 
 // journal connects the driver to the store of record. A goroutine of its own makes one write at a time, so that the
@@ -35,9 +35,9 @@
 	lastWriteFailed bool  // avoids a log line per failed write
 }
 
-// Keep makes the driver record requests. It must be called before Run.
-func (d *Driver) Keep(r Records) {
-	d.journal = &journal{Journal: r.Journal, d: d, store: r.Store, limit: r.Limit, writes: make(chan []record.Record, 1)}
+// UseRecords makes the driver record requests. It must be called before Run.
+func (d *Driver) UseRecords(r Records) {
+	d.journal = &journal{Journal: r.Journal, d: d, store: r.Store, limit: r.WriteTimeout, writes: make(chan []record.Record, 1)}
 	go d.journal.writeLoop()
 }
 
--- a/internal/driver/journal_test.go
+++ b/internal/driver/journal_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	classes := []record.Class{{Name: "readings", Policy: record.Behind}, {Name: "batch", Policy: record.Told, Window: 40_000_000}, {Name: "alert", Policy: record.Before}}
-	s.d.Keep(Records{Store: s.store, Limit: time.Minute,
+	s.d.UseRecords(Records{Store: s.store, WriteTimeout: time.Minute,
 		Journal: record.New(classes, 1, record.DefaultLimits, record.NewBreaker(patience.Microseconds(), 1000, 2000, 1))})
 	s.addr = ln.Addr().String()
 	stop := make(chan struct{})
--- a/internal/driver/limits.go
+++ b/internal/driver/limits.go
@@ -38,7 +38,7 @@
 // must not be handled at a time before it was sent. Otherwise a keeper would promise the dealer's lease for less than
 // its duration, and a dealer would grant rights beyond the end of its own lease.
 func (l *fleetLimits) exchange(peers Peers) {
-	received := peers.Said()
+	received := peers.ReceiveLimitMessages()
 	now := l.now()
 	var out []*limit.Message
 	for _, m := range received {
@@ -46,7 +46,7 @@
 			out = append(out, answer)
 		}
 	}
-	peers.Say(append(out, l.participant.Round(now)...))
+	peers.SendLimitMessages(append(out, l.participant.Round(now)...))
 }
 
 // resignFleetRoles gives up the roles that this dispatcher has for its fleet, so that another member takes them over
@@ -57,7 +57,7 @@
 			s.gangs.Close()
 		}
 		if s.rights != nil {
-			s.Peers.Say(s.rights.participant.Leave(d.now()))
+			s.Peers.SendLimitMessages(s.rights.participant.Leave(d.now()))
 		}
 		close(s.resigned)
 	}
@@ -66,9 +66,9 @@
 // Resigned is closed once a driver in a fleet has been stopped and has notified the other members.
 func (d *Driver) Resigned() <-chan struct{} { return d.sharing.resigned }
 
-// Relimit changes the amounts, bursts and floors of the limits with the given names. It is safe for use by any
+// SetFleetLimits changes the amounts, bursts and floors of the limits with the given names. It is safe for use by any
 // goroutine.
-func (d *Driver) Relimit(limits []limit.Limit) {
+func (d *Driver) SetFleetLimits(limits []limit.Limit) {
 	d.post(func() {
 		if d.sharing != nil && d.sharing.rights != nil {
 			d.sharing.rights.participant.Change(d.now(), limits)
--- a/internal/driver/limits_test.go
+++ b/internal/driver/limits_test.go
@@ -16,10 +16,13 @@
 	sent       []*limit.Message
 }
 
-func (s *suspendedPeers) Tell([]ledger.Out)        {}
-func (s *suspendedPeers) Take() ledger.Heard       { return ledger.Heard{} }
-func (s *suspendedPeers) Say(out []*limit.Message) { s.sent = out }
-func (s *suspendedPeers) Said() []*limit.Message   { s.now += s.suspension; return s.received }
+func (s *suspendedPeers) SendReports([]ledger.Out)               {}
+func (s *suspendedPeers) ReceiveReports() ledger.Heard           { return ledger.Heard{} }
+func (s *suspendedPeers) SendLimitMessages(out []*limit.Message) { s.sent = out }
+func (s *suspendedPeers) ReceiveLimitMessages() []*limit.Message {
+	s.now += s.suspension
+	return s.received
+}
 
 // A keeper that was suspended in the middle of a round promises the dealer's lease for a whole lease duration from
 // when it resumes; requests that arrived meanwhile count from then.
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -18,23 +18,23 @@
 
 // Peers carries load reports and messages about limits between the dispatchers of a fleet. No call blocks.
 type Peers interface {
-	Tell([]ledger.Out)
-	Take() ledger.Heard
-	Say([]*limit.Message)
-	Said() []*limit.Message
+	SendReports([]ledger.Out)
+	ReceiveReports() ledger.Heard
+	SendLimitMessages([]*limit.Message)
+	ReceiveLimitMessages() []*limit.Message
 }
 
-// Sharing configures the exchange of load reports with the other dispatchers of a fleet.
-type Sharing struct {
-	Peers       Peers
-	Limits      ledger.Limits
-	Every       time.Duration
-	Incarnation uint64
-	Rights      *limit.Options // fleet-wide limits; nil: none
-	Retries     float64        // attempts beyond the first, as a share of first attempts; 0: no fleet-wide bound
-	Verdicts    bool           // servers are ejected by a vote of all members
-	Slack       bool           // requests are admitted at one price for the whole fleet's capacity
-	Gangs       *gang.Options  // requests that run as parts on many servers at once; nil: none. They require Rights
+// FleetOptions configures the exchange of load reports with the other dispatchers of a fleet.
+type FleetOptions struct {
+	Peers          Peers
+	Limits         ledger.Limits
+	Interval       time.Duration
+	Incarnation    uint64
+	Rights         *limit.Options // fleet-wide limits; nil: none
+	Retries        float64        // attempts beyond the first, as a share of first attempts; 0: no fleet-wide bound
+	VoteEjection   bool           // servers are ejected by a vote of all members
+	PriceAdmission bool           // requests are admitted at one price for the whole fleet's capacity
+	Gangs          *gang.Options  // requests that run as parts on many servers at once; nil: none. They require Rights
 }
 
 // metricsEvery is the number of exchange periods between renderings of the fleet's metrics.
@@ -48,7 +48,7 @@
 
 // fleetSharing is the driver's state for the fleet exchange. It belongs to the owner.
 type fleetSharing struct {
-	Sharing
+	FleetOptions
 	ledger         *ledger.Ledger
 	hosts          []logic.WorkerID
 	seq            uint64
@@ -64,16 +64,16 @@
 	gangs          *gang.Part     // nil: no gangs
 }
 
-// Share makes the driver take part in a fleet. It must be called before Run.
-func (d *Driver) Share(s Sharing) {
-	d.sharing = &fleetSharing{Sharing: s, ledger: ledger.New(d.cfg.Name, s.Limits), resigned: make(chan struct{})}
+// UseFleet makes the driver take part in a fleet. It must be called before Run.
+func (d *Driver) UseFleet(s FleetOptions) {
+	d.sharing = &fleetSharing{FleetOptions: s, ledger: ledger.New(d.cfg.Name, s.Limits), resigned: make(chan struct{})}
 	if s.Retries > 0 {
 		d.core.Retries(s.Retries, retryBurst)
 	}
-	if s.Verdicts {
+	if s.VoteEjection {
 		d.sharing.verdicts = court.New(d.cfg.Name, d.cfg.Settings.Zone, d.core)
 	}
-	if s.Slack {
+	if s.PriceAdmission {
 		d.sharing.admission = market.New(d.core)
 	}
 	if s.Rights != nil {
@@ -91,7 +91,7 @@
 // period. It is off the request path: no request waits for it.
 func (d *Driver) shareRound() {
 	s, now := d.sharing, d.now()
-	h := s.Peers.Take()
+	h := s.Peers.ReceiveReports()
 	s.members, s.malformed, s.outdated = len(h.Members), s.malformed+h.Bad, s.outdated+h.Old
 	s.ledger.Members(len(h.Members))
 	s.retriesRefused = d.core.GivenUp()
@@ -106,13 +106,13 @@
 	s.seq++
 	own := ledger.Of(d.cfg.Name, s.Incarnation, s.seq, now, d.core)
 	if s.verdicts != nil {
-		s.verdicts.Sit(now, s.ledger, d.core, s.believed+1, s.Every, own)
+		s.verdicts.Sit(now, s.ledger, d.core, s.believed+1, s.Interval, own)
 	}
 	if s.admission != nil {
 		s.admission.Sit(now, s.ledger, d.core, len(h.Members)+1, own)
 	}
 	if out := s.ledger.Round(now, own, h.Members); len(out) > 0 {
-		s.Peers.Tell(out)
+		s.Peers.SendReports(out)
 	}
 	if s.rights != nil {
 		s.rights.exchange(s.Peers)
@@ -124,7 +124,7 @@
 		text := s.metricsText(now)
 		d.metrics.fleetText.Store(&text)
 	}
-	d.postAfter(s.Every, d.shareRound)
+	d.postAfter(s.Interval, d.shareRound)
 }
 
 // metricsText renders the metrics of the fleet in the Prometheus text format.
--- a/internal/driver/upgrade.go
+++ b/internal/driver/upgrade.go
@@ -58,19 +58,19 @@
 	return err
 }
 
-// Succeeded reports whether another process of this dispatcher started after this one, according to the file in
+// HasSuccessor reports whether another process of this dispatcher started after this one, according to the file in
 // $TMPDIR. It reads the file, so it is called outside the owner goroutine when SIGTERM comes; the result is kept for
 // the owner's stop.
-func (d *Driver) Succeeded() bool {
+func (d *Driver) HasSuccessor() bool {
 	last, found := d.readStart()
 	later := found && last.number > d.startNumber.Load()
 	d.successor.Store(later)
 	return later
 }
 
-// Former reports whether the process of this dispatcher that announced its start last is another one that still runs.
+// PredecessorRunning reports whether the process of this dispatcher that announced its start last is another one that still runs.
 // It must be called before Run.
-func (d *Driver) Former() bool {
+func (d *Driver) PredecessorRunning() bool {
 	last, found := d.readStart()
 	return found && last.pid > 0 && last.pid != os.Getpid() && syscall.Kill(last.pid, 0) == nil
 }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -57,7 +57,7 @@
 type Fleet struct {
 	options        Options
 	list           *memberlist.Memberlist
-	outgoing       latest.Place[[]ledger.Out]
+	outgoing       latest.Mailbox[[]ledger.Out]
 	outgoingLimits chan []*limit.Message
 	done           chan struct{}
 	wait           sync.WaitGroup
@@ -214,9 +214,9 @@
 	}
 }
 
-// Tell sends reports without waiting; the caller must not change them afterwards. If earlier reports are still waiting
+// SendReports sends reports without waiting; the caller must not change them afterwards. If earlier reports are still waiting
 // to be sent, these replace them.
-func (f *Fleet) Tell(out []ledger.Out) { f.outgoing.Put(out) }
+func (f *Fleet) SendReports(out []ledger.Out) { f.outgoing.Put(out) }
 
 // sendLoop sends reports and messages about limits until the fleet is left.
 func (f *Fleet) sendLoop() {
@@ -284,9 +284,9 @@
 	return out
 }
 
-// Take returns what was received since the last call: reports sorted by sender and kind, processes that are gone, and
+// ReceiveReports returns what was received since the last call: reports sorted by sender and kind, processes that are gone, and
 // the members present now.
-func (f *Fleet) Take() ledger.Heard {
+func (f *Fleet) ReceiveReports() ledger.Heard {
 	members := slices.Sorted(maps.Keys(f.present()))
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/member/say.go
+++ b/internal/fleet/member/say.go
@@ -5,9 +5,9 @@
 // Messages about limits. Their senders repeat them while they matter, so messages that exceed a queue are dropped here,
 // as a network may drop them.
 
-// Say sends messages about limits without waiting; the caller must not change them afterwards. If too many batches wait
+// SendLimitMessages sends messages about limits without waiting; the caller must not change them afterwards. If too many batches wait
 // already, it drops this one and counts it.
-func (f *Fleet) Say(out []*limit.Message) {
+func (f *Fleet) SendLimitMessages(out []*limit.Message) {
 	if len(out) == 0 {
 		return
 	}
@@ -32,8 +32,8 @@
 	}
 }
 
-// Said returns the messages about limits that arrived since the last call.
-func (f *Fleet) Said() []*limit.Message {
+// ReceiveLimitMessages returns the messages about limits that arrived since the last call.
+func (f *Fleet) ReceiveLimitMessages() []*limit.Message {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := f.receivedLimits
--- a/internal/latest/latest.go
+++ b/internal/latest/latest.go
@@ -4,21 +4,21 @@
 
 import "granitewing/internal/seam"
 
-// Place holds at most one value. One goroutine puts values; any goroutine may take them.
-type Place[T any] struct{ c chan T }
+// Mailbox holds at most one value. One goroutine puts values; any goroutine may take them.
+type Mailbox[T any] struct{ c chan T }
 
 // New returns an empty place.
-func New[T any]() Place[T] { return Place[T]{make(chan T, 1)} }
+func New[T any]() Mailbox[T] { return Mailbox[T]{make(chan T, 1)} }
 
 // Put stores a value, replacing one that is still there. It never blocks.
-func (p Place[T]) Put(v T) {
+func (p Mailbox[T]) Put(v T) {
 	for !seam.TrySend(p.c, v) {
 		seam.TryRecv(p.c)
 	}
 }
 
 // C returns the channel from which to receive the value, for use in a select.
-func (p Place[T]) C() <-chan T { return p.c }
+func (p Mailbox[T]) C() <-chan T { return p.c }
 
 // Take removes and returns the value; false if there is none.
-func (p Place[T]) Take() (T, bool) { return seam.TryRecv(p.c) }
+func (p Mailbox[T]) Take() (T, bool) { return seam.TryRecv(p.c) }
--- a/internal/latest/latest_check_test.go
+++ b/internal/latest/latest_check_test.go
@@ -11,7 +11,7 @@
 )
 
 // placeModel has one goroutine put three values and another take three times; put is the function under test.
-func placeModel(put func(p Place[int], v int)) check.Make {
+func placeModel(put func(p Mailbox[int], v int)) check.Make {
 	return func() ([]func(), func() error) {
 		p := New[int]()
 		var took []int
@@ -45,7 +45,7 @@
 }
 
 func TestInterleavings(t *testing.T) {
-	r := check.Run(check.Default, placeModel(Place[int].Put))
+	r := check.Run(check.Default, placeModel(Mailbox[int].Put))
 	t.Log(r)
 	if r.Err != nil || !r.Whole || r.Schedules < 10 {
 		t.Error(r)
@@ -54,7 +54,7 @@
 
 // Without taking out the old value, the latest one is lost in some order.
 func TestInterleavingsWithoutRoom(t *testing.T) {
-	broken := placeModel(func(p Place[int], v int) { seam.TrySend(p.c, v) })
+	broken := placeModel(func(p Mailbox[int], v int) { seam.TrySend(p.c, v) })
 	r := check.Run(check.Default, broken)
 	t.Log(r)
 	if r.Err == nil || check.Replay(r.Schedule, broken) == nil {
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -98,32 +98,32 @@
 	return p.peers
 }
 
-// Tell implements driver.Peers.
-func (p *membership) Tell(out []ledger.Out) {
+// SendReports implements driver.Peers.
+func (p *membership) SendReports(out []ledger.Out) {
 	if f := p.current(); f != nil {
-		f.Tell(out)
+		f.SendReports(out)
 	}
 }
 
-// Say implements driver.Peers.
-func (p *membership) Say(out []*limit.Message) {
+// SendLimitMessages implements driver.Peers.
+func (p *membership) SendLimitMessages(out []*limit.Message) {
 	if f := p.current(); f != nil {
-		f.Say(out)
+		f.SendLimitMessages(out)
 	}
 }
 
-// Said implements driver.Peers.
-func (p *membership) Said() []*limit.Message {
+// ReceiveLimitMessages implements driver.Peers.
+func (p *membership) ReceiveLimitMessages() []*limit.Message {
 	if f := p.current(); f != nil {
-		return f.Said()
+		return f.ReceiveLimitMessages()
 	}
 	return nil
 }
 
-// Take implements driver.Peers.
-func (p *membership) Take() ledger.Heard {
+// ReceiveReports implements driver.Peers.
+func (p *membership) ReceiveReports() ledger.Heard {
 	if f := p.current(); f != nil {
-		return f.Take()
+		return f.ReceiveReports()
 	}
 	return ledger.Heard{}
 }
@@ -171,7 +171,7 @@
 	switch {
 	case err == nil:
 		p.join(peers)
-	case errors.Is(err, ledger.ErrInUse) && d.Former():
+	case errors.Is(err, ledger.ErrInUse) && d.PredecessorRunning():
 		log.Info("fleet: the previous process is still a member; exchanging nothing until it leaves", "addr", f.Bind)
 		go func() {
 			for !p.hasLeft() {
@@ -189,7 +189,7 @@
 	default:
 		return nil, fmt.Errorf("%w: %w", ErrUsage, err)
 	}
-	d.Share(driver.Sharing{Peers: p, Every: f.Every, Incarnation: incarnation, Rights: rights, Gangs: gangs, Verdicts: f.Verdicts == "on", Slack: f.Slack == "on", Retries: f.Retries,
+	d.UseFleet(driver.FleetOptions{Peers: p, Interval: f.Every, Incarnation: incarnation, Rights: rights, Gangs: gangs, VoteEjection: f.Verdicts == "on", PriceAdmission: f.Slack == "on", Retries: f.Retries,
 		Limits: ledger.Limits{Believe: f.Believe.Microseconds(), Quorum: f.Quorum, Gap: f.Every.Microseconds() / 4,
 			Hubs: f.Hubs, Deaf: max(hubTimeout, 6*f.Every).Microseconds()}})
 	return p, nil
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -61,7 +61,7 @@
 		if err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
-		go d.Door(admin)
+		go d.ServeAdmin(admin)
 		log.Info("door", "addr", admin.Addr().String())
 	}
 	if product.Fleet != nil {
@@ -81,13 +81,13 @@
 		defer waitAtMost(leaveTimeout, left)
 	}
 	if records != nil {
-		d.Keep(*records)
+		d.UseRecords(*records)
 		go prune(product.Records, records.Store, d.Now, log, stop)
 	}
 	go func() {
 		<-signals
 		// Read here, since the owner must not wait for a file: whether a next version that shares the address takes over.
-		d.Succeeded()
+		d.HasSuccessor()
 		close(stop)
 		for s := range signals {
 			// A second SIGTERM must not interrupt the graceful shutdown; an interrupt from the keyboard may.
@@ -104,7 +104,7 @@
 				continue
 			}
 			log.Info("reload", "discovery", address)
-			d.Reload(address)
+			d.SetDiscovery(address)
 			if product.Fleet != nil && product.Fleet.Limits != nil {
 				reloadLimits(cfg, product, d, log)
 			}
--- a/internal/lifecycle/limits.go
+++ b/internal/lifecycle/limits.go
@@ -232,5 +232,5 @@
 	for _, l := range limits {
 		log.Info("fleet limit set", "limit", l.Name, "amount", l.Amount, "floor", l.Floor)
 	}
-	d.Relimit(limits)
+	d.SetFleetLimits(limits)
 }
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -129,7 +129,7 @@
 		return nil, fmt.Errorf("recovery: %w", err)
 	}
 	log.Info("store of record opened", "epoch", store.Epoch(), "settled_failed", done.Failed, "settled_refused", done.Refused, "keys", done.Keys, "took", done.Took)
-	return &driver.Records{Journal: j, Store: store, Limit: r.Limit}, nil
+	return &driver.Records{Journal: j, Store: store, WriteTimeout: r.Limit}, nil
 }
 
 const (
