--- a/cmd/granitewing-store/main.go
+++ b/cmd/granitewing-store/main.go
@@ -17,7 +17,7 @@
 	cli.Main("granitewing-store")
 }
 
-func open(ctx context.Context, s lifecycle.StoreSettings, instance string, use lifecycle.StoreUse) (record.Store, error) {
+func open(ctx context.Context, s lifecycle.StoreSettings, instance string, use lifecycle.StoreMode) (record.Store, error) {
 	if s.Kind == "postgres" {
 		return postgres.Open(ctx, postgres.Options{URL: s.Path, Instance: instance, Statement: s.Statement,
 			ReadOnly: use != lifecycle.Serving, Writable: use == lifecycle.Repairing})
--- a/internal/cli/records.go
+++ b/internal/cli/records.go
@@ -31,7 +31,7 @@
 	Settings string `help:"The product's own settings, which name the store." required:"" placeholder:"FILE"`
 }
 
-func (s store) open(use lifecycle.StoreUse, instance string) (record.Store, context.Context, func(), error) {
+func (s store) open(use lifecycle.StoreMode, instance string) (record.Store, context.Context, func(), error) {
 	product, err := lifecycle.ReadSettings(s.Settings)
 	if err != nil {
 		return nil, nil, nil, err
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -233,7 +233,7 @@
 		}
 		return string(b), rows[len(rows)-1].Service, rows[3].Failed
 	}
-	span := settings.Span{Lo: 50 * time.Millisecond, Hi: 500 * time.Millisecond}
+	span := settings.DurationRange{Lo: 50 * time.Millisecond, Hi: 500 * time.Millisecond}
 	alone, service, failed := text(nil)
 	if deaf, _, _ := text(&world.Share{Every: 250 * time.Millisecond, Late: span, Loss: 1}); deaf != alone {
 		t.Error("dispatchers whose reports are all lost decide otherwise than without sharing")
@@ -251,7 +251,7 @@
 // and similar jobs get the same verdicts at different dispatchers. At low load nothing is refused for its price, and a
 // dispatcher that receives no reports decides as without a price.
 func TestSlack(t *testing.T) {
-	span := settings.Span{Lo: 5 * time.Millisecond, Hi: 50 * time.Millisecond}
+	span := settings.DurationRange{Lo: 5 * time.Millisecond, Hi: 50 * time.Millisecond}
 	run := func(rate, seconds int, slack string, loss float64) (string, float64, int64) {
 		day := fmt.Sprintf(`(experiment e (virtual) (load (programme (constant (for 2s) (rate 16)) (constant (for %ds) (rate %d)) (constant (for 1s) (rate 16))))
   (dispatchers 14) (fleet (hosts 14)) (data-sets (count 60) (store 60)))`, seconds, rate)
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -52,11 +52,11 @@
 
 // Chance describes random failures of a kind. Their times are a Poisson process drawn from the seed.
 type Chance struct {
-	Kind   string         `sexp:",arg,required" one-of:"slow|drain|crash|restart|vanish|reset|errors|refuse|churn|kill-dispatcher|store-silent|store-slow|store-resets"`
-	Rate   float64        `sexp:"rate,required" min:"0"` // failures per minute over the whole fleet
-	For    settings.Span  `sexp:"for"`
-	Factor settings.Range `sexp:"factor" min:"1"`
-	Part   settings.Range `sexp:"part" min:"0" max:"1"` // share of the fleet that one failure affects
+	Kind   string                 `sexp:",arg,required" one-of:"slow|drain|crash|restart|vanish|reset|errors|refuse|churn|kill-dispatcher|store-silent|store-slow|store-resets"`
+	Rate   float64                `sexp:"rate,required" min:"0"` // failures per minute over the whole fleet
+	For    settings.DurationRange `sexp:"for"`
+	Factor settings.Range         `sexp:"factor" min:"1"`
+	Part   settings.Range         `sexp:"part" min:"0" max:"1"` // share of the fleet that one failure affects
 }
 
 // checkFaults reports the first fault whose settings are incomplete or name something that does not exist.
@@ -64,7 +64,7 @@
 	known := s.HostNames()
 	for _, f := range s.Faults {
 		errorAt := func(key, why string, args ...any) error {
-			return &settings.Error{Pos: f.Where, Path: f.Kind + "." + key, Why: fmt.Sprintf(why, args...)}
+			return &settings.Error{Pos: f.Where, Path: f.Kind + "." + key, Reason: fmt.Sprintf(why, args...)}
 		}
 		for _, h := range f.Hosts {
 			if s.hostNumber(h) < 0 {
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -17,28 +17,28 @@
 
 // Spec is an experiment file: a deployment, its load and failures, and the variants to compare.
 type Spec struct {
-	Name        string           `sexp:",arg,required"`
-	About       string           `sexp:"about"`
-	Seed        uint64           `sexp:"seed"`
-	Pairs       int              `sexp:"pairs" min:"1" max:"1000"`
-	Length      time.Duration    `sexp:"length" min:"0.1"` // how long jobs arrive if no programme is given
-	Zones       []string         `sexp:"zones"`
-	Delay       settings.Span    `sexp:"zone-delay" min:"0"` // one way between zones
-	Near        settings.Span    `sexp:"near-delay" min:"0"` // one way within a zone, in virtual time
-	Dispatchers int              `sexp:"dispatchers" min:"1" max:"1000"`
-	Descriptors int              `sexp:"descriptors" min:"64" max:"1048576"`
-	Memory      settings.Size    `sexp:"memory"`
-	Cores       float64          `sexp:"cores" min:"0.05"`
-	Fleet       Fleet            `sexp:"fleet"`
-	Sets        DataSets         `sexp:"data-sets"`
-	Classes     []Class          `sexp:"class"`
-	Load        Load             `sexp:"load"`
-	Clients     client.Behaviour `sexp:"clients"`
-	Discovery   Discovery        `sexp:"discovery"`
-	Faults      []Fault          `sexp:"slow|drain|crash|restart|vanish|reset|errors|refuse|stale|discovery-down|discovery-silent|grow|shrink|partition|kill-dispatcher|churn|store-silent|store-slow|store-resets|cordon|quiesce-dispatcher|pause-dispatcher|restart-dispatcher|link|look"`
-	Chances     []Chance         `sexp:"chance"`
-	Generator   Generator        `sexp:"generator"`
-	Variants    []Variant        `sexp:"variant"`
+	Name        string                 `sexp:",arg,required"`
+	About       string                 `sexp:"about"`
+	Seed        uint64                 `sexp:"seed"`
+	Pairs       int                    `sexp:"pairs" min:"1" max:"1000"`
+	Length      time.Duration          `sexp:"length" min:"0.1"` // how long jobs arrive if no programme is given
+	Zones       []string               `sexp:"zones"`
+	Delay       settings.DurationRange `sexp:"zone-delay" min:"0"` // one way between zones
+	Near        settings.DurationRange `sexp:"near-delay" min:"0"` // one way within a zone, in virtual time
+	Dispatchers int                    `sexp:"dispatchers" min:"1" max:"1000"`
+	Descriptors int                    `sexp:"descriptors" min:"64" max:"1048576"`
+	Memory      settings.Size          `sexp:"memory"`
+	Cores       float64                `sexp:"cores" min:"0.05"`
+	Fleet       Fleet                  `sexp:"fleet"`
+	Sets        DataSets               `sexp:"data-sets"`
+	Classes     []Class                `sexp:"class"`
+	Load        Load                   `sexp:"load"`
+	Clients     client.Behaviour       `sexp:"clients"`
+	Discovery   Discovery              `sexp:"discovery"`
+	Faults      []Fault                `sexp:"slow|drain|crash|restart|vanish|reset|errors|refuse|stale|discovery-down|discovery-silent|grow|shrink|partition|kill-dispatcher|churn|store-silent|store-slow|store-resets|cordon|quiesce-dispatcher|pause-dispatcher|restart-dispatcher|link|look"`
+	Chances     []Chance               `sexp:"chance"`
+	Generator   Generator              `sexp:"generator"`
+	Variants    []Variant              `sexp:"variant"`
 	// Own holds the dispatchers' own settings, in which {dir} and {name} are replaced. They are kept over restarts.
 	Own      string       `sexp:"settings"`
 	Postgres bool         `sexp:"postgres"`      // start a stand-in server, whose URL replaces {postgres}
@@ -79,29 +79,29 @@
 
 // DataSets describes the data sets that jobs need at their host.
 type DataSets struct {
-	Count int           `sexp:"count" min:"0"`        // 0 = jobs need none
-	Zipf  float64       `sexp:"zipf" min:"0" max:"4"` // exponent of their popularity
-	Kept  int           `sexp:"kept" min:"0"`         // that a host caches
-	Fetch settings.Span `sexp:"fetch" min:"0"`        // time to fetch one from an idle store
-	Store float64       `sexp:"store" min:"0"`        // concurrent fetches that the store serves at full speed
+	Count int                    `sexp:"count" min:"0"`        // 0 = jobs need none
+	Zipf  float64                `sexp:"zipf" min:"0" max:"4"` // exponent of their popularity
+	Kept  int                    `sexp:"kept" min:"0"`         // that a host caches
+	Fetch settings.DurationRange `sexp:"fetch" min:"0"`        // time to fetch one from an idle store
+	Store float64                `sexp:"store" min:"0"`        // concurrent fetches that the store serves at full speed
 }
 
 // Class is a class of jobs.
 type Class struct {
-	Name    string         `sexp:",arg,required"`
-	Share   float64        `sexp:"share,required" min:"0"`
-	Work    settings.Span  `sexp:"work,required" min:"0.000001"`               // the mean of a day is drawn from this range
-	Spread  float64        `sexp:"spread" min:"0" max:"4"`                     // sigma of the logarithm of a job's work
-	Hint    float64        `sexp:"hint-error" min:"0" max:"4"`                 // sigma of the logarithm of the hint's error
-	Aim     time.Duration  `sexp:"aim,required" min:"0"`                       // target latency
-	Stretch float64        `sexp:"stretch" min:"0"`                            // the target grows by the work times this
-	GiveUp  time.Duration  `sexp:"give-up,required" min:"0.001"`               // client deadline
-	Worth   float64        `sexp:"worth" min:"0"`                              // value per second of work
-	Repeat  string         `sexp:"repeat,required" one-of:"safe|keyed|unsafe"` // whether jobs may be repeated
-	Window  time.Duration  `sexp:"repeat-window" min:"0"`                      // for which hosts remember the key
-	Slots   []float64      `sexp:"slots" min:"0"`                              // shares of jobs with 1, 2, … slots
-	Memory  settings.Range `sexp:"memory" min:"0"`
-	Gang    *GangSpec      `sexp:"gang"`
+	Name    string                 `sexp:",arg,required"`
+	Share   float64                `sexp:"share,required" min:"0"`
+	Work    settings.DurationRange `sexp:"work,required" min:"0.000001"`               // the mean of a day is drawn from this range
+	Spread  float64                `sexp:"spread" min:"0" max:"4"`                     // sigma of the logarithm of a job's work
+	Hint    float64                `sexp:"hint-error" min:"0" max:"4"`                 // sigma of the logarithm of the hint's error
+	Aim     time.Duration          `sexp:"aim,required" min:"0"`                       // target latency
+	Stretch float64                `sexp:"stretch" min:"0"`                            // the target grows by the work times this
+	GiveUp  time.Duration          `sexp:"give-up,required" min:"0.001"`               // client deadline
+	Worth   float64                `sexp:"worth" min:"0"`                              // value per second of work
+	Repeat  string                 `sexp:"repeat,required" one-of:"safe|keyed|unsafe"` // whether jobs may be repeated
+	Window  time.Duration          `sexp:"repeat-window" min:"0"`                      // for which hosts remember the key
+	Slots   []float64              `sexp:"slots" min:"0"`                              // shares of jobs with 1, 2, … slots
+	Memory  settings.Range         `sexp:"memory" min:"0"`
+	Gang    *GangSpec              `sexp:"gang"`
 }
 
 // SetDefaults implements settings.Defaulter.
@@ -150,7 +150,7 @@
 
 // Discovery describes how late the list of hosts is.
 type Discovery struct {
-	Lag settings.Span `sexp:"lag" min:"0"` // from a change of a host until it is published
+	Lag settings.DurationRange `sexp:"lag" min:"0"` // from a change of a host until it is published
 }
 
 // Generator holds the limits that the load generator must keep for a run to be valid.
@@ -179,9 +179,9 @@
 	Every time.Duration `sexp:"every,required" min:"0.01"` // period of the reports
 	// Hubs is the number of dispatchers that sum up reports for the others. 0 is the product's default; with as many
 	// hubs as dispatchers each sends to all.
-	Hubs int           `sexp:"hubs" min:"0" max:"1000"`
-	Late settings.Span `sexp:"late" min:"0"` // network delay of a report
-	Loss float64       `sexp:"loss" min:"0" max:"1"`
+	Hubs int                    `sexp:"hubs" min:"0" max:"1000"`
+	Late settings.DurationRange `sexp:"late" min:"0"` // network delay of a report
+	Loss float64                `sexp:"loss" min:"0" max:"1"`
 	// Verdicts makes the dispatchers judge together which hosts fail.
 	Verdicts string `sexp:"verdicts" one-of:"on|off"`
 	// Slack makes them admit jobs by one price for the whole fleet.
@@ -257,15 +257,15 @@
 	s.Seed, s.Pairs, s.Length, s.Dispatchers, s.Cores = 1, 5, 30*time.Second, 3, 1
 	s.Descriptors, s.Memory = 1024, 192<<20
 	s.Zones = []string{"dakar", "saint-louis", "ziguinchor"}
-	s.Delay = settings.Span{Lo: 5600 * time.Microsecond, Hi: 10 * time.Millisecond}
-	s.Near = settings.Span{Lo: 300 * time.Microsecond, Hi: 500 * time.Microsecond}
+	s.Delay = settings.DurationRange{Lo: 5600 * time.Microsecond, Hi: 10 * time.Millisecond}
+	s.Near = settings.DurationRange{Lo: 300 * time.Microsecond, Hi: 500 * time.Microsecond}
 	s.Clients.SetDefaults()
 	s.Load.Process.SetDefaults()
 	s.Fleet = Fleet{Hosts: 9, Start: settings.Range{Lo: 0.13, Hi: 0.35}, WarmUp: 24 * time.Second, Window: 2 * time.Second,
 		Multiple: 3, Queue: settings.Range{Lo: 9, Hi: 17}, Knee: 10, Thrash: 0.02, Progress: 2 * time.Second, CellSize: 8, Returns: true, Memory: true}
 	s.Fleet.Links.SetDefaults()
-	s.Sets = DataSets{Count: 40, Zipf: 1, Kept: 5, Fetch: settings.Span{Lo: 1100 * time.Millisecond, Hi: 2200 * time.Millisecond}, Store: 40}
-	s.Discovery.Lag = settings.Span{Lo: 500 * time.Millisecond, Hi: 2500 * time.Millisecond}
+	s.Sets = DataSets{Count: 40, Zipf: 1, Kept: 5, Fetch: settings.DurationRange{Lo: 1100 * time.Millisecond, Hi: 2200 * time.Millisecond}, Store: 40}
+	s.Discovery.Lag = settings.DurationRange{Lo: 500 * time.Millisecond, Hi: 2500 * time.Millisecond}
 	s.Generator = Generator{Lag: 10 * time.Millisecond, CPU: 0.85, Sched: 10 * time.Millisecond}
 }
 
@@ -289,8 +289,8 @@
 )
 
 // millis returns a range in milliseconds.
-func millis(lo, hi int) settings.Span {
-	return settings.Span{Lo: time.Duration(lo) * time.Millisecond, Hi: time.Duration(hi) * time.Millisecond}
+func millis(lo, hi int) settings.DurationRange {
+	return settings.DurationRange{Lo: time.Duration(lo) * time.Millisecond, Hi: time.Duration(hi) * time.Millisecond}
 }
 
 // Check implements settings.Checker. It fills in the default kinds, classes and programme, and reports settings that
@@ -334,13 +334,13 @@
 	}
 	for _, st := range s.Load.Streams {
 		if st.Class != "" && !names[st.Class] {
-			return &settings.Error{Pos: st.Where, Path: "load.stream.class", Why: fmt.Sprintf("no class %q is described", st.Class)}
+			return &settings.Error{Pos: st.Where, Path: "load.stream.class", Reason: fmt.Sprintf("no class %q is described", st.Class)}
 		}
 		if st.Zone != "" && !slices.Contains(s.Zones, st.Zone) {
-			return &settings.Error{Pos: st.Where, Path: "load.stream.zone", Why: fmt.Sprintf("no zone %q is described", st.Zone)}
+			return &settings.Error{Pos: st.Where, Path: "load.stream.zone", Reason: fmt.Sprintf("no zone %q is described", st.Zone)}
 		}
 		if (st.Trace == nil) == (len(st.Programme.Steps) == 0) {
-			return &settings.Error{Pos: st.Where, Path: "load.stream", Why: "wants a programme or a trace"}
+			return &settings.Error{Pos: st.Where, Path: "load.stream", Reason: "wants a programme or a trace"}
 		}
 	}
 	for i, v := range s.Variants {
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -17,31 +17,31 @@
 
 // FleetSettings configures a dispatcher as a member of a fleet, whose members exchange load reports.
 type FleetSettings struct {
-	Label     string        `sexp:"label,required"`              // of the fleet; messages with another label are ignored
-	Bind      string        `sexp:"bind,required"`               // this member's own address and port
-	Advertise string        `sexp:"advertise"`                   // address at which the others reach it, if that is not bind
-	Join      []string      `sexp:"join"`                        // members to contact at the start, and again while they are missing
-	Every     time.Duration `sexp:"every" min:"0.02" max:"10"`   // interval between reports
-	Believe   time.Duration `sexp:"believe" min:"0.05" max:"60"` // reports older than this do not count
-	Quorum    float64       `sexp:"quorum" min:"0" max:"1"`      // share of the members whose reports must be current for any to count
-	Hubs      int           `sexp:"hubs" min:"0" max:"1000"`     // members that aggregate reports for the others; 0: all members up to 12, the square root of their number beyond
-	Limits    *Limits       `sexp:"limits"`
-	Retries   float64       `sexp:"retries" min:"0" max:"2"`  // attempts beyond the first, as a share of first attempts; 0: no fleet-wide bound
-	Verdicts  string        `sexp:"verdicts" one-of:"on|off"` // hosts are ejected by a vote of all members
-	Slack     string        `sexp:"slack" one-of:"on|off"`    // jobs are admitted at one price for the whole fleet's capacity
-	Gangs     *Gangs        `sexp:"gangs"`                    // classes that run as parts on many hosts at once
-	Where     settings.Pos  `sexp:",pos"`
+	Label          string        `sexp:"label,required"`              // of the fleet; messages with another label are ignored
+	Bind           string        `sexp:"bind,required"`               // this member's own address and port
+	Advertise      string        `sexp:"advertise"`                   // address at which the others reach it, if that is not bind
+	Join           []string      `sexp:"join"`                        // members to contact at the start, and again while they are missing
+	ReportInterval time.Duration `sexp:"every" min:"0.02" max:"10"`   // interval between reports
+	MaxReportAge   time.Duration `sexp:"believe" min:"0.05" max:"60"` // reports older than this do not count
+	Quorum         float64       `sexp:"quorum" min:"0" max:"1"`      // share of the members whose reports must be current for any to count
+	Hubs           int           `sexp:"hubs" min:"0" max:"1000"`     // members that aggregate reports for the others; 0: all members up to 12, the square root of their number beyond
+	Limits         *Limits       `sexp:"limits"`
+	Retries        float64       `sexp:"retries" min:"0" max:"2"`  // attempts beyond the first, as a share of first attempts; 0: no fleet-wide bound
+	VoteEjection   string        `sexp:"verdicts" one-of:"on|off"` // hosts are ejected by a vote of all members
+	PriceAdmission string        `sexp:"slack" one-of:"on|off"`    // jobs are admitted at one price for the whole fleet's capacity
+	Gangs          *Gangs        `sexp:"gangs"`                    // classes that run as parts on many hosts at once
+	Where          settings.Pos  `sexp:",pos"`
 }
 
 // SetDefaults implements settings.Defaulter.
 func (f *FleetSettings) SetDefaults() {
-	f.Every, f.Believe, f.Quorum = 100*time.Millisecond, 2*time.Second, 0.5
+	f.ReportInterval, f.MaxReportAge, f.Quorum = 100*time.Millisecond, 2*time.Second, 0.5
 }
 
 // Check implements settings.Checker. An invalid value is a *settings.Error with its position and path.
 func (f *FleetSettings) Check() error {
 	invalid := func(key, why string, args ...any) error {
-		return &settings.Error{Pos: f.Where, Path: "fleet." + key, Why: fmt.Sprintf(why, args...)}
+		return &settings.Error{Pos: f.Where, Path: "fleet." + key, Reason: fmt.Sprintf(why, args...)}
 	}
 	if host, _, err := net.SplitHostPort(f.Bind); err != nil || net.ParseIP(host) == nil {
 		return invalid("bind", "%q: want an IP address and a port", f.Bind)
@@ -54,8 +54,8 @@
 			return invalid("join", "%q: want an IP address and a port", j)
 		}
 	}
-	if f.Believe < 2*f.Every {
-		return invalid("believe", "%v is under two reports, which are %v apart: one lost report would silence a member", f.Believe, f.Every)
+	if f.MaxReportAge < 2*f.ReportInterval {
+		return invalid("believe", "%v is under two reports, which are %v apart: one lost report would silence a member", f.MaxReportAge, f.ReportInterval)
 	}
 	return nil
 }
@@ -189,9 +189,9 @@
 	default:
 		return nil, fmt.Errorf("%w: %w", ErrUsage, err)
 	}
-	d.UseFleet(driver.FleetOptions{Peers: p, Interval: f.Every, Incarnation: incarnation, Rights: rights, Gangs: gangs, VoteEjection: f.Verdicts == "on", PriceAdmission: f.Slack == "on", Retries: f.Retries,
-		Limits: ledger.Limits{Believe: f.Believe.Microseconds(), Quorum: f.Quorum, Gap: f.Every.Microseconds() / 4,
-			Hubs: f.Hubs, Deaf: max(hubTimeout, 6*f.Every).Microseconds()}})
+	d.UseFleet(driver.FleetOptions{Peers: p, Interval: f.ReportInterval, Incarnation: incarnation, Rights: rights, Gangs: gangs, VoteEjection: f.VoteEjection == "on", PriceAdmission: f.PriceAdmission == "on", Retries: f.Retries,
+		Limits: ledger.Limits{Believe: f.MaxReportAge.Microseconds(), Quorum: f.Quorum, Gap: f.ReportInterval.Microseconds() / 4,
+			Hubs: f.Hubs, Deaf: max(hubTimeout, 6*f.ReportInterval).Microseconds()}})
 	return p, nil
 }
 
--- a/internal/lifecycle/limits.go
+++ b/internal/lifecycle/limits.go
@@ -27,15 +27,15 @@
 
 // FleetLimit configures one limit.
 type FleetLimit struct {
-	Name   string        `sexp:",arg,required"`
-	Tenant string        `sexp:"tenant"`                    // tenant whose jobs are counted
-	Class  string        `sexp:"class"`                     // or the class that is counted
-	Rate   float64       `sexp:"rate"`                      // jobs per second; NaN: not set
-	Open   float64       `sexp:"open"`                      // or jobs open at once; NaN: not set
-	Burst  time.Duration `sexp:"burst" min:"0.1" max:"600"` // how long an unused rate may be saved up
-	Floor  float64       `sexp:"floor" min:"0"`             // what a dispatcher that is cut off may still do, in the unit of the limit; 0: nothing
-	Over   string        `sexp:"over" one-of:"refuse|discount"`
-	Where  settings.Pos  `sexp:",pos"`
+	Name         string        `sexp:",arg,required"`
+	Tenant       string        `sexp:"tenant"`                    // tenant whose jobs are counted
+	Class        string        `sexp:"class"`                     // or the class that is counted
+	Rate         float64       `sexp:"rate"`                      // jobs per second; NaN: not set
+	Open         float64       `sexp:"open"`                      // or jobs open at once; NaN: not set
+	Burst        time.Duration `sexp:"burst" min:"0.1" max:"600"` // how long an unused rate may be saved up
+	Floor        float64       `sexp:"floor" min:"0"`             // what a dispatcher that is cut off may still do, in the unit of the limit; 0: nothing
+	ExcessPolicy string        `sexp:"over" one-of:"refuse|discount"`
+	Where        settings.Pos  `sexp:",pos"`
 }
 
 // SetDefaults implements settings.Defaulter.
@@ -44,7 +44,7 @@
 // SetDefaults implements settings.Defaulter. A limit is strict unless it has a floor, since most limits protect somebody
 // else: excess is refused, and a dispatcher that is cut off admits nothing.
 func (l *FleetLimit) SetDefaults() {
-	l.Rate, l.Open, l.Burst, l.Over = math.NaN(), math.NaN(), 4*time.Second, "refuse"
+	l.Rate, l.Open, l.Burst, l.ExcessPolicy = math.NaN(), math.NaN(), 4*time.Second, "refuse"
 }
 
 // kind returns what the limit counts: a rate or open jobs.
@@ -64,7 +64,7 @@
 // Check implements settings.Checker. An invalid value is a *settings.Error with its position and path.
 func (l *Limits) Check() error {
 	invalid := func(key, why string, args ...any) error {
-		return &settings.Error{Pos: l.Where, Path: "fleet.limits." + key, Why: fmt.Sprintf(why, args...)}
+		return &settings.Error{Pos: l.Where, Path: "fleet.limits." + key, Reason: fmt.Sprintf(why, args...)}
 	}
 	seen := map[string]bool{}
 	for _, k := range l.Keepers {
@@ -94,7 +94,7 @@
 }
 
 func (l *FleetLimit) invalid(key, why string, args ...any) error {
-	return &settings.Error{Pos: l.Where, Path: strings.TrimSuffix("fleet.limits.limit."+key, "."), Why: fmt.Sprintf(why, args...)}
+	return &settings.Error{Pos: l.Where, Path: strings.TrimSuffix("fleet.limits.limit."+key, "."), Reason: fmt.Sprintf(why, args...)}
 }
 
 // amount returns the key and the value of the limit.
@@ -131,8 +131,8 @@
 
 // resolveLimits resolves the settings against the platform's tenants and classes.
 func (f *FleetSettings) resolveLimits(cfg *platform.Config) ([]limit.Limit, error) {
-	if f.Limits.Lease < 2*f.Every {
-		return nil, &settings.Error{Pos: f.Limits.Where, Path: "fleet.limits.lease", Why: fmt.Sprintf("%v is under two reports, which are %v apart: rights would expire before they are renewed", f.Limits.Lease, f.Every)}
+	if f.Limits.Lease < 2*f.ReportInterval {
+		return nil, &settings.Error{Pos: f.Limits.Where, Path: "fleet.limits.lease", Reason: fmt.Sprintf("%v is under two reports, which are %v apart: rights would expire before they are renewed", f.Limits.Lease, f.ReportInterval)}
 	}
 	longest := int64(0)
 	for _, c := range cfg.Settings.Classes {
@@ -140,7 +140,7 @@
 	}
 	var out []limit.Limit
 	for _, l := range f.Limits.Limits {
-		o := limit.Limit{Name: l.Name, Tenant: -1, Class: -1, Refuse: l.Over == "refuse",
+		o := limit.Limit{Name: l.Name, Tenant: -1, Class: -1, Refuse: l.ExcessPolicy == "refuse",
 			Limit: rights.Limit{Lease: f.Limits.Lease.Microseconds(), Linger: longest + answerSlack.Microseconds(), Floor: l.Floor}}
 		if l.Tenant != "" {
 			i, known := cfg.Tenants()[l.Tenant]
--- a/internal/lifecycle/log.go
+++ b/internal/lifecycle/log.go
@@ -92,7 +92,7 @@
 	if product != nil && product.Fleet != nil {
 		f := product.Fleet
 		fmt.Fprintf(w, "fleet %s: member %s at %s, joins %s; tells the others every %v, news counts for %v\n",
-			f.Label, cfg.Name, f.Bind, strings.Join(f.Join, " "), f.Every, f.Believe)
+			f.Label, cfg.Name, f.Bind, strings.Join(f.Join, " "), f.ReportInterval, f.MaxReportAge)
 		if f.Limits != nil {
 			if err := f.describeLimits(w, cfg); err != nil {
 				return err
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "store of record: %s %s; a write over %v is not waited for\n", product.Records.Store.Kind, product.Records.Store.location(), product.Records.Patience)
+	fmt.Fprintf(w, "store of record: %s %s; a write over %v is not waited for\n", product.Records.Store.Kind, product.Records.Store.location(), product.Records.SlowWrite)
 	meaning := []string{"not recorded", "written behind", "durable before its client is told", "durable before it is sent and before its client is told"}
 	for _, c := range classes {
 		fmt.Fprintf(w, "class %s: %s", c.Name, meaning[c.Policy])
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -17,16 +17,16 @@
 
 // RecordSettings configures a store of record.
 type RecordSettings struct {
-	Store    StoreSettings   `sexp:"store,required"`
-	Classes  []ClassSettings `sexp:"class"`
-	Patience time.Duration   `sexp:"patience" min:"0.001" max:"60"`   // the breaker opens after a write that takes longer
-	Limit    time.Duration   `sexp:"write-limit" min:"0.01" max:"60"` // a write that takes longer has failed
-	Probe    settings.Span   `sexp:"probe" min:"0.001" max:"600"`     // interval between probes of an unavailable store
-	Messages int             `sexp:"spool" min:"100" max:"10000000"`  // messages that may wait to be written
-	Bytes    settings.Size   `sexp:"spool-bytes"`
-	Batch    int             `sexp:"batch" min:"1" max:"100000"` // records per write
-	Retain   time.Duration   `sexp:"retain" min:"60"`            // answered records are deleted after this time; 0: never
-	Most     int64           `sexp:"retain-most" min:"1000"`     // and the oldest beyond this number; 0: no bound
+	Store         StoreSettings          `sexp:"store,required"`
+	Classes       []ClassSettings        `sexp:"class"`
+	SlowWrite     time.Duration          `sexp:"patience" min:"0.001" max:"60"`   // the breaker opens after a write that takes longer
+	Limit         time.Duration          `sexp:"write-limit" min:"0.01" max:"60"` // a write that takes longer has failed
+	Probe         settings.DurationRange `sexp:"probe" min:"0.001" max:"600"`     // interval between probes of an unavailable store
+	SpoolMessages int                    `sexp:"spool" min:"100" max:"10000000"`  // messages that may wait to be written
+	Bytes         settings.Size          `sexp:"spool-bytes"`
+	Batch         int                    `sexp:"batch" min:"1" max:"100000"` // records per write
+	Retain        time.Duration          `sexp:"retain" min:"60"`            // answered records are deleted after this time; 0: never
+	MaxRecords    int64                  `sexp:"retain-most" min:"1000"`     // and the oldest beyond this number; 0: no bound
 }
 
 // StoreSettings identifies a store.
@@ -59,8 +59,8 @@
 // SetDefaults implements settings.Defaulter.
 func (r *RecordSettings) SetDefaults() {
 	l := record.DefaultLimits
-	*r = RecordSettings{Patience: 250 * time.Millisecond, Limit: 5 * time.Second, Probe: settings.Span{Lo: 100 * time.Millisecond, Hi: 5 * time.Second},
-		Messages: l.Messages, Bytes: settings.Size(l.Bytes), Batch: l.Batch}
+	*r = RecordSettings{SlowWrite: 250 * time.Millisecond, Limit: 5 * time.Second, Probe: settings.DurationRange{Lo: 100 * time.Millisecond, Hi: 5 * time.Second},
+		SpoolMessages: l.Messages, Bytes: settings.Size(l.Bytes), Batch: l.Batch}
 }
 
 // classes resolves the settings against the platform's classes; a class that is not listed is written behind.
@@ -73,16 +73,16 @@
 	for _, c := range r.Classes {
 		i := slices.IndexFunc(out, func(k record.Class) bool { return k.Name == c.Name })
 		if i < 0 {
-			return nil, &settings.Error{Pos: c.Where, Path: "record.class", Why: fmt.Sprintf("the configuration has no class %q", c.Name)}
+			return nil, &settings.Error{Pos: c.Where, Path: "record.class", Reason: fmt.Sprintf("the configuration has no class %q", c.Name)}
 		}
 		if seen[c.Name] {
-			return nil, &settings.Error{Pos: c.Where, Path: "record.class", Why: fmt.Sprintf("class %q is given twice", c.Name)}
+			return nil, &settings.Error{Pos: c.Where, Path: "record.class", Reason: fmt.Sprintf("class %q is given twice", c.Name)}
 		}
 		seen[c.Name] = true
 		out[i].Policy, _ = record.ParsePolicy(c.Policy)
 		out[i].Window = c.Window.Microseconds()
 		if c.Window > 0 && out[i].Policy < record.Told {
-			return nil, &settings.Error{Pos: c.Where, Path: "record.class.repeat", Why: "only what is durable before its client is told (told, before) can answer repeats"}
+			return nil, &settings.Error{Pos: c.Where, Path: "record.class.repeat", Reason: "only what is durable before its client is told (told, before) can answer repeats"}
 		}
 	}
 	return out, nil
@@ -90,18 +90,18 @@
 
 // OpenStore opens the store that the settings name, for an instance of the dispatcher and a use; verbs open it to
 // read. This default fails; a build with a store replaces it.
-var OpenStore = func(context.Context, StoreSettings, string, StoreUse) (record.Store, error) {
+var OpenStore = func(context.Context, StoreSettings, string, StoreMode) (record.Store, error) {
 	return nil, errors.New("this build has no store of record; bin/granitewing-store has")
 }
 
-// StoreUse is the purpose for which a store is opened.
-type StoreUse uint8
+// StoreMode is the purpose for which a store is opened.
+type StoreMode uint8
 
 // Purposes for which a store is opened.
 const (
-	Serving   StoreUse = iota // a dispatcher writes to it
-	Reading                   // an operator looks at it
-	Repairing                 // an operator settles or prunes
+	Serving   StoreMode = iota // a dispatcher writes to it
+	Reading                    // an operator looks at it
+	Repairing                  // an operator settles or prunes
 )
 
 // recoverTimeout bounds the recovery of what earlier starts left.
@@ -120,8 +120,8 @@
 		return nil, err
 	}
 	limits := record.DefaultLimits
-	limits.Messages, limits.Bytes, limits.Batch = r.Messages, int(r.Bytes), r.Batch
-	breaker := record.NewBreaker(r.Patience.Microseconds(), r.Probe.Lo.Microseconds(), r.Probe.Hi.Microseconds(), cfg.Seed)
+	limits.Messages, limits.Bytes, limits.Batch = r.SpoolMessages, int(r.Bytes), r.Batch
+	breaker := record.NewBreaker(r.SlowWrite.Microseconds(), r.Probe.Lo.Microseconds(), r.Probe.Hi.Microseconds(), cfg.Seed)
 	j := record.New(classes, store.Epoch(), limits, breaker)
 	done, err := record.Recover(ctx, store, j, classes, time.Now().UnixMicro())
 	if err != nil {
@@ -166,12 +166,12 @@
 			break
 		}
 	}
-	for r.Most > 0 {
+	for r.MaxRecords > 0 {
 		size, err := store.Size(ctx)
-		if err != nil || size <= r.Most {
+		if err != nil || size <= r.MaxRecords {
 			return err
 		}
-		n, err := store.Prune(ctx, now, int(min(size-r.Most, pruneBatch)))
+		n, err := store.Prune(ctx, now, int(min(size-r.MaxRecords, pruneBatch)))
 		if err != nil || n == 0 {
 			return err
 		}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -13,8 +13,8 @@
 // Range is a range of plain numbers, written as one number or two.
 type Range struct{ Lo, Hi float64 }
 
-// Span is a range of durations, written as one duration or two.
-type Span struct{ Lo, Hi time.Duration }
+// DurationRange is a range of durations, written as one duration or two.
+type DurationRange struct{ Lo, Hi time.Duration }
 
 // Size is a number of bytes, written plain or with KiB, MiB or GiB.
 type Size int64
@@ -214,7 +214,7 @@
 
 var (
 	rangeType    = reflect.TypeFor[Range]()
-	spanType     = reflect.TypeFor[Span]()
+	spanType     = reflect.TypeFor[DurationRange]()
 	durationType = reflect.TypeFor[time.Duration]()
 	sizeType     = reflect.TypeFor[Size]()
 )
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -58,15 +58,15 @@
 // Error is a fault in settings, with its position.
 type Error struct {
 	Pos
-	Path string // keys from the outermost to the innermost, joined by dots; empty if the text itself is malformed
-	Why  string
+	Path   string // keys from the outermost to the innermost, joined by dots; empty if the text itself is malformed
+	Reason string
 }
 
 func (e *Error) Error() string {
 	if e.Path == "" {
-		return fmt.Sprintf("%s: %s", e.Pos, e.Why)
+		return fmt.Sprintf("%s: %s", e.Pos, e.Reason)
 	}
-	return fmt.Sprintf("%s: %s: %s", e.Pos, e.Path, e.Why)
+	return fmt.Sprintf("%s: %s: %s", e.Pos, e.Path, e.Reason)
 }
 
 // ReadFile parses a file. Malformed text is an *Error.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -30,7 +30,7 @@
 	Wait   time.Duration `sexp:"wait"`
 	Room   Size          `sexp:"room"`
 	Speed  Range         `sexp:"speed"`
-	Delay  Span          `sexp:"delay"`
+	Delay  DurationRange `sexp:"delay"`
 	Zones  []string      `sexp:"zones"`
 	On     bool          `sexp:"on"`
 	Kinds  []kind        `sexp:"kind"`
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := sample{Title: "two words", Hosts: 9, Wait: time.Second, Room: 65536, Speed: Range{0.5, 2}, Delay: Span{5 * time.Millisecond, 5 * time.Millisecond},
+	want := sample{Title: "two words", Hosts: 9, Wait: time.Second, Room: 65536, Speed: Range{0.5, 2}, Delay: DurationRange{5 * time.Millisecond, 5 * time.Millisecond},
 		Zones: []string{"dakar", "saint louis"}, On: true, Kinds: []kind{{Name: "a", Share: 0.27}, {Name: "b", Share: 0.5}},
 		Steps: []step{{"ramp", 3 * time.Second}, {"constant", time.Minute}, {"ramp", 0}}, Inner: &kind{Name: "c", Share: 1}, Mode: "close", Number: 1<<64 - 1}
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreTypes(Pos{})); diff != "" {
