--- a/cmd/granitewing-fleet/main_test.go
+++ b/cmd/granitewing-fleet/main_test.go
@@ -178,7 +178,7 @@
 }
 
 func report(name string, incarnation, seq uint64, work float64) *ledger.Report {
-	return &ledger.Report{From: name, Incarnation: incarnation, Seq: seq, Held: []ledger.Held{{Host: 1, Work: work}}}
+	return &ledger.Report{From: name, Incarnation: incarnation, Seq: seq, Held: []ledger.HostWork{{Host: 1, Work: work}}}
 }
 
 // Invalid reports, reports of an earlier incarnation and reports in the dispatcher's own name are refused and counted
@@ -191,7 +191,7 @@
 	sendReport := func(r func() *ledger.Report) func(*status) bool {
 		return func(*status) bool {
 			seq++
-			f.SendReports([]ledger.Out{{Report: r(), To: []string{"n0"}}})
+			f.SendReports([]ledger.Outgoing{{Report: r(), To: []string{"n0"}}})
 			return false
 		}
 	}
--- a/internal/driver/crossing_test.go
+++ b/internal/driver/crossing_test.go
@@ -454,7 +454,7 @@
 // failureCounter counts the failures that the core attributes to servers.
 type failureCounter int
 
-func (b *failureCounter) Note(_ int64, _ logic.WorkerID, ok bool) {
+func (b *failureCounter) Record(_ int64, _ logic.WorkerID, ok bool) {
 	if !ok {
 		*b++
 	}
--- a/internal/driver/limits_test.go
+++ b/internal/driver/limits_test.go
@@ -16,8 +16,8 @@
 	sent       []*limit.Message
 }
 
-func (s *suspendedPeers) SendReports([]ledger.Out)               {}
-func (s *suspendedPeers) ReceiveReports() ledger.Heard           { return ledger.Heard{} }
+func (s *suspendedPeers) SendReports([]ledger.Outgoing)          {}
+func (s *suspendedPeers) ReceiveReports() ledger.Inbox           { return ledger.Inbox{} }
 func (s *suspendedPeers) SendLimitMessages(out []*limit.Message) { s.sent = out }
 func (s *suspendedPeers) ReceiveLimitMessages() []*limit.Message {
 	s.now += s.suspension
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -18,8 +18,8 @@
 
 // Peers carries load reports and messages about limits between the dispatchers of a fleet. No call blocks.
 type Peers interface {
-	SendReports([]ledger.Out)
-	ReceiveReports() ledger.Heard
+	SendReports([]ledger.Outgoing)
+	ReceiveReports() ledger.Inbox
 	SendLimitMessages([]*limit.Message)
 	ReceiveLimitMessages() []*limit.Message
 }
@@ -59,9 +59,9 @@
 	retriesRefused int          // requests that were not retried because the retry allowance was used up
 	rights         *fleetLimits // nil: no limits
 	resigned       chan struct{}
-	verdicts       *court.Court   // nil: this dispatcher ejects servers by its own observations
-	admission      *market.Market // nil: this dispatcher admits requests by its own view of the load
-	gangs          *gang.Part     // nil: no gangs
+	verdicts       *court.Ejector    // nil: this dispatcher ejects servers by its own observations
+	admission      *market.Admission // nil: this dispatcher admits requests by its own view of the load
+	gangs          *gang.Part        // nil: no gangs
 }
 
 // UseFleet makes the driver take part in a fleet. It must be called before Run.
@@ -98,18 +98,18 @@
 	for _, p := range h.Gone {
 		s.ledger.Gone(p.Name, p.Incarnation)
 	}
-	for _, n := range h.News {
-		s.ledger.Hear(now-time.Since(n.At).Microseconds(), n.Report) // refused reports are counted in the ledger
+	for _, n := range h.Reports {
+		s.ledger.Accept(now-time.Since(n.At).Microseconds(), n.Report) // refused reports are counted in the ledger
 	}
 	s.hosts = d.core.WorkerIDs(s.hosts[:0])
-	s.believed = s.ledger.Tell(now, s.hosts, d.core)
+	s.believed = s.ledger.PassSums(now, s.hosts, d.core)
 	s.seq++
-	own := ledger.Of(d.cfg.Name, s.Incarnation, s.seq, now, d.core)
+	own := ledger.OwnReport(d.cfg.Name, s.Incarnation, s.seq, now, d.core)
 	if s.verdicts != nil {
-		s.verdicts.Sit(now, s.ledger, d.core, s.believed+1, s.Interval, own)
+		s.verdicts.Round(now, s.ledger, d.core, s.believed+1, s.Interval, own)
 	}
 	if s.admission != nil {
-		s.admission.Sit(now, s.ledger, d.core, len(h.Members)+1, own)
+		s.admission.Round(now, s.ledger, d.core, len(h.Members)+1, own)
 	}
 	if out := s.ledger.Round(now, own, h.Members); len(out) > 0 {
 		s.Peers.SendReports(out)
@@ -139,7 +139,7 @@
 	}{{"old", c.Old + s.outdated}, {"range", c.Range}, {"flood", c.Flood}, {"full", c.Full}, {"self", c.Self}, {"form", s.malformed}} {
 		fmt.Fprintf(&b, "router_fleet_refused_total{cause=%q} %d\n", r.cause, r.n)
 	}
-	fmt.Fprintf(&b, "router_fleet_unknown_hosts_total %d\n", c.Strange)
+	fmt.Fprintf(&b, "router_fleet_unknown_hosts_total %d\n", c.UnknownHosts)
 	peers := s.ledger.Peers()
 	slices.SortFunc(peers, func(a, b ledger.Peer) int { return cmp.Compare(a.Name, b.Name) })
 	for _, p := range peers {
@@ -171,7 +171,7 @@
 	}
 	if s.verdicts != nil {
 		c := s.verdicts.State()
-		fmt.Fprintf(&b, "router_fleet_votes_against %d\nrouter_fleet_verdicts %d\nrouter_fleet_verdicts_total %d\n", c.Against, len(c.Verdicts), c.Passed)
+		fmt.Fprintf(&b, "router_fleet_votes_against %d\nrouter_fleet_verdicts %d\nrouter_fleet_verdicts_total %d\n", c.VotesAgainst, len(c.Verdicts), c.VerdictsTotal)
 	}
 	return b.Bytes()
 }
--- a/internal/fleet/court/court.go
+++ b/internal/fleet/court/court.go
@@ -16,10 +16,10 @@
 	"granitewing/logic"
 )
 
-// Court holds the votes and verdicts of one dispatcher. It must not be used by two goroutines at once.
-type Court struct {
-	book     *verdict.Book
-	judge    *verdict.Judge
+// Ejector holds the votes and verdicts of one dispatcher. It must not be used by two goroutines at once.
+type Ejector struct {
+	book     *verdict.Evidence
+	judge    *verdict.Detector
 	ownVotes []verdict.Vote
 	verdicts []verdict.Verdict
 	begun    int                     // verdicts begun since the start
@@ -28,28 +28,30 @@
 
 // New returns the court of the dispatcher named self in a zone. It makes core report the outcomes of its attempts to
 // it.
-func New(self string, zone int, core *memory.Core) *Court {
-	book := verdict.NewBook(zone)
+func New(self string, zone int, core *memory.Core) *Ejector {
+	book := verdict.NewEvidence(zone)
 	core.ReportHealthTo(book)
-	return &Court{book: book, judge: verdict.NewJudge(self, book)}
+	return &Ejector{book: book, judge: verdict.NewDetector(self, book)}
 }
 
 // verdictRounds is the number of rounds for which a verdict holds if it is not renewed.
 const verdictRounds = 3
 
-// Sit runs one round. It passes the verdicts that hold now and the runs of the other members to the core, and puts this
+// Round runs one round. It passes the verdicts that hold now and the runs of the other members to the core, and puts this
 // dispatcher's own votes and runs into its report. members is the number of dispatchers with a valid report, this one
 // included; every is the time between two rounds.
-func (c *Court) Sit(now int64, l *ledger.Ledger, core *memory.Core, members int, every time.Duration, own *ledger.Report) {
+func (c *Ejector) Round(now int64, l *ledger.Ledger, core *memory.Core, members int, every time.Duration, own *ledger.Report) {
 	for _, r := range l.Ran(now) {
 		core.RecordOthersRuns(now, r.Host, r.Run, r.Work)
 	}
 	core.Runs(now, func(host logic.WorkerID, run, work float64) {
-		if work > ledger.RanLeast {
-			own.Ran = append(own.Ran, ledger.Ran{Host: host, Run: run, Work: work})
+		if work > ledger.MinRuns {
+			own.Ran = append(own.Ran, ledger.HostRuns{Host: host, Run: run, Work: work})
 		}
 	})
-	slices.SortFunc(own.Ran, func(a, b ledger.Ran) int { return cmp.Or(cmp.Compare(b.Work, a.Work), cmp.Compare(a.Host, b.Host)) })
+	slices.SortFunc(own.Ran, func(a, b ledger.HostRuns) int {
+		return cmp.Or(cmp.Compare(b.Work, a.Work), cmp.Compare(a.Host, b.Host))
+	})
 	votes := l.Votes(now, c.ownVotes)
 	c.ownVotes = c.book.Votes(now, votes)
 	own.Votes = c.ownVotes
@@ -62,7 +64,7 @@
 	core.Hosts(func(id logic.WorkerID, h memory.Host) {
 		hosts = append(hosts, verdict.Host{ID: id, Kind: h.Kind, Zone: h.Zone, Weight: max(h.Weight, 1e-6)})
 	})
-	c.verdicts = c.judge.Judge(now, votes, hosts, members)
+	c.verdicts = c.judge.Verdicts(now, votes, hosts, members)
 	before := c.ejected
 	c.ejected = map[logic.WorkerID]bool{}
 	for _, v := range c.verdicts {
@@ -76,16 +78,16 @@
 
 // State is a snapshot of a court, for metrics.
 type State struct {
-	Against  int               // this dispatcher's own votes against hosts
-	Verdicts []verdict.Verdict // that hold now
-	Passed   int               // verdicts begun since the start
+	VotesAgainst  int               // this dispatcher's own votes against hosts
+	Verdicts      []verdict.Verdict // that hold now
+	VerdictsTotal int               // verdicts begun since the start
 }
 
 // State returns the state after the last round.
-func (c *Court) State() State {
-	s := State{Verdicts: c.verdicts, Passed: c.begun}
+func (c *Ejector) State() State {
+	s := State{Verdicts: c.verdicts, VerdictsTotal: c.begun}
 	for _, v := range c.ownVotes {
-		s.Against += int(v.Bad)
+		s.VotesAgainst += int(v.Bad)
 	}
 	return s
 }
--- a/internal/fleet/draw/draw.go
+++ b/internal/fleet/draw/draw.go
@@ -4,8 +4,8 @@
 
 import "hash/fnv"
 
-// Of returns the hash of two strings.
-func Of(a, b string) uint64 {
+// Hash returns the hash of two strings.
+func Hash(a, b string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(a))
 	h.Write([]byte{0})
--- a/internal/fleet/ledger/encode.go
+++ b/internal/fleet/ledger/encode.go
@@ -29,11 +29,11 @@
 const (
 	version       = 4
 	maxNameLength = 128
-	// MessageMost is the maximum size in bytes of a dispatcher's report of itself. It fits one datagram of a common
+	// MaxMessage is the maximum size in bytes of a dispatcher's report of itself. It fits one datagram of a common
 	// network together with the header of the membership library.
-	MessageMost = 1300
-	// SumMost is the maximum size in bytes of a sum. The network may fragment one that is larger than MessageMost.
-	SumMost = 16_000
+	MaxMessage = 1300
+	// MaxSum is the maximum size in bytes of a sum. The network may fragment one that is larger than MessageMost.
+	MaxSum = 16_000
 )
 
 // ErrForm says that a message is not a well-formed report.
@@ -50,14 +50,14 @@
 	b = binary.BigEndian.AppendUint64(b, r.Seq)
 	b = binary.BigEndian.AppendUint16(b, uint16(r.Members))
 	b = binary.BigEndian.AppendUint32(b, uint32(r.Age))
-	maxSize, maxSets := MessageMost, AskedMost
+	maxSize, maxSets := MaxMessage, MaxSets
 	if r.Kind != Own {
-		maxSize, maxSets = SumMost, maxSumEntries
+		maxSize, maxSets = MaxSum, maxSumEntries
 	}
 	asked := r.Asked[:min(len(r.Asked), maxSets)]
 	votes := r.Votes[:min(len(r.Votes), maxSumEntries)] // votes against hosts come first
 	if r.Kind == Own {
-		votes = votes[:min(len(votes), verdict.VotesMost)]
+		votes = votes[:min(len(votes), verdict.MaxVotes)]
 	}
 	load := appendLoad(nil, r.Load)
 	space := maxSize - (len(b) - start) - 8 - 12*len(asked) - voteSize*len(votes) - len(load)
@@ -151,7 +151,7 @@
 	}
 	for ; n > 0; n-- {
 		work := math.Float32frombits(binary.BigEndian.Uint32(b[4:]))
-		r.Held = append(r.Held, Held{logic.WorkerID(binary.BigEndian.Uint32(b)), float64(work)})
+		r.Held = append(r.Held, HostWork{logic.WorkerID(binary.BigEndian.Uint32(b)), float64(work)})
 		b = b[8:]
 	}
 	n = int(binary.BigEndian.Uint16(b))
@@ -160,7 +160,7 @@
 	}
 	for ; n > 0; n-- {
 		load := math.Float32frombits(binary.BigEndian.Uint32(b[8:]))
-		r.Asked = append(r.Asked, Asked{binary.BigEndian.Uint64(b), float64(load)})
+		r.Asked = append(r.Asked, SetDemand{binary.BigEndian.Uint64(b), float64(load)})
 		b = b[12:]
 	}
 	n = int(binary.BigEndian.Uint16(b))
@@ -177,7 +177,7 @@
 	}
 	for ; n > 0; n-- {
 		run, work := math.Float32frombits(binary.BigEndian.Uint32(b[4:])), math.Float32frombits(binary.BigEndian.Uint32(b[8:]))
-		r.Ran = append(r.Ran, Ran{logic.WorkerID(binary.BigEndian.Uint32(b)), float64(run), float64(work)})
+		r.Ran = append(r.Ran, HostRuns{logic.WorkerID(binary.BigEndian.Uint32(b)), float64(run), float64(work)})
 		b = b[runSize:]
 	}
 	var err error
--- a/internal/fleet/ledger/hub.go
+++ b/internal/fleet/ledger/hub.go
@@ -27,14 +27,14 @@
 // noticeRounds is the number of rounds in which a member repeats that it moved, because datagrams may be lost.
 const noticeRounds = 5
 
-// Out is a report and the names of the members that it is sent to.
-type Out struct {
+// Outgoing is a report and the names of the members that it is sent to.
+type Outgoing struct {
 	*Report
 	To []string
 }
 
-// Asks reports whether the receivers are expected to answer.
-func (o *Out) Asks() bool { return o.Kind == Own || o.Kind == Group }
+// ExpectsAnswer reports whether the receivers are expected to answer.
+func (o *Outgoing) ExpectsAnswer() bool { return o.Kind == Own || o.Kind == Group }
 
 // rendezvous returns the n names with the highest hashes for a salt, highest first.
 func rendezvous(names []string, salt string, n int) []string {
@@ -44,7 +44,7 @@
 	}
 	all := make([]scored, len(names))
 	for i, m := range names {
-		all[i] = scored{m, draw.Of(m, salt)}
+		all[i] = scored{m, draw.Hash(m, salt)}
 	}
 	slices.SortFunc(all, func(a, b scored) int { return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.name, b.name)) })
 	out := make([]string, min(n, len(all)))
@@ -77,8 +77,8 @@
 		if p := l.peers[source{l.hub, Rest}]; p != nil {
 			lastAnswer = max(lastAnswer, p.receivedAt)
 		}
-		if now-lastAnswer > l.limits.Deaf {
-			l.avoidUntil[l.hub] = now + avoidFactor*l.limits.Deaf
+		if now-lastAnswer > l.limits.HubTimeout {
+			l.avoidUntil[l.hub] = now + avoidFactor*l.limits.HubTimeout
 		}
 	}
 	for name, until := range l.avoidUntil {
@@ -109,21 +109,21 @@
 
 // Round returns the reports to send in this round and their receivers. own is this dispatcher's report of itself;
 // others are all other members that are present.
-func (l *Ledger) Round(now int64, own *Report, others []string) []Out {
+func (l *Ledger) Round(now int64, own *Report, others []string) []Outgoing {
 	if len(others) == 0 {
 		return nil
 	}
 	hubs := l.hubs(others)
 	isHub := l.chooseHub(now, hubs) == l.self
-	var out []Out
+	var out []Outgoing
 	if !isHub {
-		out = append(out, Out{own, []string{l.hub}})
+		out = append(out, Outgoing{own, []string{l.hub}})
 	}
 	group, all := aggregate{}, aggregate{}
 	var groupMembers []source
 	for _, key := range l.order {
 		switch p := l.peers[key]; {
-		case p.gone || now-p.receivedAt > l.limits.Believe:
+		case p.gone || now-p.receivedAt > l.limits.Validity:
 		case key.kind == Own:
 			group.add(p, now, 1)
 			all.add(p, now, 1)
@@ -135,7 +135,7 @@
 	if l.noticesLeft > 0 {
 		l.noticesLeft--
 		if l.previousHub != "" && l.previousHub != l.self && slices.Contains(others, l.previousHub) {
-			out = append(out, Out{&Report{Kind: Moved, From: own.From, Incarnation: own.Incarnation, Seq: own.Seq}, []string{l.previousHub}})
+			out = append(out, Outgoing{&Report{Kind: Moved, From: own.From, Incarnation: own.Incarnation, Seq: own.Seq}, []string{l.previousHub}})
 		}
 	}
 	if isHub {
@@ -147,11 +147,11 @@
 		return out // no member reports to this one, and the other hubs know that it is no hub
 	}
 	if to := slices.DeleteFunc(hubs, func(h string) bool { return h == l.self }); len(to) > 0 {
-		out = append(out, Out{group.report(Group, own), to})
+		out = append(out, Outgoing{group.report(Group, own), to})
 	}
 	for _, key := range groupMembers {
 		rest := all.without(l.peers[key], now)
-		out = append(out, Out{rest.report(Rest, own), []string{key.name}})
+		out = append(out, Outgoing{rest.report(Rest, own), []string{key.name}})
 	}
 	return out
 }
@@ -215,22 +215,22 @@
 
 // runs returns the runs by host, most work first. It leaves out hosts with hardly any work, where subtraction may have
 // left nothing but a rounding error.
-func (s *aggregate) runs() []Ran {
-	var out []Ran
+func (s *aggregate) runs() []HostRuns {
+	var out []HostRuns
 	for host, n := range s.ran {
-		if n[0] > 0 && n[1] > RanLeast {
-			out = append(out, Ran{host, n[0], n[1]})
+		if n[0] > 0 && n[1] > MinRuns {
+			out = append(out, HostRuns{host, n[0], n[1]})
 		}
 	}
-	slices.SortFunc(out, func(a, b Ran) int { return cmp.Or(cmp.Compare(b.Work, a.Work), cmp.Compare(a.Host, b.Host)) })
-	return out[:min(len(out), HeldMost)]
+	slices.SortFunc(out, func(a, b HostRuns) int { return cmp.Or(cmp.Compare(b.Work, a.Work), cmp.Compare(a.Host, b.Host)) })
+	return out[:min(len(out), MaxHosts)]
 }
 
-// RanLeast is the work, in seconds, above which the runs at a host are reported.
-const RanLeast = 1e-3
+// MinRuns is the work, in seconds, above which the runs at a host are reported.
+const MinRuns = 1e-3
 
 // Ran returns the runs of all other members with a valid report, summed by host.
-func (l *Ledger) Ran(now int64) []Ran {
+func (l *Ledger) Ran(now int64) []HostRuns {
 	s := aggregate{}
 	from, _ := l.validPeers(now)
 	for _, p := range from {
@@ -288,12 +288,12 @@
 	members := float64(max(s.members, 1))
 	for host, work := range s.held {
 		if work > negligible {
-			r.Held = append(r.Held, Held{host, min(work, maxWork*members)})
+			r.Held = append(r.Held, HostWork{host, min(work, maxWork*members)})
 		}
 	}
 	for set, load := range s.asked {
 		if load > negligible {
-			r.Asked = append(r.Asked, Asked{set, min(load, maxLoad*members)})
+			r.Asked = append(r.Asked, SetDemand{set, min(load, maxLoad*members)})
 		}
 	}
 	r.Votes, r.Ran = s.voteCounts(), s.runs()
@@ -312,7 +312,7 @@
 // trim sorts the work and the demand of a report, largest first, and drops what exceeds its bounds. sets bounds the
 // data sets.
 func (r *Report) trim(sets int) {
-	slices.SortFunc(r.Held, func(a, b Held) int { return cmp.Or(cmp.Compare(b.Work, a.Work), cmp.Compare(a.Host, b.Host)) })
-	slices.SortFunc(r.Asked, func(a, b Asked) int { return cmp.Or(cmp.Compare(b.Load, a.Load), cmp.Compare(a.Set, b.Set)) })
-	r.Held, r.Asked = r.Held[:min(len(r.Held), HeldMost)], r.Asked[:min(len(r.Asked), sets)]
+	slices.SortFunc(r.Held, func(a, b HostWork) int { return cmp.Or(cmp.Compare(b.Work, a.Work), cmp.Compare(a.Host, b.Host)) })
+	slices.SortFunc(r.Asked, func(a, b SetDemand) int { return cmp.Or(cmp.Compare(b.Load, a.Load), cmp.Compare(a.Set, b.Set)) })
+	r.Held, r.Asked = r.Held[:min(len(r.Held), MaxHosts)], r.Asked[:min(len(r.Asked), sets)]
 }
--- a/internal/fleet/ledger/hub_test.go
+++ b/internal/fleet/ledger/hub_test.go
@@ -53,10 +53,10 @@
 		}
 		others := slices.DeleteFunc(slices.Clone(f.names), func(n string) bool { return n == from || slices.Contains(gone, n) })
 		f.ledgers[from].Members(len(others))
-		own := Of(from, 1, f.seq, f.now, constantSource(f.work[from]))
+		own := OwnReport(from, 1, f.seq, f.now, constantSource(f.work[from]))
 		if f.votes {
 			own.Votes = []verdict.Vote{{Host: 1, Zone: uint8(slices.Index(f.names, from) % 3), Bad: 1}}
-			own.Ran = []Ran{{1, 2, 1}}
+			own.Ran = []HostRuns{{1, 2, 1}}
 		}
 		for _, out := range f.ledgers[from].Round(f.now, own, others) {
 			for _, to := range out.To {
@@ -64,7 +64,7 @@
 				sent[to]++
 				f.sent++
 				if !f.cut(from, to) && f.ledgers[to] != nil {
-					f.ledgers[to].Hear(f.now, out.Report)
+					f.ledgers[to].Accept(f.now, out.Report)
 				}
 			}
 		}
@@ -77,7 +77,7 @@
 // observed returns the work that a member knows the others to have at host 1, and how many members that covers.
 func (f *fleet) observed(name string) (float64, int) {
 	t := &received{work: map[logic.WorkerID]float64{}, sets: map[uint64]float64{}}
-	heard := f.ledgers[name].Tell(f.now, []logic.WorkerID{1}, t)
+	heard := f.ledgers[name].PassSums(f.now, []logic.WorkerID{1}, t)
 	return t.work[1], heard
 }
 
@@ -93,7 +93,7 @@
 				f.round()
 			}
 			for _, name := range f.names {
-				f.ledgers[name].Hear(f.now, &Report{Kind: Rest, From: "impostor", Seq: f.seq, Members: maxMembers, Held: []Held{{1, 1e6}}})
+				f.ledgers[name].Accept(f.now, &Report{Kind: Rest, From: "impostor", Seq: f.seq, Members: maxMembers, Held: []HostWork{{1, 1e6}}})
 				want := float64(n) + more - f.work[name]
 				if work, heard := f.observed(name); heard != n-1 || work < want-1e-6 || work > want+1e-6 {
 					t.Fatalf("fleet of %d: %s covers %d members and knows work %v, want %v", n, name, heard, work, want)
@@ -198,16 +198,16 @@
 // A sum with figures that are impossible for the members that it claims to cover is refused.
 func TestOutOfRangeSumsAreRefused(t *testing.T) {
 	for name, r := range map[string]*Report{
-		"more work than its members can have": {Kind: Rest, From: "h", Seq: 1, Members: 2, Held: []Held{{1, 2*maxWork + 1}}},
-		"more load than its members can have": {Kind: Group, From: "h", Seq: 1, Members: 2, Asked: []Asked{{1, 2*maxLoad + 1}}},
+		"more work than its members can have": {Kind: Rest, From: "h", Seq: 1, Members: 2, Held: []HostWork{{1, 2*maxWork + 1}}},
+		"more load than its members can have": {Kind: Group, From: "h", Seq: 1, Members: 2, Asked: []SetDemand{{1, 2*maxLoad + 1}}},
 		"too many members":                    {Kind: Rest, From: "h", Seq: 1, Members: maxMembers + 1},
 		"a negative number of members":        {Kind: Rest, From: "h", Seq: 1, Members: -1},
 		"a negative age":                      {Kind: Rest, From: "h", Seq: 1, Members: 1, Age: -1},
 		"an age above the bound":              {Kind: Rest, From: "h", Seq: 1, Members: 1, Age: maxAge + 1},
 		"an unknown kind":                     {Kind: kinds, From: "h", Seq: 1, Members: 1},
-		"too many data sets":                  {Kind: Group, From: "h", Seq: 1, Members: 1, Asked: make([]Asked, maxSumEntries+1)},
+		"too many data sets":                  {Kind: Group, From: "h", Seq: 1, Members: 1, Asked: make([]SetDemand, maxSumEntries+1)},
 	} {
-		if err := New("me", Limits{}).Hear(0, r); err != ErrRange {
+		if err := New("me", Limits{}).Accept(0, r); err != ErrRange {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -236,7 +236,7 @@
 		}
 	}
 	twoVotes := &Report{From: "x", Incarnation: 1, Seq: 1, Votes: []verdict.Vote{{Host: 1, Zone: 0, Bad: 1}, {Host: 1, Zone: 1, Bad: 1}}}
-	if err := f.ledgers["n0"].Hear(f.now, twoVotes); err != ErrRange {
+	if err := f.ledgers["n0"].Accept(f.now, twoVotes); err != ErrRange {
 		t.Error("a report of one member with two votes on one host:", err)
 	}
 }
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -24,18 +24,18 @@
 
 // Limits bound which reports are accepted and for how long they count. A field of zero means its default.
 type Limits struct {
-	Believe int64   // microseconds for which a peer's report is valid; default 2 s
-	Gap     int64   // minimum microseconds between two reports of a peer; default 20 ms
-	Quorum  float64 // share of the other members that must have a valid report; default 0.5
-	Peers   int     // maximum number of senders kept; default 2,000
-	Hubs    int     // members that sum for the others; 0 means all members up to 12, and the square root of more
-	Deaf    int64   // microseconds without an answer after which a hub is left for the next one; default 1.5 s
+	Validity   int64   // microseconds for which a peer's report is valid; default 2 s
+	Gap        int64   // minimum microseconds between two reports of a peer; default 20 ms
+	Quorum     float64 // share of the other members that must have a valid report; default 0.5
+	Peers      int     // maximum number of senders kept; default 2,000
+	Hubs       int     // members that sum for the others; 0 means all members up to 12, and the square root of more
+	HubTimeout int64   // microseconds without an answer after which a hub is left for the next one; default 1.5 s
 }
 
 // Bounds on one report. A dispatcher's outstanding work is bounded by its open messages, so a larger figure is invalid.
 const (
-	HeldMost      = 1024 // hosts in one report, both of outstanding work and of runs
-	AskedMost     = 48   // data sets in the report of one dispatcher
+	MaxHosts      = 1024 // hosts in one report, both of outstanding work and of runs
+	MaxSets       = 48   // data sets in the report of one dispatcher
 	maxSumEntries = 512  // data sets, and votes, in a sum
 	maxWork       = 1e5  // slot-seconds of one dispatcher at one host
 	maxLoad       = 1e5  // slots a second of one dispatcher for one data set
@@ -57,20 +57,20 @@
 	kinds
 )
 
-// Held is the work outstanding at a host: slots times seconds on a standard core.
-type Held struct {
+// HostWork is the work outstanding at a host: slots times seconds on a standard core.
+type HostWork struct {
 	Host logic.WorkerID
 	Work float64
 }
 
-// Asked is the demand, in slots a second, that a dispatcher receives for a data set.
-type Asked struct {
+// SetDemand is the demand, in slots a second, that a dispatcher receives for a data set.
+type SetDemand struct {
 	Set  uint64
 	Load float64
 }
 
-// Ran is the running time in seconds, and the work in seconds on a standard core, of recent runs at a host.
-type Ran struct {
+// HostRuns is the running time in seconds, and the work in seconds on a standard core, of recent runs at a host.
+type HostRuns struct {
 	Host      logic.WorkerID
 	Run, Work float64
 }
@@ -84,10 +84,10 @@
 	From        string
 	Incarnation uint64
 	Seq         uint64
-	Held        []Held
-	Asked       []Asked
+	Held        []HostWork
+	Asked       []SetDemand
 	Votes       []verdict.Vote
-	Ran         []Ran
+	Ran         []HostRuns
 	Load        *slack.Load // nil: the report has no load
 }
 
@@ -103,7 +103,7 @@
 // Counts are the reports accepted and refused since the start, by reason.
 type Counts struct {
 	Heard, Old, Range, Flood, Full, Self int
-	Strange                              int // figures of hosts that this dispatcher does not know
+	UnknownHosts                         int // figures of hosts that this dispatcher does not know
 }
 
 // Ledger holds the reports that one dispatcher received. It must not be used by two goroutines at once.
@@ -141,29 +141,29 @@
 	incarnation, seq uint64
 	receivedAt       int64
 	gone, moved      bool // gone: counts for nothing until a later report; moved: not listed by Peers
-	held             []Held
-	asked            []Asked
+	held             []HostWork
+	asked            []SetDemand
 	votes            []verdict.Vote
-	ran              []Ran
+	ran              []HostRuns
 	load             *slack.Load
 }
 
 // New returns an empty ledger of the dispatcher named self.
 func New(self string, limits Limits) *Ledger {
-	limits.Believe = cmp.Or(limits.Believe, 2_000_000)
+	limits.Validity = cmp.Or(limits.Validity, 2_000_000)
 	limits.Gap = cmp.Or(limits.Gap, 20_000)
 	limits.Quorum = cmp.Or(limits.Quorum, 0.5)
 	limits.Peers = cmp.Or(limits.Peers, 2000)
-	limits.Deaf = cmp.Or(limits.Deaf, 1_500_000)
+	limits.HubTimeout = cmp.Or(limits.HubTimeout, 1_500_000)
 	return &Ledger{self: self, limits: limits, peers: map[source]*peer{}, avoidUntil: map[string]int64{}, workByHost: map[logic.WorkerID]float64{}, loadBySet: map[uint64]float64{}}
 }
 
 // Members sets how many other dispatchers are in the fleet. Sums of the reports of fewer are scaled up to this number.
 func (l *Ledger) Members(n int) { l.members = n }
 
-// Hear takes a report that arrived at the time now. It returns ErrSelf, ErrOld, ErrRange, ErrFlood or ErrFull for a
+// Accept takes a report that arrived at the time now. It returns ErrSelf, ErrOld, ErrRange, ErrFlood or ErrFull for a
 // report that it refuses; such a report is counted and changes nothing else.
-func (l *Ledger) Hear(now int64, r *Report) error {
+func (l *Ledger) Accept(now int64, r *Report) error {
 	key := source{r.From, r.Kind}
 	if r.Kind == Moved {
 		key.kind = Own
@@ -173,7 +173,7 @@
 	case r.From == l.self || r.From == "":
 		l.counts.Self++
 		return ErrSelf
-	case p != nil && now-p.receivedAt <= forgetFactor*l.limits.Believe && (r.Incarnation < p.incarnation || r.Incarnation == p.incarnation && r.Seq <= p.seq):
+	case p != nil && now-p.receivedAt <= forgetFactor*l.limits.Validity && (r.Incarnation < p.incarnation || r.Incarnation == p.incarnation && r.Seq <= p.seq):
 		l.counts.Old++
 		return ErrOld
 	case !inRange(r):
@@ -211,15 +211,17 @@
 // covers.
 func inRange(r *Report) bool {
 	within := func(v, limit float64) bool { return v >= 0 && v <= limit } // false for NaN as well
-	covered, sets, votes := 1.0, AskedMost, verdict.VotesMost
+	covered, sets, votes := 1.0, MaxSets, verdict.MaxVotes
 	if r.Kind != Own {
 		covered, sets, votes = float64(max(r.Members, 1)), maxSumEntries, maxSumEntries
 	}
 	return r.Kind < kinds && r.Members >= 0 && r.Members <= maxMembers && r.Age >= 0 && r.Age <= maxAge &&
-		len(r.Held) <= HeldMost && len(r.Asked) <= sets && len(r.Votes) <= votes && oneVoteEach(r.Votes, int(covered)) &&
-		len(r.Ran) <= HeldMost && !slices.ContainsFunc(r.Ran, func(a Ran) bool { return !within(a.Work, maxRunWork*covered) || !within(a.Run, maxSlowdown*a.Work) }) &&
-		!slices.ContainsFunc(r.Held, func(h Held) bool { return !within(h.Work, maxWork*covered) }) &&
-		!slices.ContainsFunc(r.Asked, func(a Asked) bool { return !within(a.Load, maxLoad*covered) }) &&
+		len(r.Held) <= MaxHosts && len(r.Asked) <= sets && len(r.Votes) <= votes && oneVoteEach(r.Votes, int(covered)) &&
+		len(r.Ran) <= MaxHosts && !slices.ContainsFunc(r.Ran, func(a HostRuns) bool {
+		return !within(a.Work, maxRunWork*covered) || !within(a.Run, maxSlowdown*a.Work)
+	}) &&
+		!slices.ContainsFunc(r.Held, func(h HostWork) bool { return !within(h.Work, maxWork*covered) }) &&
+		!slices.ContainsFunc(r.Asked, func(a SetDemand) bool { return !within(a.Load, maxLoad*covered) }) &&
 		(r.Load == nil || !slices.ContainsFunc(r.Load[:], func(v float64) bool { return !within(v, maxLoad*covered) }))
 }
 
@@ -244,7 +246,7 @@
 // peer has been silent for long enough to be forgotten.
 func (l *Ledger) evictSilent(now int64) bool {
 	var oldest source
-	at := now - forgetFactor*l.limits.Believe
+	at := now - forgetFactor*l.limits.Validity
 	for key, p := range l.peers {
 		if p.receivedAt < at {
 			oldest, at = key, p.receivedAt
@@ -269,8 +271,8 @@
 	}
 }
 
-// Telling receives the sums that Tell makes.
-type Telling interface {
+// Receiver receives the sums that Tell makes.
+type Receiver interface {
 	// RecordOthersBacklog takes the work, in slot-seconds, that the other dispatchers have at a host, as of the time at.
 	RecordOthersBacklog(now int64, host logic.WorkerID, work float64, at int64)
 	// RecordOthersDemand takes the other dispatchers' demand for a data set, in slots a second, which is valid until a time.
@@ -285,7 +287,7 @@
 	for _, key := range l.order {
 		p := l.peers[key]
 		switch {
-		case p.gone || now-p.receivedAt > l.limits.Believe:
+		case p.gone || now-p.receivedAt > l.limits.Validity:
 		case key.kind != Rest:
 			from, members = append(from, p), members+p.members
 		case key.name != l.hub && key.name != l.previousHub:
@@ -299,10 +301,10 @@
 	return from, members
 }
 
-// Tell passes to the receiver the sum of the others' work at each of the given hosts, with the mean time of the reports
+// PassSums passes to the receiver the sum of the others' work at each of the given hosts, with the mean time of the reports
 // behind it, and the sum of their demand for each data set. It returns the number of members with a valid report. Below
 // the quorum it passes nothing on; figures passed on earlier then decay in the receiver as every observation does.
-func (l *Ledger) Tell(now int64, hosts []logic.WorkerID, to Telling) (heard int) {
+func (l *Ledger) PassSums(now int64, hosts []logic.WorkerID, to Receiver) (heard int) {
 	clear(l.workByHost)
 	clear(l.loadBySet)
 	for _, h := range hosts {
@@ -316,7 +318,7 @@
 			if _, known := l.workByHost[h.Host]; known {
 				l.workByHost[h.Host] += h.Work
 			} else {
-				l.counts.Strange++
+				l.counts.UnknownHosts++
 			}
 		}
 		for _, a := range p.asked {
@@ -333,13 +335,13 @@
 		to.RecordOthersBacklog(now, h, l.workByHost[h]*scale, when)
 	}
 	for set, load := range l.loadBySet {
-		to.RecordOthersDemand(set, load*scale, when+l.limits.Believe)
+		to.RecordOthersDemand(set, load*scale, when+l.limits.Validity)
 	}
 	return heard
 }
 
 // Believes returns for how many microseconds a report is valid.
-func (l *Ledger) Believes() int64 { return l.limits.Believe }
+func (l *Ledger) Believes() int64 { return l.limits.Validity }
 
 // Counts returns the numbers of reports accepted and refused.
 func (l *Ledger) Counts() Counts { return l.counts }
@@ -352,22 +354,22 @@
 	Demand(now int64, tell func(set uint64, load float64))
 }
 
-// Of makes a dispatcher's report of itself. Of the data sets it includes the AskedMost with the highest demand.
-func Of(from string, incarnation, seq uint64, now int64, s Source) *Report {
+// OwnReport makes a dispatcher's report of itself. Of the data sets it includes the AskedMost with the highest demand.
+func OwnReport(from string, incarnation, seq uint64, now int64, s Source) *Report {
 	r := &Report{From: from, Incarnation: incarnation, Seq: seq}
 	s.Outstanding(func(host logic.WorkerID, work float64) {
-		r.Held = append(r.Held, Held{host, min(work, maxWork)})
+		r.Held = append(r.Held, HostWork{host, min(work, maxWork)})
 	})
-	s.Demand(now, func(set uint64, load float64) { r.Asked = append(r.Asked, Asked{set, min(load, maxLoad)}) })
-	r.trim(AskedMost)
+	s.Demand(now, func(set uint64, load float64) { r.Asked = append(r.Asked, SetDemand{set, min(load, maxLoad)}) })
+	r.trim(MaxSets)
 	return r
 }
 
 // ErrInUse says that another process uses the address at which a dispatcher joins its fleet.
 var ErrInUse = errors.New("the address is in use")
 
-// News is a report with the time at which it arrived.
-type News struct {
+// Received is a report with the time at which it arrived.
+type Received struct {
 	*Report
 	At time.Time
 }
@@ -378,9 +380,9 @@
 	Incarnation uint64
 }
 
-// Heard is what membership received since it was last asked.
-type Heard struct {
-	News    []News
+// Inbox is what membership received since it was last asked.
+type Inbox struct {
+	Reports []Received
 	Gone    []Process // processes that left or were declared dead
 	Members []string  // other members that are there now
 	Bad     int       // messages that were malformed or dropped for lack of space
--- a/internal/fleet/market/market.go
+++ b/internal/fleet/market/market.go
@@ -11,8 +11,8 @@
 	"granitewing/internal/memory"
 )
 
-// Market holds the demand and the price of one dispatcher. It must not be used by two goroutines at once.
-type Market struct {
+// Admission holds the demand and the price of one dispatcher. It must not be used by two goroutines at once.
+type Admission struct {
 	gauge   slack.Gauge
 	price   slack.Price
 	state   State
@@ -29,11 +29,11 @@
 }
 
 // State returns the state after the last round.
-func (m *Market) State() State { return m.state }
+func (m *Admission) State() State { return m.state }
 
 // New returns a market without a price, and makes the core ask it for the price of each message.
-func New(core *memory.Core) *Market {
-	m := &Market{}
+func New(core *memory.Core) *Admission {
+	m := &Admission{}
 	core.Price(m)
 	return m
 }
@@ -43,7 +43,7 @@
 const freeInterval = 100
 
 // Price implements memory.Prices: it returns the price for the next message, which is 0 for one in freeInterval.
-func (m *Market) Price() float64 {
+func (m *Admission) Price() float64 {
 	p := m.price.Now()
 	if p > 0 {
 		if m.queries++; m.queries%freeInterval == 0 {
@@ -54,11 +54,13 @@
 }
 
 // Asked implements memory.Prices: it records the value, slot-work and slack in seconds of a message that arrived.
-func (m *Market) Asked(now int64, value, work, slack float64) { m.gauge.Asked(now, value, work, slack) }
+func (m *Admission) Asked(now int64, value, work, slack float64) {
+	m.gauge.Asked(now, value, work, slack)
+}
 
-// Sit runs one round: it puts this dispatcher's own load into its report and updates the price from that and the valid
+// Round runs one round: it puts this dispatcher's own load into its report and updates the price from that and the valid
 // loads of other members. members is the number of dispatchers in the fleet, this one included.
-func (m *Market) Sit(now int64, l *ledger.Ledger, core *memory.Core, members int, own *ledger.Report) {
+func (m *Admission) Round(now int64, l *ledger.Ledger, core *memory.Core, members int, own *ledger.Report) {
 	waiting, capacity := core.PendingWork()
 	own.Load = m.gauge.Load(now, waiting)
 	sum, heard := l.Load(now)
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -57,16 +57,16 @@
 type Fleet struct {
 	options        Options
 	list           *memberlist.Memberlist
-	outgoing       latest.Mailbox[[]ledger.Out]
+	outgoing       latest.Mailbox[[]ledger.Outgoing]
 	outgoingLimits chan []*limit.Message
 	done           chan struct{}
 	wait           sync.WaitGroup
 
 	mu             sync.Mutex
-	contacts       map[string]contact     // members seen since the start, until they leave
-	reports        map[source]ledger.News // the latest of each sender and kind
-	receivedLimits []*limit.Message       // messages about limits, in the order of their arrival
-	awaited        map[string]exchange    // by name, the members that should answer
+	contacts       map[string]contact         // members seen since the start, until they leave
+	reports        map[source]ledger.Received // the latest of each sender and kind
+	receivedLimits []*limit.Message           // messages about limits, in the order of their arrival
+	awaited        map[string]exchange        // by name, the members that should answer
 	gone           []ledger.Process
 	bad            int // malformed messages
 	full           int // messages dropped because a queue was full
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet.bind: %w", err)
 	}
-	f := &Fleet{options: o, outgoing: latest.New[[]ledger.Out](), outgoingLimits: make(chan []*limit.Message, maxLimitBatches), done: make(chan struct{}), contacts: map[string]contact{}, reports: map[source]ledger.News{}, awaited: map[string]exchange{}}
+	f := &Fleet{options: o, outgoing: latest.New[[]ledger.Outgoing](), outgoingLimits: make(chan []*limit.Message, maxLimitBatches), done: make(chan struct{}), contacts: map[string]contact{}, reports: map[source]ledger.Received{}, awaited: map[string]exchange{}}
 	cfg := memberlist.DefaultLANConfig()
 	cfg.Name, cfg.BindAddr, cfg.BindPort, cfg.AdvertiseAddr, cfg.AdvertisePort = o.Name, host, number, host, number
 	if o.Advertise != "" {
@@ -216,7 +216,7 @@
 
 // SendReports sends reports without waiting; the caller must not change them afterwards. If earlier reports are still waiting
 // to be sent, these replace them.
-func (f *Fleet) SendReports(out []ledger.Out) { f.outgoing.Put(out) }
+func (f *Fleet) SendReports(out []ledger.Outgoing) { f.outgoing.Put(out) }
 
 // sendLoop sends reports and messages about limits until the fleet is left.
 func (f *Fleet) sendLoop() {
@@ -238,7 +238,7 @@
 }
 
 // sendReports sends each report to those of its receivers that are present, and notes from whom an answer is expected.
-func (f *Fleet) sendReports(out []ledger.Out) {
+func (f *Fleet) sendReports(out []ledger.Outgoing) {
 	present := f.present()
 	var b []byte
 	now := time.Now()
@@ -249,7 +249,7 @@
 			if m == nil {
 				continue // it left in the meantime
 			}
-			if out[i].Asks() {
+			if out[i].ExpectsAnswer() {
 				f.mu.Lock()
 				e, awaited := f.awaited[to]
 				if !awaited {
@@ -286,17 +286,17 @@
 
 // ReceiveReports returns what was received since the last call: reports sorted by sender and kind, processes that are gone, and
 // the members present now.
-func (f *Fleet) ReceiveReports() ledger.Heard {
+func (f *Fleet) ReceiveReports() ledger.Inbox {
 	members := slices.Sorted(maps.Keys(f.present()))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h := ledger.Heard{Members: members, Gone: f.gone, Bad: f.bad + f.full, Old: f.old}
+	h := ledger.Inbox{Members: members, Gone: f.gone, Bad: f.bad + f.full, Old: f.old}
 	for _, n := range f.reports {
-		h.News = append(h.News, n)
+		h.Reports = append(h.Reports, n)
 	}
 	clear(f.reports)
 	f.gone, f.bad, f.full, f.old = nil, 0, 0, 0
-	slices.SortFunc(h.News, func(a, b ledger.News) int {
+	slices.SortFunc(h.Reports, func(a, b ledger.Received) int {
 		return cmp.Or(strings.Compare(a.From, b.From), cmp.Compare(a.Kind, b.Kind))
 	})
 	return h
--- a/internal/fleet/member/notify.go
+++ b/internal/fleet/member/notify.go
@@ -56,7 +56,7 @@
 		f.full++
 		return
 	}
-	f.reports[from] = ledger.News{Report: r, At: time.Now()}
+	f.reports[from] = ledger.Received{Report: r, At: time.Now()}
 }
 
 // GetBroadcasts implements memberlist.Delegate; there are none.
--- a/internal/fleet/verdict/book.go
+++ b/internal/fleet/verdict/book.go
@@ -29,16 +29,16 @@
 	evidenceLifetime = 4_000_000 // microseconds for which the result of an attempt counts
 	minFails         = 1         // failures since the last success that make a vote against a host
 	maxHosts         = 4096      // hosts in a book
-	// VotesMost is the maximum number of hosts on which a dispatcher votes.
-	VotesMost = 16
+	// MaxVotes is the maximum number of hosts on which a dispatcher votes.
+	MaxVotes = 16
 	// A dispatcher does not vote if it tried at least minTried hosts and more than maxFailedShare of them failed: then
 	// its own network link is the likely cause.
 	minTried       = 3
 	maxFailedShare = 0.5
 )
 
-// Book records the results of one dispatcher's own attempts at hosts. It must not be used by two goroutines at once.
-type Book struct {
+// Evidence records the results of one dispatcher's own attempts at hosts. It must not be used by two goroutines at once.
+type Evidence struct {
 	zone  uint8
 	hosts map[logic.WorkerID]*record
 }
@@ -49,14 +49,14 @@
 	failedAt, succeededAt int64
 }
 
-// NewBook returns an empty book of a dispatcher in a zone, which is limited to 0 to 255.
-func NewBook(zone int) *Book {
-	return &Book{zone: uint8(min(max(zone, 0), 255)), hosts: map[logic.WorkerID]*record{}}
+// NewEvidence returns an empty book of a dispatcher in a zone, which is limited to 0 to 255.
+func NewEvidence(zone int) *Evidence {
+	return &Evidence{zone: uint8(min(max(zone, 0), 255)), hosts: map[logic.WorkerID]*record{}}
 }
 
-// Note records the result of an attempt that is evidence about its host, or another sign that the host is alive. If the
+// Record records the result of an attempt that is evidence about its host, or another sign that the host is alive. If the
 // book is full of recent records, a host that has none is ignored.
-func (b *Book) Note(now int64, host logic.WorkerID, ok bool) {
+func (b *Evidence) Record(now int64, host logic.WorkerID, ok bool) {
 	r := b.hosts[host]
 	if r == nil {
 		if len(b.hosts) >= maxHosts {
@@ -79,7 +79,7 @@
 }
 
 // dropExpired removes the records that no longer count.
-func (b *Book) dropExpired(now int64) {
+func (b *Evidence) dropExpired(now int64) {
 	maps.DeleteFunc(b.hosts, func(_ logic.WorkerID, r *record) bool { return now-max(r.failedAt, r.succeededAt) > evidenceLifetime })
 }
 
@@ -91,7 +91,7 @@
 
 // Votes returns this dispatcher's votes, at most VotesMost: those against hosts first, then those for hosts that others
 // vote against. It returns none if so many of its attempts failed that its own network link is the likely cause.
-func (b *Book) Votes(now int64, others []Vote) []Vote {
+func (b *Evidence) Votes(now int64, others []Vote) []Vote {
 	b.dropExpired(now)
 	tried, bad := 0, 0
 	for _, r := range b.hosts {
@@ -116,11 +116,11 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Vote) int { return cmp.Or(cmp.Compare(b.Bad, a.Bad), cmp.Compare(a.Host, b.Host)) })
-	return out[:min(len(out), VotesMost)]
+	return out[:min(len(out), MaxVotes)]
 }
 
-// Good reports whether this dispatcher's own latest attempt at a host succeeded and still counts.
-func (b *Book) Good(now int64, host logic.WorkerID) bool {
+// RecentlyGood reports whether this dispatcher's own latest attempt at a host succeeded and still counts.
+func (b *Evidence) RecentlyGood(now int64, host logic.WorkerID) bool {
 	r := b.hosts[host]
 	return r != nil && r.good(now)
 }
--- a/internal/fleet/verdict/judge.go
+++ b/internal/fleet/verdict/judge.go
@@ -32,15 +32,15 @@
 	Weight float64 // share of the counted votes that are against the host
 }
 
-// Judge decides for one dispatcher which hosts to avoid.
-type Judge struct {
+// Detector decides for one dispatcher which hosts to avoid.
+type Detector struct {
 	self string
-	book *Book
+	book *Evidence
 }
 
-// NewJudge returns the judge of the dispatcher named self. A recent success in the dispatcher's own book overrules the
+// NewDetector returns the judge of the dispatcher named self. A recent success in the dispatcher's own book overrules the
 // votes of others.
-func NewJudge(self string, book *Book) *Judge { return &Judge{self, book} }
+func NewDetector(self string, book *Evidence) *Detector { return &Detector{self, book} }
 
 // tally is the votes on a host: those of the judge's own zone, and those of the other zones.
 type tally struct {
@@ -50,13 +50,13 @@
 	otherGood int
 }
 
-// Judge returns the verdicts that hold now for this dispatcher, the worst host first. members is the number of
+// Verdicts returns the verdicts that hold now for this dispatcher, the worst host first. members is the number of
 // dispatchers.
 //
 // The votes of the judge's own zone come first, because they used the same network path to the host. If there are too
 // few of them, the votes of other zones count too, provided that two zones agree or that the host's own zone finds it
 // bad. If a single zone can't reach a host of another zone, the path from there is the likely cause, not the host.
-func (j *Judge) Judge(now int64, votes []Vote, hosts []Host, members int) []Verdict {
+func (j *Detector) Verdicts(now int64, votes []Vote, hosts []Host, members int) []Verdict {
 	capacity, known := map[int]float64{}, map[logic.WorkerID]Host{}
 	for _, h := range hosts {
 		capacity[h.Kind] += h.Weight
@@ -82,7 +82,7 @@
 	}
 	var out []Verdict
 	for id, c := range counts {
-		if _, listed := known[id]; !listed || j.book.Good(now, id) || j.probes(now, id, members) {
+		if _, listed := known[id]; !listed || j.book.RecentlyGood(now, id) || j.probes(now, id, members) {
 			continue
 		}
 		if w := c.badShare(); w > 0 {
@@ -120,10 +120,10 @@
 
 // probes reports whether this dispatcher keeps trying a host now whatever the votes say. A few dispatchers, others in
 // each period, thereby find out when the host has recovered.
-func (j *Judge) probes(now int64, host logic.WorkerID, members int) bool {
+func (j *Detector) probes(now int64, host logic.WorkerID, members int) bool {
 	return members > 0 && hash(j.self, host, now/probePeriod)%uint64(members) < probers
 }
 
 func hash(name string, host logic.WorkerID, period int64) uint64 {
-	return draw.Of(name, fmt.Sprint(host, period))
+	return draw.Hash(name, fmt.Sprint(host, period))
 }
--- a/internal/fleet/verdict/verdict_test.go
+++ b/internal/fleet/verdict/verdict_test.go
@@ -18,9 +18,9 @@
 // verdicts returns the hosts with a verdict at a dispatcher of zone 0, as text. With 100,000 members, this dispatcher
 // probes none of them.
 func verdicts(votes []Vote) string {
-	j := NewJudge("n0", NewBook(0))
+	j := NewDetector("n0", NewEvidence(0))
 	var out []logic.WorkerID
-	for _, v := range j.Judge(0, votes, nineHosts(), 100_000) {
+	for _, v := range j.Verdicts(0, votes, nineHosts(), 100_000) {
 		out = append(out, v.Host)
 	}
 	return fmt.Sprint(out)
@@ -53,9 +53,9 @@
 // A vote against a host ends with a success, or four seconds after the failure. A dispatcher that fails at most hosts
 // does not vote.
 func TestBook(t *testing.T) {
-	b := NewBook(0)
+	b := NewEvidence(0)
 	votes := func(now int64) string { return fmt.Sprint(b.Votes(now, []Vote{{Host: 2, Zone: 1, Bad: 1}})) }
-	b.Note(0, 1, false)
+	b.Record(0, 1, false)
 	for at, want := range map[int64]string{0: "[{1 0 1 0}]", evidenceLifetime: "[{1 0 1 0}]", evidenceLifetime + 1: "[]"} {
 		b := *b
 		b.hosts = map[logic.WorkerID]*record{1: b.hosts[1]}
@@ -63,17 +63,17 @@
 			t.Errorf("at %d: %s, want %s", at, got, want)
 		}
 	}
-	b.Note(10, 1, false)
-	b.Note(10, 2, true)
+	b.Record(10, 1, false)
+	b.Record(10, 2, true)
 	if got := votes(10); got != "[{1 0 1 0} {2 0 0 1}]" {
 		t.Error("a good host that others vote against:", got)
 	}
-	b.Note(20, 1, true)
+	b.Record(20, 1, true)
 	if got := votes(20); got != "[{2 0 0 1}]" {
 		t.Error("after a success:", got)
 	}
 	for host := range logic.WorkerID(5) {
-		b.Note(30, host, false)
+		b.Record(30, host, false)
 	}
 	if got := votes(30); got != "[]" {
 		t.Error("a dispatcher that fails at all hosts:", got)
@@ -86,7 +86,7 @@
 	sum, seen := 0, map[int]bool{}
 	for period := range int64(400) {
 		for i := range 100 {
-			if NewJudge(fmt.Sprint("n", i), NewBook(0)).probes(period*probePeriod, 7, 100) {
+			if NewDetector(fmt.Sprint("n", i), NewEvidence(0)).probes(period*probePeriod, 7, 100) {
 				sum++
 				seen[i] = true
 			}
--- a/internal/lab/virtual/dispatcher.go
+++ b/internal/lab/virtual/dispatcher.go
@@ -55,9 +55,9 @@
 	hostIDs   []logic.WorkerID
 	reportSeq uint64
 
-	court      *court.Court
+	court      *court.Ejector
 	courtCore  *memory.Core // the core that court was made for; a restart replaces both
-	market     *market.Market
+	market     *market.Admission
 	marketCore *memory.Core // the core that market was made for; a restart replaces both
 	gangs      *gangs       // nil if no class runs in parts
 }
--- a/internal/lab/virtual/sharing.go
+++ b/internal/lab/virtual/sharing.go
@@ -37,22 +37,22 @@
 	slices.Sort(d.hostIDs)
 	d.ledger.Members(len(sim.dispatchers) - 1)
 	d.callCore(func(now int64) []memory.Command {
-		d.ledger.Tell(now, d.hostIDs, core)
+		d.ledger.PassSums(now, d.hostIDs, core)
 		return nil
 	})
 	d.reportSeq++
-	own := ledger.Of(d.name, uint64(d.generation), d.reportSeq, sim.now, core)
+	own := ledger.OwnReport(d.name, uint64(d.generation), d.reportSeq, sim.now, core)
 	if s.Verdicts == "on" {
 		if d.court == nil || d.courtCore != core {
 			d.court, d.courtCore = court.New(d.name, d.zone, core), core
 		}
-		d.court.Sit(sim.now, d.ledger, core, len(sim.dispatchers), s.Every, own)
+		d.court.Round(sim.now, d.ledger, core, len(sim.dispatchers), s.Every, own)
 	}
 	if s.Slack == "on" {
 		if d.market == nil || d.marketCore != core {
 			d.market, d.marketCore = market.New(core), core
 		}
-		d.market.Sit(sim.now, d.ledger, core, len(sim.dispatchers), own)
+		d.market.Round(sim.now, d.ledger, core, len(sim.dispatchers), own)
 	}
 	if d.gangs != nil {
 		sim.exchangeSlotMessages(d, core, s)
@@ -64,7 +64,7 @@
 		sim.after(latency.Microseconds(), func() {
 			for _, name := range out.To {
 				if o := sim.dispatchersByName[name]; sim.drawDelivery(d, o, s) {
-					o.ledger.Hear(sim.now, out.Report)
+					o.ledger.Accept(sim.now, out.Report)
 				}
 			}
 		})
@@ -89,7 +89,7 @@
 func (d *dispatcher) newLedger() {
 	d.name = fmt.Sprintf("n%d", d.number)
 	if s := d.sim.options.Variant.Share; s != nil {
-		d.limits = ledger.Limits{Hubs: s.Hubs, Deaf: max(1_500_000, 6*s.Every.Microseconds())}
+		d.limits = ledger.Limits{Hubs: s.Hubs, HubTimeout: max(1_500_000, 6*s.Every.Microseconds())}
 	}
 	d.ledger, d.hostIDs, d.reportSeq = ledger.New(d.name, d.limits), []logic.WorkerID{}, 0
 }
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -99,7 +99,7 @@
 }
 
 // SendReports implements driver.Peers.
-func (p *membership) SendReports(out []ledger.Out) {
+func (p *membership) SendReports(out []ledger.Outgoing) {
 	if f := p.current(); f != nil {
 		f.SendReports(out)
 	}
@@ -121,11 +121,11 @@
 }
 
 // ReceiveReports implements driver.Peers.
-func (p *membership) ReceiveReports() ledger.Heard {
+func (p *membership) ReceiveReports() ledger.Inbox {
 	if f := p.current(); f != nil {
 		return f.ReceiveReports()
 	}
-	return ledger.Heard{}
+	return ledger.Inbox{}
 }
 
 // join begins the membership; it returns false if Leave was called before.
@@ -190,8 +190,8 @@
 		return nil, fmt.Errorf("%w: %w", ErrUsage, err)
 	}
 	d.UseFleet(driver.FleetOptions{Peers: p, Interval: f.ReportInterval, Incarnation: incarnation, Rights: rights, Gangs: gangs, VoteEjection: f.VoteEjection == "on", PriceAdmission: f.PriceAdmission == "on", Retries: f.Retries,
-		Limits: ledger.Limits{Believe: f.MaxReportAge.Microseconds(), Quorum: f.Quorum, Gap: f.ReportInterval.Microseconds() / 4,
-			Hubs: f.Hubs, Deaf: max(hubTimeout, 6*f.ReportInterval).Microseconds()}})
+		Limits: ledger.Limits{Validity: f.MaxReportAge.Microseconds(), Quorum: f.Quorum, Gap: f.ReportInterval.Microseconds() / 4,
+			Hubs: f.Hubs, HubTimeout: max(hubTimeout, 6*f.ReportInterval).Microseconds()}})
 	return p, nil
 }
 
--- a/internal/memory/evidence.go
+++ b/internal/memory/evidence.go
@@ -4,7 +4,7 @@
 
 // Evidence receives what the outcomes of attempts show about hosts, for a fleet that judges host health together.
 type Evidence interface {
-	Note(now int64, host logic.WorkerID, ok bool)
+	Record(now int64, host logic.WorkerID, ok bool)
 }
 
 // ReportHealthTo passes observations of hosts on to e; call it before the first message.
@@ -18,9 +18,9 @@
 	}
 	switch result {
 	case logic.Served:
-		c.evidence.Note(now, host, true)
+		c.evidence.Record(now, host, true)
 	case logic.Failed, logic.ConnectFailed, logic.Broken:
-		c.evidence.Note(now, host, false)
+		c.evidence.Record(now, host, false)
 	}
 }
 
