--- a/internal/driver/gangs.go
+++ b/internal/driver/gangs.go
@@ -27,7 +27,7 @@
 	}{{"late", c.Late}, {"push", c.Push}, {"price", c.Price}, {"pieces", c.Pieces}, {"crosses", c.Crosses}} {
 		fmt.Fprintf(b, "router_gang_terms_total{term=%q} %g\n", f.term, f.v)
 	}
-	if sets, slots, deals := s.rights.participant.Held(now); deals {
+	if sets, slots, deals := s.rights.participant.SlotBook(now); deals {
 		fmt.Fprintf(b, "router_gang_dealt_sets %d\nrouter_gang_dealt_slots %d\n", sets, slots)
 	}
 }
--- a/internal/driver/limits.go
+++ b/internal/driver/limits.go
@@ -18,11 +18,11 @@
 
 // Admit implements memory.Limits.
 func (l *fleetLimits) Admit(now int64, id memory.ID, tenant, class int) (memory.LimitResult, int64) {
-	verdict, places := l.participant.Enter(now, tenant, class)
+	verdict, places := l.participant.Admit(now, tenant, class)
 	if places != (limit.Places{}) {
 		l.places[id] = places
 	}
-	return [...]memory.LimitResult{limit.Free: memory.Unlimited, limit.Inside: memory.WithinShare, limit.Beyond: memory.BeyondShare, limit.Refuse: memory.OverLimit}[verdict], l.participant.Longest(tenant, class)
+	return [...]memory.LimitResult{limit.Free: memory.Unlimited, limit.Inside: memory.WithinShare, limit.Beyond: memory.BeyondShare, limit.Refuse: memory.OverLimit}[verdict], l.participant.MaxOpenTime(tenant, class)
 }
 
 // Answered implements memory.Limits.
@@ -42,7 +42,7 @@
 	now := l.now()
 	var out []*limit.Message
 	for _, m := range received {
-		if answer := l.participant.Hear(now, m); answer != nil {
+		if answer := l.participant.Receive(now, m); answer != nil {
 			out = append(out, answer)
 		}
 	}
@@ -81,7 +81,7 @@
 	dealer, self := l.participant.Dealer(now)
 	fmt.Fprintf(b, "router_fleet_dealer{member=\"%s\",self=\"%t\"} 1\n", labelValue.Replace(dealer), self)
 	r := l.participant.Refusals()
-	fmt.Fprintf(b, "router_fleet_limit_refused_messages_total{cause=\"strange\"} %d\nrouter_fleet_limit_refused_messages_total{cause=\"late\"} %d\nrouter_fleet_limit_refused_messages_total{cause=\"full\"} %d\n", r.Strange, r.Late, r.Full)
+	fmt.Fprintf(b, "router_fleet_limit_refused_messages_total{cause=\"strange\"} %d\nrouter_fleet_limit_refused_messages_total{cause=\"late\"} %d\nrouter_fleet_limit_refused_messages_total{cause=\"full\"} %d\n", r.Misaddressed, r.Late, r.Full)
 	for _, s := range l.participant.Status(now) {
 		name := labelValue.Replace(s.Name)
 		writeGauge := func(what string, v float64) {
@@ -97,11 +97,11 @@
 		writeGauge("free", float64(s.Free))
 		writeGauge("open", float64(s.Open))
 		writeGauge("inside_total", float64(s.Taken))
-		writeGauge("over_total", float64(s.Over))
-		writeGauge("by_floor_total", float64(s.Low))
-		if s.Deals {
+		writeGauge("over_total", float64(s.Beyond))
+		writeGauge("by_floor_total", float64(s.ByFloor))
+		if s.IsDealer {
 			writeGauge("dealt_out", float64(s.Out))
-			writeGauge("dealer_left", s.Left)
+			writeGauge("dealer_left", s.Unallocated)
 			writeGauge("holders", float64(s.Holders))
 		}
 	}
--- a/internal/fleet/gang/gang_test.go
+++ b/internal/fleet/gang/gang_test.go
@@ -44,7 +44,7 @@
 	for class := range 2 {
 		o.Kinds = append(o.Kinds, gang.Kind{Class: class, Parts: 3, Least: 3, Pattern: pattern.Ring, Within: sec, Wait: 3 * sec})
 	}
-	e.slots = limit.New(e.now, limit.Options{Self: lease.Owner{Name: "n0", Incarnation: 1}, Keepers: []string{"n0"}, Lease: sec, Room: 1})
+	e.slots = limit.New(e.now, limit.Options{Self: lease.Owner{Name: "n0", Incarnation: 1}, Keepers: []string{"n0"}, Lease: sec, SlotsPerHost: 1})
 	core.Gang(gang.New(o, e.slots.Holder(), sec, core.EachGangHost))
 	var hosts []memory.Host
 	for i := range 6 {
@@ -65,7 +65,7 @@
 		e.now += period
 		if !e.noRounds {
 			for _, m := range e.slots.Round(e.now) {
-				e.slots.Hear(e.now, m)
+				e.slots.Receive(e.now, m)
 			}
 		}
 		e.record(e.core.ReconsiderGangs(e.now))
@@ -147,9 +147,9 @@
 			e.advance(2 * sec)
 			c.do(e, id)
 			e.expect(name, e.commands(), want)
-			if _, slots, _ := e.slots.Held(e.now); want != "" {
+			if _, slots, _ := e.slots.SlotBook(e.now); want != "" {
 				e.advance(sec / 2)
-				if _, left, _ := e.slots.Held(e.now); left != 0 || e.core.Open() != 0 {
+				if _, left, _ := e.slots.SlotBook(e.now); left != 0 || e.core.Open() != 0 {
 					t.Errorf("%s: %d slots held afterwards of %d, %d messages open", name, left, slots, e.core.Open())
 				}
 			}
--- a/internal/fleet/limit/cases_test.go
+++ b/internal/fleet/limit/cases_test.go
@@ -12,7 +12,7 @@
 	s.removedRule = removed
 	s.addNodes(n)
 	l := limits[0]
-	s.rate, s.maxJobTime = l.Amount*1.02, l.Linger
+	s.rate, s.maxJobTime = l.Amount*1.02, l.MaxOpenTime
 	for i, w := range s.nodes {
 		w.load = 6 * l.Amount / float64(n)
 		s.scheduleArrivals(i)
@@ -173,7 +173,7 @@
 				}
 				// Outstanding rights are counted for a lease and a job longer, a new dealer is elected, and it waits as long
 				// again.
-				s.run(s.at + 4*leaseUs + 2*l.Linger)
+				s.run(s.at + 4*leaseUs + 2*l.MaxOpenTime)
 				s.admitted = 0
 				s.run(s.at + 5*sec)
 				if float64(s.admitted) < 0.78*may(5*sec) {
@@ -209,7 +209,7 @@
 						t.Fatalf("no dealer %v us later", c.gap)
 					}
 					for _, n := range s.nodes {
-						deals = deals || !n.down && n.part.Status(n.now(s.at))[0].Deals
+						deals = deals || !n.down && n.part.Status(n.now(s.at))[0].IsDealer
 					}
 				}
 				t.Logf("rights are granted %d ms later", (s.at-at)/1000)
--- a/internal/fleet/limit/cover/book.go
+++ b/internal/fleet/limit/cover/book.go
@@ -125,17 +125,17 @@
 	return ask, tell
 }
 
-// Told returns the table to send and its version.
-func (b *Book) Told() (Table, int64) { return b.table, b.version }
+// Table returns the table to send and its version.
+func (b *Book) Table() (Table, int64) { return b.table, b.version }
 
-// To returns the process and the turn of the keeper of a name, as of its last answer.
-func (b *Book) To(name string) (who lease.Owner, turn int64) {
+// Keeper returns the process and the turn of the keeper of a name, as of its last answer.
+func (b *Book) Keeper(name string) (who lease.Owner, turn int64) {
 	p := b.replicas[name]
 	return p.owner, p.turn
 }
 
-// Has handles a keeper's confirmation that it has the table of a version.
-func (b *Book) Has(from lease.Owner, turn, version int64) {
+// Confirmed handles a keeper's confirmation that it has the table of a version.
+func (b *Book) Confirmed(from lease.Owner, turn, version int64) {
 	if version != b.version || b.replicas[from.Name] != (replica{from, turn}) {
 		return
 	}
--- a/internal/fleet/limit/cover/cover.go
+++ b/internal/fleet/limit/cover/cover.go
@@ -37,8 +37,8 @@
 	return n
 }
 
-// Shelf stores the table of one limit at a keeper.
-type Shelf struct {
+// Replica stores the table of one limit at a keeper.
+type Replica struct {
 	turn, version int64
 	known         bool
 	table         Table
@@ -46,7 +46,7 @@
 
 // Put stores a table if it was written for the keeper's current turn, which is now; a later version of the same
 // turn is kept. It reports whether the keeper now has this table or a later one.
-func (s *Shelf) Put(now, turn, version int64, t Table) bool {
+func (s *Replica) Put(now, turn, version int64, t Table) bool {
 	if turn != now {
 		return false // of a promise that has ended meanwhile
 	}
@@ -57,4 +57,4 @@
 }
 
 // Look returns the table and whether one is known.
-func (s *Shelf) Look() (Table, bool) { return s.table, s.known }
+func (s *Replica) Look() (Table, bool) { return s.table, s.known }
--- a/internal/fleet/limit/covers.go
+++ b/internal/fleet/limit/covers.go
@@ -32,8 +32,8 @@
 func (p *Part) startDealing(now int64) {
 	p.dealingSince = p.seat.Since()
 	p.dealers, p.slotBook = map[uint64]*limitDealer{}, nil
-	if p.options.Room > 0 {
-		p.slotBook = hold.NewBook(now, p.options.Lease, p.options.Room)
+	if p.options.SlotsPerHost > 0 {
+		p.slotBook = hold.NewBook(now, p.options.Lease, p.options.SlotsPerHost)
 		p.adoptSlots(now)
 	}
 	for _, o := range p.limits {
@@ -56,9 +56,9 @@
 			m.Cover = &Cover{Limit: o.hash}
 			out = append(out, m)
 		}
-		table, version := d.covers.Told()
+		table, version := d.covers.Table()
 		for _, k := range tell {
-			to, turn := d.covers.To(k)
+			to, turn := d.covers.Keeper(k)
 			m := p.newMessage(CoverPut, to, version)
 			m.Cover = &Cover{Limit: o.hash, Turn: turn, Table: table}
 			out = append(out, m)
@@ -90,15 +90,15 @@
 	}
 	s, turn := p.coverStores[m.Cover.Limit], p.seat.Turn()
 	if s == nil {
-		s = &cover.Shelf{}
+		s = &cover.Replica{}
 		p.coverStores[m.Cover.Limit] = s
 	}
 	if m.Kind == CoverPut && s.Put(turn, m.Cover.Turn, m.Number, m.Cover.Table) {
-		answer := p.newMessage(CoverHas, m.From, m.Number)
+		answer := p.newMessage(CoverStored, m.From, m.Number)
 		answer.Cover = &Cover{Limit: m.Cover.Limit, Turn: turn}
 		return answer
 	}
-	answer := p.newMessage(CoverIs, m.From, m.Number)
+	answer := p.newMessage(CoverState, m.From, m.Number)
 	answer.Cover = &Cover{Limit: m.Cover.Limit, Turn: turn}
 	answer.Cover.Table, answer.Cover.Known = s.Look()
 	return answer
@@ -112,8 +112,8 @@
 	d := p.dealers[m.Cover.Limit]
 	switch {
 	case d == nil || p.dealingSince != p.seat.Since():
-	case m.Kind == CoverHas:
-		d.covers.Has(m.From, m.Cover.Turn, m.Number)
+	case m.Kind == CoverStored:
+		d.covers.Confirmed(m.From, m.Cover.Turn, m.Number)
 	default:
 		if table, known := d.covers.Found(m.From, m.Number, m.Cover.Turn, m.Cover.Table, m.Cover.Known); known {
 			d.Adopt(now, table)
@@ -130,16 +130,16 @@
 		return nil
 	}
 	held := p.seat.Holds(now)
-	successor := p.seat.Heir()
+	successor := p.seat.Successor()
 	p.seat.Leave()
 	if !held {
 		return nil
 	}
 	out = p.slotHandoverMessages(now, successor)
-	p.seat.Free(now, p.options.Self, successor)
+	p.seat.Release(now, p.options.Self, successor)
 	for _, k := range p.options.Keepers {
 		if k != p.options.Self.Name {
-			m := p.newMessage(SeatFree, lease.Owner{Name: k}, now)
+			m := p.newMessage(SeatRelease, lease.Owner{Name: k}, now)
 			m.Dealer = successor
 			out = append(out, m, m) // sent twice: the message is not repeated later and a link may lose it
 		}
@@ -153,7 +153,7 @@
 	delete(holders, p.options.Self)
 	if successor.Name != "" {
 		for _, who := range slices.SortedFunc(maps.Keys(holders), compareOwners) {
-			m := p.newMessage(Elsewhere, who, now)
+			m := p.newMessage(Redirect, who, now)
 			m.Dealer = successor
 			out = append(out, m)
 		}
--- a/internal/fleet/limit/hold/book.go
+++ b/internal/fleet/limit/hold/book.go
@@ -148,14 +148,14 @@
 			continue
 		}
 		a.unanswered = false
-		answer := Answer{Told: a.wantsBusy}
+		answer := Answer{BusyIncluded: a.wantsBusy}
 		for _, i := range a.items {
 			if b.granted[setKey{who, i.ID}] != nil {
 				answer.Given = append(answer.Given, i.ID)
 			}
-			answer.Told = answer.Told || i.State == Want
+			answer.BusyIncluded = answer.BusyIncluded || i.State == Want
 		}
-		if answer.Told {
+		if answer.BusyIncluded {
 			answer.Busy = b.busySlots(now, who)
 		}
 		answers[who] = answer
@@ -168,7 +168,7 @@
 	for _, sets := range []map[setKey]*slotSet{b.granted, b.reserved} {
 		for k, s := range sets {
 			for _, p := range s.spots {
-				if k.member != except && len(out) < SpotsMost {
+				if k.member != except && len(out) < MaxSpots {
 					out = append(out, Busy{p, max(s.freeAt-now, 0)})
 				}
 			}
@@ -178,9 +178,9 @@
 	return out
 }
 
-// Hand returns all grants for the next dealer. It returns nil if this book does not grant yet, or if there are
+// Handover returns all grants for the next dealer. It returns nil if this book does not grant yet, or if there are
 // more than HandMost spots.
-func (b *Book) Hand(now int64) (out []Holding) {
+func (b *Book) Handover(now int64) (out []Holding) {
 	b.expire(now)
 	if now < b.dealsFrom {
 		return nil
@@ -199,7 +199,7 @@
 			out = append(out, h)
 		}
 	}
-	if spots > HandMost {
+	if spots > MaxHandoverSpots {
 		return nil
 	}
 	slices.SortFunc(out, func(x, y Holding) int {
--- a/internal/fleet/limit/hold/hold.go
+++ b/internal/fleet/limit/hold/hold.go
@@ -44,9 +44,9 @@
 // Answer is the book's answer to a member: the IDs of the sets that are its own for a lease from when it asked,
 // and the slots of all others.
 type Answer struct {
-	Given []uint64
-	Told  bool // Busy is set, for members that want something
-	Busy  []Busy
+	Given        []uint64
+	BusyIncluded bool // Busy is set, for members that want something
+	Busy         []Busy
 }
 
 // Holding is what a book has granted to one member, as of the member's last report.
@@ -58,16 +58,16 @@
 
 // Limits of a member's report.
 const (
-	ItemsMost = 32
-	SpotsMost = 2048 // in all items together
-	HandMost  = 4096 // spots in a book that is handed over
+	MaxItems         = 32
+	MaxSpots         = 2048 // in all items together
+	MaxHandoverSpots = 4096 // spots in a book that is handed over
 )
 
-// LapseShare is by how much longer than the lease the book counts its grants, and a new book those of an earlier
+// ClockMargin is by how much longer than the lease the book counts its grants, and a new book those of an earlier
 // one, as a share of the lease: two clocks may differ in speed by this much.
-const LapseShare = 0.1
+const ClockMargin = 0.1
 
-func withClockMargin(of int64) int64 { return of + int64(LapseShare*float64(of)) }
+func withClockMargin(of int64) int64 { return of + int64(ClockMargin*float64(of)) }
 
 // setKey identifies a set of slots in the fleet.
 type setKey struct {
--- a/internal/fleet/limit/hold/holder.go
+++ b/internal/fleet/limit/hold/holder.go
@@ -28,7 +28,7 @@
 	for _, i := range h.items {
 		n += len(i.Spots)
 	}
-	if len(h.items) >= ItemsMost || n > SpotsMost {
+	if len(h.items) >= MaxItems || n > MaxSpots {
 		return false
 	}
 	h.items = append(h.items, &request{Item: Item{ID: id, Spots: spots, Run: run}, endsAt: by})
@@ -102,7 +102,7 @@
 			i.grantedUntil = max(i.grantedUntil, number+h.lease)
 		}
 	}
-	if a.Told {
+	if a.BusyIncluded {
 		h.busy, h.busyAt, h.wantsBusy = a.Busy, now, false
 	}
 }
--- a/internal/fleet/limit/holds.go
+++ b/internal/fleet/limit/holds.go
@@ -16,9 +16,9 @@
 // Lease returns how long a right is granted, in microseconds.
 func (p *Part) Lease() int64 { return p.options.Lease }
 
-// Held returns how many sets and slots the dealer's book has granted and whether it grants now. All are zero
+// SlotBook returns how many sets and slots the dealer's book has granted and whether it grants now. All are zero
 // unless this process is the dealer.
-func (p *Part) Held(now int64) (sets, slots int, deals bool) {
+func (p *Part) SlotBook(now int64) (sets, slots int, deals bool) {
 	if p.slotBook == nil || p.seat == nil || !p.seat.Holds(now) || p.dealingSince != p.seat.Since() {
 		return 0, 0, false
 	}
@@ -49,8 +49,8 @@
 	if p.slotBook == nil || p.dealingSince != p.seat.Since() || now < p.slotBook.From() || p.promises[successor.Name].from != successor {
 		return nil
 	}
-	m := p.newMessage(SlotsOver, successor, p.promises[successor.Name].at)
-	m.Table = p.slotBook.Hand(now)
+	m := p.newMessage(SlotHandover, successor, p.promises[successor.Name].at)
+	m.Table = p.slotBook.Handover(now)
 	return []*Message{m, m} // sent twice: the message is not repeated later and a link may lose it
 }
 
@@ -104,7 +104,7 @@
 	case Ask:
 		flag(m.Look)
 		items(m.Holds)
-	case SlotsOver:
+	case SlotHandover:
 		b = binary.BigEndian.AppendUint16(b, uint16(len(m.Table)))
 		for _, h := range m.Table {
 			b = append(b, byte(len(h.Who.Name)))
@@ -122,7 +122,7 @@
 		for _, id := range m.Held.Given {
 			b = binary.BigEndian.AppendUint64(b, id)
 		}
-		flag(m.Held.Told)
+		flag(m.Held.BusyIncluded)
 		b = binary.BigEndian.AppendUint16(b, uint16(len(m.Held.Busy)))
 		for _, s := range m.Held.Busy {
 			spot(s.Spot)
@@ -140,7 +140,7 @@
 		for i := 0; i < n && !r.failed; i++ {
 			item := hold.Item{ID: r.uint64(), State: hold.State(r.byte()), Left: int64(r.uint64()), Run: int64(r.uint64())}
 			k := int(r.uint16())
-			if spots += k; n > hold.ItemsMost || spots > maxSpots || item.State > hold.Runs || item.Left > maxSlotTime || item.Left < -maxSlotTime || item.Run > maxSlotTime || item.Run < 0 {
+			if spots += k; n > hold.MaxItems || spots > maxSpots || item.State > hold.Runs || item.Left > maxSlotTime || item.Left < -maxSlotTime || item.Run > maxSlotTime || item.Run < 0 {
 				r.failed = true
 			}
 			for j := 0; j < k && !r.failed; j++ {
@@ -153,14 +153,14 @@
 	switch m.Kind {
 	case Ask:
 		m.Look = r.byte() == 1
-		m.Holds = items(hold.SpotsMost)
-	case SlotsOver:
+		m.Holds = items(hold.MaxSpots)
+	case SlotHandover:
 		n := int(r.uint16())
 		for i := 0; i < n && !r.failed; i++ {
 			h := hold.Holding{}
 			h.Who.Name = string(r.take(min(int(r.byte()), maxNameLength)))
 			h.Who.Incarnation, h.Number = r.uint64(), int64(r.uint64())
-			h.Items = items(hold.SpotsMost)
+			h.Items = items(hold.MaxSpots)
 			m.Table = append(m.Table, h)
 		}
 	case Grant:
@@ -172,9 +172,9 @@
 		for i := 0; i < n && !r.failed; i++ {
 			m.Held.Given = append(m.Held.Given, r.uint64())
 		}
-		m.Held.Told = r.byte() == 1
+		m.Held.BusyIncluded = r.byte() == 1
 		k := int(r.uint16())
-		for i := 0; i < k && k <= hold.SpotsMost && !r.failed; i++ {
+		for i := 0; i < k && k <= hold.MaxSpots && !r.failed; i++ {
 			m.Held.Busy = append(m.Held.Busy, hold.Busy{Spot: spot(), Left: int64(r.uint64())})
 		}
 	}
--- a/internal/fleet/limit/holds_test.go
+++ b/internal/fleet/limit/holds_test.go
@@ -172,7 +172,7 @@
 			s.run(s.at + sec)
 			granted := false
 			for _, n := range s.nodes {
-				_, _, deals := n.part.Held(n.now(s.at))
+				_, _, deals := n.part.SlotBook(n.now(s.at))
 				granted = granted || deals && !n.down
 			}
 			if granted != (name == "in order") {
@@ -194,22 +194,22 @@
 		waits bool
 	}{{leaseUs / 2, false}, {leaseUs - 1, false}, {leaseUs, true}, {3 * leaseUs, true}} {
 		self, former, member := lease.Owner{Name: "n0", Incarnation: 2}, lease.Owner{Name: "n1", Incarnation: 1}, lease.Owner{Name: "m", Incarnation: 1}
-		p := New(0, Options{Self: self, Keepers: []string{"n0"}, Lease: leaseUs, Room: 1})
+		p := New(0, Options{Self: self, Keepers: []string{"n0"}, Lease: leaseUs, SlotsPerHost: 1})
 		now := leaseUs + 1 // from here on it can hold the post
 		p.options.Keepers = append(p.options.Keepers, "n1")
-		p.Hear(now, &Message{Kind: SlotsOver, From: former, To: self, Number: now - c.late,
+		p.Receive(now, &Message{Kind: SlotHandover, From: former, To: self, Number: now - c.late,
 			Table: []hold.Holding{{Who: member, Number: 7, Items: []hold.Item{{ID: 1, Run: sec, Left: sec, Spots: []hold.Spot{{Host: 1}}}}}}})
 		p.Round(now)
-		if sets, _, deals := p.Held(now); deals == c.waits || (sets == 1) == c.waits {
+		if sets, _, deals := p.SlotBook(now); deals == c.waits || (sets == 1) == c.waits {
 			t.Errorf("%d us after the promise: grants %t, with %d sets", c.late, deals, sets)
 		}
 		if c.waits {
 			continue
 		}
 		// What the member had sent to the former dealer before is out of order, and does not undo the grant.
-		p.Hear(now, &Message{Kind: Ask, From: member, To: self, Number: 6})
+		p.Receive(now, &Message{Kind: Ask, From: member, To: self, Number: 6})
 		p.Round(now + 1)
-		if sets, _, _ := p.Held(now + 1); sets != 1 {
+		if sets, _, _ := p.SlotBook(now + 1); sets != 1 {
 			t.Errorf("a reordered ask undid a grant: %d sets", sets)
 		}
 	}
@@ -219,8 +219,8 @@
 func TestSlotEncoding(t *testing.T) {
 	m := &Message{Kind: Ask, Look: true, Holds: []hold.Item{{ID: 7, State: hold.Runs, Left: 5, Run: 9, Spots: []hold.Spot{{Host: 1, Rack: 2.5}, {Host: 3, Zone: 1}}}}}
 	m.From.Name, m.To.Name = "a", "b"
-	g := &Message{Kind: Grant, From: m.To, To: m.From, Held: &hold.Answer{Given: []uint64{7}, Told: true, Busy: []hold.Busy{{Spot: hold.Spot{Host: 4}, Left: 11}}}}
-	over := &Message{Kind: SlotsOver, From: m.To, To: m.From, Table: []hold.Holding{{Who: m.From, Number: 3, Items: m.Holds}}}
+	g := &Message{Kind: Grant, From: m.To, To: m.From, Held: &hold.Answer{Given: []uint64{7}, BusyIncluded: true, Busy: []hold.Busy{{Spot: hold.Spot{Host: 4}, Left: 11}}}}
+	over := &Message{Kind: SlotHandover, From: m.To, To: m.From, Table: []hold.Holding{{Who: m.From, Number: 3, Items: m.Holds}}}
 	describe := func(m *Message) string { return fmt.Sprintf("%+v %+v %+v %t", m.Holds, m.Held, m.Table, m.Look) }
 	for _, m := range []*Message{m, g, over} {
 		b := Append(nil, m)
--- a/internal/fleet/limit/lease/lease.go
+++ b/internal/fleet/limit/lease/lease.go
@@ -69,9 +69,9 @@
 	s.promised, s.promisedUntil = who, now+s.length
 }
 
-// Free handles the message of a process that has given up the post for good and names a successor. A promise to
+// Release handles the message of a process that has given up the post for good and names a successor. A promise to
 // that process becomes one to the successor.
-func (s *Seat) Free(now int64, from, successor Owner) {
+func (s *Seat) Release(now int64, from, successor Owner) {
 	if from != s.promised || now >= s.promisedUntil {
 		return
 	}
@@ -83,8 +83,8 @@
 // Leave gives up the post, if this process has it, and never asks for it again.
 func (s *Seat) Leave() { s.resigned, s.heldUntil = true, 0 }
 
-// Heir returns the other keeper that promised this one the post last, or the zero value if none did.
-func (s *Seat) Heir() Owner { return s.successor }
+// Successor returns the other keeper that promised this one the post last, or the zero value if none did.
+func (s *Seat) Successor() Owner { return s.successor }
 
 // Turn returns a number that grows whenever the post is promised here to another process than before.
 func (s *Seat) Turn() int64 { return s.turn }
@@ -119,12 +119,12 @@
 	}
 	s.askedAt = now
 	clear(s.promisedBy)
-	s.Yes(now, s.self, now)
+	s.Promise(now, s.self, now)
 	return true
 }
 
-// Yes handles a keeper's promise in answer to the ask of that number. Answers to earlier asks don't count.
-func (s *Seat) Yes(now int64, from Owner, number int64) {
+// Promise handles a keeper's promise in answer to the ask of that number. Answers to earlier asks don't count.
+func (s *Seat) Promise(now int64, from Owner, number int64) {
 	if s.resigned || number != s.askedAt || number == 0 || !slices.Contains(s.keepers, from.Name) {
 		return
 	}
--- a/internal/fleet/limit/lease/lease_test.go
+++ b/internal/fleet/limit/lease/lease_test.go
@@ -30,7 +30,7 @@
 			for _, a := range asks { // asks and answers arrive before the next round
 				for i, s := range seats {
 					if i != a.from && s.Ask(now-round+delay, seats[a.from].self) {
-						seats[a.from].Yes(now-round+2*delay, s.self, a.number)
+						seats[a.from].Promise(now-round+2*delay, s.self, a.number)
 					}
 				}
 			}
--- a/internal/fleet/limit/limit.go
+++ b/internal/fleet/limit/limit.go
@@ -37,11 +37,11 @@
 
 // Options configure the Part of one process.
 type Options struct {
-	Self    lease.Owner
-	Keepers []string // names of the processes that may become dealer; same names and order at every member
-	Lease   int64    // how long a right and the dealer's post last, microseconds
-	Limits  []Limit
-	Room    int // slots of a host that gangs may hold at once; 0: slots are not held at all
+	Self         lease.Owner
+	Keepers      []string // names of the processes that may become dealer; same names and order at every member
+	Lease        int64    // how long a right and the dealer's post last, microseconds
+	Limits       []Limit
+	SlotsPerHost int // slots of a host that gangs may hold at once; 0: slots are not held at all
 }
 
 // Intervals as divisors of the lease.
@@ -57,12 +57,12 @@
 	options        Options
 	seat           *lease.Seat // nil: this process is not a keeper
 	limits         []*localLimit
-	dealers        map[uint64]*limitDealer  // by limit hash; set while this process is the dealer
-	coverStores    map[uint64]*cover.Shelf  // by limit hash; used by a keeper
-	dealingSince   int64                    // when this process became the dealer to which dealers and slotBook belong
-	sessionCounter uint64                   // last session number; shared by all dealers of this process over all its terms
-	pendingAsks    map[lease.Owner]*Message // not yet answered
-	slotBook       *hold.Book               // set while this process is the dealer; nil: no slots are held
+	dealers        map[uint64]*limitDealer   // by limit hash; set while this process is the dealer
+	coverStores    map[uint64]*cover.Replica // by limit hash; used by a keeper
+	dealingSince   int64                     // when this process became the dealer to which dealers and slotBook belong
+	sessionCounter uint64                    // last session number; shared by all dealers of this process over all its terms
+	pendingAsks    map[lease.Owner]*Message  // not yet answered
+	slotBook       *hold.Book                // set while this process is the dealer; nil: no slots are held
 	slotHolder     *hold.Holder
 	promises       map[string]promise // latest promise of the post by keeper name
 	handover       *slotHandover      // from the previous dealer; nil: none was received
@@ -77,7 +77,7 @@
 
 // Refusals counts ignored messages: Strange were meant for another process or not for a keeper, Late came out of
 // order or from a former dealer or owner of the post, Full exceeded the queue of asks.
-type Refusals struct{ Strange, Late, Full int }
+type Refusals struct{ Misaddressed, Late, Full int }
 
 // promise records when a keeper last promised this process the post, on the keeper's clock.
 type promise struct {
@@ -94,7 +94,7 @@
 
 // New returns the Part of a process that has just started, at time now.
 func New(now int64, o Options) *Part {
-	p := &Part{options: o, pendingAsks: map[lease.Owner]*Message{}, coverStores: map[uint64]*cover.Shelf{}, answeredAt: now, slotHolder: hold.NewHolder(o.Lease), promises: map[string]promise{}}
+	p := &Part{options: o, pendingAsks: map[lease.Owner]*Message{}, coverStores: map[uint64]*cover.Replica{}, answeredAt: now, slotHolder: hold.NewHolder(o.Lease), promises: map[string]promise{}}
 	if slices.Contains(o.Keepers, o.Self.Name) {
 		p.seat = lease.New(now, o.Self, o.Keepers, o.Lease)
 	}
@@ -143,10 +143,10 @@
 	place rights.Place
 }
 
-// Enter decides whether a job of a tenant and class may start, and takes a right or a place from each limit that
+// Admit decides whether a job of a tenant and class may start, and takes a right or a place from each limit that
 // counts it and has one. If a limit without one refuses, nothing is taken. A limit without a right counts the
 // attempt as demand.
-func (p *Part) Enter(now int64, tenant, class int) (v Verdict, took Places) {
+func (p *Part) Admit(now int64, tenant, class int) (v Verdict, took Places) {
 	var counting [maxLimitsPerJob]*localLimit
 	n := 0
 	for _, o := range p.limits {
@@ -159,7 +159,7 @@
 		v = Inside
 	}
 	for i, o := range counting[:n] {
-		if o.holder.May(now) {
+		if o.holder.CanTake(now) {
 			continue
 		}
 		o.holder.Take(now)
@@ -186,12 +186,12 @@
 	}
 }
 
-// Longest returns how long a job of the tenant and class may stay open under the limits that count it, in
+// MaxOpenTime returns how long a job of the tenant and class may stay open under the limits that count it, in
 // microseconds; 0 means without bound.
-func (p *Part) Longest(tenant, class int) (longest int64) {
+func (p *Part) MaxOpenTime(tenant, class int) (longest int64) {
 	for _, o := range p.limits {
-		if o.Kind == rights.Open && o.appliesTo(tenant, class) && (longest == 0 || o.Linger < longest) {
-			longest = o.Linger
+		if o.Kind == rights.Open && o.appliesTo(tenant, class) && (longest == 0 || o.MaxOpenTime < longest) {
+			longest = o.MaxOpenTime
 		}
 	}
 	return longest
@@ -210,10 +210,10 @@
 type Status struct {
 	Limit
 	rights.State
-	Deals   bool // this process is the dealer and grants now; the fields below are set
-	Out     int64
-	Left    float64
-	Holders int
+	IsDealer    bool // this process is the dealer and grants now; the fields below are set
+	Out         int64
+	Unallocated float64
+	Holders     int
 }
 
 // Status returns the state of each limit.
@@ -222,8 +222,8 @@
 	for _, o := range p.limits {
 		s := Status{Limit: o.Limit, State: o.holder.State(now)}
 		if d := p.dealers[o.hash]; d != nil && p.seat.Holds(now) && now >= d.From() {
-			s.Deals = true
-			s.Out, s.Left, s.Holders = d.Books(now)
+			s.IsDealer = true
+			s.Out, s.Unallocated, s.Holders = d.Books(now)
 		}
 		out = append(out, s)
 	}
--- a/internal/fleet/limit/limit_test.go
+++ b/internal/fleet/limit/limit_test.go
@@ -14,7 +14,7 @@
 
 // openLimit returns a fleet limit on jobs open at once, each of which is answered within a time.
 func openLimit(places float64, longest int64) []Limit {
-	return []Limit{{Name: "o", Tenant: -1, Class: 0, Refuse: true, Limit: rights.Limit{Kind: rights.Open, Amount: places, Lease: leaseUs, Linger: longest}}}
+	return []Limit{{Name: "o", Tenant: -1, Class: 0, Refuse: true, Limit: rights.Limit{Kind: rights.Open, Amount: places, Lease: leaseUs, MaxOpenTime: longest}}}
 }
 
 // unevenLoad sends nine tenths of the jobs to one node in ten.
@@ -48,7 +48,7 @@
 			s := newHarness(1, 300, c.limits)
 			l := c.limits[0]
 			s.rate = l.Amount * 1.02
-			s.maxJobTime = l.Linger
+			s.maxJobTime = l.MaxOpenTime
 			s.unevenLoad(c.jobs)
 			s.run(20 * sec)
 			s.wanted, s.admitted = 0, 0
@@ -132,10 +132,10 @@
 	s.removedRule = removed
 	s.addNodes(nodes)
 	l := limits[0]
-	s.rate, s.maxJobTime = l.Amount*1.02, l.Linger
+	s.rate, s.maxJobTime = l.Amount*1.02, l.MaxOpenTime
 	jobs := 2 * l.Amount
 	if l.Kind == rights.Open {
-		jobs = 4 * l.Amount * 1e6 / float64(l.Linger)
+		jobs = 4 * l.Amount * 1e6 / float64(l.MaxOpenTime)
 	}
 	if nodes < 10 {
 		for i, n := range s.nodes {
--- a/internal/fleet/limit/message.go
+++ b/internal/fleet/limit/message.go
@@ -20,17 +20,17 @@
 
 // The message kinds.
 const (
-	SeatAsk   Kind = iota // a keeper asks another keeper for a promise of the dealer's post
-	SeatYes               // a keeper promises the post
-	Ask                   // a member asks the dealer for rights
-	Grant                 // the dealer answers an Ask
-	Elsewhere             // a keeper that is not the dealer, or no longer, names the dealer that it knows of
-	SeatFree              // the dealer gives up its post in favour of a successor
-	CoverAsk              // the dealer asks a keeper what it knows of a limit's cover
-	CoverIs               // a keeper answers with its turn and its table
-	CoverPut              // the dealer sends a table; Number is the table's version
-	CoverHas              // a keeper confirms that it has the table of that version
-	SlotsOver             // a leaving dealer hands its grants of slots over; Number is the Clock of the successor's last promise
+	SeatAsk      Kind = iota // a keeper asks another keeper for a promise of the dealer's post
+	SeatYes                  // a keeper promises the post
+	Ask                      // a member asks the dealer for rights
+	Grant                    // the dealer answers an Ask
+	Redirect                 // a keeper that is not the dealer, or no longer, names the dealer that it knows of
+	SeatRelease              // the dealer gives up its post in favour of a successor
+	CoverAsk                 // the dealer asks a keeper what it knows of a limit's cover
+	CoverState               // a keeper answers with its turn and its table
+	CoverPut                 // the dealer sends a table; Number is the table's version
+	CoverStored              // a keeper confirms that it has the table of that version
+	SlotHandover             // a leaving dealer hands its grants of slots over; Number is the Clock of the successor's last promise
 	kindCount
 )
 
@@ -73,8 +73,8 @@
 	maxCoverEntries = 4096 // processes in one cover table
 )
 
-// ErrForm is returned for bytes that are not a valid message.
-var ErrForm = errors.New("limit: not a message")
+// ErrMalformed is returned for bytes that are not a valid message.
+var ErrMalformed = errors.New("limit: not a message")
 
 // limitHash identifies a limit in messages by the FNV-1a hash of its name.
 func limitHash(name string) uint64 {
@@ -134,7 +134,7 @@
 func Parse(b []byte) (*Message, error) {
 	r := reader{b: b}
 	if r.byte() != Version || r.failed {
-		return nil, fmt.Errorf("%w of version %#x", ErrForm, Version)
+		return nil, fmt.Errorf("%w of version %#x", ErrMalformed, Version)
 	}
 	m := &Message{Kind: Kind(r.byte())}
 	for _, o := range []*lease.Owner{&m.From, &m.To, &m.Dealer} {
@@ -154,11 +154,11 @@
 		}
 	}
 	r.slots(m)
-	if m.Kind >= CoverAsk && m.Kind <= CoverHas {
+	if m.Kind >= CoverAsk && m.Kind <= CoverStored {
 		m.Cover = r.cover()
 	}
 	if r.failed || len(r.b) > 0 || m.Kind >= kindCount || n > maxLimits || m.From.Name == "" {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	return m, nil
 }
--- a/internal/fleet/limit/play_test.go
+++ b/internal/fleet/limit/play_test.go
@@ -117,9 +117,9 @@
 	case "a new keeper promises nothing for a lease":
 		since -= leaseUs
 	}
-	n.part = New(since, Options{Self: lease.Owner{Name: n.name, Incarnation: n.incarnation}, Keepers: keep, Lease: leaseUs, Limits: s.limits, Room: s.room})
+	n.part = New(since, Options{Self: lease.Owner{Name: n.name, Incarnation: n.incarnation}, Keepers: keep, Lease: leaseUs, Limits: s.limits, SlotsPerHost: s.room})
 	if s.removedRule == ruleNewKeeperKnowsNothing {
-		empty := &cover.Shelf{}
+		empty := &cover.Replica{}
 		empty.Put(0, 0, 1, nil)
 		n.part.coverStores[limitHash(s.limits[0].Name)] = empty
 	}
@@ -181,7 +181,7 @@
 		m.Number = s.nodes[to].now(s.at)
 	case s.removedRule == ruleConfirmOnlyStored && m.Kind == CoverPut && s.nodes[to].part.coverStores[m.Cover.Limit] != nil:
 		if _, stored := s.nodes[to].part.coverStores[m.Cover.Limit].Look(); stored {
-			has := s.nodes[to].part.newMessage(CoverHas, m.From, m.Number)
+			has := s.nodes[to].part.newMessage(CoverStored, m.From, m.Number)
 			has.Cover = m.Cover
 			s.send(to, has)
 			return
@@ -192,7 +192,7 @@
 	case n.paused:
 		n.inbox = append(n.inbox, m)
 	default:
-		if answer := n.part.Hear(n.now(s.at), m); answer != nil {
+		if answer := n.part.Receive(n.now(s.at), m); answer != nil {
 			s.send(to, answer)
 		}
 	}
@@ -260,7 +260,7 @@
 
 func (s *harness) offerJob(n *node) {
 	s.wanted++
-	v, places := n.part.Enter(n.now(s.at), 0, 0)
+	v, places := n.part.Admit(n.now(s.at), 0, 0)
 	if v != Inside {
 		return
 	}
--- a/internal/fleet/limit/rights/cover_check_test.go
+++ b/internal/fleet/limit/rights/cover_check_test.go
@@ -15,7 +15,7 @@
 	lease.Owner
 	promised lease.Owner
 	turn     int64
-	shelf    cover.Shelf
+	shelf    cover.Replica
 }
 
 // handover is a post that passes from x to y while one place is granted, to a by x and to b by y. Time hardly
@@ -47,9 +47,9 @@
 
 // storeTable sends a dealer's table to a keeper, and the confirmation back.
 func (w *handover) storeTable(d *Dealer, from lease.Owner, k *keeper) {
-	table, version := d.cover.Told()
-	if _, turn := d.cover.To(k.Name); k.promised == from && k.shelf.Put(k.turn, turn, version, table) {
-		d.cover.Has(k.Owner, turn, version)
+	table, version := d.cover.Table()
+	if _, turn := d.cover.Keeper(k.Name); k.promised == from && k.shelf.Put(k.turn, turn, version, table) {
+		d.cover.Confirmed(k.Owner, turn, version)
 	}
 }
 
@@ -168,7 +168,7 @@
 
 func runHandover(removed string) check.Make {
 	return func() ([]func(), func() error) {
-		l := Limit{Kind: Open, Amount: 1, Lease: 1e6, Linger: 1e6}
+		l := Limit{Kind: Open, Amount: 1, Lease: 1e6, MaxOpenTime: 1e6}
 		w := &handover{now: 1, post: x, removedRule: removed}
 		for i, o := range []lease.Owner{x, y, z} {
 			w.keepers[i] = &keeper{Owner: o, promised: x, turn: 1}
@@ -188,9 +188,9 @@
 		w.x.Deal(w.now) // a's entry is sent to the keepers next
 		w.storeTable(w.x, x, w.keepers[0])
 		if removed == ruleMajorityStores {
-			_, version := w.x.cover.Told()
+			_, version := w.x.cover.Table()
 			for _, k := range w.keepers {
-				w.x.cover.Has(k.Owner, k.turn, version)
+				w.x.cover.Confirmed(k.Owner, k.turn, version)
 			}
 		}
 		return []func(){w.formerDealer, w.nextDealer, w.holderA, w.holderB}, nil
--- a/internal/fleet/limit/rights/dealer.go
+++ b/internal/fleet/limit/rights/dealer.go
@@ -36,10 +36,10 @@
 	Amount float64 // jobs a second, or places
 	Burst  float64 // of a rate: rights that may exist unused at once, in jobs
 	Lease  int64   // how long a right is valid from when it was asked for, microseconds
-	// Linger is the longest time to an answer, microseconds: a job that starts at the end of the lease may stay open this
+	// MaxOpenTime is the longest time to an answer, microseconds: a job that starts at the end of the lease may stay open this
 	// long.
-	Linger int64
-	Floor  float64 // of a rate: jobs a second that a member without rights may start; else: its places; 0: none
+	MaxOpenTime int64
+	Floor       float64 // of a rate: jobs a second that a member without rights may start; else: its places; 0: none
 }
 
 // total returns how many rights may exist at once.
@@ -57,7 +57,7 @@
 // maxJobTime returns how long after the end of a lease its places may still be in use.
 func (l *Limit) maxJobTime() int64 {
 	if l.Kind == Open {
-		return l.Linger
+		return l.MaxOpenTime
 	}
 	return 0
 }
@@ -138,7 +138,7 @@
 // ask.
 func (d *Dealer) Change(now int64, l Limit) {
 	d.advance(now)
-	l.Kind, l.Lease, l.Linger = d.limit.Kind, d.limit.Lease, d.limit.Linger
+	l.Kind, l.Lease, l.MaxOpenTime = d.limit.Kind, d.limit.Lease, d.limit.MaxOpenTime
 	d.limit = l
 }
 
--- a/internal/fleet/limit/rights/holder.go
+++ b/internal/fleet/limit/rights/holder.go
@@ -55,8 +55,8 @@
 	floor bool
 }
 
-// May reports whether a job may start now.
-func (h *Holder) May(now int64) bool {
+// CanTake reports whether a job may start now.
+func (h *Holder) CanTake(now int64) bool {
 	return now < h.validUntil && h.unused() > 0 || h.belowFloor(now)
 }
 
@@ -184,9 +184,9 @@
 // State is a holder's state for status and metrics: rights held, unused, and places open; then totals as counted
 // by the holder (Over: jobs beyond the limit; Low: jobs admitted by the floor alone).
 type State struct {
-	Held, Free, Open int64
-	Valid            bool
-	Taken, Over, Low int64
+	Held, Free, Open       int64
+	Valid                  bool
+	Taken, Beyond, ByFloor int64
 }
 
 // State returns the state at time now.
--- a/internal/fleet/limit/rights/rights_check_test.go
+++ b/internal/fleet/limit/rights/rights_check_test.go
@@ -106,7 +106,7 @@
 		if w.now < w.openUntil[1-i] {
 			panic("one place has two holders")
 		}
-		w.openUntil[i] = w.now + h.limit.Linger
+		w.openUntil[i] = w.now + h.limit.MaxOpenTime
 	}
 	return p, ok
 }
@@ -128,13 +128,13 @@
 // longest run time.
 func twoHolders(right, job int64, removed string) check.Make {
 	return func() ([]func(), func() error) {
-		l := Limit{Kind: Open, Amount: 1, Lease: right, Linger: job}
+		l := Limit{Kind: Open, Amount: 1, Lease: right, MaxOpenTime: job}
 		dealerLimit := l
 		switch removed {
 		case "a right is outstanding for as long as it may be used":
 			dealerLimit.Lease = 1
 		case "a place is taken until the answer":
-			dealerLimit.Linger = 0
+			dealerLimit.MaxOpenTime = 0
 		}
 		w := &world{now: 100, removedRule: removed}
 		w.dealer = NewDealer(80, dealerLimit, new(uint64), nil)
--- a/internal/fleet/limit/talk.go
+++ b/internal/fleet/limit/talk.go
@@ -15,10 +15,10 @@
 // maxPendingAsks bounds the asks that wait for the next round.
 const maxPendingAsks = 4096
 
-// Hear handles a received message. It returns the message to be sent in answer at once, or nil.
-func (p *Part) Hear(now int64, m *Message) *Message {
+// Receive handles a received message. It returns the message to be sent in answer at once, or nil.
+func (p *Part) Receive(now int64, m *Message) *Message {
 	if m.To.Name != p.options.Self.Name || m.To.Incarnation != 0 && m.To.Incarnation != p.options.Self.Incarnation || m.From == p.options.Self {
-		p.refusals.Strange++ // for an earlier incarnation, or for another process
+		p.refusals.Misaddressed++ // for an earlier incarnation, or for another process
 		return nil
 	}
 	switch m.Kind {
@@ -30,16 +30,16 @@
 		}
 	case SeatYes:
 		if p.seat != nil {
-			p.seat.Yes(now, m.From, m.Number)
+			p.seat.Promise(now, m.From, m.Number)
 			if slices.Contains(p.options.Keepers, m.From.Name) {
 				p.promises[m.From.Name] = promise{m.From, m.Clock}
 			}
 		}
-	case SeatFree:
+	case SeatRelease:
 		if p.seat != nil {
-			p.seat.Free(now, m.From, m.Dealer)
+			p.seat.Release(now, m.From, m.Dealer)
 		}
-	case SlotsOver:
+	case SlotHandover:
 		if slices.Contains(p.options.Keepers, m.From.Name) && m.Number <= now {
 			p.handover = &slotHandover{m.Number, m.Table}
 			if p.slotBook != nil && p.seat.Holds(now) && p.dealingSince == p.seat.Since() && now < p.slotBook.From() {
@@ -48,11 +48,11 @@
 		}
 	case CoverAsk, CoverPut:
 		return p.handleCoverRequest(now, m)
-	case CoverIs, CoverHas:
+	case CoverState, CoverStored:
 		p.handleCoverAnswer(now, m)
 	case Ask:
 		if earlier := p.pendingAsks[m.From]; p.seat == nil {
-			p.refusals.Strange++ // this process is not a keeper
+			p.refusals.Misaddressed++ // this process is not a keeper
 		} else if earlier != nil && earlier.Number > m.Number {
 			p.refusals.Late++
 		} else if earlier == nil && len(p.pendingAsks) >= maxPendingAsks {
@@ -62,7 +62,7 @@
 		}
 	case Grant:
 		p.handleGrant(now, m)
-	case Elsewhere:
+	case Redirect:
 		if m.From.Name == p.dealer.Name && m.Dealer.Name != p.options.Self.Name && m.Dealer != p.dealer {
 			p.switchDealer(now, m.Dealer)
 		}
@@ -137,7 +137,7 @@
 		}
 		var out []*Message
 		for _, from := range p.sortedAskers() {
-			m := p.newMessage(Elsewhere, from, p.pendingAsks[from].Number)
+			m := p.newMessage(Redirect, from, p.pendingAsks[from].Number)
 			m.Dealer = other
 			out = append(out, m)
 		}
--- a/internal/lab/virtual/gangs.go
+++ b/internal/lab/virtual/gangs.go
@@ -157,7 +157,7 @@
 	}
 	o := gangOptions(sim.day, s.Gangs, d.rng)
 	g := &gangs{leases: limit.New(sim.now, limit.Options{Self: lease.Owner{Name: d.name, Incarnation: uint64(d.generation)},
-		Keepers: sim.leaseKeepers(), Lease: gangLease, Room: o.Room})}
+		Keepers: sim.leaseKeepers(), Lease: gangLease, SlotsPerHost: o.Room})}
 	g.part = gang.New(o, g.leases.Holder(), gangLease, core.EachGangHost)
 	core.Gang(g.part)
 	d.gangs = g
@@ -177,7 +177,7 @@
 	g := d.gangs
 	var out []*limit.Message
 	for _, m := range g.received {
-		if answer := g.leases.Hear(sim.now, m); answer != nil {
+		if answer := g.leases.Receive(sim.now, m); answer != nil {
 			out = append(out, answer)
 		}
 	}
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -164,7 +164,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrUsage, err)
 	}
 	if gangs != nil {
-		rights.Room = gangs.Room
+		rights.SlotsPerHost = gangs.Room
 	}
 	p := &membership{}
 	peers, err := JoinFleet(f, cfg.Name, incarnation, log)
--- a/internal/lifecycle/limits.go
+++ b/internal/lifecycle/limits.go
@@ -141,7 +141,7 @@
 	var out []limit.Limit
 	for _, l := range f.Limits.Limits {
 		o := limit.Limit{Name: l.Name, Tenant: -1, Class: -1, Refuse: l.ExcessPolicy == "refuse",
-			Limit: rights.Limit{Lease: f.Limits.Lease.Microseconds(), Linger: longest + answerSlack.Microseconds(), Floor: l.Floor}}
+			Limit: rights.Limit{Lease: f.Limits.Lease.Microseconds(), MaxOpenTime: longest + answerSlack.Microseconds(), Floor: l.Floor}}
 		if l.Tenant != "" {
 			i, known := cfg.Tenants()[l.Tenant]
 			if !known {
@@ -153,7 +153,7 @@
 			if !known {
 				return nil, l.invalid("class", "the configuration has no class %q", l.Class)
 			}
-			o.Class, o.Linger = lane.Class, cfg.Settings.Classes[lane.Class].Deadline+answerSlack.Microseconds()
+			o.Class, o.MaxOpenTime = lane.Class, cfg.Settings.Classes[lane.Class].Deadline+answerSlack.Microseconds()
 		}
 		_, amount := l.amount()
 		o.Amount, o.Burst = amount, amount*l.Burst.Seconds()
@@ -199,7 +199,7 @@
 			whose = "class " + l.Class
 		}
 		if o.Kind == rights.Open {
-			fmt.Fprintf(w, "limit %s: %s, %g jobs open at once, each for %v at most", l.Name, whose, o.Amount, time.Duration(o.Linger)*time.Microsecond)
+			fmt.Fprintf(w, "limit %s: %s, %g jobs open at once, each for %v at most", l.Name, whose, o.Amount, time.Duration(o.MaxOpenTime)*time.Microsecond)
 		} else {
 			fmt.Fprintf(w, "limit %s: %s, %g jobs a second, in any time not over that by more than %g", l.Name, whose, o.Amount, o.Burst)
 		}
