--- a/internal/driver/gangs.go
+++ b/internal/driver/gangs.go
@@ -18,7 +18,7 @@
 	for _, f := range []struct {
 		what string
 		n    int
-	}{{"arrived", c.Arrived}, {"started", c.Started}, {"served", c.Served}, {"nowhere", c.Nowhere}, {"waited", c.Waited}, {"half", c.Half}, {"failed", c.Failed}} {
+	}{{"arrived", c.Arrived}, {"started", c.Started}, {"served", c.Served}, {"nowhere", c.NoPlacement}, {"waited", c.Waited}, {"half", c.IncompleteStart}, {"failed", c.Failed}} {
 		fmt.Fprintf(b, "router_gangs_total{what=%q} %d\n", f.what, f.n)
 	}
 	for _, f := range []struct {
--- a/internal/fleet/gang/gang.go
+++ b/internal/fleet/gang/gang.go
@@ -51,9 +51,9 @@
 type Counts struct {
 	Arrived, Started, Served int
 	// Gangs given up: no placement worth it; no slots in time; not all parts began in time; a part failed.
-	Nowhere, Waited, Half, Failed int
-	Crosses                       float64 // sum of the shares of bytes that leave a rack, of all gangs started
-	Late, Push, Price, Pieces     float64 // sums of the score terms of all placements that were started
+	NoPlacement, Waited, IncompleteStart, Failed int
+	Crosses                                      float64 // sum of the shares of bytes that leave a rack, of all gangs started
+	Late, Push, Price, Pieces                    float64 // sums of the score terms of all placements that were started
 }
 
 // state is the progress of a gang.
@@ -149,7 +149,7 @@
 		// next rounds.
 		p.holder.Look()
 	} else if !p.tryPlace(now, g) {
-		p.giveUp(now, g, &p.counts.Nowhere)
+		p.giveUp(now, g, &p.counts.NoPlacement)
 	}
 	return p.actions
 }
@@ -172,15 +172,15 @@
 		case g.holdID == 0 && listedAt <= g.arrivedAt && now < g.arrivedAt+p.lease/newsTimeoutDivisor && !p.closed:
 			// The requested list of others' slots has not arrived.
 		case g.holdID == 0 && !p.tryPlace(now, g):
-			p.giveUp(now, g, &p.counts.Nowhere)
+			p.giveUp(now, g, &p.counts.NoPlacement)
 		case g.state == stateWaiting && p.holder.Has(now+p.lease/sendMarginDivisor, g.holdID) && p.hostsAvailable(now, g):
 			p.start(now, g)
 		case g.state == stateWaiting && now >= g.giveUpAt:
 			p.giveUp(now, g, &p.counts.Waited)
 		case g.state == stateWaiting && (p.closed || now-g.placedAt >= rescoreInterval || p.conflictsSincePlacement(g)) && !p.tryPlace(now, g):
-			p.giveUp(now, g, &p.counts.Nowhere)
+			p.giveUp(now, g, &p.counts.NoPlacement)
 		case g.state == stateSent && (now >= g.giveUpAt || !p.holder.Has(now, g.holdID)):
-			p.giveUp(now, g, &p.counts.Half)
+			p.giveUp(now, g, &p.counts.IncompleteStart)
 		}
 	}
 	p.removeEnded()
--- a/internal/fleet/gang/place/candidates.go
+++ b/internal/fleet/gang/place/candidates.go
@@ -24,7 +24,7 @@
 			for _, i := range hosts[:s.k] {
 				c += s.costs[i]
 			}
-			alone = append(alone, sum{r, c + j.Worth*s.weights.Pieces*float64(max(s.racks[r].free-s.k, 0))/float64(len(hosts))})
+			alone = append(alone, sum{r, c + j.Worth*s.weights.Fragmentation*float64(max(s.racks[r].free-s.k, 0))/float64(len(hosts))})
 		}
 	}
 	slices.SortFunc(alone, func(a, b sum) int { return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.rack, b.rack)) })
--- a/internal/fleet/gang/place/place.go
+++ b/internal/fleet/gang/place/place.go
@@ -52,14 +52,14 @@
 
 // Weights are the costs of a placement other than a missed deadline.
 type Weights struct {
-	// Pieces is the share of the worth lost for a rack of which all hosts but one stay free: the next gang has to cross
+	// Fragmentation is the share of the worth lost for a rack of which all hosts but one stay free: the next gang has to cross
 	// its border.
-	Pieces float64
-	Fails  float64 // failures of a rack a second
+	Fragmentation float64
+	Fails         float64 // failures of a rack a second
 }
 
-// Why is the score of a placement by its terms, in units of worth, and the figures behind them.
-type Why struct {
+// Score is the score of a placement by its terms, in units of worth, and the figures behind them.
+type Score struct {
 	Late, Push, Price, Crowd, Pieces, Risk float64
 
 	Chance  float64 // probability of a missed deadline
@@ -70,12 +70,12 @@
 }
 
 // Total returns the score; lower is better.
-func (w *Why) Total() float64 { return w.Late + w.Push + w.Price + w.Crowd + w.Pieces + w.Risk }
+func (w *Score) Total() float64 { return w.Late + w.Push + w.Price + w.Crowd + w.Pieces + w.Risk }
 
 // Placement is a list of hosts by rank, with its score.
 type Placement struct {
 	Hosts []Host
-	Why
+	Score
 	Leaves, Zoned []float64 // bytes a second of each rank beyond its rack, and beyond its zone
 }
 
@@ -111,7 +111,7 @@
 	traffic   topology.Traffic
 	spots     []topology.Spot
 	evaluated int // placements scored
-	best      Why
+	best      Score
 	chosen    []int32 // the choice with that score
 }
 
@@ -180,7 +180,7 @@
 }
 
 // score scores a choice of hosts that are sorted by rack.
-func (s *search) score(chosen []int32) (w Why) {
+func (s *search) score(chosen []int32) (w Score) {
 	pace, push := 0.0, 0.0
 	var sum [gridPoints]float64
 	for _, i := range chosen {
@@ -221,7 +221,7 @@
 		}
 		racks++
 		if left := s.racks[r].free - n; left > 0 {
-			w.Pieces += s.job.Worth * s.weights.Pieces * float64(left) / float64(len(s.racks[r].hosts))
+			w.Pieces += s.job.Worth * s.weights.Fragmentation * float64(left) / float64(len(s.racks[r].hosts))
 		}
 	}
 	w.Risk = s.job.Worth * s.weights.Fails * float64(racks) * w.Run
--- a/internal/fleet/gang/place/place_test.go
+++ b/internal/fleet/gang/place/place_test.go
@@ -31,7 +31,7 @@
 	return Job{Parts: parts, Least: least, Work: 2, Steps: 200, Bytes: 4e6, Pattern: p, Slack: 8, Worth: 10, Price: 0.01}
 }
 
-var weights = Weights{Pieces: 0.01, Fails: 1e-4}
+var weights = Weights{Fragmentation: 0.01, Fails: 1e-4}
 
 // Where all placements can be scored, the candidate search is on average within a fiftieth of the gang's worth of
 // the best placement. No score is below the bound.
@@ -106,7 +106,7 @@
 			got[h.Spot.Rack]++
 		}
 		if !ok || fmt.Sprint(got) != fmt.Sprint(c.want) {
-			t.Errorf("%s: %v, want %v; %+v", name, got, c.want, p.Why)
+			t.Errorf("%s: %v, want %v; %+v", name, got, c.want, p.Score)
 		}
 	}
 	if _, ok := Search(rack(1, 0, 3, 0), job(4, 4, pattern.Ring), &links, &topology.Loads{}, weights); ok {
--- a/internal/fleet/gang/place/search.go
+++ b/internal/fleet/gang/place/search.go
@@ -22,7 +22,7 @@
 	s := newSearch(hosts, j, t, others, w)
 	for _, k := range s.sizes() {
 		s.setParts(k)
-		s.best, s.chosen = Why{Late: math.Inf(1)}, s.chosen[:0]
+		s.best, s.chosen = Score{Late: math.Inf(1)}, s.chosen[:0]
 		if fewPlacements(len(hosts), k) {
 			s.exhaustive()
 		} else {
@@ -213,7 +213,7 @@
 
 // placement returns the best choice with its ranks assigned.
 func (s *search) placement() Placement {
-	p := Placement{Why: s.best, Hosts: make([]Host, s.k)}
+	p := Placement{Score: s.best, Hosts: make([]Host, s.k)}
 	step, _, order := s.exchangeTime(s.chosen)
 	for at, rank := range order {
 		p.Hosts[rank] = s.hosts[s.chosen[at]]
--- a/internal/lab/virtual/gangs.go
+++ b/internal/lab/virtual/gangs.go
@@ -33,7 +33,7 @@
 // gangOptions returns the options that the product's settings would give for a day. policy names the placement policy.
 func gangOptions(day *world.Day, policy string, rng *rand.Rand) gang.Options {
 	l := day.Fleet.Links.Model()
-	o := gang.Options{Room: 1, Weights: gang.Weights{Pieces: 0.01, Fails: 1 / (30 * 86400.0)},
+	o := gang.Options{Room: 1, Weights: gang.Weights{Fragmentation: 0.01, Fails: 1 / (30 * 86400.0)},
 		Topology: topology.Topology{Host: l.Host, Rack: l.Rack, Zone: l.Zone}, Choose: policyByName(policy, rng), Blind: ignoresScore(policy)}
 	for i, c := range day.Classes {
 		if g := c.Gang; g != nil {
@@ -87,13 +87,13 @@
 		if shuffle {
 			rng.Shuffle(len(free), func(a, b int) { free[a], free[b] = free[b], free[a] })
 		}
-		return withEstimate(place.Fixed(free[:j.Parts], j, t, o, w), place.Why{}), true
+		return withEstimate(place.Fixed(free[:j.Parts], j, t, o, w), place.Score{}), true
 	}
 	switch policy {
 	case "no-crowd":
 		return withoutTerm(func(j *place.Job, _ *gang.Weights) { j.Crowd = 0 })
 	case "no-pieces":
-		return withoutTerm(func(_ *place.Job, w *gang.Weights) { w.Pieces = 0 })
+		return withoutTerm(func(_ *place.Job, w *gang.Weights) { w.Fragmentation = 0 })
 	case "no-push":
 		return func(hosts []place.Host, j place.Job, t *topology.Topology, o *topology.Loads, w gang.Weights) (place.Placement, bool) {
 			free := slices.Clone(hosts)
@@ -134,7 +134,7 @@
 			for i, h := range p.Hosts {
 				p.Hosts[i] = real[h.ID]
 			}
-			return withEstimate(place.Fixed(p.Hosts, j, t, o, w), p.Why), true
+			return withEstimate(place.Fixed(p.Hosts, j, t, o, w), p.Score), true
 		}
 	}
 	return nil
@@ -142,9 +142,9 @@
 
 // withEstimate returns a placement with the value that a less informed policy sees: that value decides the admission,
 // while the run time stays the real one.
-func withEstimate(p place.Placement, w place.Why) place.Placement {
+func withEstimate(p place.Placement, w place.Score) place.Placement {
 	run := p.Run
-	p.Why, p.Run = w, run
+	p.Score, p.Run = w, run
 	return p
 }
 
--- a/internal/lifecycle/gangs.go
+++ b/internal/lifecycle/gangs.go
@@ -87,7 +87,7 @@
 	if f.Limits == nil {
 		return nil, &settings.Error{Pos: g.Where, Path: "fleet.gangs", Reason: "slots are dealt by one of (limits (keepers …)), and there are none"}
 	}
-	o := &gang.Options{Room: g.SlotsPerHost, Weights: gang.Weights{Pieces: g.Pieces, Fails: 1 / g.RackMTBF.Seconds()},
+	o := &gang.Options{Room: g.SlotsPerHost, Weights: gang.Weights{Fragmentation: g.Pieces, Fails: 1 / g.RackMTBF.Seconds()},
 		Topology: topology.Topology{Host: float64(g.Host), Rack: float64(g.Rack), Zone: float64(g.Zone), Near: g.RackLocalDelay.Seconds(), Apart: g.CrossRackDelay.Seconds(), Far: g.CrossZoneDelay.Seconds()}}
 	for i := range g.Gangs {
 		c := &g.Gangs[i]
