--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -32,14 +32,14 @@
 type Result struct {
 	Schedules int   // interleavings that were run to their end
 	Pruned    int   // interleavings skipped because an equivalent one was run
-	Whole     bool  // all interleavings within the bound of preemptions were covered
+	Complete  bool  // all interleavings within the bound of preemptions were covered
 	Schedule  []int // the failing one: for each decision the goroutine that ran, or the option that Choose returned
 	Err       error // failure of Schedule; nil if no interleaving failed
 }
 
 // String summarizes the result in one line.
 func (r *Result) String() string {
-	s := fmt.Sprintf("%d interleavings run, %d pruned as equivalent, complete: %t", r.Schedules, r.Pruned, r.Whole)
+	s := fmt.Sprintf("%d interleavings run, %d pruned as equivalent, complete: %t", r.Schedules, r.Pruned, r.Complete)
 	if r.Err != nil {
 		s += fmt.Sprintf("; %v with schedule %s", r.Err, strings.Trim(fmt.Sprint(r.Schedule), "[]"))
 	}
@@ -104,7 +104,7 @@
 			r.Schedules++
 		}
 		if !s.backtrack() {
-			r.Whole = true
+			r.Complete = true
 			return r
 		}
 		if r.Schedules+r.Pruned >= b.Schedules {
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -63,7 +63,7 @@
 		t.Logf("%s: %v", name, r)
 		switch {
 		case c.want == "":
-			if r.Err != nil || !r.Whole {
+			if r.Err != nil || !r.Complete {
 				t.Errorf("%s: %v", name, r)
 			}
 		case r.Err == nil || !strings.Contains(r.Err.Error(), c.want):
@@ -97,10 +97,10 @@
 			return out, nil
 		}
 	}
-	if r := Run(Default, of(false)); r.Schedules != 1 || !r.Whole {
+	if r := Run(Default, of(false)); r.Schedules != 1 || !r.Complete {
 		t.Error(r)
 	}
-	if r := Run(Default, of(true)); r.Schedules != 6 || !r.Whole {
+	if r := Run(Default, of(true)); r.Schedules != 6 || !r.Complete {
 		t.Error(r)
 	}
 }
--- a/internal/driver/downstream.go
+++ b/internal/driver/downstream.go
@@ -241,7 +241,7 @@
 	now := d.now()
 	id, cmds := d.core.Arrive(now, m.Message, deadline)
 	if d.journal != nil && !(len(cmds) > 0 && cmds[0].Kind == memory.Answer && cmds[0].Verdict == memory.Duplicate) {
-		d.journal.Take(now, id, record.Message{Name: m.Txn, Key: m.Key, Class: m.Class, Deadline: deadline})
+		d.journal.Accept(now, id, record.Message{Name: m.Txn, Key: m.Key, Class: m.Class, Deadline: deadline})
 	}
 	n.messageID, n.inCore, n.hadAcceptedRequest = id, true, true
 	d.openRequests[id] = n
@@ -353,7 +353,7 @@
 		d.deferred = append(d.deferred, func() {
 			d.execute(d.core.ClientGone(d.now(), id))
 			if d.journal != nil {
-				d.journal.Left(d.now(), id)
+				d.journal.ClientLeft(d.now(), id)
 				d.journal.flush()
 			}
 		})
--- a/internal/driver/journal.go
+++ b/internal/driver/journal.go
@@ -78,7 +78,7 @@
 	}
 	j.timer = j.d.postAfter(time.Duration(next-j.d.now())*time.Microsecond, func() {
 		j.timerAt = 0
-		out, refuse, changed := j.Due(j.d.now())
+		out, refuse, changed := j.HandleTimers(j.d.now())
 		j.applyReleased(out, refuse, changed)
 		j.flush()
 	})
@@ -90,10 +90,10 @@
 		j.d.log.Warn("write to the store of record failed", "cause", err)
 	}
 	j.lastWriteFailed = err != nil
-	out, changed := j.Wrote(j.d.now(), err)
+	out, changed := j.WriteDone(j.d.now(), err)
 	j.applyReleased(out, nil, changed)
 	if changed {
-		released, refuse := j.Trouble(j.d.now())
+		released, refuse := j.ReleaseUnavailable(j.d.now())
 		j.applyReleased(released, refuse, false)
 	}
 	j.flush()
@@ -109,8 +109,8 @@
 			state = "open"
 		}
 		s := j.Stats()
-		d.log.Warn("circuit breaker of the store of record changed", "breaker", state, "opened", j.Breaker.Opened(), "waiting", j.Waiting(), "lost", s.Lost,
-			"unrecorded", s.Unrecorded, "overtaken", s.Overtaken, "refused", s.Refused)
+		d.log.Warn("circuit breaker of the store of record changed", "breaker", state, "opened", j.Breaker.Trips(), "waiting", j.Waiting(), "lost", s.Lost,
+			"unrecorded", s.Unrecorded, "overtaken", s.Expired, "refused", s.Refused)
 	}
 	d.executeNow(out)
 	for _, id := range refuse {
--- a/internal/driver/journal_test.go
+++ b/internal/driver/journal_test.go
@@ -68,7 +68,7 @@
 	if s.d, err = New(cfg, ln, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	classes := []record.Class{{Name: "readings", Policy: record.Behind}, {Name: "batch", Policy: record.Told, Window: 40_000_000}, {Name: "alert", Policy: record.Before}}
+	classes := []record.Class{{Name: "readings", Policy: record.Behind}, {Name: "batch", Policy: record.BeforeAnswer, Window: 40_000_000}, {Name: "alert", Policy: record.BeforeSend}}
 	s.d.UseRecords(Records{Store: s.store, WriteTimeout: time.Minute,
 		Journal: record.New(classes, 1, record.DefaultLimits, record.NewBreaker(patience.Microseconds(), 1000, 2000, 1))})
 	s.addr = ln.Addr().String()
--- a/internal/driver/post_check_test.go
+++ b/internal/driver/post_check_test.go
@@ -54,7 +54,7 @@
 	for runs := range 5 {
 		r := check.Run(check.Default, postModel(runs, (*Driver).post))
 		t.Logf("%d carried out: %v", runs, r)
-		if r.Err != nil || !r.Whole {
+		if r.Err != nil || !r.Complete {
 			t.Error(r)
 		}
 	}
@@ -124,7 +124,7 @@
 func TestWriterInterleaved(t *testing.T) {
 	r := check.Run(check.Default, writeModel(true))
 	t.Log(r)
-	if r.Err != nil || !r.Whole {
+	if r.Err != nil || !r.Complete {
 		t.Error(r)
 	}
 	if r := check.Run(check.Default, writeModel(false)); r.Err == nil || check.Replay(r.Schedule, writeModel(false)) == nil {
--- a/internal/fleet/limit/hold/hold_check_test.go
+++ b/internal/fleet/limit/hold/hold_check_test.go
@@ -172,7 +172,7 @@
 	} {
 		r := check.Run(check.Default, twoMembers(c, ""))
 		t.Log(r)
-		if r.Err != nil || !r.Whole {
+		if r.Err != nil || !r.Complete {
 			t.Error(r)
 		}
 		mutation := twoMembers(c, without)
--- a/internal/fleet/limit/rights/cover_check_test.go
+++ b/internal/fleet/limit/rights/cover_check_test.go
@@ -202,7 +202,7 @@
 func TestHandoverInterleaved(t *testing.T) {
 	r := check.Run(check.Default, runHandover(""))
 	t.Log(r)
-	if r.Err != nil || !r.Whole || r.Schedules < 1000 {
+	if r.Err != nil || !r.Complete || r.Schedules < 1000 {
 		t.Error(r)
 	}
 	for _, rule := range []string{ruleMajorityStores, ruleReadMajority, ruleNoEarlierSession} {
--- a/internal/fleet/limit/rights/rights_check_test.go
+++ b/internal/fleet/limit/rights/rights_check_test.go
@@ -164,7 +164,7 @@
 			run[whole] = true
 			r := check.Run(check.Default, twoHolders(c.right, c.job, ""))
 			t.Log(r)
-			if r.Err != nil || !r.Whole {
+			if r.Err != nil || !r.Complete {
 				t.Error(r)
 			}
 		}
@@ -212,7 +212,7 @@
 func TestDuplicatesInterleaved(t *testing.T) {
 	r := check.Run(check.Default, unreliableLinks(false))
 	t.Log(r)
-	if r.Err != nil || !r.Whole || r.Schedules < 1000 {
+	if r.Err != nil || !r.Complete || r.Schedules < 1000 {
 		t.Error(r)
 	}
 	r = check.Run(check.Default, unreliableLinks(true))
--- a/internal/latest/latest_check_test.go
+++ b/internal/latest/latest_check_test.go
@@ -47,7 +47,7 @@
 func TestInterleavings(t *testing.T) {
 	r := check.Run(check.Default, placeModel(Mailbox[int].Put))
 	t.Log(r)
-	if r.Err != nil || !r.Whole || r.Schedules < 10 {
+	if r.Err != nil || !r.Complete || r.Schedules < 10 {
 		t.Error(r)
 	}
 }
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -81,7 +81,7 @@
 		seen[c.Name] = true
 		out[i].Policy, _ = record.ParsePolicy(c.Policy)
 		out[i].Window = c.Window.Microseconds()
-		if c.Window > 0 && out[i].Policy < record.Told {
+		if c.Window > 0 && out[i].Policy < record.BeforeAnswer {
 			return nil, &settings.Error{Pos: c.Where, Path: "record.class.repeat", Reason: "only what is durable before its client is told (told, before) can answer repeats"}
 		}
 	}
--- a/internal/record/breaker.go
+++ b/internal/record/breaker.go
@@ -5,9 +5,9 @@
 // Breaker is a circuit breaker for the store. It decides from the results and durations of writes whether commands
 // may wait for the store. Times are microseconds.
 type Breaker struct {
-	Patience     int64 // a write that takes longer opens the breaker
-	Least        int64 // first pause between two probes
-	Most         int64 // upper bound of the pause
+	WriteTimeout int64 // a write that takes longer opens the breaker
+	MinPause     int64 // first pause between two probes
+	MaxPause     int64 // upper bound of the pause
 	rng          *rand.Rand
 	open         bool
 	writeStarted int64 // start of the current write, 0 = none
@@ -19,14 +19,14 @@
 // NewBreaker returns a closed breaker: commands wait for the store. Durations are microseconds; seed seeds the
 // random part of the pauses.
 func NewBreaker(writeTimeout, minPause, maxPause int64, seed uint64) *Breaker {
-	return &Breaker{Patience: writeTimeout, Least: max(minPause, 1), Most: max(maxPause, minPause, 1), rng: rand.New(rand.NewPCG(seed, 31))}
+	return &Breaker{WriteTimeout: writeTimeout, MinPause: max(minPause, 1), MaxPause: max(maxPause, minPause, 1), rng: rand.New(rand.NewPCG(seed, 31))}
 }
 
 // Open reports whether the store counts as unavailable.
 func (b *Breaker) Open() bool { return b.open }
 
-// Opened returns how often the breaker has opened.
-func (b *Breaker) Opened() int { return b.trips }
+// Trips returns how often the breaker has opened.
+func (b *Breaker) Trips() int { return b.trips }
 
 // MayWrite reports whether a write may begin now. At most one write runs at a time; while the breaker is open,
 // only probes may begin.
@@ -41,16 +41,16 @@
 func (b *Breaker) Next() int64 {
 	switch {
 	case b.writeStarted != 0 && !b.open:
-		return b.writeStarted + b.Patience
+		return b.writeStarted + b.WriteTimeout
 	case b.writeStarted == 0 && b.open:
 		return b.nextProbe
 	}
 	return 0
 }
 
-// Late opens the breaker if the current write takes too long, and reports whether the breaker opened.
-func (b *Breaker) Late(now int64) bool {
-	if b.open || b.writeStarted == 0 || now < b.writeStarted+b.Patience {
+// CheckTimeout opens the breaker if the current write takes too long, and reports whether the breaker opened.
+func (b *Breaker) CheckTimeout(now int64) bool {
+	if b.open || b.writeStarted == 0 || now < b.writeStarted+b.WriteTimeout {
 		return false
 	}
 	b.trip(now)
@@ -84,6 +84,6 @@
 // dispatcher waits a random part of the pause, so that dispatchers that lost the same store do not return
 // together.
 func (b *Breaker) scheduleProbe(now int64) {
-	b.pause = min(max(2*b.pause, b.Least), b.Most)
+	b.pause = min(max(2*b.pause, b.MinPause), b.MaxPause)
 	b.nextProbe = now + b.pause/2 + b.rng.Int64N(b.pause/2+1)
 }
--- a/internal/record/journal.go
+++ b/internal/record/journal.go
@@ -9,16 +9,16 @@
 
 // Limits bound what a journal keeps while the store is slow or unavailable.
 type Limits struct {
-	Messages int   // messages that are open or not yet durable
-	Bytes    int   // total size of their names, keys and results
-	Batch    int   // maximum number of records in one write
-	Hold     int64 // longest wait of an answer other than a result for its write, microseconds
-	Margin   int64 // time before its deadline at which a result that is not durable is replaced by a failure, microseconds
-	Keys     int   // results of keyed messages that are remembered to answer repeats
+	Messages       int   // messages that are open or not yet durable
+	Bytes          int   // total size of their names, keys and results
+	Batch          int   // maximum number of records in one write
+	MaxAnswerWait  int64 // longest wait of an answer other than a result for its write, microseconds
+	DeadlineMargin int64 // time before its deadline at which a result that is not durable is replaced by a failure, microseconds
+	MaxKeys        int   // results of keyed messages that are remembered to answer repeats
 }
 
 // DefaultLimits are for a dispatcher with 192 MB of memory.
-var DefaultLimits = Limits{Messages: 50_000, Bytes: 32 << 20, Batch: 2_000, Hold: 250_000, Margin: 5_000, Keys: 20_000}
+var DefaultLimits = Limits{Messages: 50_000, Bytes: 32 << 20, Batch: 2_000, MaxAnswerWait: 250_000, DeadlineMargin: 5_000, MaxKeys: 20_000}
 
 // Class is what a journal needs to know about a message class.
 type Class struct {
@@ -41,7 +41,7 @@
 	Errors     int64 // failed writes
 	Lost       int64 // records of Behind classes dropped because a limit was reached
 	Unrecorded int64 // answers sent while the store was unavailable or slow, to be written later
-	Overtaken  int64 // results that were not durable by their deadline and were replaced by a failure
+	Expired    int64 // results that were not durable by their deadline and were replaced by a failure
 	Refused    int64 // messages refused because the store was unavailable or a limit was reached
 	Repeated   int64 // repeats answered with a recorded result
 }
@@ -127,10 +127,10 @@
 // refused while the store is unavailable; one whose answer or attempts must be durable is refused while a limit of
 // the journal is reached. Other classes are always admitted.
 func (j *Journal) Admit(class int) bool {
-	if j.classes[class].Policy < Told {
+	if j.classes[class].Policy < BeforeAnswer {
 		return true
 	}
-	if j.classes[class].Policy == Before && j.Breaker.Open() || j.full() {
+	if j.classes[class].Policy == BeforeSend && j.Breaker.Open() || j.full() {
 		j.stats.Refused++
 		return false
 	}
@@ -163,15 +163,15 @@
 		j.keyOrder = append(j.keyOrder, k)
 	}
 	j.keyedResults[k] = keyedResult{content, answered + window}
-	for len(j.keyOrder) > j.limits.Keys {
+	for len(j.keyOrder) > j.limits.MaxKeys {
 		delete(j.keyedResults, j.keyOrder[0])
 		j.keyOrder = j.keyOrder[1:]
 	}
 }
 
-// Take starts the record of a message that the core has accepted. A message of a Behind class gets no record and
+// Accept starts the record of a message that the core has accepted. A message of a Behind class gets no record and
 // counts as lost when a limit is reached.
-func (j *Journal) Take(now int64, id memory.ID, m Message) {
+func (j *Journal) Accept(now int64, id memory.ID, m Message) {
 	c := j.classes[m.Class]
 	if c.Policy == Off {
 		return
@@ -231,7 +231,7 @@
 		e.rec.Attempts = append(e.rec.Attempts, Attempt{Host: c.Addr, Sent: now})
 	}
 	j.markChanged(e)
-	if e.policy != Before {
+	if e.policy != BeforeSend {
 		return true
 	}
 	e.heldSends = append(e.heldSends, heldCommand{cmd: c, step: e.rec.Step})
@@ -251,7 +251,7 @@
 			break
 		}
 	}
-	result := CalledOff
+	result := ResultCancelled
 	if held {
 		result = Unsent
 	}
@@ -297,9 +297,9 @@
 	}
 }
 
-// Left records that a client disconnected before it was answered. A result that the client will not read does not
+// ClientLeft records that a client disconnected before it was answered. A result that the client will not read does not
 // wait for the store.
-func (j *Journal) Left(now int64, id memory.ID) {
+func (j *Journal) ClientLeft(now int64, id memory.ID) {
 	e := j.open[id]
 	if e == nil {
 		return
@@ -336,13 +336,13 @@
 		e.rec.Verdict = Failed
 	}
 	j.markChanged(e)
-	if e.policy < Told {
+	if e.policy < BeforeAnswer {
 		j.markReplied(e)
 		return append(out, c)
 	}
-	h := heldCommand{cmd: c, step: e.rec.Step, releaseAt: e.rec.Deadline - j.limits.Margin}
+	h := heldCommand{cmd: c, step: e.rec.Step, releaseAt: e.rec.Deadline - j.limits.DeadlineMargin}
 	if c.Verdict != memory.Served {
-		h.releaseAt = min(h.releaseAt, now+j.limits.Hold)
+		h.releaseAt = min(h.releaseAt, now+j.limits.MaxAnswerWait)
 		if j.Breaker.Open() {
 			// The message has already failed or been refused: answer at once, write the record when the store is back.
 			j.stats.Unrecorded++
@@ -405,10 +405,10 @@
 	return out
 }
 
-// Wrote takes the result of a write and returns the commands that it releases. changed reports whether the breaker
+// WriteDone takes the result of a write and returns the commands that it releases. changed reports whether the breaker
 // opened or closed. After an error it is unknown whether the records were written: they are written again, which
 // is harmless if they were.
-func (j *Journal) Wrote(now int64, err error) (out []memory.Command, changed bool) {
+func (j *Journal) WriteDone(now int64, err error) (out []memory.Command, changed bool) {
 	j.writing = false
 	changed = j.Breaker.End(now, err == nil)
 	if err == nil {
@@ -485,21 +485,21 @@
 	return next
 }
 
-// Due handles expired timers: it opens the breaker if the current write takes too long, and releases answers that
+// HandleTimers handles expired timers: it opens the breaker if the current write takes too long, and releases answers that
 // can't wait any longer. refuse lists messages that were never sent and wait for an unavailable store; the core
 // has to refuse them. changed reports whether the breaker opened.
-func (j *Journal) Due(now int64) (out []memory.Command, refuse []memory.ID, changed bool) {
-	changed = j.Breaker.Late(now)
-	out, refuse = j.Trouble(now)
+func (j *Journal) HandleTimers(now int64) (out []memory.Command, refuse []memory.ID, changed bool) {
+	changed = j.Breaker.CheckTimeout(now)
+	out, refuse = j.ReleaseUnavailable(now)
 	for len(j.heldAnswers) > 0 && j.heldAnswers[0].heldAnswer.releaseAt <= now {
 		out = append(out, j.releaseWithoutRecord(j.heldAnswers[0]))
 	}
 	return out, refuse, changed
 }
 
-// Trouble releases the commands that must not wait for an unavailable store: it returns the answers other than
+// ReleaseUnavailable releases the commands that must not wait for an unavailable store: it returns the answers other than
 // results, and in refuse the messages that the core has to refuse. It does nothing while the breaker is closed.
-func (j *Journal) Trouble(now int64) (out []memory.Command, refuse []memory.ID) {
+func (j *Journal) ReleaseUnavailable(now int64) (out []memory.Command, refuse []memory.ID) {
 	if !j.Breaker.Open() {
 		return nil, nil
 	}
@@ -524,7 +524,7 @@
 func (j *Journal) releaseWithoutRecord(e *entry) memory.Command {
 	cmd := e.heldAnswer.cmd
 	if cmd.Verdict == memory.Served {
-		j.stats.Overtaken++
+		j.stats.Expired++
 		e.rec.Verdict, e.rec.Content = Failed, nil
 		e.rec.Note = "the store was too slow: served by a host, answered failed"
 		cmd.Verdict, cmd.Content = memory.Failed, nil
--- a/internal/record/journal_test.go
+++ b/internal/record/journal_test.go
@@ -21,10 +21,10 @@
 	probe          // policy off
 )
 
-var classes = []Class{{"reading", Behind, 0}, {"batch", Told, 40_000_000}, {"alert", Before, 0}, {"probe", Off, 0}}
+var classes = []Class{{"reading", Behind, 0}, {"batch", BeforeAnswer, 40_000_000}, {"alert", BeforeSend, 0}, {"probe", Off, 0}}
 
 func journal() *Journal {
-	return New(classes, 3, Limits{Messages: 5, Bytes: 10_000, Batch: 100, Hold: 250, Margin: 5, Keys: 2}, NewBreaker(100, 50, 400, 1))
+	return New(classes, 3, Limits{Messages: 5, Bytes: 10_000, Batch: 100, MaxAnswerWait: 250, DeadlineMargin: 5, MaxKeys: 2}, NewBreaker(100, 50, 400, 1))
 }
 
 func send(id memory.ID, attempt int) memory.Command {
@@ -40,7 +40,7 @@
 }
 
 func take(j *Journal, now int64, id memory.ID, class int, key string) {
-	j.Take(now, id, Message{Name: fmt.Sprintf("t%d", id), Key: key, Class: class, Deadline: now + 1000})
+	j.Accept(now, id, Message{Name: fmt.Sprintf("t%d", id), Key: key, Class: class, Deadline: now + 1000})
 }
 
 // describe formats commands in short form.
@@ -70,7 +70,7 @@
 	if b == nil {
 		t.Fatal("nothing to write")
 	}
-	out, _ := j.Wrote(now, err)
+	out, _ := j.WriteDone(now, err)
 	return b, out
 }
 
@@ -96,7 +96,7 @@
 	b, out = write(t, j, 11, nil)
 	expect(t, "after their write", out, "answer-served 1, answer-served 2")
 	for _, r := range b {
-		if err := r.Verify(); err != nil || r.Verdict != Served || r.Attempts[0].Result != Done {
+		if err := r.Verify(); err != nil || r.Verdict != Served || r.Attempts[0].Result != ResultServed {
 			t.Errorf("%v: %+v", err, r)
 		}
 	}
@@ -123,7 +123,7 @@
 	b := j.Batch(0)
 	drop := memory.Command{Kind: memory.Drop, Attempt: memory.AttemptID{Message: 1}}
 	expect(t, "cancelled while held", j.Filter(1, []memory.Command{drop, send(1, 1)}), "")
-	out, _ := j.Wrote(2, nil)
+	out, _ := j.WriteDone(2, nil)
 	expect(t, "write of the first attempt", out, "")
 	b2, out := write(t, j, 3, nil)
 	expect(t, "write of the second attempt", out, "send 1")
@@ -175,7 +175,7 @@
 	if next := j.Next(); next != 101 {
 		t.Errorf("the write times out at %d, want 101", next)
 	}
-	out, refuse, changed := j.Due(101)
+	out, refuse, changed := j.HandleTimers(101)
 	expect(t, "when the write times out", out, "answer-failed 3")
 	if !changed || !slices.Equal(refuse, []memory.ID{1}) {
 		t.Errorf("changed %t, refuse %v", changed, refuse)
@@ -184,12 +184,12 @@
 	if j.Admit(alert) || !j.Admit(batch) || !j.Admit(reading) || !j.Admit(probe) {
 		t.Error("while the store is unavailable, exactly the classes that need it must be refused")
 	}
-	out, _, _ = j.Due(994)
+	out, _, _ = j.HandleTimers(994)
 	expect(t, "before the deadline", out, "")
-	out, _, _ = j.Due(995)
+	out, _, _ = j.HandleTimers(995)
 	expect(t, "at the deadline", out, "answer-failed 2")
 	// The store was only slow: its write succeeds in the end, and the remaining records are written afterwards.
-	j.Wrote(2000, nil)
+	j.WriteDone(2000, nil)
 	b, out := write(t, j, 2000, nil)
 	expect(t, "late write", out, "")
 	for _, r := range b {
@@ -200,7 +200,7 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	if s := j.Stats(); s.Overtaken != 1 || s.Unrecorded != 2 || s.Refused != 1 || j.Waiting() != 0 {
+	if s := j.Stats(); s.Expired != 1 || s.Unrecorded != 2 || s.Refused != 1 || j.Waiting() != 0 {
 		t.Errorf("%+v, %d messages waiting", s, j.Waiting())
 	}
 }
@@ -212,7 +212,7 @@
 	take(j, 0, 1, reading, "")
 	j.Filter(0, []memory.Command{send(1, 0)})
 	j.Batch(0)
-	j.Due(100) // the breaker opens
+	j.HandleTimers(100) // the breaker opens
 	for id := memory.ID(2); id < 12; id++ {
 		take(j, 100, id, reading, "")
 		j.Filter(100, []memory.Command{send(id, 0), served(id, "x")})
@@ -220,7 +220,7 @@
 	if j.Waiting() > 5 || j.Admit(batch) {
 		t.Errorf("%d messages waiting, want at most 5; a class that needs the store is admitted: %t", j.Waiting(), j.Admit(batch))
 	}
-	j.Wrote(200, errors.New("gone"))
+	j.WriteDone(200, errors.New("gone"))
 	if s := j.Stats(); s.Lost < 6 {
 		t.Errorf("%+v", s)
 	}
@@ -233,7 +233,7 @@
 	j.Filter(0, []memory.Command{send(1, 0)})
 	write(t, j, 0, nil)
 	j.Ended(1, memory.AttemptID{Message: 1}, logic.Cancelled)
-	j.Left(1, 1)
+	j.ClientLeft(1, 1)
 	b, out := write(t, j, 2, nil)
 	expect(t, "after the client left", out, "")
 	if b[0].Verdict != HungUp || b[0].Verify() != nil || j.Waiting() != 0 {
@@ -249,11 +249,11 @@
 		want Verdict
 	}{{ran, Failed}, {never, Refused}, {Record{ID: 3, Step: 1, Name: "c", Class: "alert", Policy: "before", Taken: 50}, Refused}} {
 		// The clock was set back in the meantime.
-		if !c.r.Settle(10) || c.r.Verdict != c.want || c.r.Answered < c.r.Taken || c.r.Verify() != nil {
+		if !c.r.SettleAfterCrash(10) || c.r.Verdict != c.want || c.r.Answered < c.r.Taken || c.r.Verify() != nil {
 			t.Errorf("%+v: %v", c.r, c.r.Verify())
 		}
 		again := c.r
-		if again.Settle(99) || !cmp.Equal(again, c.r) {
+		if again.SettleAfterCrash(99) || !cmp.Equal(again, c.r) {
 			t.Error("a second Settle changed the record")
 		}
 	}
@@ -262,7 +262,7 @@
 func TestVerifyReportsViolation(t *testing.T) {
 	good := func() Record {
 		return Record{ID: 1, Step: 3, Name: "t", Class: "alert", Policy: "before", Taken: 1, Answered: 9, Verdict: Served, Content: []byte("x"),
-			Attempts: []Attempt{{Host: "a", Sent: 2, Ended: 3, Result: Returned}, {Host: "b", Sent: 4, Started: true, Ended: 8, Result: Done}}}
+			Attempts: []Attempt{{Host: "a", Sent: 2, Ended: 3, Result: Returned}, {Host: "b", Sent: 4, Started: true, Ended: 8, Result: ResultServed}}}
 	}
 	if r := good(); r.Verify() != nil {
 		t.Fatal(r.Verify())
@@ -296,7 +296,7 @@
 func TestBreaker(t *testing.T) {
 	b := NewBreaker(100, 50, 400, 7)
 	b.Begin(1)
-	if b.Late(100) || !b.Late(101) || b.Late(500) || !b.Open() || b.MayWrite(10_000) {
+	if b.CheckTimeout(100) || !b.CheckTimeout(101) || b.CheckTimeout(500) || !b.Open() || b.MayWrite(10_000) {
 		t.Error("the breaker must open once, when a write takes over 100, and allow no second write meanwhile")
 	}
 	now, last := int64(500), int64(0)
@@ -315,8 +315,8 @@
 		t.Error("two breakers with different seeds probe at the same time")
 	}
 	b.Begin(now)
-	if !b.End(now, true) || b.Open() || b.Next() != 0 || b.Opened() != 1 {
-		t.Errorf("after a successful probe: open %t, next %d, opened %d", b.Open(), b.Next(), b.Opened())
+	if !b.End(now, true) || b.Open() || b.Next() != 0 || b.Trips() != 1 {
+		t.Errorf("after a successful probe: open %t, next %d, opened %d", b.Open(), b.Next(), b.Trips())
 	}
 }
 
@@ -333,7 +333,7 @@
 }
 
 func newHarness(class Class) *harness {
-	return &harness{j: New([]Class{class}, 1, Limits{Messages: 100, Bytes: 1 << 20, Batch: 100, Hold: 250, Margin: 5, Keys: 10}, NewBreaker(100, 50, 100, 1)),
+	return &harness{j: New([]Class{class}, 1, Limits{Messages: 100, Bytes: 1 << 20, Batch: 100, MaxAnswerWait: 250, DeadlineMargin: 5, MaxKeys: 10}, NewBreaker(100, 50, 100, 1)),
 		store: map[uint64]Record{}, atHost: map[memory.ID]bool{}, answered: map[memory.ID]memory.Command{}, answeredWhileOpen: map[memory.ID]bool{}, attempts: map[memory.ID]int{}}
 }
 
@@ -367,7 +367,7 @@
 		if known {
 			return false
 		}
-		w.j.Take(w.now, id, Message{Name: "t", Class: 0, Deadline: w.now + 100_000})
+		w.j.Accept(w.now, id, Message{Name: "t", Class: 0, Deadline: w.now + 100_000})
 		w.attempts[id] = 1
 		w.execute(w.j.Filter(w.now, []memory.Command{send(id, 0)}))
 	case 1: // a write begins
@@ -388,9 +388,9 @@
 		if action != 2 {
 			err = errors.New("gone")
 		}
-		out, _ := w.j.Wrote(w.now, err)
+		out, _ := w.j.WriteDone(w.now, err)
 		w.execute(out)
-		more, refuse := w.j.Trouble(w.now)
+		more, refuse := w.j.ReleaseUnavailable(w.now)
 		w.execute(more)
 		for _, r := range refuse {
 			w.attempts[r] = -1
@@ -429,7 +429,7 @@
 		if err := r.Verify(); err != nil {
 			return err.Error()
 		}
-		r.Settle(w.now + 1)
+		r.SettleAfterCrash(w.now + 1)
 		if err := r.Verify(); err != nil {
 			return "settled: " + err.Error()
 		}
@@ -486,7 +486,7 @@
 // are exempt: after a crash the store may hold an older step, which is settled as failed, the more careful
 // verdict.
 func TestEveryInterleaving(t *testing.T) {
-	sequences, violation, path := explore(Class{"alert", Before, 0}, 18)
+	sequences, violation, path := explore(Class{"alert", BeforeSend, 0}, 18)
 	if violation != "" {
 		t.Errorf("%s after actions %v", violation, path)
 	}
@@ -494,7 +494,7 @@
 		t.Errorf("only %d sequences were run, want 500", sequences)
 	}
 	t.Logf("%d sequences", sequences)
-	for policy, want := range map[Policy]string{Told: "the record says that none had", Behind: "the record says"} {
+	for policy, want := range map[Policy]string{BeforeAnswer: "the record says that none had", Behind: "the record says"} {
 		if _, violation, path := explore(Class{"alert", policy, 0}, 18); !strings.Contains(violation, want) {
 			t.Errorf("%s: found %q after actions %v; a missing durability point must be detected", policy, violation, path)
 		}
@@ -506,7 +506,7 @@
 // written.
 func TestJournalInvariantsUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j := New(classes, 1, Limits{Messages: 8, Bytes: 4000, Batch: 3, Hold: 250, Margin: 5, Keys: 4}, NewBreaker(100, 50, 400, 1))
+		j := New(classes, 1, Limits{Messages: 8, Bytes: 4000, Batch: 3, MaxAnswerWait: 250, DeadlineMargin: 5, MaxKeys: 4}, NewBreaker(100, 50, 400, 1))
 		store := map[uint64]Record{}
 		open := map[memory.ID]int{}
 		var ids []memory.ID
@@ -547,9 +547,9 @@
 				}
 			}
 			inFlight = nil
-			out, _ := j.Wrote(now, err)
+			out, _ := j.WriteDone(now, err)
 			execute(out)
-			more, refuse := j.Trouble(now)
+			more, refuse := j.ReleaseUnavailable(now)
 			execute(more)
 			refuseAll(refuse)
 		}
@@ -586,7 +586,7 @@
 				id := rapid.SampledFrom(ids).Draw(t, "leaves")
 				if _, is := open[id]; is {
 					delete(open, id)
-					j.Left(now, id)
+					j.ClientLeft(now, id)
 					answered[id] = true
 				}
 			case 4:
@@ -598,7 +598,7 @@
 					finish(rapid.SampledFrom([]error{nil, nil, errors.New("gone")}).Draw(t, "error"))
 				}
 			case 6:
-				out, refuse, _ := j.Due(now)
+				out, refuse, _ := j.HandleTimers(now)
 				execute(out)
 				refuseAll(refuse)
 			}
@@ -617,7 +617,7 @@
 			finish(nil)
 		}
 		for id := range open {
-			j.Left(now, id)
+			j.ClientLeft(now, id)
 		}
 		for range 100 {
 			now += 1000
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -20,10 +20,10 @@
 
 // The policies of a class, from the weakest to the strongest.
 const (
-	Off    Policy = iota // nothing is written
-	Behind               // written in batches afterwards; records may be lost, but the loss is bounded and counted
-	Told                 // durable before the client is answered
-	Before               // durable before each attempt is sent, and before the client is answered
+	Off          Policy = iota // nothing is written
+	Behind                     // written in batches afterwards; records may be lost, but the loss is bounded and counted
+	BeforeAnswer               // durable before the client is answered
+	BeforeSend                 // durable before each attempt is sent, and before the client is answered
 )
 
 var policyNames = [...]string{"off", "behind", "told", "before"}
@@ -81,39 +81,39 @@
 // The results of an attempt. After any result except Returned, Unreached and Unsent the host may have run the
 // message.
 const (
-	Unknown   Result = ""
-	Done      Result = "served"
-	Errored   Result = "failed"
-	Returned  Result = "returned"  // the host returned the message and never ran it
-	Unreached Result = "unreached" // no connection; the host never ran it
-	Unsent    Result = "unsent"    // decided and cancelled before a byte was written
-	Broke     Result = "broken"
-	Late      Result = "timed-out"
-	CalledOff Result = "called-off"
-	NoGood    Result = "unusable"
+	Unknown         Result = ""
+	ResultServed    Result = "served"
+	Errored         Result = "failed"
+	Returned        Result = "returned"  // the host returned the message and never ran it
+	Unreached       Result = "unreached" // no connection; the host never ran it
+	Unsent          Result = "unsent"    // decided and cancelled before a byte was written
+	ResultBroken    Result = "broken"
+	ResultTimedOut  Result = "timed-out"
+	ResultCancelled Result = "called-off"
+	ResultUnusable  Result = "unusable"
 )
 
 // ResultOf converts a result of the decision module.
 func ResultOf(r logic.Result) Result {
 	switch r {
 	case logic.Served:
-		return Done
+		return ResultServed
 	case logic.Failed:
 		return Errored
 	case logic.Refused:
 		return Returned
 	case logic.TimedOut:
-		return Late
+		return ResultTimedOut
 	case logic.ConnectFailed:
 		return Unreached
 	case logic.Broken:
-		return Broke
+		return ResultBroken
 	case logic.Cancelled:
-		return CalledOff
+		return ResultCancelled
 	case logic.NotSent:
 		return Unsent
 	}
-	return NoGood
+	return ResultUnusable
 }
 
 // NeverRan reports whether the result guarantees that the host has not run the message.
@@ -187,10 +187,10 @@
 		if a.Result != Unsent {
 			sent++
 		}
-		if a.Result == Done {
+		if a.Result == ResultServed {
 			done++
 		}
-		if i > 0 && a.Result != Unsent && r.Policy == Before.String() && !r.Attempts[i-1].Result.NeverRan() {
+		if i > 0 && a.Result != Unsent && r.Policy == BeforeSend.String() && !r.Attempts[i-1].Result.NeverRan() {
 			return violation("attempt %d followed one that may have run (%s)", i+1, r.Attempts[i-1].Result)
 		}
 	}
@@ -199,16 +199,16 @@
 		return violation("was sent %d times", sent)
 	case r.Verdict == Served && done == 0 && r.Note == "":
 		return violation("is served but no host served it")
-	case r.Verdict == Refused && r.Policy == Before.String() && r.MayHaveRun():
+	case r.Verdict == Refused && r.Policy == BeforeSend.String() && r.MayHaveRun():
 		return violation("was refused but may have run")
 	}
 	return nil
 }
 
-// Settle closes a record that a crash left open: as failed if the message may have run, as refused if it never
+// SettleAfterCrash closes a record that a crash left open: as failed if the message may have run, as refused if it never
 // ran. The message is never sent again. now is Unix microseconds. Settle reports whether it changed the record;
 // settling twice changes nothing.
-func (r *Record) Settle(now int64) bool {
+func (r *Record) SettleAfterCrash(now int64) bool {
 	if r.Verdict != Open {
 		return false
 	}
--- a/internal/record/sqlite/sqlite_test.go
+++ b/internal/record/sqlite/sqlite_test.go
@@ -294,7 +294,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		j := record.New([]record.Class{{Name: "alert", Policy: record.Before, Window: 40_000_000}}, s.Epoch(), record.DefaultLimits, record.NewBreaker(1, 1, 1, 1))
+		j := record.New([]record.Class{{Name: "alert", Policy: record.BeforeSend, Window: 40_000_000}}, s.Epoch(), record.DefaultLimits, record.NewBreaker(1, 1, 1, 1))
 		if _, err := record.Recover(ctx, s, j, []record.Class{{Name: "alert", Window: 40_000_000}}, time.Now().UnixMicro()); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -53,8 +53,8 @@
 // settleBatch is the number of records that a recovery settles in one write.
 const settleBatch = 5000
 
-// Recovered describes what a recovery did.
-type Recovered struct {
+// RecoveryResult describes what a recovery did.
+type RecoveryResult struct {
 	Failed  int // settled as failed: they may have run
 	Refused int // settled as refused: they never ran
 	Keys    int // keyed results remembered to answer repeats
@@ -64,9 +64,9 @@
 // Recover settles the records that earlier starts left open, and passes keyed results to the journal. A crash
 // during a recovery is harmless: settled records stay settled, and the next start settles the rest. now is Unix
 // microseconds.
-func Recover(ctx context.Context, s Store, j *Journal, classes []Class, now int64) (Recovered, error) {
+func Recover(ctx context.Context, s Store, j *Journal, classes []Class, now int64) (RecoveryResult, error) {
 	start := time.Now()
-	var rec Recovered
+	var rec RecoveryResult
 	for {
 		open, err := s.OpenRecords(ctx, settleBatch)
 		if err != nil {
@@ -76,7 +76,7 @@
 			break
 		}
 		for i := range open {
-			open[i].Settle(now)
+			open[i].SettleAfterCrash(now)
 			if open[i].Verdict == Failed {
 				rec.Failed++
 			} else {
--- a/internal/record/storetest/storetest.go
+++ b/internal/record/storetest/storetest.go
@@ -23,7 +23,7 @@
 		r.Answered = 50 + int64(n)
 	}
 	if v == record.Served {
-		r.Attempts[0].Ended, r.Attempts[0].Result, r.Content, r.Key = 9, record.Done, []byte("result"), "k"
+		r.Attempts[0].Ended, r.Attempts[0].Result, r.Content, r.Key = 9, record.ResultServed, []byte("result"), "k"
 	}
 	return r
 }
@@ -92,8 +92,8 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	classes := []record.Class{{Name: "alert", Policy: record.Before, Window: 1000}}
-	for round, want := range []record.Recovered{{Failed: 1, Refused: 1, Keys: 1}, {Keys: 1}} {
+	classes := []record.Class{{Name: "alert", Policy: record.BeforeSend, Window: 1000}}
+	for round, want := range []record.RecoveryResult{{Failed: 1, Refused: 1, Keys: 1}, {Keys: 1}} {
 		s = open("n0")
 		j := record.New(classes, s.Epoch(), record.DefaultLimits, record.NewBreaker(1, 1, 1, 1))
 		got, err := record.Recover(ctx, s, j, classes, 100)
@@ -135,7 +135,7 @@
 		t.Fatalf("%d open, %v", len(part), err)
 	}
 	for i := range part {
-		part[i].Settle(1000)
+		part[i].SettleAfterCrash(1000)
 	}
 	if err := s.Write(ctx, part); err != nil {
 		t.Fatal(err)
