--- a/cmd/gwlab/demo.go
+++ b/cmd/gwlab/demo.go
@@ -109,7 +109,7 @@
 	if _, err := spec.Draw(spec.Seed); err != nil {
 		return err // before any process is started
 	}
-	var folder *report.Folder
+	var folder *report.Dir
 	if p.Out != "" {
 		if folder, err = report.Open(p.Out); err != nil {
 			return err
--- a/cmd/gwlab/gangs_test.go
+++ b/cmd/gwlab/gangs_test.go
@@ -58,8 +58,8 @@
 			if g.LongestHalf > 1 || g.Doubled > 0 {
 				t.Errorf("a gang was incomplete for %.2f s, %d parts ran twice", g.LongestHalf, g.Doubled)
 			}
-			if name == "nothing fails" && g.Half > 4 {
-				t.Errorf("%d gangs never became complete, though nothing failed", g.Half)
+			if name == "nothing fails" && g.PartlyStarted > 4 {
+				t.Errorf("%d gangs never became complete, though nothing failed", g.PartlyStarted)
 			}
 			if train.InTime < c.least {
 				t.Errorf("%d of %d gangs were served in time, want %d", train.InTime, train.Asked, c.least)
--- a/cmd/gwlab/limits_test.go
+++ b/cmd/gwlab/limits_test.go
@@ -23,7 +23,7 @@
 )
 
 // runLimits runs limitExperiment and returns what the hosts observed of the limited class.
-func runLimits(t *testing.T, length, limits, faults string) (*experiment.Outcome, *audit.Crowd) {
+func runLimits(t *testing.T, length, limits, faults string) (*experiment.Outcome, *audit.ClassConcurrency) {
 	t.Helper()
 	path := writeExperiment(t, fmt.Sprintf(limitExperiment, length, sharedState(limits)+faults))
 	o, log, code := runFleet(t, path, "--program", filepath.Join(filepath.Dir(gwlab), "granitewing-fleet"), "--seed", "4")
@@ -38,8 +38,8 @@
 func TestNoLimits(t *testing.T) {
 	t.Parallel()
 	_, c := runLimits(t, "8s", "", "")
-	if c.Most <= 8 || c.Beyond(18) <= 2*18+4 {
-		t.Errorf("at most %d at once, %.1f beyond the rate", c.Most, c.Beyond(18))
+	if c.Most <= 8 || c.ExcessOver(18) <= 2*18+4 {
+		t.Errorf("at most %d at once, %.1f beyond the rate", c.Most, c.ExcessOver(18))
 	}
 }
 
@@ -85,13 +85,13 @@
 				if limits == openLimit && seen.Most > 6+1 {
 					t.Errorf("%d at once at the hosts, where 6 are allowed", seen.Most)
 				}
-				if beyond := seen.Beyond(18 * 1.01); limits == rateLimit && beyond > 36+2 {
+				if beyond := seen.ExcessOver(18 * 1.01); limits == rateLimit && beyond > 36+2 {
 					t.Errorf("%.1f beyond the rate at the hosts, where 36 are allowed", beyond)
 				}
 				if len(seen.Starts) < c.least {
 					t.Errorf("the hosts saw %d starts, want at least %d: the limit is hardly used", len(seen.Starts), c.least)
 				}
-				t.Logf("%d starts, %d at once, %.1f beyond the rate", len(seen.Starts), seen.Most, seen.Beyond(18))
+				t.Logf("%d starts, %d at once, %.1f beyond the rate", len(seen.Starts), seen.Most, seen.ExcessOver(18))
 				if c.out != nil && countConnected(o.Looks[0], c.out) > 0 {
 					t.Errorf("%d of those cut off have rights 5 s later", countConnected(o.Looks[0], c.out))
 				}
--- a/cmd/gwlab/verbs.go
+++ b/cmd/gwlab/verbs.go
@@ -57,7 +57,7 @@
 		}
 		targets = append(targets, target)
 	}
-	var folder *report.Folder
+	var folder *report.Dir
 	if l.Out != "" {
 		if folder, err = report.Open(l.Out); err != nil {
 			return err
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -39,12 +39,12 @@
 
 // The ends of an attempt.
 const (
-	Open      End = iota
-	Done          // the host's answer is the result
-	Failed        // error; may have run
-	Unstarted     // rejected or returned by the host; never ran
-	Lost          // the host was killed; may have run
-	Closed        // the dispatcher closed the connection; may have run
+	Open     End = iota
+	Done         // the host's answer is the result
+	Failed       // error; may have run
+	NeverRan     // rejected or returned by the host; never ran
+	Lost         // the host was killed; may have run
+	Closed       // the dispatcher closed the connection; may have run
 )
 
 // attempt is an attempt that a host received completely.
@@ -143,8 +143,8 @@
 	l.tryNamed(name).extraAnswer = true
 }
 
-// Came records an attempt whose last byte reached a host, and returns a handle for Finish.
-func (l *Log) Came(first, last int64, name, host string, cell, dispatcher int) int {
+// AttemptArrived records an attempt whose last byte reached a host, and returns a handle for Finish.
+func (l *Log) AttemptArrived(first, last int64, name, host string, cell, dispatcher int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.tryNamed(name)
@@ -152,9 +152,9 @@
 	return len(t.attempts) - 1
 }
 
-// CamePart is like Came for one part of a gang: rank is the index of the part, parts their number.
-func (l *Log) CamePart(first, last int64, name, host string, cell, dispatcher, rank, parts int) int {
-	n := l.Came(first, last, name, host, cell, dispatcher)
+// AttemptPartArrived is like Came for one part of a gang: rank is the index of the part, parts their number.
+func (l *Log) AttemptPartArrived(first, last int64, name, host string, cell, dispatcher, rank, parts int) int {
+	n := l.AttemptArrived(first, last, name, host, cell, dispatcher)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := &l.tryNamed(name).attempts[n]
@@ -172,8 +172,8 @@
 	}
 }
 
-// Told records that discovery sent the state of a host to a dispatcher.
-func (l *Log) Told(at int64, dispatcher int, host string, ready bool) {
+// StateSent records that discovery sent the state of a host to a dispatcher.
+func (l *Log) StateSent(at int64, dispatcher int, host string, ready bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := phaseKey{dispatcher, host}
@@ -196,8 +196,8 @@
 	l.kills[dispatcher] = append(l.kills[dispatcher], kill{from, to})
 }
 
-// Dead returns the time that dispatchers were dead, in seconds, summed over all dispatchers.
-func (l *Log) Dead() float64 {
+// DeadSeconds returns the time that dispatchers were dead, in seconds, summed over all dispatchers.
+func (l *Log) DeadSeconds() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var microseconds int64
@@ -209,8 +209,8 @@
 	return float64(microseconds) / 1e6
 }
 
-// Fell records a cold host that failed under load.
-func (l *Log) Fell(at int64, host string) {
+// HostOverrun records a cold host that failed under load.
+func (l *Log) HostOverrun(at int64, host string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.overrunHosts = append(l.overrunHosts, fmt.Sprintf("%s at %.3f s", host, float64(at)/1e6))
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -15,7 +15,7 @@
 	const s = 1_000_000
 	served := func(l *Log, class int) {
 		l.Sent(0, "t", class, 0)
-		h := l.Came(10, 20, "t", "a", 1, 0)
+		h := l.AttemptArrived(10, 20, "t", "a", 1, 0)
 		l.Finish(s, "t", h, Done, "r")
 		l.Ended(s+10, "t", client.Served, "r")
 	}
@@ -40,102 +40,102 @@
 		}, "no whole answer"},
 		"a result that no host made": {func(l *Log) {
 			l.Sent(0, "t", 0, 0)
-			l.Finish(s, "t", l.Came(10, 20, "t", "a", 1, 0), Failed, "")
+			l.Finish(s, "t", l.AttemptArrived(10, 20, "t", "a", 1, 0), Failed, "")
 			l.Ended(s, "t", client.Served, "r")
 		}, "which no host made"},
-		"an attempt of an unknown try": {func(l *Log) { l.Came(10, 20, "x", "a", 1, 0) }, "no client sent it"},
+		"an attempt of an unknown try": {func(l *Log) { l.AttemptArrived(10, 20, "x", "a", 1, 0) }, "no client sent it"},
 		"one name twice":               {func(l *Log) { served(l, 0); l.Sent(5, "t", 0, 0) }, "used the name t twice"},
 		"unsafe and refused after it ran": {func(l *Log) {
 			l.Sent(0, "t", 2, 0)
-			l.Finish(s, "t", l.Came(10, 20, "t", "a", 1, 0), Failed, "")
+			l.Finish(s, "t", l.AttemptArrived(10, 20, "t", "a", 1, 0), Failed, "")
 			l.Ended(s, "t", client.Refused, "")
 		}, "refused as if it had not run"},
 		"unsafe and returned, then served elsewhere": {func(l *Log) {
 			l.Sent(0, "t", 2, 0)
-			l.Finish(s, "t", l.Came(10, 20, "t", "a", 1, 0), Unstarted, "")
-			l.Finish(3*s, "t", l.Came(2*s, 2*s, "t", "b", 1, 0), Done, "r")
+			l.Finish(s, "t", l.AttemptArrived(10, 20, "t", "a", 1, 0), NeverRan, "")
+			l.Finish(3*s, "t", l.AttemptArrived(2*s, 2*s, "t", "b", 1, 0), Done, "r")
 			l.Ended(3*s, "t", client.Served, "r")
 		}, ""},
 		"unsafe and sent again": {func(l *Log) {
 			l.Sent(0, "t", 2, 0)
-			l.Finish(s, "t", l.Came(10, 20, "t", "a", 1, 0), Closed, "")
-			l.Finish(3*s, "t", l.Came(2*s, 2*s, "t", "b", 1, 0), Done, "r")
+			l.Finish(s, "t", l.AttemptArrived(10, 20, "t", "a", 1, 0), Closed, "")
+			l.Finish(3*s, "t", l.AttemptArrived(2*s, 2*s, "t", "b", 1, 0), Done, "r")
 			l.Ended(3*s, "t", client.Served, "r")
 		}, "sent to b though it may have run at a"},
 		"ended before its host read it, observed after the next attempt": {func(l *Log) {
 			l.Sent(0, "t", 0, 0)
-			a := l.Came(s, s, "t", "a", 1, 0)
-			l.Finish(s+10_009, "t", l.Came(s+10_000, s+10_000, "t", "b", 1, 0), Closed, "")
+			a := l.AttemptArrived(s, s, "t", "a", 1, 0)
+			l.Finish(s+10_009, "t", l.AttemptArrived(s+10_000, s+10_000, "t", "b", 1, 0), Closed, "")
 			l.Finish(3*s, "t", a, Done, "r")
 			l.Ended(3*s, "t", client.Served, "r")
 		}, ""},
 		"two attempts at a time": {func(l *Log) {
 			l.Sent(0, "t", 0, 0)
-			a := l.Came(10, 20, "t", "a", 1, 0)
-			l.Finish(3*s, "t", l.Came(s, s, "t", "b", 1, 0), Done, "r")
+			a := l.AttemptArrived(10, 20, "t", "a", 1, 0)
+			l.Finish(3*s, "t", l.AttemptArrived(s, s, "t", "b", 1, 0), Done, "r")
 			l.Finish(4*s, "t", a, Closed, "")
 			l.Ended(3*s, "t", client.Served, "r")
 		}, "while one was out at a"},
 		"a close that was observed late": {func(l *Log) {
 			l.Sent(0, "t", 0, 0)
-			l.Finish(s+40_000, "t", l.Came(10, 20, "t", "a", 1, 0), Closed, "")
-			l.Finish(3*s, "t", l.Came(s, s, "t", "b", 1, 0), Done, "r")
+			l.Finish(s+40_000, "t", l.AttemptArrived(10, 20, "t", "a", 1, 0), Closed, "")
+			l.Finish(3*s, "t", l.AttemptArrived(s, s, "t", "b", 1, 0), Done, "r")
 			l.Ended(3*s, "t", client.Served, "r")
 		}, ""},
 		"four attempts": {func(l *Log) {
 			l.Sent(0, "t", 0, 0)
 			for i := range int64(4) {
-				l.Finish(i*s+100, "t", l.Came(i*s, i*s, "t", "a", 1, 0), Unstarted, "")
+				l.Finish(i*s+100, "t", l.AttemptArrived(i*s, i*s, "t", "a", 1, 0), NeverRan, "")
 			}
 			l.Ended(9*s, "t", client.Refused, "")
 		}, "had 4 attempts"},
 		"keyed within its rack": {func(l *Log) {
 			l.Sent(0, "t", 1, 0)
-			l.Finish(s, "t", l.Came(10, 20, "t", "a", 1, 0), Closed, "")
-			l.Finish(3*s, "t", l.Came(2*s, 2*s, "t", "b", 1, 0), Done, "r")
+			l.Finish(s, "t", l.AttemptArrived(10, 20, "t", "a", 1, 0), Closed, "")
+			l.Finish(3*s, "t", l.AttemptArrived(2*s, 2*s, "t", "b", 1, 0), Done, "r")
 			l.Ended(3*s, "t", client.Served, "r")
 		}, ""},
 		"keyed outside its rack": {func(l *Log) {
 			l.Sent(0, "t", 1, 0)
-			l.Finish(s, "t", l.Came(10, 20, "t", "a", 1, 0), Closed, "")
-			l.Finish(3*s, "t", l.Came(2*s, 2*s, "t", "b", 2, 0), Done, "r")
+			l.Finish(s, "t", l.AttemptArrived(10, 20, "t", "a", 1, 0), Closed, "")
+			l.Finish(3*s, "t", l.AttemptArrived(2*s, 2*s, "t", "b", 2, 0), Done, "r")
 			l.Ended(3*s, "t", client.Served, "r")
 		}, "outside its rack or window"},
 		"keyed beyond its window": {func(l *Log) {
 			l.Sent(0, "t", 1, 0)
-			l.Finish(s, "t", l.Came(10, 20, "t", "a", 1, 0), Closed, "")
-			l.Finish(50*s, "t", l.Came(41*s, 41*s, "t", "b", 1, 0), Done, "r")
+			l.Finish(s, "t", l.AttemptArrived(10, 20, "t", "a", 1, 0), Closed, "")
+			l.Finish(50*s, "t", l.AttemptArrived(41*s, 41*s, "t", "b", 1, 0), Done, "r")
 			l.Ended(50*s, "t", client.Served, "r")
 		}, "outside its rack or window"},
 		"to a host that drains": {func(l *Log) {
-			l.Told(0, 0, "a", false)
-			l.Told(790_000, 0, "a", false) // sent again, which does not restart the period
+			l.StateSent(0, 0, "a", false)
+			l.StateSent(790_000, 0, "a", false) // sent again, which does not restart the period
 			l.Sent(0, "t", 0, 0)
-			l.Finish(s, "t", l.Came(801_000, 802_000, "t", "a", 1, 0), Unstarted, "")
+			l.Finish(s, "t", l.AttemptArrived(801_000, 802_000, "t", "a", 1, 0), NeverRan, "")
 			l.Ended(s, "t", client.Refused, "")
 		}, "reached a 801 ms after its leaving was told"},
 		"to a host that drains, just in time": {func(l *Log) {
-			l.Told(0, 0, "a", false)
+			l.StateSent(0, 0, "a", false)
 			l.Sent(0, "t", 0, 0)
-			l.Finish(s, "t", l.Came(799_000, 900_000, "t", "a", 1, 0), Unstarted, "")
+			l.Finish(s, "t", l.AttemptArrived(799_000, 900_000, "t", "a", 1, 0), NeverRan, "")
 			l.Ended(s, "t", client.Refused, "")
 		}, ""},
-		"to a host that drains, told to another dispatcher": {func(l *Log) { l.Told(0, 1, "a", false); served(l, 0) }, ""},
+		"to a host that drains, told to another dispatcher": {func(l *Log) { l.StateSent(0, 1, "a", false); served(l, 0) }, ""},
 		"to a host that is available again": {func(l *Log) {
-			l.Told(0, 0, "a", false)
-			l.Told(s, 0, "a", true)
+			l.StateSent(0, 0, "a", false)
+			l.StateSent(s, 0, "a", true)
 			l.Sent(0, "t", 0, 0)
-			l.Finish(6*s, "t", l.Came(5*s, 5*s, "t", "a", 1, 0), Unstarted, "")
+			l.Finish(6*s, "t", l.AttemptArrived(5*s, 5*s, "t", "a", 1, 0), NeverRan, "")
 			l.Ended(6*s, "t", client.Refused, "")
 		}, ""},
 		"to a host whose drain was listed 7 s ago and never told": {func(l *Log) {
 			l.Listed(0, "a", true)
 			l.Listed(s, "a", false)
 			l.Sent(0, "t", 0, 0)
-			l.Finish(9*s, "t", l.Came(8*s, 8*s, "t", "a", 1, 0), Unstarted, "")
+			l.Finish(9*s, "t", l.AttemptArrived(8*s, 8*s, "t", "a", 1, 0), NeverRan, "")
 			l.Ended(9*s, "t", client.Refused, "")
 		}, "1000 ms after its leaving was told"},
-		"a cold host overrun": {func(l *Log) { served(l, 0); l.Fell(s, "a") }, "a at 1.000 s"},
+		"a cold host overrun": {func(l *Log) { served(l, 0); l.HostOverrun(s, "a") }, "a at 1.000 s"},
 	} {
 		l := New(classes)
 		c.do(l)
--- a/internal/lab/audit/checks.go
+++ b/internal/lab/audit/checks.go
@@ -56,7 +56,7 @@
 	return a.ended
 }
 
-func mayHaveRun(a attempt) bool { return a.end != Unstarted }
+func mayHaveRun(a attempt) bool { return a.end != NeverRan }
 
 func (l *Log) checkAttempts(name string, t *try, rule *Rule) {
 	if !t.sentByClient {
--- a/internal/lab/audit/crowd.go
+++ b/internal/lab/audit/crowd.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Crowd describes the concurrency and the starts of a class's jobs, as the hosts observed them.
-type Crowd struct {
+// ClassConcurrency describes the concurrency and the starts of a class's jobs, as the hosts observed them.
+type ClassConcurrency struct {
 	Class  string    `json:"class"`
 	Most   int       `json:"most_at_once"` // maximum number of jobs with an unfinished attempt at a host at one time
 	Starts []float64 `json:"starts_s"`     // arrival times of the first attempt of each job, seconds, in order
 }
 
-// Beyond returns the largest excess of starts over a rate: the maximum over all intervals of the number of starts
+// ExcessOver returns the largest excess of starts over a rate: the maximum over all intervals of the number of starts
 // in the interval, less what the rate (jobs per second) allows in it.
-func (c *Crowd) Beyond(rate float64) float64 {
+func (c *ClassConcurrency) ExcessOver(rate float64) float64 {
 	excess, maxExcess, last := 0.0, 0.0, 0.0
 	for _, s := range c.Starts {
 		excess = max(excess-rate*(s-last), 0) + 1
@@ -23,16 +23,16 @@
 	return maxExcess
 }
 
-// Crowds returns the concurrency and starts of each class, from the hosts' observations alone. An attempt without
+// Concurrency returns the concurrency and starts of each class, from the hosts' observations alone. An attempt without
 // an end counts as still running.
-func (l *Log) Crowds() []Crowd {
+func (l *Log) Concurrency() []ClassConcurrency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	type change struct {
 		at int64
 		by int
 	}
-	out := make([]Crowd, len(l.classes))
+	out := make([]ClassConcurrency, len(l.classes))
 	for class := range out {
 		var all []change
 		c := &out[class]
--- a/internal/lab/audit/records_test.go
+++ b/internal/lab/audit/records_test.go
@@ -45,7 +45,7 @@
 		l.Sent(0, "u", 2, 0)
 		l.Ended(1, "u", client.Refused, "")
 		if c.ran {
-			l.Finish(50, "t", l.Came(10, 20, "t", "a", 1, 0), Done, "r")
+			l.Finish(50, "t", l.AttemptArrived(10, 20, "t", "a", 1, 0), Done, "r")
 		}
 		l.Ended(60, "t", c.result, c.answer)
 		rule := l.CheckRecords(c.list)
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -11,20 +11,20 @@
 
 // Behaviour holds the parameters of the client model.
 type Behaviour struct {
-	Retries   int           `sexp:"retries" min:"0" max:"100"`          // maximum number of retries
-	Wait      time.Duration `sexp:"wait" min:"0"`                       // before a retry without Retry-After
-	Follow    float64       `sexp:"follow-retry-after" min:"0" max:"1"` // share of clients that follow a refusal's Retry-After
-	Longest   time.Duration `sexp:"longest-retry-after" min:"0"`        // a longer Retry-After is ignored
-	Mark      bool          `sexp:"mark-resent"`                        // retries carry the header X-Resent
-	Failed    bool          `sexp:"retry-failed"`                       // also retry after failures, unless the class is unsafe
-	Impatient float64       `sexp:"impatient" min:"0" max:"1"`          // share of clients that disconnect early
-	Patience  time.Duration `sexp:"patience" min:"0"`                   // time after which they do
-	Share     float64       `sexp:"connections" min:"0.0001" max:"1"`   // maximum share of a dispatcher's descriptors held by clients
+	Retries           int           `sexp:"retries" min:"0" max:"100"`          // maximum number of retries
+	Wait              time.Duration `sexp:"wait" min:"0"`                       // before a retry without Retry-After
+	FollowRetryAfter  float64       `sexp:"follow-retry-after" min:"0" max:"1"` // share of clients that follow a refusal's Retry-After
+	LongestRetryAfter time.Duration `sexp:"longest-retry-after" min:"0"`        // a longer Retry-After is ignored
+	MarkResent        bool          `sexp:"mark-resent"`                        // retries carry the header X-Resent
+	RetryFailed       bool          `sexp:"retry-failed"`                       // also retry after failures, unless the class is unsafe
+	Impatient         float64       `sexp:"impatient" min:"0" max:"1"`          // share of clients that disconnect early
+	Patience          time.Duration `sexp:"patience" min:"0"`                   // time after which they do
+	Share             float64       `sexp:"connections" min:"0.0001" max:"1"`   // maximum share of a dispatcher's descriptors held by clients
 }
 
 // SetDefaults implements settings.Defaulter.
 func (b *Behaviour) SetDefaults() {
-	*b = Behaviour{Retries: 3, Follow: 0.5, Longest: 2 * time.Second, Mark: true, Failed: true, Patience: time.Second, Share: 0.33}
+	*b = Behaviour{Retries: 3, FollowRetryAfter: 0.5, LongestRetryAfter: 2 * time.Second, MarkResent: true, RetryFailed: true, Patience: time.Second, Share: 0.33}
 }
 
 // Result is the result of a try for its client.
@@ -61,7 +61,7 @@
 
 // New starts a job and draws the properties of its client from rng. giveUp is the timeout of a try.
 func (b Behaviour) New(unsafe, keyed bool, giveUp time.Duration, rng *rand.Rand) *Job {
-	return &Job{Unsafe: unsafe, Keyed: keyed, GiveUp: giveUp, followsAdvice: rng.Float64() < b.Follow, hangsUpEarly: rng.Float64() < b.Impatient, behaviour: b}
+	return &Job{Unsafe: unsafe, Keyed: keyed, GiveUp: giveUp, followsAdvice: rng.Float64() < b.FollowRetryAfter, hangsUpEarly: rng.Float64() < b.Impatient, behaviour: b}
 }
 
 // Tries returns the number of tries begun.
@@ -70,7 +70,7 @@
 // Begin starts a try. It returns the time that the client waits for the answer, whether the client then
 // disconnects early, although it declared a longer wait, and whether the try is marked as a repeat.
 func (j *Job) Begin() (wait time.Duration, leaves, marked bool) {
-	marked = j.tries > 0 && j.behaviour.Mark
+	marked = j.tries > 0 && j.behaviour.MarkResent
 	j.tries++
 	if j.hangsUpEarly && j.behaviour.Patience < j.GiveUp {
 		return j.behaviour.Patience, true, marked
@@ -89,12 +89,12 @@
 	case Served, HungUp:
 		return 0, false
 	case Refused:
-		if after > 0 && j.followsAdvice && after <= j.behaviour.Longest {
+		if after > 0 && j.followsAdvice && after <= j.behaviour.LongestRetryAfter {
 			return after, true
 		}
 		return j.behaviour.Wait, true
 	case Unsent:
 		return j.behaviour.Wait, true
 	}
-	return j.behaviour.Wait, j.behaviour.Failed && !j.Unsafe
+	return j.behaviour.Wait, j.behaviour.RetryFailed && !j.Unsafe
 }
--- a/internal/lab/client/client_test.go
+++ b/internal/lab/client/client_test.go
@@ -8,11 +8,11 @@
 
 // When clients retry: a job that must not run twice is repeated only if it can't have run.
 func TestAgain(t *testing.T) {
-	b := Behaviour{Retries: 2, Wait: 10 * time.Millisecond, Follow: 1, Longest: time.Second, Failed: true, Mark: true}
+	b := Behaviour{Retries: 2, Wait: 10 * time.Millisecond, FollowRetryAfter: 1, LongestRetryAfter: time.Second, RetryFailed: true, MarkResent: true}
 	ignoresAdvice := b
-	ignoresAdvice.Follow = 0
+	ignoresAdvice.FollowRetryAfter = 0
 	noFailureRetries := b
-	noFailureRetries.Failed = false
+	noFailureRetries.RetryFailed = false
 	for name, c := range map[string]struct {
 		b      Behaviour
 		unsafe bool
--- a/internal/lab/emulate/discovery.go
+++ b/internal/lab/emulate/discovery.go
@@ -131,7 +131,7 @@
 func (d *discovery) logReported(members []model.Member) {
 	at := d.e.now()
 	for _, m := range members {
-		d.e.log.Told(at, d.dispatcher, m.ID, m.Phase == model.Ready)
+		d.e.log.StateSent(at, d.dispatcher, m.ID, m.Phase == model.Ready)
 	}
 }
 
--- a/internal/lab/emulate/emulate.go
+++ b/internal/lab/emulate/emulate.go
@@ -101,8 +101,8 @@
 			cells[m.Cell] = model.NewCell(window)
 		}
 		h := &host{e: e, number: i, model: model.NewHost(m, cells[m.Cell], store, 0, false), streams: map[uint64]*stream{}, up: i < day.Fleet.Hosts}
-		h.model.Keep(day.Kept[i])
-		h.model.Exchange(e.fabric)
+		h.model.FillCache(day.CachedSets[i])
+		h.model.SetFabric(e.fabric)
 		if h.up {
 			members = append(members, day.Member(i, model.Ready, 0))
 			log.Listed(0, m.Name, true)
@@ -241,7 +241,7 @@
 		}
 	case world.OpLink:
 		e.applyLinkFaults(op)
-	case world.OpPart:
+	case world.OpPartition:
 		e.partitionedZones[[2]int{min(op.Host, op.Other), max(op.Host, op.Other)}] = op.On
 		for _, h := range e.hosts {
 			h.updateMuted()
@@ -261,11 +261,11 @@
 		case !on:
 			return link.Way{}
 		case l.Manner == "late":
-			return link.Way{Delay: l.Delay, Spread: l.Spread, Loss: l.Loss, Twice: l.Twice}
+			return link.Way{Delay: l.Delay, Spread: l.Jitter, Loss: l.Loss, Twice: l.Duplicated}
 		}
 		return link.Way{Cut: l.Manner == "silent", Half: l.Manner == "half"}
 	}
-	return link.Faults{To: way(l.Way != "from"), From: way(l.Way != "to"), Refuse: l.Manner == "reset"}
+	return link.Faults{To: way(l.Direction != "from"), From: way(l.Direction != "to"), Refuse: l.Manner == "reset"}
 }
 
 // applyLinkFaults sets or clears the faults of an operation on the links between dispatchers and hosts, or between
--- a/internal/lab/emulate/emulate_test.go
+++ b/internal/lab/emulate/emulate_test.go
@@ -249,7 +249,7 @@
 	// The audit holds dispatchers to the member states that they were sent.
 	log.Sent(0, "late", 0, 0)
 	at := e.now() + 10_000_000
-	log.Finish(at+1, "late", log.Came(at, at, "late", e.hosts[0].model.Name, 0, 0), audit.Unstarted, "")
+	log.Finish(at+1, "late", log.AttemptArrived(at, at, "late", e.hosts[0].model.Name, 0, 0), audit.NeverRan, "")
 	if rep := log.Check(); rep.Rules[2].Broken != 1 {
 		t.Errorf("an attempt ten seconds after the drain was published was not counted:\n%s", rep)
 	}
--- a/internal/lab/emulate/hosts.go
+++ b/internal/lab/emulate/hosts.go
@@ -81,7 +81,7 @@
 // recordUsage updates the usage statistics of the fleet with the host's current state. The caller holds the
 // emulator's lock.
 func (h *host) recordUsage(now int64) {
-	h.e.usage.Look(now, h.number, h.model, h.up && !h.vanished && !h.refusing)
+	h.e.usage.RecordState(now, h.number, h.model, h.up && !h.vanished && !h.refusing)
 }
 
 // updateListener opens or closes the host's listener according to its state.
--- a/internal/lab/emulate/serve.go
+++ b/internal/lab/emulate/serve.go
@@ -157,9 +157,9 @@
 	// An attempt that was delayed on the link counts from the time at which it was sent.
 	part := e.parsePart(req, now)
 	if part != nil {
-		s.handle = e.log.CamePart(first, c.Sent().Sub(e.start).Microseconds(), s.name, h.model.Name, h.model.Cell, p.dispatcher, part.Rank, part.Parts)
+		s.handle = e.log.AttemptPartArrived(first, c.Sent().Sub(e.start).Microseconds(), s.name, h.model.Name, h.model.Cell, p.dispatcher, part.Rank, part.Parts)
 	} else {
-		s.handle = e.log.Came(first, c.Sent().Sub(e.start).Microseconds(), s.name, h.model.Name, h.model.Cell, p.dispatcher)
+		s.handle = e.log.AttemptArrived(first, c.Sent().Sub(e.start).Microseconds(), s.name, h.model.Name, h.model.Cell, p.dispatcher)
 	}
 	v.current = s
 	if gone := c.Gone(); !gone.IsZero() {
@@ -181,10 +181,10 @@
 		if h.streams[s.attempt] != s || e.closed {
 			return // the dispatcher cancelled it on the way
 		}
-		e.usage.Came(e.now(), h.number, h.model, p.dispatcher)
+		e.usage.RecordAttempt(e.now(), h.number, h.model, p.dispatcher)
 		h.deliverNotes(h.model.Offer(e.now(), job))
 		if h.model.Down() && h.up {
-			e.log.Fell(e.now(), h.model.Name)
+			e.log.HostOverrun(e.now(), h.model.Name)
 			e.directory.Change(e.now(), e.day.Discovery.Lag.Hi.Microseconds(), e.day.Member(h.number, model.Gone, h.model.UpSince()))
 			e.armDirectoryTimer()
 			h.processGone(e.now())
@@ -245,7 +245,7 @@
 		state("done", fmt.Sprintf(`,"result":%q`, answer))
 		s.queueChunk(nil, true)
 	case model.Full:
-		finish(audit.Unstarted, "")
+		finish(audit.NeverRan, "")
 		s.queueRaw("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 	case model.Failed:
 		finish(audit.Failed, "")
@@ -256,7 +256,7 @@
 			s.queueRaw("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		}
 	case model.Returned:
-		finish(audit.Unstarted, "")
+		finish(audit.NeverRan, "")
 		state("returned", "")
 		s.queueChunk(nil, true)
 	case model.Lost:
--- a/internal/lab/experiment/peers.go
+++ b/internal/lab/experiment/peers.go
@@ -28,7 +28,7 @@
 // openMesh opens the mesh between the dispatchers if their settings advertise the mesh's addresses instead of their
 // own. It returns an error if the day has faults on the links between dispatchers but the settings bypass the mesh.
 func (c *cluster) openMesh() (err error) {
-	settings := cmp.Or(c.variant.Own, c.day.Own)
+	settings := cmp.Or(c.variant.DispatcherSettings, c.day.DispatcherSettings)
 	switch usesGossip := strings.Contains(settings, "{gossip}"); {
 	case strings.Contains(settings, "{told}"):
 		c.mesh, err = mesh.Open(c.gossipAddrs, c.seed)
@@ -92,7 +92,7 @@
 	var wait sync.WaitGroup
 	for i, d := range c.running {
 		wait.Go(func() {
-			f, err := d.Figures()
+			f, err := d.Counters()
 			if err != nil {
 				return // it is paused or shutting down
 			}
@@ -165,7 +165,7 @@
 // settingsFor returns the settings of dispatcher i, with placeholders replaced: its file names, which contain the
 // run and the dispatcher's number, the URL of the store and its fleet addresses.
 func (c *cluster) settingsFor(i int) string {
-	text := cmp.Or(c.variant.Own, c.day.Own)
+	text := cmp.Or(c.variant.DispatcherSettings, c.day.DispatcherSettings)
 	url := ""
 	if c.store != nil {
 		url = c.store.URL()
--- a/internal/lab/experiment/play.go
+++ b/internal/lab/experiment/play.go
@@ -35,34 +35,34 @@
 
 // Outcome holds the measurements of one run of a day.
 type Outcome struct {
-	Experiment string             `json:"experiment"`
-	Variant    string             `json:"variant"`
-	Seed       uint64             `json:"seed"`
-	Policy     string             `json:"policy,omitempty"` // empty for the module's own policy
-	Virtual    bool               `json:"virtual"`
-	Cut        bool               `json:"cut_short"` // ended before the end of the day
-	Service    float64            `json:"service"`   // value of the jobs served in time divided by the value of all jobs
-	Rows       []measure.Row      `json:"classes"`   // one per class, then the total
-	Series     []measure.Point    `json:"seconds"`
-	Verdict    measure.Verdict    `json:"generator"`
-	Audit      *audit.Report      `json:"audit"`
-	Marks      []Mark             `json:"failures"`
-	Hosts      []audit.HostLoad   `json:"hosts"`
-	Crowds     []audit.Crowd      `json:"crowds,omitempty"` // by class; only for runs with real processes
-	Spread     *spread.Report     `json:"spread,omitempty"`
-	Gangs      *model.GangReport  `json:"gangs,omitempty"` // only if a class runs jobs in parts (gangs)
-	Notes      []string           `json:"notes,omitempty"`
-	Resent     int                `json:"resent_by_clients"` // see load.Result.Resent
-	CPU        []float64          `json:"dispatcher_cpu_s,omitempty"`
-	Dead       float64            `json:"dispatchers_dead_s,omitempty"` // seconds, summed over dispatchers
-	Decision   float64            `json:"decision_us,omitempty"`        // dispatcher CPU time per message over all its events, in microseconds
-	Heap       float64            `json:"heap_bytes,omitempty"`         // bytes of one dispatcher's heap; virtual time only
-	Wall       float64            `json:"wall_s"`                       // wall time in seconds
-	Length     float64            `json:"length_s"`                     // length of the day in seconds, in virtual time if the run is virtual
-	Recorder   *measure.Recorder  `json:"recorder"`
-	Figures    map[string]float64 `json:"dispatcher_figures,omitempty"` // metrics of the dispatchers' admin endpoints at the end, summed over dispatchers
-	Looks      []Look             `json:"looks,omitempty"`
-	Talk       *Talk              `json:"talk,omitempty"`
+	Experiment string                   `json:"experiment"`
+	Variant    string                   `json:"variant"`
+	Seed       uint64                   `json:"seed"`
+	Policy     string                   `json:"policy,omitempty"` // empty for the module's own policy
+	Virtual    bool                     `json:"virtual"`
+	Cut        bool                     `json:"cut_short"` // ended before the end of the day
+	Service    float64                  `json:"service"`   // value of the jobs served in time divided by the value of all jobs
+	Rows       []measure.Row            `json:"classes"`   // one per class, then the total
+	Series     []measure.Point          `json:"seconds"`
+	Verdict    measure.Verdict          `json:"generator"`
+	Audit      *audit.Report            `json:"audit"`
+	Marks      []Mark                   `json:"failures"`
+	Hosts      []audit.HostLoad         `json:"hosts"`
+	Crowds     []audit.ClassConcurrency `json:"crowds,omitempty"` // by class; only for runs with real processes
+	Spread     *spread.Report           `json:"spread,omitempty"`
+	Gangs      *model.GangReport        `json:"gangs,omitempty"` // only if a class runs jobs in parts (gangs)
+	Notes      []string                 `json:"notes,omitempty"`
+	Resent     int                      `json:"resent_by_clients"` // see load.Result.Resent
+	CPU        []float64                `json:"dispatcher_cpu_s,omitempty"`
+	Dead       float64                  `json:"dispatchers_dead_s,omitempty"` // seconds, summed over dispatchers
+	Decision   float64                  `json:"decision_us,omitempty"`        // dispatcher CPU time per message over all its events, in microseconds
+	Heap       float64                  `json:"heap_bytes,omitempty"`         // bytes of one dispatcher's heap; virtual time only
+	Wall       float64                  `json:"wall_s"`                       // wall time in seconds
+	Length     float64                  `json:"length_s"`                     // length of the day in seconds, in virtual time if the run is virtual
+	Recorder   *measure.Recorder        `json:"recorder"`
+	Figures    map[string]float64       `json:"dispatcher_figures,omitempty"` // metrics of the dispatchers' admin endpoints at the end, summed over dispatchers
+	Looks      []Look                   `json:"looks,omitempty"`
+	Talk       *Talk                    `json:"talk,omitempty"`
 }
 
 // Look is a snapshot of all dispatchers' metrics at one moment of the day.
@@ -164,7 +164,7 @@
 		o.CPU = append(o.CPU, c)
 		o.Decision += c * 1e6 / float64(max(messages, 1))
 	}
-	o.Audit, o.Dead = log.Check(), log.Dead()
+	o.Audit, o.Dead = log.Check(), log.DeadSeconds()
 	if day.Records {
 		list, err := cl.readRecords()
 		if err != nil {
@@ -172,7 +172,7 @@
 		}
 		o.Audit.Rules = append(o.Audit.Rules, log.CheckRecords(list), log.CheckHistory(list))
 	}
-	o.Hosts, o.Crowds, o.Spread = log.HostLoads(), log.Crowds(), fleet.Spread()
+	o.Hosts, o.Crowds, o.Spread = log.HostLoads(), log.Concurrency(), fleet.Spread()
 	o.Gangs = gangReport(day, fleet.Gangs())
 	if res.Foreign > 0 {
 		o.Audit.Rules[0].Broken += res.Foreign
@@ -204,17 +204,17 @@
 	if v.Policy != "module" {
 		o.Policy = v.Policy
 	}
-	o.Virtual, o.Cut, o.Wall, o.Heap = true, res.Cut, time.Since(began).Seconds(), float64(res.Heap)
+	o.Virtual, o.Cut, o.Wall, o.Heap = true, res.Interrupted, time.Since(began).Seconds(), float64(res.Heap)
 	o.Verdict.Valid = true
-	o.Length, o.Spread, o.Gangs = res.Length.Seconds(), res.Spread, gangReport(day, res.Gangs)
+	o.Length, o.Spread, o.Gangs = res.Length.Seconds(), res.Balance, gangReport(day, res.Gangs)
 	if v.Share != nil {
 		per := 1 / (o.Length * float64(day.Dispatchers))
-		o.Talk = &Talk{Datagrams: float64(res.Talk.Datagrams) * per, Bytes: float64(res.Talk.Bytes) * per}
+		o.Talk = &Talk{Datagrams: float64(res.Traffic.Datagrams) * per, Bytes: float64(res.Traffic.Bytes) * per}
 	}
-	if s.Measure && res.Messages > 0 {
-		o.Decision = float64(res.CPU.Nanoseconds()) / 1e3 / float64(res.Messages)
+	if s.Measure && res.Requests > 0 {
+		o.Decision = float64(res.CPU.Nanoseconds()) / 1e3 / float64(res.Requests)
 	}
-	if opts.Log != nil && !res.Cut {
+	if opts.Log != nil && !res.Interrupted {
 		o.Audit, o.Hosts = opts.Log.Check(), opts.Log.HostLoads()
 	}
 	return o, nil
--- a/internal/lab/experiment/theatre.go
+++ b/internal/lab/experiment/theatre.go
@@ -174,7 +174,7 @@
 	case world.OpPeers, world.OpClients:
 		c.applyLinkFaults(op)
 		return
-	case world.OpLook:
+	case world.OpReadCounters:
 		c.takeSnapshot(op)
 		return
 	}
@@ -182,7 +182,7 @@
 	// twice.
 	c.opLocks[i].Lock()
 	defer c.opLocks[i].Unlock()
-	if op.Kind == world.OpRevive {
+	if op.Kind == world.OpRestartDispatcher {
 		c.restartDispatcher(i)
 		return
 	}
@@ -197,7 +197,7 @@
 	case world.OpKill:
 		c.deadSince[i] = now
 		delete(c.running, i)
-	case world.OpEnd:
+	case world.OpStopDispatcher:
 		c.stopping = append(c.stopping, d)
 		delete(c.running, i)
 	}
@@ -206,7 +206,7 @@
 	case world.OpKill:
 		d.Kill()
 		c.recordExit(i, d, nil)
-	case world.OpEnd:
+	case world.OpStopDispatcher:
 		go func() {
 			err := d.Stop()
 			if errors.Is(err, stage.ErrKilled) {
@@ -297,7 +297,7 @@
 	defer c.mu.Unlock()
 	sum := map[string]float64{}
 	for i, d := range c.running {
-		f, err := d.Figures()
+		f, err := d.Counters()
 		if err != nil {
 			return nil, fmt.Errorf("dispatcher %d: %w", i, err)
 		}
--- a/internal/lab/experiment/write.go
+++ b/internal/lab/experiment/write.go
@@ -74,7 +74,7 @@
 		}
 		if g := p.Gangs; g != nil {
 			fmt.Fprintf(w, "gangs: %d whole, %d broken, %d half and never whole, longest half %.2f s, %d parts doubled; an exchange %.2f ms, a run %.2f s, %.1f racks, %.1f%% of bytes across\n",
-				g.Whole, g.Broken, g.Half, g.LongestHalf, g.Doubled, g.Step, g.Run, g.Spans, 100*g.Crossed)
+				g.Whole, g.Broken, g.PartlyStarted, g.LongestHalf, g.Doubled, g.Step, g.Run, g.Spans, 100*g.Crossed)
 		}
 		if p.Spread != nil {
 			fmt.Fprint(w, "use of the hosts, from their own records:\n", p.Spread)
--- a/internal/lab/model/gang.go
+++ b/internal/lab/model/gang.go
@@ -62,16 +62,16 @@
 
 // GangReport holds the figures of gangs as the hosts observed them.
 type GangReport struct {
-	Whole       int     `json:"whole"`          // gangs of which all parts started
-	Broken      int     `json:"broken"`         // gangs that lost a part after all had started
-	Half        int     `json:"half"`           // gangs of which some parts started, but never all
-	Doubled     int     `json:"doubled"`        // parts started while the same part of the same gang was running
-	LongestHalf float64 `json:"longest_half_s"` // longest time that a gang was partly started, up to its deadline
-	LatestEnd   float64 `json:"latest_end_s"`   // longest delay past the deadline, as the emulation was held up
-	Step        float64 `json:"step_ms"`        // mean time of an exchange, over the gangs that completed
-	Run         float64 `json:"run_s"`          // mean run time of the gangs that completed
-	Crossed     float64 `json:"crossed"`        // share of bytes that left a rack
-	Spans       float64 `json:"racks"`          // mean number of racks that a gang spans
+	Whole         int     `json:"whole"`          // gangs of which all parts started
+	Broken        int     `json:"broken"`         // gangs that lost a part after all had started
+	PartlyStarted int     `json:"half"`           // gangs of which some parts started, but never all
+	Doubled       int     `json:"doubled"`        // parts started while the same part of the same gang was running
+	LongestHalf   float64 `json:"longest_half_s"` // longest time that a gang was partly started, up to its deadline
+	LatestEnd     float64 `json:"latest_end_s"`   // longest delay past the deadline, as the emulation was held up
+	Step          float64 `json:"step_ms"`        // mean time of an exchange, over the gangs that completed
+	Run           float64 `json:"run_s"`          // mean run time of the gangs that completed
+	Crossed       float64 `json:"crossed"`        // share of bytes that left a rack
+	Spans         float64 `json:"racks"`          // mean number of racks that a gang spans
 }
 
 // Fabric is the network over which the parts of gangs exchange data, with all gangs that run at the hosts of a
@@ -138,7 +138,7 @@
 		}
 		if len(g.members) == 0 {
 			if !g.allStarted {
-				f.report.Half++
+				f.report.PartlyStarted++
 			}
 			f.endPartialStart(g)
 			f.gangs = slices.Delete(f.gangs, i, i+1)
@@ -337,8 +337,8 @@
 	return h.notes
 }
 
-// Exchange sets the fabric over which the host's gang parts exchange data.
-func (h *Host) Exchange(f *Fabric) { h.fabric = f }
+// SetFabric sets the fabric over which the host's gang parts exchange data.
+func (h *Host) SetFabric(f *Fabric) { h.fabric = f }
 
 // returnOverdueParts returns the waiting parts that have not started by their deadline; their gang has failed.
 func (h *Host) returnOverdueParts() {
--- a/internal/lab/model/gang_test.go
+++ b/internal/lab/model/gang_test.go
@@ -13,7 +13,7 @@
 	for name, end := range map[string]int64{"in time": by, "held up for 1.46 s": by + 1_460_000} {
 		fabric := NewFabric(Links{Host: 1e9, Rack: 1e9, Zone: 1e9})
 		host := NewHost(plainMachine(), nil, nil, 0, false)
-		host.Exchange(fabric)
+		host.SetFabric(fabric)
 		one := job(1, 500_000)
 		one.Part = &Part{Name: "g", Parts: 2, By: by, Gang: &Gang{Parts: 2, Pattern: pattern.Ring}}
 		host.Offer(200_000, one)
@@ -23,7 +23,7 @@
 		}
 		host.Finish(end, ends[0].Attempt, ends[0].OK)
 		report := fabric.Report()
-		if report.Half != 1 || report.LongestHalf != 0.8 || report.LatestEnd != float64(end-by)/1e6 {
+		if report.PartlyStarted != 1 || report.LongestHalf != 0.8 || report.LatestEnd != float64(end-by)/1e6 {
 			t.Errorf("%s: %+v", name, report)
 		}
 		if next := fabric.Next(); next != Never {
--- a/internal/lab/model/host.go
+++ b/internal/lab/model/host.go
@@ -122,14 +122,14 @@
 	Waited    int     `json:"waited"`       // did not start on arrival
 	Fetched   int     `json:"fetched"`      // needed their data set first
 	Work      float64 `json:"work_us"`      // all work done, in microseconds on a core of speed 1
-	Vain      float64 `json:"vain_work_us"` // of that, for attempts that did not run to their end
+	Wasted    float64 `json:"vain_work_us"` // of that, for attempts that did not run to their end
 }
 
 // Add adds the counts of o.
 func (c *Counts) Add(o Counts) {
 	c.Offered, c.Done, c.Refused, c.Failed = c.Offered+o.Offered, c.Done+o.Done, c.Refused+o.Refused, c.Failed+o.Failed
 	c.Unstarted, c.Stopped, c.Waited, c.Fetched = c.Unstarted+o.Unstarted, c.Stopped+o.Stopped, c.Waited+o.Waited, c.Fetched+o.Fetched
-	c.Work, c.Vain = c.Work+o.Work, c.Vain+o.Vain
+	c.Work, c.Wasted = c.Work+o.Work, c.Wasted+o.Wasted
 }
 
 // coldOffer is work offered to a cold host.
@@ -154,8 +154,8 @@
 	h.updateRate()
 }
 
-// Keep fills the cache with data sets, the most recently used last.
-func (h *Host) Keep(sets []uint64) {
+// FillCache fills the cache with data sets, the most recently used last.
+func (h *Host) FillCache(sets []uint64) {
 	if h.Sets > 0 {
 		h.cachedSets = append(h.cachedSets, sets[max(len(sets)-h.Sets, 0):]...)
 	}
@@ -164,8 +164,8 @@
 // Held returns the number of running and waiting jobs.
 func (h *Host) Held() int { return len(h.running) + len(h.waiting) }
 
-// Falls returns how often the host collapsed.
-func (h *Host) Falls() int { return h.collapses }
+// Collapses returns how often the host collapsed.
+func (h *Host) Collapses() int { return h.collapses }
 
 // Counts returns the counts so far.
 func (h *Host) Counts() Counts { return h.counts }
@@ -393,7 +393,7 @@
 	}
 	if t.started {
 		h.counts.Work += (t.Work - t.workLeft) * t.Slots
-		h.counts.Vain += (t.Work - t.workLeft) * t.Slots
+		h.counts.Wasted += (t.Work - t.workLeft) * t.Slots
 		if t.Part != nil {
 			h.fabric.partEnded(h, t)
 		}
--- a/internal/lab/model/host_test.go
+++ b/internal/lab/model/host_test.go
@@ -114,7 +114,7 @@
 				for i := uint64(1); i < 4; i++ {
 					say(h.Offer(1, job(i, 100)))
 				}
-				if h.Down() || h.Falls() != 0 {
+				if h.Down() || h.Collapses() != 0 {
 					say([]Note{{Kind: Lost}})
 				}
 				say(h.Cancel(150, 0))
@@ -122,7 +122,7 @@
 				for i := uint64(10); i < 20; i++ {
 					say(h.Offer(150, job(i, 100))[:0])
 				}
-				if !h.Down() || h.Falls() != 1 {
+				if !h.Down() || h.Collapses() != 1 {
 					say([]Note{{Kind: Lost, Attempt: 99}})
 				}
 			}, want: []string{"taken 0 @0", "started 0 @0", "taken 1 @1", "started 1 @1", "taken 2 @1", "taken 3 @1", "started 2 @150", "taken 9 @150"}},
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -21,15 +21,15 @@
 	"granitewing/internal/lab/measure"
 )
 
-// Folder is the directory of a report. It is created and tested before a run, since results that can't be written
+// Dir is the directory of a report. It is created and tested before a run, since results that can't be written
 // are lost.
-type Folder struct{ dir string }
+type Dir struct{ dir string }
 
 // requiredSpace is the approximate size of a report in bytes.
 const requiredSpace = 16 << 20
 
 // Open creates a directory and checks that it can be written and has enough free space.
-func Open(dir string) (*Folder, error) {
+func Open(dir string) (*Dir, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("report folder: %w", err)
 	}
@@ -46,11 +46,11 @@
 	if free, ok := freeSpace(dir); ok && free < requiredSpace {
 		return nil, fmt.Errorf("report folder: %s has %d bytes left, a report takes up to %d", dir, free, requiredSpace)
 	}
-	return &Folder{dir}, nil
+	return &Dir{dir}, nil
 }
 
 // Path returns the path of a file in the folder.
-func (f *Folder) Path(name string) string { return filepath.Join(f.dir, name) }
+func (f *Dir) Path(name string) string { return filepath.Join(f.dir, name) }
 
 // pagePlot is a plot in the page.
 type pagePlot struct {
@@ -61,7 +61,7 @@
 }
 
 // Write writes results.json, the plots and index.html.
-func (f *Folder) Write(r *experiment.Results) error {
+func (f *Dir) Write(r *experiment.Results) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 }
 
 // save replaces a file atomically.
-func (f *Folder) save(name string, text []byte) error {
+func (f *Dir) save(name string, text []byte) error {
 	tmp := f.Path("." + name)
 	if err := os.WriteFile(tmp, text, 0o644); err != nil {
 		return errors.Join(err, os.Remove(tmp))
@@ -98,7 +98,7 @@
 	height = 10 * vg.Centimeter
 )
 
-func (f *Folder) draw(p namedPlot) ([]byte, error) {
+func (f *Dir) draw(p namedPlot) ([]byte, error) {
 	var svg []byte
 	for _, format := range []string{"svg", "png"} {
 		h := height
--- a/internal/lab/spread/spread.go
+++ b/internal/lab/spread/spread.go
@@ -80,8 +80,8 @@
 	return w
 }
 
-// Came records an attempt of a dispatcher at host i. Call it before the host gets the attempt.
-func (w *Watch) Came(now int64, i int, m *model.Host, dispatcher int) {
+// RecordAttempt records an attempt of a dispatcher at host i. Call it before the host gets the attempt.
+func (w *Watch) RecordAttempt(now int64, i int, m *model.Host, dispatcher int) {
 	h := &w.hosts[i]
 	w.attempts++
 	h.attempts++
@@ -114,8 +114,8 @@
 	}
 }
 
-// Look records the state of host i after a change. up reports whether the host is reachable and accepts new jobs.
-func (w *Watch) Look(now int64, i int, m *model.Host, up bool) {
+// RecordState records the state of host i after a change. up reports whether the host is reachable and accepts new jobs.
+func (w *Watch) RecordState(now int64, i int, m *model.Host, up bool) {
 	w.elapse(now)
 	h := &w.hosts[i]
 	for k := range 2 {
@@ -192,7 +192,7 @@
 	r.Busiest = ratio(top, sum)
 	c := &r.Counts
 	r.FetchShare = ratio(float64(c.Fetched), float64(c.Offered-c.Refused-c.Unstarted))
-	r.VainShare = ratio(c.Vain, c.Work)
+	r.VainShare = ratio(c.Wasted, c.Work)
 	return r
 }
 
--- a/internal/lab/spread/spread_test.go
+++ b/internal/lab/spread/spread_test.go
@@ -29,12 +29,12 @@
 	return f
 }
 
-func (f *fixture) look(now int64, i int, up bool) { f.watch.Look(now, i, f.hosts[i], up) }
+func (f *fixture) look(now int64, i int, up bool) { f.watch.RecordState(now, i, f.hosts[i], up) }
 
 // offer gives host i a job from a dispatcher and returns the identifier of the attempt.
 func (f *fixture) offer(now int64, i, dispatcher int, work, slots float64) uint64 {
 	f.id++
-	f.watch.Came(now, i, f.hosts[i], dispatcher)
+	f.watch.RecordAttempt(now, i, f.hosts[i], dispatcher)
 	f.hosts[i].Offer(now, model.Job{Attempt: f.id, Work: work, Slots: slots})
 	f.look(now, i, true)
 	return f.id
@@ -133,7 +133,7 @@
 	f.hosts[0].Cancel(600, running)
 	f.look(600, 0, true)
 	got := f.watch.Report(1000).Counts
-	want := model.Counts{Offered: 4, Done: 1, Refused: 1, Unstarted: 1, Stopped: 1, Waited: 2, Work: 600, Vain: 500}
+	want := model.Counts{Offered: 4, Done: 1, Refused: 1, Unstarted: 1, Stopped: 1, Waited: 2, Work: 600, Wasted: 500}
 	if got != want {
 		t.Errorf("counts\n%+v, want\n%+v", got, want)
 	}
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -231,9 +231,9 @@
 // adminTimeout is the timeout of a call of the admin endpoint; the dispatcher answers within 1 s.
 const adminTimeout = 2 * time.Second
 
-// Figures reads the dispatcher's counters from its admin endpoint. They are keyed by name with labels, for example
+// Counters reads the dispatcher's counters from its admin endpoint. They are keyed by name with labels, for example
 // `router_success_total{type="alert"}`. A build without an admin endpoint has none, which is no error.
-func (d *Dispatcher) Figures() (map[string]float64, error) {
+func (d *Dispatcher) Counters() (map[string]float64, error) {
 	text, err := d.Call("counters")
 	if err != nil || text == "" {
 		return nil, err
--- a/internal/lab/virtual/alike.go
+++ b/internal/lab/virtual/alike.go
@@ -6,13 +6,13 @@
 	"granitewing/internal/lab/world"
 )
 
-// Alike counts how often two dispatchers give the same verdict on similar jobs. Two jobs are similar if they have the
+// VerdictAgreement counts how often two dispatchers give the same verdict on similar jobs. Two jobs are similar if they have the
 // same class and number of slots, their hints differ by less than a tenth, and they reach different dispatchers within
 // 100 ms of each other. Pass its Judge method as Options.Judged.
-type Alike struct {
-	Pairs, Same    int // pairs of similar jobs, and those of them with the same verdict
-	Tries, Refused int // first requests of jobs, and those that were refused at once
-	recent         []firstRequest
+type VerdictAgreement struct {
+	Pairs, Agreed     int // pairs of similar jobs, and those of them with the same verdict
+	Requests, Refused int // first requests of jobs, and those that were refused at once
+	recent            []firstRequest
 }
 
 type firstRequest struct {
@@ -25,9 +25,9 @@
 // similarityWindow is the longest time between two similar jobs, in microseconds.
 const similarityWindow = 100_000
 
-// Judge records the verdict on the first request of a job. at is in microseconds and must not decrease between calls.
-func (a *Alike) Judge(at int64, dispatcher int, j *world.Job, refused bool) {
-	if a.Tries++; refused {
+// Record records the verdict on the first request of a job. at is in microseconds and must not decrease between calls.
+func (a *VerdictAgreement) Record(at int64, dispatcher int, j *world.Job, refused bool) {
+	if a.Requests++; refused {
 		a.Refused++
 	}
 	for len(a.recent) > 0 && at-a.recent[0].arrived > similarityWindow {
@@ -36,7 +36,7 @@
 	for _, o := range a.recent {
 		if o.dispatcher != dispatcher && o.Class == j.Class && o.Slots == j.Slots && math.Abs(math.Log(float64(o.Hint)/float64(j.Hint))) < 0.1 {
 			if a.Pairs++; o.refused == refused {
-				a.Same++
+				a.Agreed++
 			}
 		}
 	}
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/virtual/clients.go
@@ -96,8 +96,8 @@
 			req.id = id
 			return out
 		})
-		if sim.options.Judged != nil && !repeated {
-			sim.options.Judged(sim.now, d.number, j.Job, slices.ContainsFunc(cmds, func(c memory.Command) bool { return c.Kind == memory.Answer && c.Verdict == memory.Refused }))
+		if sim.options.OnVerdict != nil && !repeated {
+			sim.options.OnVerdict(sim.now, d.number, j.Job, slices.ContainsFunc(cmds, func(c memory.Command) bool { return c.Kind == memory.Answer && c.Verdict == memory.Refused }))
 		}
 		d.requests[req.id] = req
 		d.execute(cmds)
--- a/internal/lab/virtual/dispatcher.go
+++ b/internal/lab/virtual/dispatcher.go
@@ -173,7 +173,7 @@
 		}
 		hosts = append(hosts, h)
 		if sim.options.Log != nil {
-			sim.options.Log.Told(sim.now, d.number, m.ID, m.Phase == model.Ready)
+			sim.options.Log.StateSent(sim.now, d.number, m.ID, m.Phase == model.Ready)
 		}
 	}
 	how := logic.ListDelta
--- a/internal/lab/virtual/hosts.go
+++ b/internal/lab/virtual/hosts.go
@@ -24,8 +24,8 @@
 		}
 		h := &host{sim: sim, number: i, model: model.NewHost(m, cells[m.Cell], store, 0, false), nextEventAt: model.Never, up: i < sim.day.Fleet.Hosts,
 			attempts: map[uint64]*attempt{}}
-		h.model.Keep(sim.day.Kept[i])
-		h.model.Exchange(sim.fabric)
+		h.model.FillCache(sim.day.CachedSets[i])
+		h.model.SetFabric(sim.fabric)
 		sim.hosts = append(sim.hosts, h)
 		sim.hostsByName[m.Name] = h
 		h.recordUsage()
@@ -41,7 +41,7 @@
 
 // recordUsage records the host's current state in the usage statistics of the fleet.
 func (h *host) recordUsage() {
-	h.sim.usage.Look(h.sim.now, h.number, h.model, h.up && !h.unreachable && !h.refusesConnections)
+	h.sim.usage.RecordState(h.sim.now, h.number, h.model, h.up && !h.unreachable && !h.refusesConnections)
 }
 
 // deliverNotes delivers a host's notes to the dispatchers and schedules the host's next event.
@@ -94,7 +94,7 @@
 	case model.Done, model.Repeat:
 		end(audit.Done, logic.Served, a.request.name+" done by "+h.model.Name)
 	case model.Full, model.Returned:
-		end(audit.Unstarted, logic.Refused, "")
+		end(audit.NeverRan, logic.Refused, "")
 	case model.Failed:
 		end(audit.Failed, logic.Failed, "")
 	case model.Lost:
@@ -150,9 +150,9 @@
 	switch {
 	case sim.options.Log == nil:
 	case part != nil:
-		a.auditHandle = sim.options.Log.CamePart(sim.now-sim.networkDelay(a.dispatcher, h), sim.now, req.name, h.model.Name, h.model.Cell, a.dispatcher.number, part.Rank, part.Parts)
+		a.auditHandle = sim.options.Log.AttemptPartArrived(sim.now-sim.networkDelay(a.dispatcher, h), sim.now, req.name, h.model.Name, h.model.Cell, a.dispatcher.number, part.Rank, part.Parts)
 	default:
-		a.auditHandle = sim.options.Log.Came(sim.now-sim.networkDelay(a.dispatcher, h), sim.now, req.name, h.model.Name, h.model.Cell, a.dispatcher.number)
+		a.auditHandle = sim.options.Log.AttemptArrived(sim.now-sim.networkDelay(a.dispatcher, h), sim.now, req.name, h.model.Name, h.model.Cell, a.dispatcher.number)
 	}
 	if h.resetsConnections {
 		if sim.options.Log != nil {
@@ -166,11 +166,11 @@
 	a.hostAttempt = id
 	h.attempts[id] = a
 	j := req.job
-	sim.usage.Came(sim.now, h.number, h.model, a.dispatcher.number)
+	sim.usage.RecordAttempt(sim.now, h.number, h.model, a.dispatcher.number)
 	notes := h.model.Offer(sim.now, model.Job{Attempt: id, Key: j.key, Work: float64(j.Work.Microseconds()), Slots: j.Slots, Memory: j.Memory, Set: uint64(j.Set), Part: part})
 	if h.model.Down() {
 		if sim.options.Log != nil {
-			sim.options.Log.Fell(sim.now, h.model.Name)
+			sim.options.Log.HostOverrun(sim.now, h.model.Name)
 		}
 		sim.scheduleListChange(h, model.Gone, sim.day.Discovery.Lag.Hi.Microseconds())
 		h.closeConnections()
@@ -292,7 +292,7 @@
 				})
 			}
 		}
-	case world.OpPart:
+	case world.OpPartition:
 		a, b := min(op.Host, op.Other), max(op.Host, op.Other)
 		if op.On {
 			sim.partitions[[2]int{a, b}] = true
@@ -316,7 +316,7 @@
 		d.draining, d.drainingSince = op.On, sim.now
 	case world.OpKill:
 		sim.dispatchers[op.Host].kill()
-	case world.OpRevive:
+	case world.OpRestartDispatcher:
 		sim.dispatchers[op.Host].restart()
 	}
 	// Virtual time has no store of record, so its faults have no effect here.
--- a/internal/lab/virtual/sharing.go
+++ b/internal/lab/virtual/sharing.go
@@ -82,8 +82,8 @@
 	return out
 }
 
-// Talk is the traffic between dispatchers: reports and slot messages.
-type Talk struct{ Datagrams, Bytes int }
+// Traffic is the traffic between dispatchers: reports and slot messages.
+type Traffic struct{ Datagrams, Bytes int }
 
 // newLedger creates the ledger of a dispatcher's new process.
 func (d *dispatcher) newLedger() {
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -43,23 +43,23 @@
 	// Progress gets the numbers of jobs that have arrived, that have completed and that the day has; may be nil.
 	Progress func(sent, done, total int)
 
-	// Judged gets each first request of a job that reaches a dispatcher, and whether it was refused at once; may be
+	// OnVerdict gets each first request of a job that reaches a dispatcher, and whether it was refused at once; may be
 	// nil.
-	Judged func(at int64, dispatcher int, j *world.Job, refused bool)
+	OnVerdict func(at int64, dispatcher int, j *world.Job, refused bool)
 }
 
 // Result is the outcome of a run.
 type Result struct {
-	Recorder *measure.Recorder
-	Messages int           // client requests that reached a dispatcher
-	Reached  [][]int       // the same by dispatcher and second
-	CPU      time.Duration // of all calls of the cores, if measured
-	Heap     int64         // bytes of one dispatcher, if measured
-	Length   time.Duration // of virtual time
-	Spread   *spread.Report
-	Talk     Talk
-	Gangs    *model.GangReport
-	Cut      bool // the context ended before the run did
+	Recorder          *measure.Recorder
+	Requests          int           // client requests that reached a dispatcher
+	RequestsPerSecond [][]int       // the same by dispatcher and second
+	CPU               time.Duration // of all calls of the cores, if measured
+	Heap              int64         // bytes of one dispatcher, if measured
+	Length            time.Duration // of virtual time
+	Balance           *spread.Report
+	Traffic           Traffic
+	Gangs             *model.GangReport
+	Interrupted       bool // the context ended before the run did
 }
 
 // event is a scheduled call.
@@ -119,7 +119,7 @@
 	requestsReceived  int
 	receivedPerSecond [][]int // requests that reached each dispatcher, by second
 	dispatchersByName map[string]*dispatcher
-	traffic           Talk
+	traffic           Traffic
 }
 
 // host is a modelled host with its connections.
@@ -196,7 +196,7 @@
 	for n := 0; len(sim.queue) > 0; n++ {
 		if n&0xfff == 0 {
 			if ctx.Err() != nil {
-				res.Cut = true
+				res.Interrupted = true
 				break
 			}
 			if o.Progress != nil {
@@ -213,8 +213,8 @@
 		sim.now = e.at
 		e.do()
 	}
-	res.Messages, res.Reached, res.CPU, res.Length = sim.requestsReceived, sim.receivedPerSecond, sim.coreCPU, time.Duration(sim.now)*time.Microsecond
-	res.Spread, res.Talk, res.Gangs = sim.usage.Report(sim.now), sim.traffic, sim.fabric.Report()
+	res.Requests, res.RequestsPerSecond, res.CPU, res.Length = sim.requestsReceived, sim.receivedPerSecond, sim.coreCPU, time.Duration(sim.now)*time.Microsecond
+	res.Balance, res.Traffic, res.Gangs = sim.usage.Report(sim.now), sim.traffic, sim.fabric.Report()
 	if o.Measure {
 		res.Heap = sim.heapPerDispatcher()
 	}
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -55,7 +55,7 @@
 		classes = append(classes, audit.Class{Name: c.Name, Repeat: c.Repeat, Window: c.Window.Microseconds()})
 	}
 	log := audit.New(classes)
-	res, err := Run(context.Background(), day, Options{Variant: v, Seed: seed, Log: log, Judged: onVerdict})
+	res, err := Run(context.Background(), day, Options{Variant: v, Seed: seed, Log: log, OnVerdict: onVerdict})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 		if rep.Broken() > 0 {
 			t.Errorf("seed %d:\n%s", seed, rep)
 		}
-		got := res.Reached[1]
+		got := res.RequestsPerSecond[1]
 		sum := func(from, to int) (n int) {
 			for s := from; s < min(to, len(got)); s++ {
 				n += got[s]
@@ -227,7 +227,7 @@
 		b, err := json.Marshal(struct {
 			Rows   any
 			Spread any
-		}{rows, res.Spread})
+		}{rows, res.Balance})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -270,16 +270,16 @@
 		}
 	}
 	_, without, failed := run(49, 7, "", 0.3)
-	var alike Alike
-	onVerdict = alike.Judge
+	var alike VerdictAgreement
+	onVerdict = alike.Record
 	_, with, less := run(49, 7, "on", 0.3)
 	onVerdict = nil
 	t.Logf("service %.3f with %d alerts failed, without a price %.3f with %d; %d of %d first requests refused, %d of %d pairs with the same verdict",
-		with, less, without, failed, alike.Refused, alike.Tries, alike.Same, alike.Pairs)
+		with, less, without, failed, alike.Refused, alike.Requests, alike.Agreed, alike.Pairs)
 	if 3*less > failed { // the effect on the service is visible only in larger fleets
 		t.Errorf("%d alerts failed with a price, %d without", less, failed)
 	}
-	if alike.Refused < 30 || alike.Pairs < 25 || alike.Same*100 < alike.Pairs*85 {
-		t.Errorf("%d of %d pairs of similar jobs got the same verdict, %d first requests were refused", alike.Same, alike.Pairs, alike.Refused)
+	if alike.Refused < 30 || alike.Pairs < 25 || alike.Agreed*100 < alike.Pairs*85 {
+		t.Errorf("%d of %d pairs of similar jobs got the same verdict, %d first requests were refused", alike.Agreed, alike.Pairs, alike.Refused)
 	}
 }
--- a/internal/lab/world/config.go
+++ b/internal/lab/world/config.go
@@ -62,8 +62,8 @@
 	for _, k := range d.Fleet.Kinds {
 		kinds = append(kinds, k.Name)
 	}
-	retryAfter := d.Clients.Longest.Microseconds()
-	if d.Clients.Follow == 0 {
+	retryAfter := d.Clients.LongestRetryAfter.Microseconds()
+	if d.Clients.FollowRetryAfter == 0 {
 		retryAfter = 0
 	}
 	settings := map[string]any{
--- a/internal/lab/world/day.go
+++ b/internal/lab/world/day.go
@@ -17,13 +17,13 @@
 // Day is one day of a deployment, drawn from a seed. The same seed gives the same day for every variant.
 type Day struct {
 	*Spec
-	Machines []model.Machine // all hosts, including those that join later
-	Kept     [][]uint64      // data sets that the initial hosts have cached at the start, by host
-	Delays   []Delay         // one way, indexed by zone*len(Zones)+zone
-	Ops      []Op            // sorted by time
-	Jobs     []Job           // sorted by arrival
-	Notes    []string        // remarks for the reader of a report, such as the gaps of a trace
-	End      time.Duration   // of the arrivals, from the start of the day
+	Machines   []model.Machine // all hosts, including those that join later
+	CachedSets [][]uint64      // data sets that the initial hosts have cached at the start, by host
+	Delays     []Delay         // one way, indexed by zone*len(Zones)+zone
+	Ops        []Op            // sorted by time
+	Jobs       []Job           // sorted by arrival
+	Notes      []string        // remarks for the reader of a report, such as the gaps of a trace
+	End        time.Duration   // of the arrivals, from the start of the day
 }
 
 // Delay is a network delay.
@@ -47,34 +47,34 @@
 // The kinds of operations. A driver executes them: package emulate or package virtual. "On" marks kinds that begin with
 // Op.On set and end with it clear.
 const (
-	OpSlow    OpKind = iota // Host runs slower by Factor; 1 = its normal speed again
-	OpDrain                 // Host starts to drain
-	OpStop                  // Host's process ends after its drain
-	OpCrash                 // Host's process is killed
-	OpRestart               // Host's process starts again
-	OpVanish                // Host is unreachable, On
-	OpReset                 // Host resets each connection at its next request, On
-	OpErrors                // Host answers each new job with an error, On
-	OpRefuse                // Host refuses new connections, On
-	OpStart                 // Host joins and has to warm up
-	OpStale                 // discovery publishes no changes, On
-	OpDown                  // discovery is down, On
-	OpSilent                // discovery does not answer, On
-	OpPart                  // zones Host and Other can't reach each other, On
-	OpLink                  // the fault Link is on the links between Dispatchers and Hosts or discovery, On
-	OpKill                  // dispatcher Host is killed
-	OpRevive                // dispatcher Host starts again
+	OpSlow              OpKind = iota // Host runs slower by Factor; 1 = its normal speed again
+	OpDrain                           // Host starts to drain
+	OpStop                            // Host's process ends after its drain
+	OpCrash                           // Host's process is killed
+	OpRestart                         // Host's process starts again
+	OpVanish                          // Host is unreachable, On
+	OpReset                           // Host resets each connection at its next request, On
+	OpErrors                          // Host answers each new job with an error, On
+	OpRefuse                          // Host refuses new connections, On
+	OpStart                           // Host joins and has to warm up
+	OpStale                           // discovery publishes no changes, On
+	OpDown                            // discovery is down, On
+	OpSilent                          // discovery does not answer, On
+	OpPartition                       // zones Host and Other can't reach each other, On
+	OpLink                            // the fault Link is on the links between Dispatchers and Hosts or discovery, On
+	OpKill                            // dispatcher Host is killed
+	OpRestartDispatcher               // dispatcher Host starts again
 
-	OpStoreSilent // the stand-in PostgreSQL server does not answer, On
-	OpStoreSlow   // the stand-in PostgreSQL server delays its answers by Lag, On
-	OpStoreResets // the connections of the next Host commits are reset, half of them after the commit was executed
-	OpCordon      // Host is cordoned by an operator at every dispatcher, On
-	OpQuiesce     // dispatcher Host is drained by an operator, On
-	OpPause       // dispatcher Host's process is stopped by SIGSTOP, On
-	OpPeers       // the fault Link is on the links of Dispatchers with Others, On
-	OpClients     // the fault Link is on the links of clients with Dispatchers, On
-	OpLook        // the counters of all dispatchers are read from their admin endpoints
-	OpEnd         // dispatcher Host gets SIGTERM; OpRevive starts another of its name, whether it has ended or not
+	OpStoreSilent    // the stand-in PostgreSQL server does not answer, On
+	OpStoreSlow      // the stand-in PostgreSQL server delays its answers by Lag, On
+	OpStoreResets    // the connections of the next Host commits are reset, half of them after the commit was executed
+	OpCordon         // Host is cordoned by an operator at every dispatcher, On
+	OpQuiesce        // dispatcher Host is drained by an operator, On
+	OpPause          // dispatcher Host's process is stopped by SIGSTOP, On
+	OpPeers          // the fault Link is on the links of Dispatchers with Others, On
+	OpClients        // the fault Link is on the links of clients with Dispatchers, On
+	OpReadCounters   // the counters of all dispatchers are read from their admin endpoints
+	OpStopDispatcher // dispatcher Host gets SIGTERM; OpRevive starts another of its name, whether it has ended or not
 )
 
 // Op is one operation on the deployment. OpKind says which fields its kind uses.
@@ -96,13 +96,13 @@
 
 // LinkFault is a fault of a network link.
 type LinkFault struct {
-	Way       string        // both, to, from
-	Manner    string        // silent, reset, half, late
-	Discovery bool          // the links are those to discovery
-	Delay     time.Duration // of a late link
-	Spread    time.Duration // jitter of datagrams on a late link
-	Loss      float64       // share of datagrams lost on a late link
-	Twice     float64       // share of datagrams duplicated on a late link
+	Direction  string        // both, to, from
+	Manner     string        // silent, reset, half, late
+	Discovery  bool          // the links are those to discovery
+	Delay      time.Duration // of a late link
+	Jitter     time.Duration // jitter of datagrams on a late link
+	Loss       float64       // share of datagrams lost on a late link
+	Duplicated float64       // share of datagrams duplicated on a late link
 }
 
 // Draw draws a day from a seed. It returns an error if a recorded trace can't be read or does not fit the deployment.
@@ -133,7 +133,7 @@
 		for b := a; b < n; b++ {
 			s := d.Delay
 			if a == b {
-				s = d.Near
+				s = d.DelayWithinZone
 			}
 			v := Delay(uniform(rng, float64(s.Lo), float64(s.Hi)))
 			d.Delays[a*n+b], d.Delays[b*n+a] = v, v
@@ -180,15 +180,15 @@
 // drawCachedSets fills the hosts' caches with data sets as after a long time of operation. With empty caches a day
 // would begin with a burst of fetches that none of its failures has caused.
 func (d *Day) drawCachedSets(rng *rand.Rand) {
-	d.Kept = make([][]uint64, len(d.Machines))
+	d.CachedSets = make([][]uint64, len(d.Machines))
 	if d.Sets.Count == 0 || d.Sets.Kept == 0 {
 		return
 	}
 	zipf := arrive.NewZipf(d.Sets.Count, d.Sets.Zipf)
 	for i := range d.Fleet.Hosts {
-		for tries := 0; len(d.Kept[i]) < min(d.Sets.Kept, d.Sets.Count) && tries < 1000; tries++ {
-			if set := uint64(zipf.Draw(rng)); !slices.Contains(d.Kept[i], set) {
-				d.Kept[i] = append(d.Kept[i], set)
+		for tries := 0; len(d.CachedSets[i]) < min(d.Sets.Kept, d.Sets.Count) && tries < 1000; tries++ {
+			if set := uint64(zipf.Draw(rng)); !slices.Contains(d.CachedSets[i], set) {
+				d.CachedSets[i] = append(d.CachedSets[i], set)
 			}
 		}
 	}
@@ -348,9 +348,9 @@
 	case "partition":
 		a, b := slices.Index(d.Zones, f.Zones[0]), slices.Index(d.Zones, f.Zones[1])
 		label := fmt.Sprintf("%s and %s parted", f.Zones[0], f.Zones[1])
-		add(Op{At: f.At, Kind: OpPart, Host: a, Other: b, On: true, Label: label})
+		add(Op{At: f.At, Kind: OpPartition, Host: a, Other: b, On: true, Label: label})
 		if f.For > 0 {
-			add(Op{At: f.At + f.For, Kind: OpPart, Host: a, Other: b, Label: label + " no more"})
+			add(Op{At: f.At + f.For, Kind: OpPartition, Host: a, Other: b, Label: label + " no more"})
 		}
 	case "store-silent":
 		between(OpStoreSilent, 0, "store silent")
@@ -368,23 +368,23 @@
 		switch {
 		case f.Peers != "":
 			kind = OpPeers
-		case f.Client:
+		case f.ToClients:
 			kind = OpClients
 		default:
 			hosts = d.affectedHosts(f, rng, present)
 		}
-		if len(hosts) == 0 && !f.Source && kind == OpLink {
+		if len(hosts) == 0 && !f.ToDiscovery && kind == OpLink {
 			for i := range d.Machines {
 				hosts = append(hosts, i)
 			}
 		}
 		op := Op{At: f.At, Kind: kind, On: true, Dispatchers: of, Hosts: hosts,
-			Link: &LinkFault{Way: f.Way, Manner: f.Manner, Discovery: f.Source, Delay: f.Delay, Spread: f.Spread, Loss: f.Loss, Twice: f.Twice}}
+			Link: &LinkFault{Direction: f.Way, Manner: f.Manner, Discovery: f.ToDiscovery, Delay: f.Delay, Jitter: f.Spread, Loss: f.Loss, Duplicated: f.Duplicated}}
 		where := fmt.Sprintf("%d hosts", len(hosts))
 		switch {
-		case f.Source:
+		case f.ToDiscovery:
 			where = "discovery"
-		case f.Client:
+		case f.ToClients:
 			where = "clients"
 		case f.Peers != "":
 			for i := range d.Dispatchers {
@@ -401,7 +401,7 @@
 			add(op)
 		}
 	case "look":
-		add(Op{At: f.At, Kind: OpLook, Label: "the doors are asked"})
+		add(Op{At: f.At, Kind: OpReadCounters, Label: "the doors are asked"})
 	case "quiesce-dispatcher", "pause-dispatcher", "kill-dispatcher", "restart-dispatcher":
 		what := map[string]struct {
 			begin, end   OpKind
@@ -409,8 +409,8 @@
 		}{
 			"quiesce-dispatcher": {OpQuiesce, OpQuiesce, "drained", "drained no more"},
 			"pause-dispatcher":   {OpPause, OpPause, "stopped", "goes on"},
-			"kill-dispatcher":    {OpKill, OpRevive, "killed", "back"},
-			"restart-dispatcher": {OpEnd, OpRevive, "told to end", "started anew"},
+			"kill-dispatcher":    {OpKill, OpRestartDispatcher, "killed", "back"},
+			"restart-dispatcher": {OpStopDispatcher, OpRestartDispatcher, "told to end", "started anew"},
 		}[f.Kind]
 		for _, i := range d.affectedDispatchers(f, rng) {
 			add(Op{At: f.At, Kind: what.begin, Host: i, On: what.begin == what.end, Label: fmt.Sprintf("dispatcher %d %s", i, what.name)})
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -13,28 +13,28 @@
 // Fault is a failure that begins at a set time. Kind is its name in the experiment file; which other fields it uses
 // depends on the kind.
 type Fault struct {
-	Kind   string        `sexp:",head"`
-	At     time.Duration `sexp:"at,required" min:"0"`                    // from the start of the day
-	For    time.Duration `sexp:"for" min:"0"`                            // 0: it never ends
-	Hosts  []string      `sexp:"hosts"`                                  // the affected hosts by name; or
-	Zone   string        `sexp:"zone"`                                   // all hosts of a zone; or
-	Share  float64       `sexp:"share" min:"0" max:"1"`                  // a random share of the hosts; or
-	Count  int           `sexp:"count" min:"0"`                          // number of random hosts, or that join or leave
-	Factor float64       `sexp:"factor" min:"1"`                         // by which a slow host is slower
-	Grace  time.Duration `sexp:"grace" min:"0"`                          // from a drain to the end of the process
-	Zones  []string      `sexp:"zones"`                                  // the two sides of a partition
-	Number int           `sexp:"dispatcher" min:"0"`                     // the affected dispatcher; or
-	Of     *Dispatchers  `sexp:"of"`                                     // several dispatchers, in place of dispatcher
-	Way    string        `sexp:"way" one-of:"both|to|from"`              // direction: to or from the other side, or both
-	Manner string        `sexp:"manner" one-of:"silent|reset|half|late"` // what happens to a link
-	Source bool          `sexp:"discovery"`                              // the links are those to discovery
-	Peers  string        `sexp:"peers" one-of:"others|all"`              // links to unnamed dispatchers, or to all
-	Client bool          `sexp:"clients"`                                // the links are those to clients
-	Delay  time.Duration `sexp:"delay" min:"0"`                          // of a slow store's answers, or of a late link
-	Spread time.Duration `sexp:"spread" min:"0"`                         // jitter of datagrams on a late link; reorders them
-	Loss   float64       `sexp:"loss" min:"0" max:"1"`                   // share of datagrams lost on a late link
-	Twice  float64       `sexp:"twice" min:"0" max:"1"`                  // share of datagrams duplicated on a late link
-	Where  settings.Pos  `sexp:",pos"`
+	Kind        string        `sexp:",head"`
+	At          time.Duration `sexp:"at,required" min:"0"`                    // from the start of the day
+	For         time.Duration `sexp:"for" min:"0"`                            // 0: it never ends
+	Hosts       []string      `sexp:"hosts"`                                  // the affected hosts by name; or
+	Zone        string        `sexp:"zone"`                                   // all hosts of a zone; or
+	Share       float64       `sexp:"share" min:"0" max:"1"`                  // a random share of the hosts; or
+	Count       int           `sexp:"count" min:"0"`                          // number of random hosts, or that join or leave
+	Factor      float64       `sexp:"factor" min:"1"`                         // by which a slow host is slower
+	Grace       time.Duration `sexp:"grace" min:"0"`                          // from a drain to the end of the process
+	Zones       []string      `sexp:"zones"`                                  // the two sides of a partition
+	Number      int           `sexp:"dispatcher" min:"0"`                     // the affected dispatcher; or
+	Of          *Dispatchers  `sexp:"of"`                                     // several dispatchers, in place of dispatcher
+	Way         string        `sexp:"way" one-of:"both|to|from"`              // direction: to or from the other side, or both
+	Manner      string        `sexp:"manner" one-of:"silent|reset|half|late"` // what happens to a link
+	ToDiscovery bool          `sexp:"discovery"`                              // the links are those to discovery
+	Peers       string        `sexp:"peers" one-of:"others|all"`              // links to unnamed dispatchers, or to all
+	ToClients   bool          `sexp:"clients"`                                // the links are those to clients
+	Delay       time.Duration `sexp:"delay" min:"0"`                          // of a slow store's answers, or of a late link
+	Spread      time.Duration `sexp:"spread" min:"0"`                         // jitter of datagrams on a late link; reorders them
+	Loss        float64       `sexp:"loss" min:"0" max:"1"`                   // share of datagrams lost on a late link
+	Duplicated  float64       `sexp:"twice" min:"0" max:"1"`                  // share of datagrams duplicated on a late link
+	Where       settings.Pos  `sexp:",pos"`
 }
 
 // SetDefaults implements settings.Defaulter.
@@ -97,13 +97,13 @@
 			case f.Kind == "pause-dispatcher" && f.For <= 0, f.Kind == "restart-dispatcher" && f.For <= 0:
 				return errorAt("for", "wants a time above 0, or the dispatcher would never resume")
 			case f.Kind != "link":
-			case f.Manner == "late" && f.Delay <= 0 && f.Spread <= 0 && f.Loss <= 0 && f.Twice <= 0:
+			case f.Manner == "late" && f.Delay <= 0 && f.Spread <= 0 && f.Loss <= 0 && f.Duplicated <= 0:
 				return errorAt("delay", "wants a delay, spread, loss or twice above 0")
-			case f.Manner != "late" && (f.Spread > 0 || f.Loss > 0 || f.Twice > 0):
+			case f.Manner != "late" && (f.Spread > 0 || f.Loss > 0 || f.Duplicated > 0):
 				return errorAt("manner", "spread, loss and twice are supported only for links with the manner late")
-			case f.Peers == "" && (f.Spread > 0 || f.Loss > 0 || f.Twice > 0):
+			case f.Peers == "" && (f.Spread > 0 || f.Loss > 0 || f.Duplicated > 0):
 				return errorAt("peers", "spread, loss and twice are supported only for datagrams, which only dispatchers send, to their peers")
-			case (f.Source && f.Client) || f.Peers != "" && (f.Source || f.Client):
+			case (f.ToDiscovery && f.ToClients) || f.Peers != "" && (f.ToDiscovery || f.ToClients):
 				return errorAt("peers", "a link is with peers, clients, discovery or hosts; name one")
 			}
 		case "look":
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -17,36 +17,36 @@
 
 // Spec is an experiment file: a deployment, its load and failures, and the variants to compare.
 type Spec struct {
-	Name        string                 `sexp:",arg,required"`
-	About       string                 `sexp:"about"`
-	Seed        uint64                 `sexp:"seed"`
-	Pairs       int                    `sexp:"pairs" min:"1" max:"1000"`
-	Length      time.Duration          `sexp:"length" min:"0.1"` // how long jobs arrive if no programme is given
-	Zones       []string               `sexp:"zones"`
-	Delay       settings.DurationRange `sexp:"zone-delay" min:"0"` // one way between zones
-	Near        settings.DurationRange `sexp:"near-delay" min:"0"` // one way within a zone, in virtual time
-	Dispatchers int                    `sexp:"dispatchers" min:"1" max:"1000"`
-	Descriptors int                    `sexp:"descriptors" min:"64" max:"1048576"`
-	Memory      settings.Size          `sexp:"memory"`
-	Cores       float64                `sexp:"cores" min:"0.05"`
-	Fleet       Fleet                  `sexp:"fleet"`
-	Sets        DataSets               `sexp:"data-sets"`
-	Classes     []Class                `sexp:"class"`
-	Load        Load                   `sexp:"load"`
-	Clients     client.Behaviour       `sexp:"clients"`
-	Discovery   Discovery              `sexp:"discovery"`
-	Faults      []Fault                `sexp:"slow|drain|crash|restart|vanish|reset|errors|refuse|stale|discovery-down|discovery-silent|grow|shrink|partition|kill-dispatcher|churn|store-silent|store-slow|store-resets|cordon|quiesce-dispatcher|pause-dispatcher|restart-dispatcher|link|look"`
-	Chances     []Chance               `sexp:"chance"`
-	Generator   Generator              `sexp:"generator"`
-	Variants    []Variant              `sexp:"variant"`
-	// Own holds the dispatchers' own settings, in which {dir} and {name} are replaced. They are kept over restarts.
-	Own      string       `sexp:"settings"`
-	Postgres bool         `sexp:"postgres"`      // start a stand-in server, whose URL replaces {postgres}
-	Records  bool         `sexp:"audit-records"` // the dispatchers keep a record store, which is audited
-	Virtual  bool         `sexp:"virtual"`
-	Margin   float64      `sexp:"margin" min:"0" max:"1"` // a smaller difference of service counts as none
-	Sweep    *Sweep       `sexp:"sweep"`
-	Where    settings.Pos `sexp:",pos"`
+	Name            string                 `sexp:",arg,required"`
+	About           string                 `sexp:"about"`
+	Seed            uint64                 `sexp:"seed"`
+	Pairs           int                    `sexp:"pairs" min:"1" max:"1000"`
+	Length          time.Duration          `sexp:"length" min:"0.1"` // how long jobs arrive if no programme is given
+	Zones           []string               `sexp:"zones"`
+	Delay           settings.DurationRange `sexp:"zone-delay" min:"0"` // one way between zones
+	DelayWithinZone settings.DurationRange `sexp:"near-delay" min:"0"` // one way within a zone, in virtual time
+	Dispatchers     int                    `sexp:"dispatchers" min:"1" max:"1000"`
+	Descriptors     int                    `sexp:"descriptors" min:"64" max:"1048576"`
+	Memory          settings.Size          `sexp:"memory"`
+	Cores           float64                `sexp:"cores" min:"0.05"`
+	Fleet           Fleet                  `sexp:"fleet"`
+	Sets            DataSets               `sexp:"data-sets"`
+	Classes         []Class                `sexp:"class"`
+	Load            Load                   `sexp:"load"`
+	Clients         client.Behaviour       `sexp:"clients"`
+	Discovery       Discovery              `sexp:"discovery"`
+	Faults          []Fault                `sexp:"slow|drain|crash|restart|vanish|reset|errors|refuse|stale|discovery-down|discovery-silent|grow|shrink|partition|kill-dispatcher|churn|store-silent|store-slow|store-resets|cordon|quiesce-dispatcher|pause-dispatcher|restart-dispatcher|link|look"`
+	Chances         []Chance               `sexp:"chance"`
+	Generator       Generator              `sexp:"generator"`
+	Variants        []Variant              `sexp:"variant"`
+	// DispatcherSettings holds the dispatchers' own settings, in which {dir} and {name} are replaced. They are kept over restarts.
+	DispatcherSettings string       `sexp:"settings"`
+	Postgres           bool         `sexp:"postgres"`      // start a stand-in server, whose URL replaces {postgres}
+	Records            bool         `sexp:"audit-records"` // the dispatchers keep a record store, which is audited
+	Virtual            bool         `sexp:"virtual"`
+	Margin             float64      `sexp:"margin" min:"0" max:"1"` // a smaller difference of service counts as none
+	Sweep              *Sweep       `sexp:"sweep"`
+	Where              settings.Pos `sexp:",pos"`
 }
 
 // Fleet describes the hosts.
@@ -167,11 +167,11 @@
 	// dispatchers with a single one that sees all jobs.
 	Dispatchers int `sexp:"dispatchers" min:"0" max:"1000"`
 
-	Program string   `sexp:"program"`                                             // another build of the dispatcher
-	Set     []Change `sexp:"set"`                                                 // overrides of the platform's configuration
-	Own     string   `sexp:"settings"`                                            // overrides the experiment's
-	Policy  string   `sexp:"policy" one-of:"module|random|least|two|round-robin"` // in virtual time: how a host is chosen
-	Share   *Share   `sexp:"share"`                                               // in virtual time: dispatchers share state
+	Program            string   `sexp:"program"`                                             // another build of the dispatcher
+	Set                []Change `sexp:"set"`                                                 // overrides of the platform's configuration
+	DispatcherSettings string   `sexp:"settings"`                                            // overrides the experiment's
+	Policy             string   `sexp:"policy" one-of:"module|random|least|two|round-robin"` // in virtual time: how a host is chosen
+	Share              *Share   `sexp:"share"`                                               // in virtual time: dispatchers share state
 }
 
 // Share describes how dispatchers report their outstanding work to each other.
@@ -258,7 +258,7 @@
 	s.Descriptors, s.Memory = 1024, 192<<20
 	s.Zones = []string{"dakar", "saint-louis", "ziguinchor"}
 	s.Delay = settings.DurationRange{Lo: 5600 * time.Microsecond, Hi: 10 * time.Millisecond}
-	s.Near = settings.DurationRange{Lo: 300 * time.Microsecond, Hi: 500 * time.Microsecond}
+	s.DelayWithinZone = settings.DurationRange{Lo: 300 * time.Microsecond, Hi: 500 * time.Microsecond}
 	s.Clients.SetDefaults()
 	s.Load.Process.SetDefaults()
 	s.Fleet = Fleet{Hosts: 9, Start: settings.Range{Lo: 0.13, Hi: 0.35}, WarmUp: 24 * time.Second, Window: 2 * time.Second,
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -75,7 +75,7 @@
 		}
 	}
 	want := []op{{1, OpSlow, true}, {3, OpSlow, false}, {5, OpDrain, false}, {6, OpStop, false}, {6, OpDrain, false}, {7, OpStop, false}, {9, OpStart, false},
-		{10, OpPart, true}, {11, OpPart, false}, {11, OpKill, false}, {12, OpRevive, false}}
+		{10, OpPartition, true}, {11, OpPartition, false}, {11, OpKill, false}, {12, OpRestartDispatcher, false}}
 	if diff := cmp.Diff(want, got[:len(want)]); diff != "" {
 		t.Error(diff)
 	}
