--- a/cmd/gwlab/demo.go
+++ b/cmd/gwlab/demo.go
@@ -152,11 +152,11 @@
 	switch {
 	case err != nil:
 		return err
-	case res.Broken() > 0:
-		return fmt.Errorf("%d rule violations", res.Broken())
-	case res.Cut:
+	case res.Violations() > 0:
+		return fmt.Errorf("%d rule violations", res.Violations())
+	case res.CutShort:
 		return errors.New("cut short; the results cover what was measured until then")
-	case len(res.Invalid()) > 0:
+	case len(res.InvalidRuns()) > 0:
 		return errInvalid
 	}
 	return nil
--- a/cmd/gwlab/door_test.go
+++ b/cmd/gwlab/door_test.go
@@ -57,5 +57,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return res.Plays[0]
+	return res.Runs[0]
 }
--- a/cmd/gwlab/fleet_test.go
+++ b/cmd/gwlab/fleet_test.go
@@ -15,10 +15,10 @@
 	t.Helper()
 	out, log, code := runGwlab(t, append([]string{"fleet", "--json"}, args...)...)
 	var r experiment.Results
-	if err := json.Unmarshal([]byte(out), &r); err != nil || len(r.Plays) != 1 {
-		t.Fatalf("%v: %d runs\n%s", err, len(r.Plays), log)
+	if err := json.Unmarshal([]byte(out), &r); err != nil || len(r.Runs) != 1 {
+		t.Fatalf("%v: %d runs\n%s", err, len(r.Runs), log)
 	}
-	return r.Plays[0], log, code
+	return r.Runs[0], log, code
 }
 
 // Link faults show at both ends: in the hosts' own records, and at the clients.
@@ -109,14 +109,14 @@
 		t.Fatalf("exit %d\n%s\n%s", code, o.Audit, log)
 	}
 	const others = 12 * 11
-	if n := o.Figures["router_fleet_members"]; n != others {
+	if n := o.Metrics["router_fleet_members"]; n != others {
 		t.Errorf("the dispatchers know %v peers in all, want %d", n, others)
 	}
-	if n := o.Figures["router_fleet_heard"]; n != others {
+	if n := o.Metrics["router_fleet_heard"]; n != others {
 		t.Errorf("the dispatchers receive reports from %v peers in all, want %d", n, others)
 	}
 	for _, cause := range []string{"range", "full", "self", "form"} {
-		if n := o.Figures[`router_fleet_refused_total{cause="`+cause+`"}`]; n != 0 {
+		if n := o.Metrics[`router_fleet_refused_total{cause="`+cause+`"}`]; n != 0 {
 			t.Errorf("%v reports refused as %s", n, cause)
 		}
 	}
--- a/cmd/gwlab/limits_test.go
+++ b/cmd/gwlab/limits_test.go
@@ -27,10 +27,10 @@
 	t.Helper()
 	path := writeExperiment(t, fmt.Sprintf(limitExperiment, length, sharedState(limits)+faults))
 	o, log, code := runFleet(t, path, "--program", filepath.Join(filepath.Dir(gwlab), "granitewing-fleet"), "--seed", "4")
-	if code != 0 || o.Audit.Broken() > 0 || len(o.Crowds) == 0 {
+	if code != 0 || o.Audit.Broken() > 0 || len(o.Contention) == 0 {
 		t.Fatalf("exit %d\n%s\n%s", code, o.Audit, log)
 	}
-	return o, &o.Crowds[0]
+	return o, &o.Contention[0]
 }
 
 // Without limits the hosts observe more of the class than the limits allow; otherwise the tests below would prove
@@ -45,8 +45,8 @@
 
 // countConnected returns the number of dispatchers of a snapshot, among those selected by of, whose rights are
 // valid.
-func countConnected(l experiment.Look, of func(i int) bool) (n int) {
-	for i, f := range l.Figures {
+func countConnected(l experiment.Snapshot, of func(i int) bool) (n int) {
+	for i, f := range l.Metrics {
 		if of(i) && f[`router_fleet_limit_connected{limit="readings"}`] == 1 {
 			n++
 		}
@@ -92,11 +92,11 @@
 					t.Errorf("the hosts saw %d starts, want at least %d: the limit is hardly used", len(seen.Starts), c.least)
 				}
 				t.Logf("%d starts, %d at once, %.1f beyond the rate", len(seen.Starts), seen.Most, seen.ExcessOver(18))
-				if c.out != nil && countConnected(o.Looks[0], c.out) > 0 {
-					t.Errorf("%d of those cut off have rights 5 s later", countConnected(o.Looks[0], c.out))
+				if c.out != nil && countConnected(o.Snapshots[0], c.out) > 0 {
+					t.Errorf("%d of those cut off have rights 5 s later", countConnected(o.Snapshots[0], c.out))
 				}
 				// On a busy machine one or two dispatchers may just have missed a renewal.
-				if n := countConnected(o.Looks[1], everyDispatcher); n < 10 {
+				if n := countConnected(o.Snapshots[1], everyDispatcher); n < 10 {
 					t.Errorf("%d of 12 have rights at the end", n)
 				}
 			})
--- a/cmd/gwlab/load_test.go
+++ b/cmd/gwlab/load_test.go
@@ -53,7 +53,7 @@
 	if err != nil || code != 0 {
 		t.Fatalf("exit %d, %v\n%s\n%s", code, err, merged, log)
 	}
-	if a, b := one.Plays[0].Rows[2], both.Plays[0].Rows[2]; a.Asked == 0 || b.Asked != 2*a.Asked || b.InTime == 0 {
+	if a, b := one.Runs[0].Rows[2], both.Runs[0].Rows[2]; a.Asked == 0 || b.Asked != 2*a.Asked || b.InTime == 0 {
 		t.Errorf("%d jobs by one, %d by both", a.Asked, b.Asked)
 	}
 }
@@ -63,17 +63,17 @@
 func TestFiguresAgreeWithClients(t *testing.T) {
 	t.Parallel()
 	o := runOne(t, fmt.Sprintf(lightLoad, "4s", ""), "")
-	if len(o.Figures) == 0 {
+	if len(o.Metrics) == 0 {
 		t.Fatalf("no metrics; notes %q", o.Notes)
 	}
 	var answered, dispatched float64
 	for _, row := range o.Rows[:len(o.Rows)-1] {
 		label := `{type="` + row.Class + `"}`
-		success := o.Figures["router_success_total"+label]
+		success := o.Metrics["router_success_total"+label]
 		if served := float64(row.InTime + row.Late); success != served || served == 0 {
 			t.Errorf("%s: %v successes counted, clients were served %v", row.Class, success, served)
 		}
-		answered += success + o.Figures["router_overload_total"+label] + o.Figures["router_error_total"+label]
+		answered += success + o.Metrics["router_overload_total"+label] + o.Metrics["router_error_total"+label]
 		if row.Unanswered > 0 || row.Left > 0 {
 			t.Fatalf("%s: %d unanswered, %d left; the counts may differ then", row.Class, row.Unanswered, row.Left)
 		}
@@ -82,11 +82,11 @@
 	if answered != float64(all.Tries) {
 		t.Errorf("%v answers counted, clients made %d tries", answered, all.Tries)
 	}
-	if dispatched = o.Figures["router_dispatches_total"]; dispatched < float64(all.InTime+all.Late) {
+	if dispatched = o.Metrics["router_dispatches_total"]; dispatched < float64(all.InTime+all.Late) {
 		t.Errorf("%v attempts written, fewer than the %d served", dispatched, all.InTime+all.Late)
 	}
 	// Each dispatcher lists the three hosts.
-	if hosts := float64(3 * len(o.CPU)); o.Figures["router_concurrent"] != 0 || o.Figures["router_targets"] != hosts || hosts == 0 {
-		t.Errorf("at the end: %v open, %v hosts listed; want 0 and %v", o.Figures["router_concurrent"], o.Figures["router_targets"], hosts)
+	if hosts := float64(3 * len(o.CPU)); o.Metrics["router_concurrent"] != 0 || o.Metrics["router_targets"] != hosts || hosts == 0 {
+		t.Errorf("at the end: %v open, %v hosts listed; want 0 and %v", o.Metrics["router_concurrent"], o.Metrics["router_targets"], hosts)
 	}
 }
--- a/cmd/gwlab/main_test.go
+++ b/cmd/gwlab/main_test.go
@@ -97,7 +97,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		o := res.Plays[0]
+		o := res.Runs[0]
 		all := o.Rows[len(o.Rows)-1]
 		if all.Asked < 20 || all.InTime < all.Asked*8/10 || o.Audit.Broken() > 0 || len(o.Marks) != 6 {
 			t.Errorf("%d jobs, %d in time, %d marks\n%s", all.Asked, all.InTime, len(o.Marks), o.Audit)
@@ -112,7 +112,7 @@
 			}
 		}
 		var printed experiment.Results
-		if err := json.Unmarshal([]byte(d.out), &printed); err != nil || printed.Plays[0].Service != o.Service {
+		if err := json.Unmarshal([]byte(d.out), &printed); err != nil || printed.Runs[0].Service != o.Service {
 			t.Errorf("standard output is not a result: %v", err)
 		}
 	}
@@ -148,7 +148,7 @@
 		t.Errorf("exit %d\n%s", code, out.String())
 	}
 	res, err := report.Read(dir)
-	if err != nil || !res.Cut || !strings.Contains(out.String(), "CUT SHORT") {
+	if err != nil || !res.CutShort || !strings.Contains(out.String(), "CUT SHORT") {
 		t.Errorf("report %v, output\n%s", err, out.String())
 	}
 	if left := processesWith(mark); len(left) > 0 {
--- a/cmd/gwlab/peers_test.go
+++ b/cmd/gwlab/peers_test.go
@@ -32,9 +32,9 @@
 type peerRange func(dispatcher int) (least, most float64)
 
 // expectPeers checks how many peers each dispatcher receives reports from in a snapshot.
-func expectPeers(t *testing.T, l experiment.Look, want peerRange) {
+func expectPeers(t *testing.T, l experiment.Snapshot, want peerRange) {
 	t.Helper()
-	for i, f := range l.Figures {
+	for i, f := range l.Metrics {
 		least, most := want(i)
 		if n, answers := f["router_fleet_heard"]; answers != (most >= 0) || n < least || n > max(most, 0) {
 			t.Errorf("%g s: dispatcher %d receives reports from %v peers (it answers: %t), want %v to %v", l.At, i, n, answers, least, most)
@@ -83,12 +83,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := runSharing(t, "23s", "", `(link (at 3s) (for 10s) `+c.faults+`) (look (at 5800ms)) (look (at 12s)) (look (at 22s))`)
-			if len(o.Looks) != 3 {
-				t.Fatalf("%d snapshots", len(o.Looks))
+			if len(o.Snapshots) != 3 {
+				t.Fatalf("%d snapshots", len(o.Snapshots))
 			}
-			expectPeers(t, o.Looks[0], c.soon)
-			expectPeers(t, o.Looks[1], c.late)
-			expectPeers(t, o.Looks[2], allPeers)
+			expectPeers(t, o.Snapshots[0], c.soon)
+			expectPeers(t, o.Snapshots[1], c.late)
+			expectPeers(t, o.Snapshots[2], allPeers)
 		})
 	}
 }
@@ -106,13 +106,13 @@
 func TestPausedPeer(t *testing.T) {
 	t.Parallel()
 	o := runSharing(t, "22s", "", `(pause-dispatcher (at 2s) (for 10s) (of (names n4))) (look (at 9s)) (look (at 21s))`)
-	expectPeers(t, o.Looks[0], func(i int) (float64, float64) {
+	expectPeers(t, o.Snapshots[0], func(i int) (float64, float64) {
 		if i == 4 {
 			return 0, -1 // it does not answer
 		}
 		return 10, 10
 	})
-	expectPeers(t, o.Looks[1], allPeers)
+	expectPeers(t, o.Snapshots[1], allPeers)
 }
 
 // Three hubs aggregate reports for the other members. A quarter of all members is paused, hubs among them. The
@@ -123,13 +123,13 @@
 	// The hubs, by hash of their names, are n6, n7 and n4. Two of them are paused, and one member that is not a hub.
 	paused := map[int]bool{6: true, 7: true, 2: true}
 	o := runSharing(t, "22s", "(hubs 3)", `(pause-dispatcher (at 2s) (for 10s) (of (names n6 n7 n2))) (look (at 6300ms)) (look (at 21s))`)
-	expectPeers(t, o.Looks[0], func(i int) (float64, float64) {
+	expectPeers(t, o.Snapshots[0], func(i int) (float64, float64) {
 		if paused[i] {
 			return 0, -1 // it does not answer
 		}
 		return 7, 9 // a dispatcher that is switching its hub may be missing or counted twice
 	})
-	expectPeers(t, o.Looks[1], allPeers)
+	expectPeers(t, o.Snapshots[1], allPeers)
 }
 
 // Datagrams are lost, delayed, duplicated and reordered. Reports that arrive after a newer one are refused, and
@@ -137,14 +137,14 @@
 func TestPeersOnPoorLinks(t *testing.T) {
 	t.Parallel()
 	o := runSharing(t, "16s", "", `(link (at 1s) (for 14s) (of (share 100%)) (peers all) (manner late) (delay 500ms) (spread 300ms) (loss 30%) (twice 10%)) (look (at 14s))`)
-	expectPeers(t, o.Looks[0], func(int) (float64, float64) { return 10, 11 })
-	for i, f := range o.Looks[0].Figures {
+	expectPeers(t, o.Snapshots[0], func(int) (float64, float64) { return 10, 11 })
+	for i, f := range o.Snapshots[0].Metrics {
 		if f[`router_fleet_refused_total{cause="old"}`] == 0 {
 			t.Errorf("dispatcher %d refused nothing though reports were reordered", i)
 		}
 	}
-	if o.Talk == nil || o.Talk.Lost < o.Talk.Datagrams/10 {
-		t.Errorf("traffic between dispatchers: %+v", o.Talk)
+	if o.Traffic == nil || o.Traffic.Lost < o.Traffic.Datagrams/10 {
+		t.Errorf("traffic between dispatchers: %+v", o.Traffic)
 	}
 }
 
--- a/cmd/gwlab/slack_test.go
+++ b/cmd/gwlab/slack_test.go
@@ -25,8 +25,8 @@
 }
 
 // prices returns the prices of the selected dispatchers in a snapshot.
-func prices(l experiment.Look, of func(i int) bool) (out []float64) {
-	for i, f := range l.Figures {
+func prices(l experiment.Snapshot, of func(i int) bool) (out []float64) {
+	for i, f := range l.Metrics {
 		if p, known := f["router_fleet_price"]; known && of(i) {
 			out = append(out, p)
 		}
@@ -53,7 +53,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := runOverload(t, c.slack, c.faults+`(look (at 9500ms)) (look (at 15500ms))`)
-			alert, during := o.Rows[1], o.Looks[0]
+			alert, during := o.Rows[1], o.Snapshots[0]
 			if share := 100 * float64(alert.InTime) / float64(alert.Asked); share < c.alerts {
 				t.Errorf("%.0f%% of the alerts were served in time, want %.0f%%", share, c.alerts)
 			}
@@ -69,10 +69,10 @@
 			if isolated := prices(during, func(i int) bool { return !c.price(i) }); slices.Max(append(isolated, 0)) > 0 {
 				t.Errorf("those that receive too few reports have prices of %.3g", isolated)
 			}
-			if after := prices(o.Looks[1], everyDispatcher); slices.Max(append(after, 0)) > 0.1 {
+			if after := prices(o.Snapshots[1], everyDispatcher); slices.Max(append(after, 0)) > 0.1 {
 				t.Errorf("prices of %.3g, where no class is worth less than 1, when there is capacity for all", after)
 			}
-			t.Logf("alerts: %d of %d in time, %d refused, %d failed; prices %.3g, %.3g", alert.InTime, alert.Asked, alert.Refused, alert.Failed, prices(o.Looks[0], everyDispatcher), prices(o.Looks[1], everyDispatcher))
+			t.Logf("alerts: %d of %d in time, %d refused, %d failed; prices %.3g, %.3g", alert.InTime, alert.Asked, alert.Refused, alert.Failed, prices(o.Snapshots[0], everyDispatcher), prices(o.Snapshots[1], everyDispatcher))
 		})
 	}
 }
--- a/cmd/gwlab/store_kills_test.go
+++ b/cmd/gwlab/store_kills_test.go
@@ -47,7 +47,7 @@
 	if err := json.Unmarshal([]byte(out), &res); err != nil {
 		t.Fatalf("exit %d, %v\n%s\n%s", code, err, out, log)
 	}
-	run := res.Plays[0]
+	run := res.Runs[0]
 	kills := 0
 	for _, m := range run.Marks {
 		if strings.HasSuffix(m.Label, "killed") {
@@ -58,6 +58,6 @@
 		t.Fatalf("exit %d, %d kills\n%s\n%s", code, kills, run.Audit, log)
 	}
 	checked := run.Audit.Rules[4].Checked
-	t.Logf("seed %d: %d records checked; %d kills, dispatchers dead for %.1f s in all; %+v", seed, checked, kills, run.Dead, run.Rows[len(run.Rows)-1])
+	t.Logf("seed %d: %d records checked; %d kills, dispatchers dead for %.1f s in all; %+v", seed, checked, kills, run.DeadSeconds, run.Rows[len(run.Rows)-1])
 	return checked
 }
--- a/cmd/gwlab/verbs.go
+++ b/cmd/gwlab/verbs.go
@@ -79,8 +79,8 @@
 	if label != nil {
 		label("")
 	}
-	o := experiment.Loaded(spec, day, res, time.Since(begin))
-	r := &experiment.Results{Experiment: spec.Name, About: spec.About, Variants: []string{o.Variant}, Plays: []*experiment.Outcome{o}, Cut: res.Cut}
+	o := experiment.LoadOutcome(spec, day, res, time.Since(begin))
+	r := &experiment.Results{Experiment: spec.Name, About: spec.About, Variants: []string{o.Variant}, Runs: []*experiment.Outcome{o}, CutShort: res.CutShort}
 	if l.JSON {
 		err = printJSON(r)
 	} else {
@@ -92,8 +92,8 @@
 	switch {
 	case err != nil:
 		return err
-	case res.Foreign > 0:
-		return fmt.Errorf("%d answers belong to other requests", res.Foreign)
+	case res.Mismatched > 0:
+		return fmt.Errorf("%d answers belong to other requests", res.Mismatched)
 	case !res.Verdict.Valid:
 		return errInvalid
 	}
@@ -144,7 +144,7 @@
 		}
 	}()
 	for i := range day.Dispatchers {
-		place := fleet.Place(i, "127.0.0.1:0")
+		place := fleet.Addresses(i, "127.0.0.1:0")
 		config, err := day.Config(i, spec.Seed+uint64(i), place, nil)
 		if err != nil {
 			return err
@@ -165,7 +165,7 @@
 		running = append(running, d)
 		fmt.Printf("n%d zone %s target %s@%s\n", i, day.Zones[day.ZoneOf(i)], d.Addr, day.Zones[day.ZoneOf(i)])
 	}
-	fleet.Play(ctx, time.Now(), func(op world.Op) {
+	fleet.Start(ctx, time.Now(), func(op world.Op) {
 		slog.Warn("emulate runs only hosts and discovery; operation skipped", "what", op.Label)
 	})
 	<-ctx.Done()
--- a/cmd/gwlab/verdicts_test.go
+++ b/cmd/gwlab/verdicts_test.go
@@ -38,10 +38,10 @@
 			t.Parallel()
 			o := runVerdicts(t, "(verdicts on)", c.faults+`(look (at 3500ms)) (look (at 4s)) (look (at 4500ms)) (look (at 5s)) (look (at 6s)) (look (at 7s)) (look (at 8s)) (look (at 17s))`)
 			secondHand := 0
-			for i, l := range o.Looks {
-				for d, f := range l.Figures {
+			for i, l := range o.Snapshots {
+				for d, f := range l.Metrics {
 					n, against := f["router_fleet_verdicts"], f["router_fleet_votes_against"]
-					if most := c.most; n > most || i == len(o.Looks)-1 && n > 0 {
+					if most := c.most; n > most || i == len(o.Snapshots)-1 && n > 0 {
 						t.Errorf("%g s: dispatcher %d ejects %g hosts", l.At, d, n)
 					}
 					if n > against {
--- a/internal/lab/emulate/emulate.go
+++ b/internal/lab/emulate/emulate.go
@@ -146,12 +146,12 @@
 // now returns the time since the emulator's start in microseconds.
 func (e *Emulator) now() int64 { return time.Since(e.start).Microseconds() }
 
-// Start returns the time at which the emulator's clock was zero.
-func (e *Emulator) Start() time.Time { return e.start }
+// StartTime returns the time at which the emulator's clock was zero.
+func (e *Emulator) StartTime() time.Time { return e.start }
 
-// Place returns the addresses that go into a dispatcher's configuration: its own listener, its discovery service and
+// Addresses returns the addresses that go into a dispatcher's configuration: its own listener, its discovery service and
 // all hosts. listen is the dispatcher's listen address.
-func (e *Emulator) Place(dispatcher int, listen string) world.Place {
+func (e *Emulator) Addresses(dispatcher int, listen string) world.Place {
 	addrs := map[string]string{}
 	for _, h := range e.hosts {
 		addrs[h.model.Name] = h.addr(dispatcher)
@@ -160,10 +160,10 @@
 		Addr: func(id string) string { return addrs[id] }}
 }
 
-// Play schedules the day's operations relative to begin, each on its own timer, and returns at once. Operations on
+// Start schedules the day's operations relative to begin, each on its own timer, and returns at once. Operations on
 // dispatchers and on their store are passed to the dispatcher function. Operations at time zero or earlier are
 // applied before Play returns, because a timer might fire only after the first job has arrived.
-func (e *Emulator) Play(ctx context.Context, begin time.Time, dispatcher func(world.Op)) {
+func (e *Emulator) Start(ctx context.Context, begin time.Time, dispatcher func(world.Op)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, op := range e.day.Ops {
@@ -256,14 +256,14 @@
 		return link.Faults{}
 	}
 	l := op.Link
-	way := func(on bool) link.Way {
+	way := func(on bool) link.Direction {
 		switch {
 		case !on:
-			return link.Way{}
+			return link.Direction{}
 		case l.Manner == "late":
-			return link.Way{Delay: l.Delay, Spread: l.Jitter, Loss: l.Loss, Twice: l.Duplicated}
+			return link.Direction{Delay: l.Delay, Jitter: l.Jitter, Loss: l.Loss, Duplicate: l.Duplicated}
 		}
-		return link.Way{Cut: l.Manner == "silent", Half: l.Manner == "half"}
+		return link.Direction{Cut: l.Manner == "silent", CutMidMessage: l.Manner == "half"}
 	}
 	return link.Faults{To: way(l.Direction != "from"), From: way(l.Direction != "to"), Refuse: l.Manner == "reset"}
 }
@@ -272,7 +272,7 @@
 // dispatchers and discovery.
 func (e *Emulator) applyLinkFaults(op world.Op) {
 	l, f := op.Link, FaultsOf(op)
-	set := func(l *link.Link) { l.Suffer(f) }
+	set := func(l *link.Link) { l.SetAndReset(f) }
 	for _, d := range op.Dispatchers {
 		if l.Discovery {
 			set(&e.discovery[d].link)
@@ -313,8 +313,8 @@
 	})
 }
 
-// Spread returns a report on how evenly the hosts have been used so far.
-func (e *Emulator) Spread() *spread.Report {
+// UsageReport returns a report on how evenly the hosts have been used so far.
+func (e *Emulator) UsageReport() *spread.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.usage.Report(e.now())
--- a/internal/lab/emulate/gangs.go
+++ b/internal/lab/emulate/gangs.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// Gangs returns what the hosts observed of gangs so far.
-func (e *Emulator) Gangs() *model.GangReport {
+// GangReport returns what the hosts observed of gangs so far.
+func (e *Emulator) GangReport() *model.GangReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.fabric.Report()
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -21,31 +21,31 @@
 	Virtual     bool         `json:"virtual"`          // run in virtual time
 	Margin      float64      `json:"margin,omitempty"` // equivalence margin of service, as a fraction
 	Variants    []string     `json:"variants"`
-	Plays       []*Outcome   `json:"plays"`
+	Runs        []*Outcome   `json:"plays"`
 	Comparisons []Comparison `json:"comparisons,omitempty"`
 	Sizes       []Size       `json:"sizes,omitempty"` // of a sweep
-	Cut         bool         `json:"cut_short"`       // ended before all runs were complete
+	CutShort    bool         `json:"cut_short"`       // ended before all runs were complete
 }
 
 // Size is one point of a sweep over fleet sizes.
 type Size struct {
-	Hosts       int     `json:"hosts"`
-	Dispatchers int     `json:"dispatchers"`
-	Variant     string  `json:"variant"`
-	Jobs        int64   `json:"jobs"`           // jobs that arrived
-	Service     float64 `json:"service"`        // value of the jobs served in time divided by the value of all jobs
-	Decision    float64 `json:"decision_us"`    // CPU time per message over all its events, in microseconds
-	HeapPerHost float64 `json:"heap_per_host"`  // bytes of one dispatcher's heap, divided by the number of hosts
-	Pace        float64 `json:"times_realtime"` // virtual time divided by wall time
-	Length      float64 `json:"length_s"`       // seconds of virtual time that were run
-	Partial     bool    `json:"partial"`        // the wall-time budget ended the run; Service covers the jobs that completed by then
+	Hosts               int     `json:"hosts"`
+	Dispatchers         int     `json:"dispatchers"`
+	Variant             string  `json:"variant"`
+	Jobs                int64   `json:"jobs"`           // jobs that arrived
+	Service             float64 `json:"service"`        // value of the jobs served in time divided by the value of all jobs
+	CPUPerMessageMicros float64 `json:"decision_us"`    // CPU time per message over all its events, in microseconds
+	HeapPerHost         float64 `json:"heap_per_host"`  // bytes of one dispatcher's heap, divided by the number of hosts
+	Speedup             float64 `json:"times_realtime"` // virtual time divided by wall time
+	Length              float64 `json:"length_s"`       // seconds of virtual time that were run
+	Partial             bool    `json:"partial"`        // the wall-time budget ended the run; Service covers the jobs that completed by then
 }
 
-// Broken returns the number of rule violations that the audits found over all runs of the module. Runs of plain
+// Violations returns the number of rule violations that the audits found over all runs of the module. Runs of plain
 // policies are left out, because such policies do not know about hosts in slow start.
-func (r *Results) Broken() int {
+func (r *Results) Violations() int {
 	n := 0
-	for _, p := range r.Plays {
+	for _, p := range r.Runs {
 		if p.Audit != nil && p.Policy == "" {
 			n += p.Audit.Broken()
 		}
@@ -53,10 +53,10 @@
 	return n
 }
 
-// Invalid lists the runs whose load generator could not keep to its schedule, with the causes.
-func (r *Results) Invalid() []string {
+// InvalidRuns lists the runs whose load generator could not keep to its schedule, with the causes.
+func (r *Results) InvalidRuns() []string {
 	var out []string
-	for _, p := range r.Plays {
+	for _, p := range r.Runs {
 		if !p.Verdict.Valid {
 			out = append(out, fmt.Sprintf("%s, seed %d: %v", p.Variant, p.Seed, p.Verdict.Causes))
 		}
@@ -90,17 +90,17 @@
 			if label != nil {
 				label(fmt.Sprintf("%s %d/%d %s", spec.Name, k+1, pairs, v.Name))
 			}
-			runDay := Play
+			runDay := RunDay
 			if spec.Virtual {
-				runDay = PlayVirtual
+				runDay = RunDayVirtual
 			}
 			o, err := runDay(ctx, spec, v, spec.Seed+uint64(k), s)
 			if err != nil {
 				return r, fmt.Errorf("%s, seed %d: %w", v.Name, spec.Seed+uint64(k), err)
 			}
-			r.Plays = append(r.Plays, o)
-			if o.Cut {
-				r.Cut = true
+			r.Runs = append(r.Runs, o)
+			if o.CutShort {
+				r.CutShort = true
 				r.compare()
 				return r, nil
 			}
@@ -127,17 +127,17 @@
 				if spec.Sweep.Budget > 0 {
 					budget, cancel = context.WithTimeout(ctx, spec.Sweep.Budget)
 				}
-				o, err := PlayVirtual(budget, sized, v, spec.Seed, s)
+				o, err := RunDayVirtual(budget, sized, v, spec.Seed, s)
 				cancel()
 				if err != nil {
 					return err
 				}
-				r.Plays = append(r.Plays, o)
-				if r.Cut = ctx.Err() != nil; r.Cut {
+				r.Runs = append(r.Runs, o)
+				if r.CutShort = ctx.Err() != nil; r.CutShort {
 					return nil
 				}
 				r.Sizes = append(r.Sizes, Size{Hosts: h, Dispatchers: d, Variant: v.Name, Jobs: o.Rows[len(o.Rows)-1].Asked, Service: o.Service,
-					Decision: o.Decision, HeapPerHost: o.Heap / float64(h), Pace: o.Length / o.Wall, Length: o.Length, Partial: o.Cut})
+					CPUPerMessageMicros: o.CPUPerMessageMicros, HeapPerHost: o.Heap / float64(h), Speedup: o.Length / o.Wall, Length: o.Length, Partial: o.CutShort})
 			}
 		}
 	}
@@ -146,20 +146,20 @@
 
 // Comparison compares one metric of a variant with the same metric of the first variant on the same seeds.
 type Comparison struct {
-	Figure   string    `json:"figure"`
-	Variant  string    `json:"variant"`
-	Against  string    `json:"against"` // name of the first variant
-	Pairs    int       `json:"pairs"`
-	Base     float64   `json:"base"`  // mean of the metric over the runs of the first variant
-	Mean     float64   `json:"mean"`  // mean of the differences, or of the ratios minus 1
-	Lo       float64   `json:"lo"`    // lower bound of the 95% confidence interval
-	Hi       float64   `json:"hi"`    // upper bound
-	Flip     float64   `json:"flip"`  // two-sided p-value of the sign-flip test
-	Least    float64   `json:"least"` // smallest p-value that this number of pairs can reach
-	Ratio    bool      `json:"ratio"` // Mean, Lo and Hi are relative
-	Verdict  string    `json:"verdict"`
-	Each     []float64 `json:"each"`   // difference of each pair, in the unit of Mean
-	Smallest float64   `json:"median"` // median of Each
+	Metric      string    `json:"figure"`
+	Variant     string    `json:"variant"`
+	Against     string    `json:"against"` // name of the first variant
+	Pairs       int       `json:"pairs"`
+	Base        float64   `json:"base"`  // mean of the metric over the runs of the first variant
+	Mean        float64   `json:"mean"`  // mean of the differences, or of the ratios minus 1
+	Lo          float64   `json:"lo"`    // lower bound of the 95% confidence interval
+	Hi          float64   `json:"hi"`    // upper bound
+	SignFlipP   float64   `json:"flip"`  // two-sided p-value of the sign-flip test
+	MinP        float64   `json:"least"` // smallest p-value that this number of pairs can reach
+	Ratio       bool      `json:"ratio"` // Mean, Lo and Hi are relative
+	Verdict     string    `json:"verdict"`
+	Differences []float64 `json:"each"`   // difference of each pair, in the unit of Mean
+	Median      float64   `json:"median"` // median of Each
 }
 
 // metric is a quantity of an outcome that is compared between variants.
@@ -197,7 +197,7 @@
 	}},
 	{"p50", true, func(o *Outcome) float64 { return o.Rows[len(o.Rows)-1].P50.Seconds() }},
 	{"p99", true, func(o *Outcome) float64 { return o.Rows[len(o.Rows)-1].P99.Seconds() }},
-	{"dispatcher CPU a message", true, func(o *Outcome) float64 { return o.Decision }},
+	{"dispatcher CPU a message", true, func(o *Outcome) float64 { return o.CPUPerMessageMicros }},
 	{"idle while work waits", false, func(o *Outcome) float64 { return o.spreadReport().Idle }},
 	{"attempts in herds", false, func(o *Outcome) float64 { return o.spreadReport().Herded }},
 	{"attempts a try", true, func(o *Outcome) float64 {
@@ -218,8 +218,8 @@
 // compare compares each variant with the first one, pair by pair.
 func (r *Results) compare() {
 	bySeed := map[string]map[uint64]*Outcome{}
-	for _, p := range r.Plays {
-		if p.Cut {
+	for _, p := range r.Runs {
+		if p.CutShort {
 			continue
 		}
 		if bySeed[p.Variant] == nil {
@@ -229,7 +229,7 @@
 	}
 	first := r.Variants[0]
 	for _, v := range r.Variants[1:] {
-		for _, f := range append(classMetrics(r.Plays), metrics...) {
+		for _, f := range append(classMetrics(r.Runs), metrics...) {
 			var a, b []float64
 			seeds := make([]uint64, 0, len(bySeed[first]))
 			for seed := range bySeed[first] {
@@ -242,7 +242,7 @@
 				}
 			}
 			if c, ok := Compare(a, b, f.ratio); ok {
-				c.Figure, c.Variant, c.Against = f.name, v, first
+				c.Metric, c.Variant, c.Against = f.name, v, first
 				c.setVerdict(r.Margin)
 				r.Comparisons = append(r.Comparisons, c)
 			}
@@ -278,20 +278,20 @@
 		half = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * dev / math.Sqrt(n)
 	}
 	c.Mean, c.Lo, c.Hi = mean, mean-half, mean+half
-	c.Flip, c.Least = signFlip(d), math.Pow(2, 1-n)
-	c.Each = slices.Clone(d)
+	c.SignFlipP, c.MinP = signFlip(d), math.Pow(2, 1-n)
+	c.Differences = slices.Clone(d)
 	if ratio {
 		for _, v := range []*float64{&c.Mean, &c.Lo, &c.Hi} {
 			*v = math.Expm1(*v)
 		}
-		for i := range c.Each {
-			c.Each[i] = math.Expm1(c.Each[i])
+		for i := range c.Differences {
+			c.Differences[i] = math.Expm1(c.Differences[i])
 		}
 	}
-	sorted := slices.Sorted(slices.Values(c.Each))
-	c.Smallest = stat.Quantile(0.5, stat.LinInterp, sorted, nil)
+	sorted := slices.Sorted(slices.Values(c.Differences))
+	c.Median = stat.Quantile(0.5, stat.LinInterp, sorted, nil)
 	if len(sorted)%2 == 1 {
-		c.Smallest = sorted[len(sorted)/2]
+		c.Median = sorted[len(sorted)/2]
 	}
 	return c, true
 }
--- a/internal/lab/experiment/compare_test.go
+++ b/internal/lab/experiment/compare_test.go
@@ -19,11 +19,11 @@
 	}
 	// Of the 32 sign combinations, only those that give all four nonzero differences the same sign reach the sum; the
 	// fifth difference is zero.
-	if math.Abs(c.Flip-4.0/32) > 1e-12 || c.Least != 1.0/16 {
-		t.Errorf("sign-flip %.4f (least %.4f), want 0.125", c.Flip, c.Least)
+	if math.Abs(c.SignFlipP-4.0/32) > 1e-12 || c.MinP != 1.0/16 {
+		t.Errorf("sign-flip %.4f (least %.4f), want 0.125", c.SignFlipP, c.MinP)
 	}
 	r, ok := Compare([]float64{1, 2, 4}, []float64{2, 4, 8}, true)
-	if !ok || math.Abs(r.Mean-1) > 1e-9 || math.Abs(r.Smallest-1) > 1e-9 {
+	if !ok || math.Abs(r.Mean-1) > 1e-9 || math.Abs(r.Median-1) > 1e-9 {
 		t.Errorf("doubled values compare as %+v", r)
 	}
 	for _, bad := range [][2][]float64{{{1}, {2}}, {{1, 2}, {1}}} {
--- a/internal/lab/experiment/peers.go
+++ b/internal/lab/experiment/peers.go
@@ -55,7 +55,7 @@
 func (c *cluster) applyLinkFaults(op world.Op) {
 	f := emulate.FaultsOf(op)
 	if op.Kind == world.OpClients {
-		now := time.Since(c.fleet.Start()).Microseconds()
+		now := time.Since(c.fleet.StartTime()).Microseconds()
 		for _, d := range op.Dispatchers {
 			c.mu.Lock()
 			if from, cut := c.partitionedSince[d]; cut {
@@ -66,7 +66,7 @@
 				c.partitionedSince[d] = now
 			}
 			c.mu.Unlock()
-			c.clientLinks[d].Suffer(f)
+			c.clientLinks[d].SetAndReset(f)
 		}
 		return
 	}
@@ -87,7 +87,7 @@
 func (c *cluster) takeSnapshot(op world.Op) {
 	c.pendingSnapshots.Add(1)
 	defer c.pendingSnapshots.Done()
-	l := Look{At: op.At.Seconds(), Figures: make([]map[string]float64, c.day.Dispatchers)}
+	l := Snapshot{At: op.At.Seconds(), Metrics: make([]map[string]float64, c.day.Dispatchers)}
 	c.mu.Lock()
 	var wait sync.WaitGroup
 	for i, d := range c.running {
@@ -101,7 +101,7 @@
 					delete(f, name) // one value per pair of dispatchers: too many to keep
 				}
 			}
-			l.Figures[i] = f
+			l.Metrics[i] = f
 		})
 	}
 	c.mu.Unlock()
@@ -112,21 +112,21 @@
 }
 
 // sortedSnapshots waits for the pending snapshots and returns all of them ordered by time.
-func (c *cluster) sortedSnapshots() []Look {
+func (c *cluster) sortedSnapshots() []Snapshot {
 	c.pendingSnapshots.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	slices.SortFunc(c.snapshots, func(a, b Look) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(c.snapshots, func(a, b Snapshot) int { return cmp.Compare(a.At, b.At) })
 	return c.snapshots
 }
 
 // meshTraffic returns the traffic over the mesh per second and dispatcher, or nil without a mesh. since is the time
 // since the dispatchers were started.
-func (c *cluster) meshTraffic(since time.Duration) *Talk {
+func (c *cluster) meshTraffic(since time.Duration) *Traffic {
 	if c.mesh == nil {
 		return nil
 	}
-	out := &Talk{}
+	out := &Traffic{}
 	per := 1 / (since.Seconds() * float64(c.day.Dispatchers))
 	for i := range c.day.Dispatchers {
 		datagrams, bytes, lost := c.mesh.Sent(i)
--- a/internal/lab/experiment/play.go
+++ b/internal/lab/experiment/play.go
@@ -35,44 +35,44 @@
 
 // Outcome holds the measurements of one run of a day.
 type Outcome struct {
-	Experiment string                   `json:"experiment"`
-	Variant    string                   `json:"variant"`
-	Seed       uint64                   `json:"seed"`
-	Policy     string                   `json:"policy,omitempty"` // empty for the module's own policy
-	Virtual    bool                     `json:"virtual"`
-	Cut        bool                     `json:"cut_short"` // ended before the end of the day
-	Service    float64                  `json:"service"`   // value of the jobs served in time divided by the value of all jobs
-	Rows       []measure.Row            `json:"classes"`   // one per class, then the total
-	Series     []measure.Point          `json:"seconds"`
-	Verdict    measure.Verdict          `json:"generator"`
-	Audit      *audit.Report            `json:"audit"`
-	Marks      []Mark                   `json:"failures"`
-	Hosts      []audit.HostLoad         `json:"hosts"`
-	Crowds     []audit.ClassConcurrency `json:"crowds,omitempty"` // by class; only for runs with real processes
-	Spread     *spread.Report           `json:"spread,omitempty"`
-	Gangs      *model.GangReport        `json:"gangs,omitempty"` // only if a class runs jobs in parts (gangs)
-	Notes      []string                 `json:"notes,omitempty"`
-	Resent     int                      `json:"resent_by_clients"` // see load.Result.Resent
-	CPU        []float64                `json:"dispatcher_cpu_s,omitempty"`
-	Dead       float64                  `json:"dispatchers_dead_s,omitempty"` // seconds, summed over dispatchers
-	Decision   float64                  `json:"decision_us,omitempty"`        // dispatcher CPU time per message over all its events, in microseconds
-	Heap       float64                  `json:"heap_bytes,omitempty"`         // bytes of one dispatcher's heap; virtual time only
-	Wall       float64                  `json:"wall_s"`                       // wall time in seconds
-	Length     float64                  `json:"length_s"`                     // length of the day in seconds, in virtual time if the run is virtual
-	Recorder   *measure.Recorder        `json:"recorder"`
-	Figures    map[string]float64       `json:"dispatcher_figures,omitempty"` // metrics of the dispatchers' admin endpoints at the end, summed over dispatchers
-	Looks      []Look                   `json:"looks,omitempty"`
-	Talk       *Talk                    `json:"talk,omitempty"`
+	Experiment          string                   `json:"experiment"`
+	Variant             string                   `json:"variant"`
+	Seed                uint64                   `json:"seed"`
+	Policy              string                   `json:"policy,omitempty"` // empty for the module's own policy
+	Virtual             bool                     `json:"virtual"`
+	CutShort            bool                     `json:"cut_short"` // ended before the end of the day
+	Service             float64                  `json:"service"`   // value of the jobs served in time divided by the value of all jobs
+	Rows                []measure.Row            `json:"classes"`   // one per class, then the total
+	Series              []measure.Point          `json:"seconds"`
+	Verdict             measure.Verdict          `json:"generator"`
+	Audit               *audit.Report            `json:"audit"`
+	Marks               []Mark                   `json:"failures"`
+	Hosts               []audit.HostLoad         `json:"hosts"`
+	Contention          []audit.ClassConcurrency `json:"crowds,omitempty"` // by class; only for runs with real processes
+	Spread              *spread.Report           `json:"spread,omitempty"`
+	Gangs               *model.GangReport        `json:"gangs,omitempty"` // only if a class runs jobs in parts (gangs)
+	Notes               []string                 `json:"notes,omitempty"`
+	Resent              int                      `json:"resent_by_clients"` // see load.Result.Resent
+	CPU                 []float64                `json:"dispatcher_cpu_s,omitempty"`
+	DeadSeconds         float64                  `json:"dispatchers_dead_s,omitempty"` // seconds, summed over dispatchers
+	CPUPerMessageMicros float64                  `json:"decision_us,omitempty"`        // dispatcher CPU time per message over all its events, in microseconds
+	Heap                float64                  `json:"heap_bytes,omitempty"`         // bytes of one dispatcher's heap; virtual time only
+	Wall                float64                  `json:"wall_s"`                       // wall time in seconds
+	Length              float64                  `json:"length_s"`                     // length of the day in seconds, in virtual time if the run is virtual
+	Recorder            *measure.Recorder        `json:"recorder"`
+	Metrics             map[string]float64       `json:"dispatcher_figures,omitempty"` // metrics of the dispatchers' admin endpoints at the end, summed over dispatchers
+	Snapshots           []Snapshot               `json:"looks,omitempty"`
+	Traffic             *Traffic                 `json:"talk,omitempty"`
 }
 
-// Look is a snapshot of all dispatchers' metrics at one moment of the day.
-type Look struct {
+// Snapshot is a snapshot of all dispatchers' metrics at one moment of the day.
+type Snapshot struct {
 	At      float64              `json:"at_s"`
-	Figures []map[string]float64 `json:"figures"` // by dispatcher; nil for one that is not running or does not answer
+	Metrics []map[string]float64 `json:"figures"` // by dispatcher; nil for one that is not running or does not answer
 }
 
-// Talk is the traffic between dispatchers over the mesh, per second and dispatcher, averaged from their start.
-type Talk struct {
+// Traffic is the traffic between dispatchers over the mesh, per second and dispatcher, averaged from their start.
+type Traffic struct {
 	Datagrams float64 `json:"datagrams"` // sent, whether or not they were delivered
 	Bytes     float64 `json:"bytes"`     // in datagrams and on connections that the dispatcher opened, without headers
 	Lost      float64 `json:"lost"`      // datagrams dropped by faulty links
@@ -86,10 +86,10 @@
 	Progress func(sent, done, total int) // called as jobs are sent and completed; may be nil
 }
 
-// Play runs one day of a variant with real dispatchers on sockets. Cancelling ctx cuts the run short: the outcome
+// RunDay runs one day of a variant with real dispatchers on sockets. Cancelling ctx cuts the run short: the outcome
 // then has Cut set and holds what was measured so far. It returns an error if the day cannot be drawn, if the
 // emulator, the store or a dispatcher does not start, or if the dispatchers' records cannot be read.
-func Play(ctx context.Context, spec *world.Spec, v world.Variant, seed uint64, s Setup) (*Outcome, error) {
+func RunDay(ctx context.Context, spec *world.Spec, v world.Variant, seed uint64, s Setup) (*Outcome, error) {
 	day, err := spec.For(v).Draw(seed)
 	if err != nil {
 		return nil, err
@@ -133,10 +133,10 @@
 		targets = append(targets, target)
 	}
 	begin := time.Now().Add(100 * time.Millisecond)
-	fleet.Play(ctx, begin, cl.applyOp)
+	fleet.Start(ctx, begin, cl.applyOp)
 	began := time.Now()
 	res, err := load.Run(ctx, load.Options{
-		Day: day, Targets: targets, Seed: seed, Begin: begin, Log: log, LogZero: fleet.Start(), Prefix: fmt.Sprintf("%04x", seed&0xffff),
+		Day: day, Targets: targets, Seed: seed, Begin: begin, Log: log, LogZero: fleet.StartTime(), Prefix: fmt.Sprintf("%04x", seed&0xffff),
 		Done: func(sent, done int) {
 			if s.Progress != nil {
 				s.Progress(sent, done, len(day.Jobs))
@@ -147,10 +147,10 @@
 		return nil, err
 	}
 	o := newOutcome(spec, v, seed, day, res.Recorder)
-	o.Cut, o.Verdict, o.Resent, o.Wall = res.Cut, res.Verdict, res.Resent, time.Since(began).Seconds()
+	o.CutShort, o.Verdict, o.Resent, o.Wall = res.CutShort, res.Verdict, res.Resent, time.Since(began).Seconds()
 	o.Length = o.Wall
-	o.Looks, o.Talk = cl.sortedSnapshots(), cl.meshTraffic(time.Since(startedAt))
-	if o.Figures, err = cl.sumMetrics(); err != nil {
+	o.Snapshots, o.Traffic = cl.sortedSnapshots(), cl.meshTraffic(time.Since(startedAt))
+	if o.Metrics, err = cl.sumMetrics(); err != nil {
 		o.Notes = append(o.Notes, err.Error())
 	}
 	if err := cl.stop(); err != nil {
@@ -162,9 +162,9 @@
 	}
 	for _, c := range cl.cpu {
 		o.CPU = append(o.CPU, c)
-		o.Decision += c * 1e6 / float64(max(messages, 1))
+		o.CPUPerMessageMicros += c * 1e6 / float64(max(messages, 1))
 	}
-	o.Audit, o.Dead = log.Check(), log.DeadSeconds()
+	o.Audit, o.DeadSeconds = log.Check(), log.DeadSeconds()
 	if day.Records {
 		list, err := cl.readRecords()
 		if err != nil {
@@ -172,10 +172,10 @@
 		}
 		o.Audit.Rules = append(o.Audit.Rules, log.CheckRecords(list), log.CheckHistory(list))
 	}
-	o.Hosts, o.Crowds, o.Spread = log.HostLoads(), log.Concurrency(), fleet.Spread()
-	o.Gangs = gangReport(day, fleet.Gangs())
-	if res.Foreign > 0 {
-		o.Audit.Rules[0].Broken += res.Foreign
+	o.Hosts, o.Contention, o.Spread = log.HostLoads(), log.Concurrency(), fleet.UsageReport()
+	o.Gangs = gangReport(day, fleet.GangReport())
+	if res.Mismatched > 0 {
+		o.Audit.Rules[0].Broken += res.Mismatched
 	}
 	return o, nil
 }
@@ -184,9 +184,9 @@
 // would take gigabytes.
 const maxAuditedJobs = 300_000
 
-// PlayVirtual runs one day of a variant in virtual time, without sockets or processes. Cancelling ctx cuts the run
+// RunDayVirtual runs one day of a variant in virtual time, without sockets or processes. Cancelling ctx cuts the run
 // short: the outcome then has Cut set and holds what was measured so far.
-func PlayVirtual(ctx context.Context, spec *world.Spec, v world.Variant, seed uint64, s Setup) (*Outcome, error) {
+func RunDayVirtual(ctx context.Context, spec *world.Spec, v world.Variant, seed uint64, s Setup) (*Outcome, error) {
 	day, err := spec.For(v).Draw(seed)
 	if err != nil {
 		return nil, err
@@ -204,15 +204,15 @@
 	if v.Policy != "module" {
 		o.Policy = v.Policy
 	}
-	o.Virtual, o.Cut, o.Wall, o.Heap = true, res.Interrupted, time.Since(began).Seconds(), float64(res.Heap)
+	o.Virtual, o.CutShort, o.Wall, o.Heap = true, res.Interrupted, time.Since(began).Seconds(), float64(res.Heap)
 	o.Verdict.Valid = true
 	o.Length, o.Spread, o.Gangs = res.Length.Seconds(), res.Balance, gangReport(day, res.Gangs)
 	if v.Share != nil {
 		per := 1 / (o.Length * float64(day.Dispatchers))
-		o.Talk = &Talk{Datagrams: float64(res.Traffic.Datagrams) * per, Bytes: float64(res.Traffic.Bytes) * per}
+		o.Traffic = &Traffic{Datagrams: float64(res.Traffic.Datagrams) * per, Bytes: float64(res.Traffic.Bytes) * per}
 	}
 	if s.Measure && res.Requests > 0 {
-		o.Decision = float64(res.CPU.Nanoseconds()) / 1e3 / float64(res.Requests)
+		o.CPUPerMessageMicros = float64(res.CPU.Nanoseconds()) / 1e3 / float64(res.Requests)
 	}
 	if opts.Log != nil && !res.Interrupted {
 		o.Audit, o.Hosts = opts.Log.Check(), opts.Log.HostLoads()
@@ -258,11 +258,11 @@
 	return dir, func() { os.RemoveAll(dir) }, nil
 }
 
-// Loaded returns the outcome of a load generator that ran on its own. Such a run observes no host, so its outcome
+// LoadOutcome returns the outcome of a load generator that ran on its own. Such a run observes no host, so its outcome
 // has no audit.
-func Loaded(spec *world.Spec, day *world.Day, res *load.Result, wall time.Duration) *Outcome {
+func LoadOutcome(spec *world.Spec, day *world.Day, res *load.Result, wall time.Duration) *Outcome {
 	o := newOutcome(spec, world.Variant{Name: "load"}, spec.Seed, day, res.Recorder)
 	o.Marks = nil // the generator does not know whether its day's faults were applied
-	o.Cut, o.Verdict, o.Resent, o.Wall, o.Length = res.Cut, res.Verdict, res.Resent, wall.Seconds(), wall.Seconds()
+	o.CutShort, o.Verdict, o.Resent, o.Wall, o.Length = res.CutShort, res.Verdict, res.Resent, wall.Seconds(), wall.Seconds()
 	return o
 }
--- a/internal/lab/experiment/revive.go
+++ b/internal/lab/experiment/revive.go
@@ -20,7 +20,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if from, killed := c.deadSince[i]; killed && !c.closed {
-		c.log.Killed(i, from, time.Since(c.fleet.Start()).Microseconds())
+		c.log.Killed(i, from, time.Since(c.fleet.StartTime()).Microseconds())
 		delete(c.deadSince, i)
 	}
 }
--- a/internal/lab/experiment/theatre.go
+++ b/internal/lab/experiment/theatre.go
@@ -52,7 +52,7 @@
 	mesh             *mesh.Mesh
 	clientGates      []*mesh.Gate // in front of each dispatcher, if the day has faults on client links
 	clientLinks      []*link.Link // from clients to each dispatcher
-	snapshots        []Look
+	snapshots        []Snapshot
 	pendingSnapshots sync.WaitGroup
 	store            *pgstandin.Server
 	storeMu          sync.Mutex // guards storeFaults
@@ -66,7 +66,7 @@
 	c.startCount++
 	number, listen := c.startCount, c.clientAddrs[i]
 	c.mu.Unlock()
-	config, err := c.day.Config(i, c.seed+1000*number, c.fleet.Place(i, listen), c.variant.Set)
+	config, err := c.day.Config(i, c.seed+1000*number, c.fleet.Addresses(i, listen), c.variant.Set)
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 
 // applyOp carries out an operation on a dispatcher's process, its admin endpoint, its links or its store.
 func (c *cluster) applyOp(op world.Op) {
-	i, now := op.Host, time.Since(c.fleet.Start()).Microseconds()
+	i, now := op.Host, time.Since(c.fleet.StartTime()).Microseconds()
 	switch op.Kind {
 	case world.OpCordon, world.OpQuiesce:
 		c.adminCall(op)
@@ -186,7 +186,7 @@
 		c.restartDispatcher(i)
 		return
 	}
-	now = time.Since(c.fleet.Start()).Microseconds()
+	now = time.Since(c.fleet.StartTime()).Microseconds()
 	c.mu.Lock()
 	d := c.running[i]
 	if c.closed || d == nil {
@@ -213,7 +213,7 @@
 				// Stop sent SIGTERM and, when the process did not exit, SIGKILL, as a platform does. Requests that arrived
 				// before the SIGTERM and were still running are lost with the process; requests that arrived later are not
 				// excused.
-				c.log.Killed(i, d.Killed().Sub(c.fleet.Start()).Microseconds(), now)
+				c.log.Killed(i, d.Killed().Sub(c.fleet.StartTime()).Microseconds(), now)
 				err = nil
 			}
 			c.recordExit(i, d, err)
@@ -327,7 +327,7 @@
 			p.Release()
 		}
 	}()
-	now := time.Since(c.fleet.Start()).Microseconds()
+	now := time.Since(c.fleet.StartTime()).Microseconds()
 	for i, from := range c.deadSince {
 		c.log.Killed(i, from, now)
 	}
--- a/internal/lab/experiment/write.go
+++ b/internal/lab/experiment/write.go
@@ -18,8 +18,8 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\tvariant\tagainst\tpairs\tbase\tdifference\t95% interval\tsign-flip p\tverdict")
 	for _, c := range r.Comparisons {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.4g\t%+.2f%%\t%+.2f%% to %+.2f%%\t%.3f\t%s\n", c.Figure, c.Variant, c.Against, c.Pairs, c.Base,
-			100*c.Mean, 100*c.Lo, 100*c.Hi, c.Flip, c.Verdict)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.4g\t%+.2f%%\t%+.2f%% to %+.2f%%\t%.3f\t%s\n", c.Metric, c.Variant, c.Against, c.Pairs, c.Base,
+			100*c.Mean, 100*c.Lo, 100*c.Hi, c.SignFlipP, c.Verdict)
 	}
 	t.Flush()
 }
@@ -40,7 +40,7 @@
 		if s.Partial {
 			service = "partial"
 		}
-		fmt.Fprintf(t, "%d\t%d\t%s\t%.1f s\t%d\t%s\t%.1f us\t%.0f B\t%.2f\t\n", s.Dispatchers, s.Hosts, s.Variant, s.Length, s.Jobs, service, s.Decision, s.HeapPerHost, s.Pace)
+		fmt.Fprintf(t, "%d\t%d\t%s\t%.1f s\t%d\t%s\t%.1f us\t%.0f B\t%.2f\t\n", s.Dispatchers, s.Hosts, s.Variant, s.Length, s.Jobs, service, s.CPUPerMessageMicros, s.HeapPerHost, s.Speedup)
 	}
 	t.Flush()
 	if slices.ContainsFunc(sizes, func(s Size) bool { return s.Partial }) {
@@ -56,9 +56,9 @@
 		r.WriteSizes(w)
 		return
 	}
-	for _, p := range r.Plays {
+	for _, p := range r.Runs {
 		fmt.Fprintf(w, "\n%s, seed %d, %.1f s played in %.1f s", p.Variant, p.Seed, p.Length, p.Wall)
-		if p.Cut {
+		if p.CutShort {
 			fmt.Fprint(w, ", CUT SHORT: only what was measured so far")
 		}
 		fmt.Fprintln(w)
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// Way holds the faults of one direction of a link.
-type Way struct {
-	Cut   bool          // bytes wait until the link is healed, as in a network that retransmits them
-	Half  bool          // half of the next segment is delivered, then the direction is cut
-	Delay time.Duration // added to the delivery of all bytes
+// Direction holds the faults of one direction of a link.
+type Direction struct {
+	Cut           bool          // bytes wait until the link is healed, as in a network that retransmits them
+	CutMidMessage bool          // half of the next segment is delivered, then the direction is cut
+	Delay         time.Duration // added to the delivery of all bytes
 
 	// For datagrams only: a connection retransmits what is lost and preserves order.
-	Loss   float64       // fraction of datagrams that are lost
-	Twice  float64       // fraction of datagrams that are delivered twice
-	Spread time.Duration // random additional delay of up to this for each datagram, which reorders them
+	Loss      float64       // fraction of datagrams that are lost
+	Duplicate float64       // fraction of datagrams that are delivered twice
+	Jitter    time.Duration // random additional delay of up to this for each datagram, which reorders them
 }
 
 // Faults holds the faults of a link. The zero value is a healthy link.
 type Faults struct {
-	To, From Way  // towards the callee, and back to the caller
-	Refuse   bool // new connections are reset
+	To, From Direction // towards the callee, and back to the caller
+	Refuse   bool      // new connections are reset
 }
 
 // maxReadSize bounds a single read from a socket, and maxQueuedSegments the segments of one connection that wait in
@@ -57,8 +57,8 @@
 	l.change = make(chan struct{})
 }
 
-// Suffer sets the faults as Set does, and resets open connections if f.Refuse is set.
-func (l *Link) Suffer(f Faults) {
+// SetAndReset sets the faults as Set does, and resets open connections if f.Refuse is set.
+func (l *Link) SetAndReset(f Faults) {
 	if l.Set(f); f.Refuse {
 		l.Reset()
 	}
@@ -162,7 +162,7 @@
 
 // awaitDelivery waits until a segment may be delivered and returns how many of its bytes are. It returns false if
 // halt is closed or the connection ends first.
-func (c *Conn) awaitDelivery(p segment, direction func(*Faults) *Way, halt <-chan struct{}) (n int, ok bool) {
+func (c *Conn) awaitDelivery(p segment, direction func(*Faults) *Direction, halt <-chan struct{}) (n int, ok bool) {
 	for {
 		if c.isReset() {
 			return 0, false
@@ -173,8 +173,8 @@
 		change := c.link.change
 		if !w.Cut && wait <= 0 {
 			n = len(p.data)
-			if w.Half && n > 1 {
-				w.Half, w.Cut = false, true
+			if w.CutMidMessage && n > 1 {
+				w.CutMidMessage, w.Cut = false, true
 				n /= 2
 			}
 			c.link.mu.Unlock()
@@ -210,8 +210,8 @@
 	}
 }
 
-func forwardWay(f *Faults) *Way { return &f.To }
-func returnWay(f *Faults) *Way  { return &f.From }
+func forwardWay(f *Faults) *Direction { return &f.To }
+func returnWay(f *Faults) *Direction  { return &f.From }
 
 // Read implements net.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -59,12 +59,12 @@
 	var l Link
 	caller, c := newPair(t, &l, nil)
 	defer c.Reset()
-	l.Set(Faults{To: Way{Cut: true}})
+	l.Set(Faults{To: Direction{Cut: true}})
 	caller.Write([]byte("in"))
 	c.Write([]byte("out"))
 	expect(t, caller, "out") // the way back is healthy
 	expectNothing(t, c)
-	l.Set(Faults{From: Way{Cut: true}})
+	l.Set(Faults{From: Direction{Cut: true}})
 	expect(t, c, "in") // bytes that waited are delivered once the direction is healed
 	c.Write([]byte("late"))
 	caller.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
@@ -81,7 +81,7 @@
 	var l Link
 	caller, c := newPair(t, &l, nil)
 	defer c.Reset()
-	l.Set(Faults{To: Way{Half: true}})
+	l.Set(Faults{To: Direction{CutMidMessage: true}})
 	caller.Write([]byte("abcdef"))
 	expect(t, c, "abc")
 	expectNothing(t, c)
@@ -115,7 +115,7 @@
 	gone := make(chan struct{})
 	caller, c := newPair(t, &l, func() { close(gone) })
 	defer c.Reset()
-	l.Set(Faults{To: Way{Cut: true}})
+	l.Set(Faults{To: Direction{Cut: true}})
 	caller.Write([]byte("x"))
 	caller.Close()
 	select {
@@ -140,7 +140,7 @@
 	caller, c := newPair(t, &l, nil)
 	defer c.Reset()
 	const delay = 80 * time.Millisecond
-	l.Set(Faults{To: Way{Delay: delay}, From: Way{Delay: delay}})
+	l.Set(Faults{To: Direction{Delay: delay}, From: Direction{Delay: delay}})
 	start := time.Now()
 	caller.Write([]byte("x"))
 	expect(t, c, "x")
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -49,12 +49,12 @@
 
 // Result holds what a run measured.
 type Result struct {
-	Recorder *measure.Recorder
-	Verdict  measure.Verdict // whether the generator kept to its schedule
-	Sent     int             // jobs sent
-	Resent   int             // tries that were sent again because the dispatcher had closed the connection between two requests
-	Foreign  int             // answers that belong to another request
-	Cut      bool            // ended before the end of the schedule
+	Recorder   *measure.Recorder
+	Verdict    measure.Verdict // whether the generator kept to its schedule
+	Sent       int             // jobs sent
+	Resent     int             // tries that were sent again because the dispatcher had closed the connection between two requests
+	Mismatched int             // answers that belong to another request
+	CutShort   bool            // ended before the end of the schedule
 }
 
 // generator is a run in progress.
@@ -114,11 +114,11 @@
 			select {
 			case <-timer.C:
 			case <-ctx.Done():
-				res.Cut = true
+				res.CutShort = true
 				break schedule
 			}
 		} else if ctx.Err() != nil {
-			res.Cut = true
+			res.CutShort = true
 			break
 		}
 		res.Sent++
@@ -142,8 +142,8 @@
 			o.Done(res.Sent, int(g.done.Load()))
 		}
 	}
-	res.Cut = res.Cut || ctx.Err() != nil
-	res.Resent, res.Foreign = int(g.resent.Load()), int(g.mismatched.Load())
+	res.CutShort = res.CutShort || ctx.Err() != nil
+	res.Resent, res.Mismatched = int(g.resent.Load()), int(g.mismatched.Load())
 	res.Verdict = g.verdict(self, len(jobs))
 	return res, nil
 }
@@ -188,12 +188,12 @@
 	}
 	latency := time.Since(due)
 	s := measure.Sample{Class: job.Class, At: job.At, Latency: latency, Worth: c.Worth * job.Work.Seconds(), Tries: j.Tries(), Zone: job.Zone}
-	s.Outcome = Judge(c, job, r, latency)
+	s.Outcome = Classify(c, job, r, latency)
 	g.recorder.Add(s)
 }
 
-// Judge returns the outcome of a job, given the result of its last try and its latency.
-func Judge(c *world.Class, job *world.Job, r client.Result, latency time.Duration) measure.Outcome {
+// Classify returns the outcome of a job, given the result of its last try and its latency.
+func Classify(c *world.Class, job *world.Job, r client.Result, latency time.Duration) measure.Outcome {
 	switch r {
 	case client.Served:
 		if latency <= c.Aim+time.Duration(c.Stretch*float64(job.Work)) {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -104,7 +104,7 @@
 		"unsafe and failed is not sent again": {"unsafe", "(retries 3)", func(_ int, _ *http.Request, c net.Conn) bool { respond(c, "502 Bad Gateway", "", ""); return true },
 			func(r *Result) bool { row := r.Recorder.Rows()[0]; return row.Failed == 10 && row.Tries == 10 }, ""},
 		"an answer for another": {"safe", "(retries 0)", func(_ int, _ *http.Request, c net.Conn) bool { respond(c, "200 OK", "", "somebody's"); return true },
-			func(r *Result) bool { return r.Foreign == 10 }, "which no host made"},
+			func(r *Result) bool { return r.Mismatched == 10 }, "which no host made"},
 		"a second answer": {"safe", "(retries 0)", func(_ int, _ *http.Request, c net.Conn) bool {
 			fmt.Fprint(c, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n")
 			return true
@@ -128,7 +128,7 @@
 			addr := startServer(t, c.answer)
 			res, rep := runLoad(t, addr, fmt.Sprintf(shortLoad, c.repeat, c.clients), time.Now())
 			if !c.check(res) {
-				t.Errorf("%+v, foreign %d", res.Recorder.Rows()[0], res.Foreign)
+				t.Errorf("%+v, foreign %d", res.Recorder.Rows()[0], res.Mismatched)
 			}
 			if !strings.Contains(rep.String(), c.finding) || c.finding == "" && rep.Broken() > 0 {
 				t.Errorf("want the finding %q in\n%s", c.finding, rep)
--- a/internal/lab/mesh/mesh.go
+++ b/internal/lab/mesh/mesh.go
@@ -148,8 +148,8 @@
 	forward, backward := m.pairOf(a, b), m.pairOf(b, a)
 	forward.faults, backward.faults = f, reversed
 	m.mu.Unlock()
-	forward.link.Suffer(f)
-	backward.link.Suffer(reversed)
+	forward.link.SetAndReset(f)
+	backward.link.SetAndReset(reversed)
 }
 
 // Sent returns what member i has sent: datagrams, bytes in datagrams and on connections that it opened, and lost
@@ -191,15 +191,15 @@
 		f = p.faults
 	}
 	w := f.To
-	if w.Cut || w.Half || f.Refuse || w.Loss > 0 && m.rng.Float64() < w.Loss {
+	if w.Cut || w.CutMidMessage || f.Refuse || w.Loss > 0 && m.rng.Float64() < w.Loss {
 		copies = 0
-	} else if w.Twice > 0 && m.rng.Float64() < w.Twice {
+	} else if w.Duplicate > 0 && m.rng.Float64() < w.Duplicate {
 		copies = 2
 	}
 	for i := range waits {
 		waits[i] = w.Delay
-		if w.Spread > 0 {
-			waits[i] += time.Duration(m.rng.Int64N(int64(w.Spread)))
+		if w.Jitter > 0 {
+			waits[i] += time.Duration(m.rng.Int64N(int64(w.Jitter)))
 		}
 	}
 	m.mu.Unlock()
--- a/internal/lab/mesh/mesh_test.go
+++ b/internal/lab/mesh/mesh_test.go
@@ -84,8 +84,8 @@
 			t.Errorf("received %q, want %q", got, want)
 		}
 	}
-	cut := link.Way{Cut: true}
-	for _, f := range []link.Faults{{To: cut}, {To: link.Way{Loss: 1}}, {To: link.Way{Half: true}}, {Refuse: true}} {
+	cut := link.Direction{Cut: true}
+	for _, f := range []link.Faults{{To: cut}, {To: link.Direction{Loss: 1}}, {To: link.Direction{CutMidMessage: true}}, {Refuse: true}} {
 		m.Set(0, 1, f)
 		who[0].send(t, m, 1, "lost")
 		for _, _, lost := m.Sent(0); lost == 0; _, _, lost = m.Sent(0) {
@@ -99,12 +99,12 @@
 		expect(1, "whole")
 		m.endpoints[0].sent.Lost.Store(0)
 	}
-	m.Set(1, 0, link.Faults{From: link.Way{Twice: 1}}) // set from the other member's side
+	m.Set(1, 0, link.Faults{From: link.Direction{Duplicate: 1}}) // set from the other member's side
 	who[0].send(t, m, 1, "twice")
 	expect(1, "twice")
 	expect(1, "twice")
 	// Random delays eventually reorder datagrams.
-	m.Set(0, 1, link.Faults{To: link.Way{Spread: 20 * time.Millisecond}})
+	m.Set(0, 1, link.Faults{To: link.Direction{Jitter: 20 * time.Millisecond}})
 	for round := range 20 {
 		for i := range 10 {
 			who[0].send(t, m, 1, fmt.Sprint(round, i))
@@ -128,7 +128,7 @@
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	m, who := newTwoMembers(t)
 	defer m.Close()
-	m.Set(1, 0, link.Faults{To: link.Way{Cut: true}})
+	m.Set(1, 0, link.Faults{To: link.Direction{Cut: true}})
 	call := func(from, to int) net.Conn {
 		t.Helper()
 		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: who[from].tcp.Addr().(*net.TCPAddr).IP}}
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -22,11 +22,11 @@
 		return sizePlots(r)
 	}
 	var out []namedPlot
-	if len(r.Plays) == 0 {
+	if len(r.Runs) == 0 {
 		return nil
 	}
 	out = append(out, overTime(r), byPercentile(r))
-	first := r.Plays[0]
+	first := r.Runs[0]
 	if len(first.Hosts) > 1 {
 		out = append(out, byHost(first))
 	}
@@ -86,7 +86,7 @@
 	for i, v := range r.Variants {
 		// The mean over all seeds of the variant.
 		var sum, weight []float64
-		for _, o := range r.Plays {
+		for _, o := range r.Runs {
 			if o.Variant != v {
 				continue
 			}
@@ -111,11 +111,11 @@
 		}
 		addLine(p, i, v, points)
 	}
-	if len(r.Plays) > 0 {
-		drawMarks(p, r.Plays[0].Marks, 1, color.RGBA{R: 170, A: 255})
+	if len(r.Runs) > 0 {
+		drawMarks(p, r.Runs[0].Marks, 1, color.RGBA{R: 170, A: 255})
 	}
 	note := fmt.Sprintf("Each point is the mean over %d seconds.", smoothingSeconds)
-	if len(r.Plays) > len(r.Variants) {
+	if len(r.Runs) > len(r.Variants) {
 		note += " Lines are means over seeds; failures are those of the first seed."
 	}
 	return namedPlot{p, "service", "Service over time", note, false}
@@ -146,13 +146,13 @@
 		}
 	}
 	if len(r.Variants) == 1 {
-		for c, name := range r.Plays[0].Recorder.Classes() {
-			add(r.Plays[0], c, name)
+		for c, name := range r.Runs[0].Recorder.Classes() {
+			add(r.Runs[0], c, name)
 		}
 	} else {
 		for _, v := range r.Variants {
-			if i := slices.IndexFunc(r.Plays, func(o *experiment.Outcome) bool { return o.Variant == v }); i >= 0 {
-				add(r.Plays[i], -1, v)
+			if i := slices.IndexFunc(r.Runs, func(o *experiment.Outcome) bool { return o.Variant == v }); i >= 0 {
+				add(r.Runs[i], -1, v)
 			}
 		}
 	}
@@ -216,7 +216,7 @@
 		of                func(experiment.Size) float64
 		log               bool
 	}{
-		{"decision", "CPU of a message by size", "microseconds of CPU a message, all its events", func(s experiment.Size) float64 { return s.Decision }, true},
+		{"decision", "CPU of a message by size", "microseconds of CPU a message, all its events", func(s experiment.Size) float64 { return s.CPUPerMessageMicros }, true},
 		{"service", "Service by size", "worth served in time", func(s experiment.Size) float64 {
 			if s.Partial {
 				return 0 // not measured
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -78,7 +78,7 @@
 		pictures = append(pictures, pagePlot{p.title, p.name, template.URL("data:image/svg+xml;base64," + base64.StdEncoding.EncodeToString(svg)), p.note})
 	}
 	var page bytes.Buffer
-	if err := pageTemplate.Execute(&page, map[string]any{"R": r, "Pictures": pictures, "Broken": r.Broken(), "Invalid": r.Invalid()}); err != nil {
+	if err := pageTemplate.Execute(&page, map[string]any{"R": r, "Pictures": pictures, "Broken": r.Violations(), "Invalid": r.InvalidRuns()}); err != nil {
 		return err
 	}
 	return f.save("index.html", page.Bytes())
@@ -153,20 +153,20 @@
 		if r.Experiment != out.Experiment {
 			return nil, fmt.Errorf("experiments %s and %s differ", out.Experiment, r.Experiment)
 		}
-		for _, p := range r.Plays {
-			i := slices.IndexFunc(out.Plays, func(o *experiment.Outcome) bool { return o.Variant == p.Variant && o.Seed == p.Seed })
+		for _, p := range r.Runs {
+			i := slices.IndexFunc(out.Runs, func(o *experiment.Outcome) bool { return o.Variant == p.Variant && o.Seed == p.Seed })
 			if i < 0 {
-				out.Plays = append(out.Plays, p)
+				out.Runs = append(out.Runs, p)
 				continue
 			}
-			o := out.Plays[i]
+			o := out.Runs[i]
 			if err := o.Recorder.Merge(p.Recorder); err != nil {
 				return nil, err
 			}
 			o.Rows, o.Series = o.Recorder.Rows(), o.Recorder.Series()
 			o.Service = o.Rows[len(o.Rows)-1].Service
 			o.Verdict = mergeVerdicts(o.Verdict, p.Verdict)
-			o.Cut = o.Cut || p.Cut
+			o.CutShort = o.CutShort || p.CutShort
 			o.Notes = append(o.Notes, "merged from several generators")
 		}
 	}
@@ -192,16 +192,16 @@
 td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}
 img{max-width:100%}.bad{background:#fde2e2;padding:.5em 1em}.good{color:#276749}.note{color:#555;margin-top:0}</style>
 <h1>{{.R.Experiment}}</h1><p>{{.R.About}}</p>
-{{if .R.Cut}}<p class="bad">Cut short: this is what was measured until then.</p>{{end}}
+{{if .R.CutShort}}<p class="bad">Cut short: this is what was measured until then.</p>{{end}}
 {{range .Invalid}}<p class="bad">Invalid run: {{.}}</p>{{end}}
 {{if .Broken}}<p class="bad">{{.Broken}} breaches of the rules; see the audits below.</p>{{end}}
 {{with .R.Comparisons}}<h2>Differences</h2><table><tr><th>figure<th>variant<th>against<th>pairs<th>base<th>difference<th>95% interval<th>sign-flip p<th>verdict
-{{range .}}<tr><td>{{.Figure}}<td>{{.Variant}}<td>{{.Against}}<td>{{.Pairs}}<td>{{printf "%.4g" .Base}}<td>{{spct .Mean}}<td>{{spct .Lo}} to {{spct .Hi}}<td>{{printf "%.3f" .Flip}}<td>{{.Verdict}}{{end}}</table>
+{{range .}}<tr><td>{{.Metric}}<td>{{.Variant}}<td>{{.Against}}<td>{{.Pairs}}<td>{{printf "%.4g" .Base}}<td>{{spct .Mean}}<td>{{spct .Lo}} to {{spct .Hi}}<td>{{printf "%.3f" .SignFlipP}}<td>{{.Verdict}}{{end}}</table>
 <p class="note">Paired by seed; Student's t on the differences (service) or on the logarithms of the ratios (times, CPU).</p>{{end}}
 {{with .R.Sizes}}<h2>Sizes</h2><table><tr><th>dispatchers<th>hosts<th>variant<th>jobs<th>service<th>CPU a message<th>heap a host<th>times real time
-{{range .}}<tr><td>{{.Dispatchers}}<td>{{.Hosts}}<td>{{.Variant}}<td>{{.Jobs}}<td>{{if .Partial}}partial{{else}}{{pct .Service}}{{end}}<td>{{printf "%.1f" .Decision}} us<td>{{printf "%.0f" .HeapPerHost}} B<td>{{printf "%.1f" .Pace}}{{end}}</table>{{end}}
+{{range .}}<tr><td>{{.Dispatchers}}<td>{{.Hosts}}<td>{{.Variant}}<td>{{.Jobs}}<td>{{if .Partial}}partial{{else}}{{pct .Service}}{{end}}<td>{{printf "%.1f" .CPUPerMessageMicros}} us<td>{{printf "%.0f" .HeapPerHost}} B<td>{{printf "%.1f" .Speedup}}{{end}}</table>{{end}}
 {{range .Pictures}}<h2>{{.Title}}</h2><img alt="{{.Title}}" src="{{.SVG}}">{{with .Note}}<p class="note">{{.}}</p>{{end}}{{end}}
-{{if not .R.Sizes}}{{range .R.Plays}}<h2>{{.Variant}}, seed {{.Seed}}</h2>
+{{if not .R.Sizes}}{{range .R.Runs}}<h2>{{.Variant}}, seed {{.Seed}}</h2>
 <table><tr><th>class<th>asked<th>in time<th>late<th>refused<th>failed<th>no answer<th>left<th>tries<th>service<th>p50<th>p99<th>p99.9
 {{range .Rows}}<tr><td>{{.Class}}<td>{{.Asked}}<td>{{.InTime}}<td>{{.Late}}<td>{{.Refused}}<td>{{.Failed}}<td>{{.Unanswered}}<td>{{.Left}}<td>{{.Tries}}<td>{{pct .Service}}<td>{{short .P50}}<td>{{short .P99}}<td>{{short .P999}}{{end}}</table>
 {{range .Marks}}<div class="note">{{printf "%.1f" .At}} s: {{.Label}}</div>{{end}}
--- a/internal/lab/selfcheck/check.go
+++ b/internal/lab/selfcheck/check.go
@@ -140,7 +140,7 @@
 	expected := Expected(schedule, stallStart, stallStart+stallLength)
 	open := res.Recorder.Curve(0, quantiles)
 	rows := res.Recorder.Rows()
-	r.Good = rows[0].InTime+rows[0].Late == int64(len(day.Jobs)) && res.Foreign == 0
+	r.Good = rows[0].InTime+rows[0].Late == int64(len(day.Jobs)) && res.Mismatched == 0
 	for i, q := range quantiles {
 		row := Row{Quantile: q, Computed: Quantile(expected, q), Open: open[i], Closed: Quantile(closed, q)}
 		off := (row.Open - row.Computed).Abs()
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -292,7 +292,7 @@
 func (sim *simulation) recordOutcome(j *job, at int64) {
 	c := &sim.day.Classes[j.Class]
 	latency := time.Duration(at)*time.Microsecond - j.At
-	sim.recorder.Add(measure.Sample{Class: j.Class, At: j.At, Latency: latency, Outcome: load.Judge(c, j.Job, j.lastResult, latency),
+	sim.recorder.Add(measure.Sample{Class: j.Class, At: j.At, Latency: latency, Outcome: load.Classify(c, j.Job, j.lastResult, latency),
 		Worth: c.Worth * j.Work.Seconds(), Tries: j.client.Tries(), Zone: j.Zone})
 	sim.completed++
 	sim.openJobs--
