--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -15,7 +15,7 @@
 	"strings"
 	"sync"
 
-	"granitewing/internal/seam"
+	"granitewing/internal/syncpoint"
 )
 
 // Bounds limit a search.
@@ -179,9 +179,9 @@
 	for range threads {
 		s.threads = append(s.threads, &thread{resume: make(chan bool)})
 	}
-	seam.WaitScheduled = func(ready func() bool, objects ...any) { s.yield(s.current, ready, objects) }
-	seam.Choose = func(n int) int { return s.choose(n, schedule) }
-	defer func() { seam.WaitScheduled, seam.Choose = nil, nil }()
+	syncpoint.WaitScheduled = func(ready func() bool, objects ...any) { s.yield(s.current, ready, objects) }
+	syncpoint.Choose = func(n int) int { return s.choose(n, schedule) }
+	defer func() { syncpoint.WaitScheduled, syncpoint.Choose = nil, nil }()
 	for i, f := range threads {
 		go s.runThread(i, f)
 		<-s.yielded // the goroutine has reached its start
@@ -199,7 +199,7 @@
 		err = s.failure
 	}
 	if err == nil && after != nil {
-		seam.WaitScheduled, seam.Choose = nil, nil
+		syncpoint.WaitScheduled, syncpoint.Choose = nil, nil
 		err = after()
 	}
 	return err
@@ -330,7 +330,7 @@
 
 // Touch marks an access to an object. All accesses that the search has to order must go through Touch or package
 // seam.
-func Touch(object any) { seam.WaitScheduled(nil, object) }
+func Touch(object any) { syncpoint.WaitScheduled(nil, object) }
 
 // Choose returns one of n options, 0 to n-1; the search tries all of them.
-func Choose(n int) int { return seam.Choose(n) }
+func Choose(n int) int { return syncpoint.Choose(n) }
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -7,13 +7,13 @@
 	"strings"
 	"testing"
 
-	"granitewing/internal/seam"
+	"granitewing/internal/syncpoint"
 )
 
 // counter is a counter that two goroutines increment, with or without a lock.
 func counter(locked bool) Make {
 	return func() ([]func(), func() error) {
-		var mu seam.Mutex
+		var mu syncpoint.Mutex
 		n := 0
 		add := func() {
 			if locked {
@@ -36,8 +36,8 @@
 
 // lockOrderInversion is two goroutines that take two locks in opposite orders.
 func lockOrderInversion() ([]func(), func() error) {
-	var a, b seam.Mutex
-	take := func(x, y *seam.Mutex) func() {
+	var a, b syncpoint.Mutex
+	take := func(x, y *syncpoint.Mutex) func() {
 		return func() {
 			x.Lock()
 			y.Lock()
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -20,7 +20,7 @@
 	"granitewing/internal/inventory"
 	"granitewing/internal/latest"
 	"granitewing/internal/memory"
-	"granitewing/internal/seam"
+	"granitewing/internal/syncpoint"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
@@ -161,7 +161,7 @@
 }
 
 // post passes an event to the owner; it blocks while maxQueuedEvents are pending.
-func (d *Driver) post(f func()) { seam.Send(d.events, f, d.done) }
+func (d *Driver) post(f func()) { syncpoint.Send(d.events, f, d.done) }
 
 // postAfter posts an event after a delay.
 func (d *Driver) postAfter(wait time.Duration, f func()) *time.Timer {
--- a/internal/driver/journal.go
+++ b/internal/driver/journal.go
@@ -6,7 +6,7 @@
 
 	"granitewing/internal/memory"
 	"granitewing/internal/record"
-	"granitewing/internal/seam"
+	"granitewing/internal/syncpoint"
 )
 
 // journalRetryAfter is the Retry-After of a request that cannot be recorded now.
@@ -44,7 +44,7 @@
 // writeLoop writes batches to the store and posts each result to the owner.
 func (j *journal) writeLoop() {
 	for {
-		batch, more := seam.Recv(j.writes, j.d.done)
+		batch, more := syncpoint.Recv(j.writes, j.d.done)
 		if !more {
 			return
 		}
@@ -58,7 +58,7 @@
 // flush starts the next write if there is something to write and no write is under way.
 func (j *journal) flush() {
 	if batch := j.Batch(j.d.now()); batch != nil {
-		seam.Send(j.writes, batch, nil) // never blocks: Batch returns one only after the previous write has finished
+		syncpoint.Send(j.writes, batch, nil) // never blocks: Batch returns one only after the previous write has finished
 	}
 	j.armTimer()
 }
--- a/internal/driver/post_check_test.go
+++ b/internal/driver/post_check_test.go
@@ -12,7 +12,7 @@
 
 	"granitewing/internal/check"
 	"granitewing/internal/record"
-	"granitewing/internal/seam"
+	"granitewing/internal/syncpoint"
 )
 
 // postModel has two goroutines post two events each, and an owner that runs some of them and ends; post is the
@@ -30,10 +30,10 @@
 		}
 		owner := func() {
 			for range runs {
-				f, _ := seam.Recv(d.events, nil)
+				f, _ := syncpoint.Recv(d.events, nil)
 				f()
 			}
-			seam.Close(d.done)
+			syncpoint.Close(d.done)
 		}
 		return []func(){poster("a"), poster("b"), owner}, func() error {
 			for _, name := range []string{"a", "b"} {
@@ -63,8 +63,8 @@
 // Without waiting for space an event is lost, and without the check for the end a goroutine waits forever.
 func TestPostsInterleavedWithoutARule(t *testing.T) {
 	for rule, post := range map[string]func(d *Driver, f func()){
-		"blocks while full": func(d *Driver, f func()) { seam.TrySend(d.events, f) },
-		"observes done":     func(d *Driver, f func()) { seam.Send(d.events, f, nil) },
+		"blocks while full": func(d *Driver, f func()) { syncpoint.TrySend(d.events, f) },
+		"observes done":     func(d *Driver, f func()) { syncpoint.Send(d.events, f, nil) },
 	} {
 		model := postModel(map[string]int{"blocks while full": 4, "observes done": 2}[rule], post)
 		r := check.Run(check.Default, model)
@@ -96,14 +96,14 @@
 		j := &journal{d: d, store: s, limit: time.Minute, writes: make(chan []record.Record, 1)}
 		owner := func() {
 			for i := range 3 {
-				if !seam.TrySend(j.writes, []record.Record{{Name: fmt.Sprint(i)}}) {
+				if !syncpoint.TrySend(j.writes, []record.Record{{Name: fmt.Sprint(i)}}) {
 					panic("the owner would wait for the writer")
 				}
 				if waitsForResult {
-					seam.Recv(d.events, nil)
+					syncpoint.Recv(d.events, nil)
 				}
 			}
-			seam.Close(d.done)
+			syncpoint.Close(d.done)
 		}
 		return []func(){j.writeLoop, owner}, func() error {
 			if len(s.wrote) != 3 {
--- a/internal/latest/latest.go
+++ b/internal/latest/latest.go
@@ -2,7 +2,7 @@
 // Put never blocks and replaces a value that nobody has taken yet.
 package latest
 
-import "granitewing/internal/seam"
+import "granitewing/internal/syncpoint"
 
 // Mailbox holds at most one value. One goroutine puts values; any goroutine may take them.
 type Mailbox[T any] struct{ c chan T }
@@ -12,8 +12,8 @@
 
 // Put stores a value, replacing one that is still there. It never blocks.
 func (p Mailbox[T]) Put(v T) {
-	for !seam.TrySend(p.c, v) {
-		seam.TryRecv(p.c)
+	for !syncpoint.TrySend(p.c, v) {
+		syncpoint.TryRecv(p.c)
 	}
 }
 
@@ -21,4 +21,4 @@
 func (p Mailbox[T]) C() <-chan T { return p.c }
 
 // Take removes and returns the value; false if there is none.
-func (p Mailbox[T]) Take() (T, bool) { return seam.TryRecv(p.c) }
+func (p Mailbox[T]) Take() (T, bool) { return syncpoint.TryRecv(p.c) }
--- a/internal/latest/latest_check_test.go
+++ b/internal/latest/latest_check_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"granitewing/internal/check"
-	"granitewing/internal/seam"
+	"granitewing/internal/syncpoint"
 )
 
 // placeModel has one goroutine put three values and another take three times; put is the function under test.
@@ -54,7 +54,7 @@
 
 // Without taking out the old value, the latest one is lost in some order.
 func TestInterleavingsWithoutRoom(t *testing.T) {
-	broken := placeModel(func(p Mailbox[int], v int) { seam.TrySend(p.c, v) })
+	broken := placeModel(func(p Mailbox[int], v int) { syncpoint.TrySend(p.c, v) })
 	r := check.Run(check.Default, broken)
 	t.Log(r)
 	if r.Err == nil || check.Replay(r.Schedule, broken) == nil {
--- a/internal/seam/checked.go
+++ b/internal/syncpoint/checked.go
@@ -1,8 +1,8 @@
 //go:build check
 
-// Package seam holds the synchronisation operations of code that internal/check runs under all interleavings. In this
+// Package syncpoint holds the synchronisation operations of code that internal/check runs under all interleavings. In this
 // build each operation first waits until the checker schedules its goroutine.
-package seam
+package syncpoint
 
 import "sync"
 
--- a/internal/seam/try.go
+++ b/internal/syncpoint/try.go
@@ -1,4 +1,4 @@
-package seam
+package syncpoint
 
 // Non-blocking operations that both builds share.
 
