--- a/Makefile
+++ b/Makefile
@@ -10,7 +10,7 @@
 	go vet -tags check $(INTERLEAVED)
 
 # Packages with tests that run all interleavings of a few goroutines (internal/check).
-INTERLEAVED = ./internal/check ./internal/syncpoint ./internal/latest ./internal/driver ./internal/fleet/limit/rights ./internal/fleet/limit/hold
+INTERLEAVED = ./internal/check ./internal/syncpoint ./internal/mailbox ./internal/driver ./internal/fleet/limit/rights ./internal/fleet/limit/hold
 
 # Tests that are known to fail for a fault that is not mended yet: KNOWN-RED.txt, one line each, printed and passed over.
 KNOWN_RED = $(shell sed -n 's/^\(Test[^ ]*\) .*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd '|' -)
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"granitewing/internal/inventory"
-	"granitewing/internal/latest"
+	"granitewing/internal/mailbox"
 	"granitewing/internal/memory"
 	"granitewing/internal/syncpoint"
 	"granitewing/internal/wire/platform"
@@ -79,8 +79,8 @@
 	shutdownPlan     shutdownPlan // of a SIGTERM without a successor process
 	serving          atomic.Bool  // health as the admin endpoint reports it: servers are known and clients are accepted
 	metrics          *metrics
-	cordonUpdates    latest.Mailbox[[]string] // to the cordonSyncer
-	startedAt        time.Time                // when this process started
+	cordonUpdates    mailbox.Mailbox[[]string] // to the cordonSyncer
+	startedAt        time.Time                 // when this process started
 	files            fileSystem
 	tempSuffix       string        // unique to this process; in the names of temporary files
 	previousStart    startRecord   // start announced by the process before this one
@@ -122,7 +122,7 @@
 		stopAccepting: make(chan struct{}), dial: dialTCP,
 		downstreams: map[*downstream]struct{}{}, openRequests: map[memory.ID]*downstream{}, attempts: map[memory.AttemptID]*attempt{},
 		pool: pool{servers: map[string]*serverConns{}}, limits: limitsFor(cfg.Sockets, cfg.MemoryMB),
-		metrics: newMetrics(cfg.Settings.Classes), cordonUpdates: latest.New[[]string](), startedAt: time.Now(),
+		metrics: newMetrics(cfg.Settings.Classes), cordonUpdates: mailbox.New[[]string](), startedAt: time.Now(),
 		files: osFileSystem{}, tempSuffix: fmt.Sprintf("%d-%x", os.Getpid(), time.Now().UnixNano()),
 	}, nil
 }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -25,7 +25,7 @@
 
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/limit"
-	"granitewing/internal/latest"
+	"granitewing/internal/mailbox"
 )
 
 // Bounds on pending messages, and times.
@@ -57,7 +57,7 @@
 type Fleet struct {
 	options        Options
 	list           *memberlist.Memberlist
-	outgoing       latest.Mailbox[[]ledger.Outgoing]
+	outgoing       mailbox.Mailbox[[]ledger.Outgoing]
 	outgoingLimits chan []*limit.Message
 	done           chan struct{}
 	wait           sync.WaitGroup
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet.bind: %w", err)
 	}
-	f := &Fleet{options: o, outgoing: latest.New[[]ledger.Outgoing](), outgoingLimits: make(chan []*limit.Message, maxLimitBatches), done: make(chan struct{}), contacts: map[string]contact{}, reports: map[source]ledger.Received{}, awaited: map[string]exchange{}}
+	f := &Fleet{options: o, outgoing: mailbox.New[[]ledger.Outgoing](), outgoingLimits: make(chan []*limit.Message, maxLimitBatches), done: make(chan struct{}), contacts: map[string]contact{}, reports: map[source]ledger.Received{}, awaited: map[string]exchange{}}
 	cfg := memberlist.DefaultLANConfig()
 	cfg.Name, cfg.BindAddr, cfg.BindPort, cfg.AdvertiseAddr, cfg.AdvertisePort = o.Name, host, number, host, number
 	if o.Advertise != "" {
--- a/internal/latest/latest.go
+++ b/internal/mailbox/latest.go
@@ -1,6 +1,6 @@
-// Package latest passes values between goroutines when only the latest value matters. A Place holds at most one value:
+// Package mailbox passes values between goroutines when only the latest value matters. A Place holds at most one value:
 // Put never blocks and replaces a value that nobody has taken yet.
-package latest
+package mailbox
 
 import "granitewing/internal/syncpoint"
 
--- a/internal/latest/latest_check_test.go
+++ b/internal/mailbox/latest_check_test.go
@@ -1,6 +1,6 @@
 //go:build check
 
-package latest
+package mailbox
 
 import (
 	"fmt"
