--- a/internal/memory/core.go
+++ b/internal/dispatch/core.go
@@ -1,4 +1,4 @@
-// Package memory is the core of a dispatcher. It holds the open messages (client requests) with their attempts,
+// Package dispatch is the core of a dispatcher. It holds the open messages (client requests) with their attempts,
 // the back-end hosts with their phase, and the rules that every send has to obey.
 //
 // Core translates events (a message arrives, an attempt completes, the list of hosts changes, a timer fires) into
@@ -8,7 +8,7 @@
 // A driver makes a Core with New, attaches the optional fleet-wide parts (Limit, Price, Tell, Gang, Retries)
 // before the first message, then calls one method for each event and executes the returned commands in order.
 // Times are in microseconds. A Core is not safe for concurrent use.
-package memory
+package dispatch
 
 import (
 	"granitewing/logic"
--- a/internal/memory/limits.go
+++ b/internal/dispatch/limits.go
@@ -1,4 +1,4 @@
-package memory
+package dispatch
 
 // Fleet-wide limits, of which this dispatcher holds a part. The core does not know how the parts are allocated. It
 // asks once per message, never waits for an answer, and reports when the message is answered.
--- a/internal/memory/prices.go
+++ b/internal/dispatch/prices.go
@@ -1,4 +1,4 @@
-package memory
+package dispatch
 
 // The fleet-wide price of work, as far as this dispatcher knows it.
 
--- a/internal/memory/rules.go
+++ b/internal/dispatch/rules.go
@@ -1,4 +1,4 @@
-package memory
+package dispatch
 
 import "granitewing/logic"
 
--- a/internal/driver/crossing_test.go
+++ b/internal/driver/crossing_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
@@ -51,7 +51,7 @@
 
 // listServers lists servers that listen but accept nothing until the test does.
 func (x *harness) listServers(names ...string) {
-	var hosts []memory.Host
+	var hosts []dispatch.Host
 	for _, name := range names {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -59,7 +59,7 @@
 		}
 		x.t.Cleanup(func() { ln.Close() })
 		x.servers[name] = ln
-		hosts = append(hosts, memory.Host{Name: name, Addr: ln.Addr().String(), Phase: logic.Ready})
+		hosts = append(hosts, dispatch.Host{Name: name, Addr: ln.Addr().String(), Phase: logic.Ready})
 	}
 	x.d.applyHosts(logic.ListFull, hosts)
 }
@@ -315,7 +315,7 @@
 	s := &upstream{addr: "a", parser: platform.NewRelay(func(platform.Note) {})}
 	s.conn = &conn{d: d, socket: near, writeQueue: make(chan func() []byte, 1), continueReading: make(chan bool, 1), closed: make(chan struct{})}
 	msg := &platform.Message{Method: "POST", Target: "/readings", Txn: "t1", Lane: "readings"}
-	s.start(&attempt{id: memory.AttemptID{Message: 1}, msg: msg, addr: "a", deadline: d.now() + 1_000_000})
+	s.start(&attempt{id: dispatch.AttemptID{Message: 1}, msg: msg, addr: "a", deadline: d.now() + 1_000_000})
 	elapsed = 900 * time.Millisecond
 	go s.writeLoop(func(error) {})
 	r := bufio.NewReader(server)
@@ -362,7 +362,7 @@
 		x := newHarness(t, logic.Class{Name: "readings", TargetLatency: 100_000, Deadline: 60_000_000, WorkerKind: -1})
 		settings := x.d.cfg.Settings
 		settings.SlowStart, settings.StartCapacity, settings.OverloadWindow, settings.OverloadMultiple = 24_000_000, 0.3, 2_000_000, 30
-		core, err := memory.New(settings, 7)
+		core, err := dispatch.New(settings, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -371,7 +371,7 @@
 		x.d.clock.elapsed = func() time.Duration { return time.Duration(elapsed.Load()) }
 		x.d.applyHosts(logic.ListFull, nil) // the core's own start
 		elapsed.Store(int64(10 * time.Second))
-		x.d.applyHosts(logic.ListFull, []memory.Host{{Name: "s-a", Addr: "127.0.0.1:1", Phase: logic.Ready, UpSince: x.d.now() - 1_000_000}})
+		x.d.applyHosts(logic.ListFull, []dispatch.Host{{Name: "s-a", Addr: "127.0.0.1:1", Phase: logic.Ready, UpSince: x.d.now() - 1_000_000}})
 		attempts := 0
 		x.d.dial = func(string, time.Duration) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
 		c, _ := x.connectClient()
--- a/internal/driver/door_test.go
+++ b/internal/driver/door_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/logic"
 )
 
@@ -59,7 +59,7 @@
 func TestCordonsFromOtherProcess(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	d := testDriver(t)
-	d.execute(d.core.Inventory(d.now(), logic.ListFull, []memory.Host{
+	d.execute(d.core.Inventory(d.now(), logic.ListFull, []dispatch.Host{
 		{Name: "s-0a", Addr: "a", Phase: logic.Ready}, {Name: "s-0b", Addr: "b", Phase: logic.Ready},
 	}))
 	if err := os.WriteFile(d.cordonFile(), []byte("s-0b\n"), 0o600); err != nil {
--- a/internal/driver/downstream.go
+++ b/internal/driver/downstream.go
@@ -4,7 +4,7 @@
 	"net"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/record"
 	"granitewing/internal/wire/platform"
 )
@@ -22,7 +22,7 @@
 	arrivals           arrivals          // when the bytes in unparsed were received
 	receivedAt         int64             // when the last byte of the request was received, Unix microseconds
 	msg                *platform.Message // current request, not yet answered
-	messageID          memory.ID         // of the request while the core has it
+	messageID          dispatch.ID       // of the request while the core has it
 	inCore             bool              // the core has the request
 	hadRequest         bool              // it has carried a request, possibly one that was refused
 	hadAcceptedRequest bool              // the core has accepted a request from this connection
@@ -240,7 +240,7 @@
 	deadline := n.receivedAt + wait.Microseconds()
 	now := d.now()
 	id, cmds := d.core.Arrive(now, m.Message, deadline)
-	if d.journal != nil && !(len(cmds) > 0 && cmds[0].Kind == memory.Answer && cmds[0].Verdict == memory.Duplicate) {
+	if d.journal != nil && !(len(cmds) > 0 && cmds[0].Kind == dispatch.Answer && cmds[0].Verdict == dispatch.Duplicate) {
 		d.journal.Accept(now, id, record.Message{Name: m.Txn, Key: m.Key, Class: m.Class, Deadline: deadline})
 	}
 	n.messageID, n.inCore, n.hadAcceptedRequest = id, true, true
@@ -254,15 +254,15 @@
 }
 
 // answer sends the final answer to the open request.
-func (n *downstream) answer(c memory.Command) {
+func (n *downstream) answer(c dispatch.Command) {
 	n.inCore = false
 	n.expiryTimer.Stop()
 	switch c.Verdict {
-	case memory.Served:
+	case dispatch.Served:
 		n.reply(200, c.Content, 0)
-	case memory.Refused:
+	case dispatch.Refused:
 		n.reply(503, nil, time.Duration(c.After)*time.Microsecond)
-	case memory.Duplicate:
+	case dispatch.Duplicate:
 		n.reply(409, []byte("a message with this X-Txn is open"), 0)
 	default:
 		n.reply(502, nil, 0)
--- a/internal/driver/downstream_test.go
+++ b/internal/driver/downstream_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
@@ -95,14 +95,14 @@
 		t.Errorf("newest closed: %t; open: %d", last.isClosed, len(d.downstreams))
 	}
 	last.receivedAt = d.now()
-	last.msg = &platform.Message{Message: memory.Message{Name: "t1"}, Remaining: time.Minute}
+	last.msg = &platform.Message{Message: dispatch.Message{Name: "t1"}, Remaining: time.Minute}
 	last.handle()
 	if len(d.openRequests) != 1 {
 		t.Fatal("a request was refused although only silent connections hold slots")
 	}
 	n := testClient(t, d)
 	n.receivedAt = d.now()
-	n.msg = &platform.Message{Message: memory.Message{Name: "t2"}, Remaining: time.Minute}
+	n.msg = &platform.Message{Message: dispatch.Message{Name: "t2"}, Remaining: time.Minute}
 	n.handle()
 	if len(d.openRequests) != 1 || n.pendingWrites != 1 {
 		t.Error("a request beyond the limit was not refused")
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,5 +1,5 @@
 // Package driver runs a dispatcher on real sockets and timers. It accepts client connections, reads their requests,
-// passes them to the decision core (memory.Core), executes the core's commands on connections to servers and watches
+// passes them to the decision core (dispatch.Core), executes the core's commands on connections to servers and watches
 // discovery for the list of servers. It also serves the admin endpoint, keeps the store of record and the fleet
 // exchange running, and shuts down gracefully.
 //
@@ -17,9 +17,9 @@
 	"sync/atomic"
 	"time"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/inventory"
 	"granitewing/internal/mailbox"
-	"granitewing/internal/memory"
 	"granitewing/internal/syncpoint"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
@@ -46,7 +46,7 @@
 // Driver serves one dispatcher. Unless stated otherwise its methods belong to the owner, the goroutine in Run.
 type Driver struct {
 	cfg   *platform.Config
-	core  *memory.Core
+	core  *dispatch.Core
 	clock clock
 	log   *slog.Logger
 	ln    net.Listener
@@ -58,8 +58,8 @@
 	lanes         map[string]platform.Lane
 	tenants       map[string]int
 	downstreams   map[*downstream]struct{}
-	openRequests  map[memory.ID]*downstream
-	attempts      map[memory.AttemptID]*attempt
+	openRequests  map[dispatch.ID]*downstream
+	attempts      map[dispatch.AttemptID]*attempt
 	pool          pool
 	watches       inventoryWatches
 	starts        inventory.Starts // start times of the servers
@@ -112,7 +112,7 @@
 
 // New returns a driver that serves on a listener. Settings that the core refuses are an error.
 func New(cfg *platform.Config, ln net.Listener, log *slog.Logger) (*Driver, error) {
-	core, err := memory.New(cfg.Settings, cfg.Seed)
+	core, err := dispatch.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -120,7 +120,7 @@
 		cfg: cfg, core: core, clock: newClock(), log: log, ln: ln, lanes: cfg.Lanes(), tenants: cfg.Tenants(), shutdownPlan: shutdownPlanFor(cfg.Settings.Classes),
 		events: make(chan func(), maxQueuedEvents), done: make(chan struct{}),
 		stopAccepting: make(chan struct{}), dial: dialTCP,
-		downstreams: map[*downstream]struct{}{}, openRequests: map[memory.ID]*downstream{}, attempts: map[memory.AttemptID]*attempt{},
+		downstreams: map[*downstream]struct{}{}, openRequests: map[dispatch.ID]*downstream{}, attempts: map[dispatch.AttemptID]*attempt{},
 		pool: pool{servers: map[string]*serverConns{}}, limits: limitsFor(cfg.Sockets, cfg.MemoryMB),
 		metrics: newMetrics(cfg.Settings.Classes), cordonUpdates: mailbox.New[[]string](), startedAt: time.Now(),
 		files: osFileSystem{}, tempSuffix: fmt.Sprintf("%d-%x", os.Getpid(), time.Now().UnixNano()),
@@ -188,7 +188,7 @@
 
 // execute carries out the commands of one call of the core, except those that must wait for the store of record. No
 // command calls the core before all of them are executed.
-func (d *Driver) execute(cmds []memory.Command) {
+func (d *Driver) execute(cmds []dispatch.Command) {
 	if d.journal == nil {
 		d.executeNow(cmds)
 		return
@@ -197,23 +197,23 @@
 	d.journal.flush()
 }
 
-func (d *Driver) executeNow(cmds []memory.Command) {
+func (d *Driver) executeNow(cmds []dispatch.Command) {
 	for _, c := range cmds {
 		switch c.Kind {
-		case memory.Send:
+		case dispatch.Send:
 			d.sendAttempt(c)
-		case memory.Drop:
+		case dispatch.Drop:
 			d.cancelAttempt(c.Attempt)
-		case memory.Answer:
+		case dispatch.Answer:
 			if n := d.openRequests[c.Attempt.Message]; n != nil {
 				delete(d.openRequests, c.Attempt.Message)
 				n.answer(c)
 			}
-		case memory.Wake:
+		case dispatch.Wake:
 			d.wakeAt(c.At)
-		case memory.Watch:
+		case dispatch.Watch:
 			d.requestInventory()
-		case memory.CloseIdle:
+		case dispatch.CloseIdle:
 			d.pool.closeIdle(c.Addr)
 		}
 	}
--- a/internal/driver/files_test.go
+++ b/internal/driver/files_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/logic"
 )
 
@@ -102,7 +102,7 @@
 	for _, call := range []string{"stat", "read"} {
 		t.Setenv("TMPDIR", t.TempDir())
 		d := testDriver(t)
-		d.core.Inventory(d.now(), logic.ListFull, []memory.Host{{Name: "s-0a", Addr: "a", Phase: logic.Ready}})
+		d.core.Inventory(d.now(), logic.ListFull, []dispatch.Host{{Name: "s-0a", Addr: "a", Phase: logic.Ready}})
 		if err := os.WriteFile(d.cordonFile(), []byte("s-0a\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -223,9 +223,9 @@
 			d.clock.wall = func() time.Time { return time.Now().Add(step) }
 			now := d.now()
 			up := now - 2_000_000 + others.Microseconds()
-			d.applyHosts(logic.ListFull, []memory.Host{{Name: "s-0a", Addr: "a", Phase: logic.Ready, UpSince: up}})
-			d.applyHosts(logic.ListDelta, []memory.Host{{Name: "s-0a", Addr: "a", Phase: logic.Ready, UpSince: up}})
-			d.core.Hosts(func(_ logic.WorkerID, h memory.Host) {
+			d.applyHosts(logic.ListFull, []dispatch.Host{{Name: "s-0a", Addr: "a", Phase: logic.Ready, UpSince: up}})
+			d.applyHosts(logic.ListDelta, []dispatch.Host{{Name: "s-0a", Addr: "a", Phase: logic.Ready, UpSince: up}})
+			d.core.Hosts(func(_ logic.WorkerID, h dispatch.Host) {
 				if age := now - h.UpSince; age > 2_100_000 || age < -100_000 {
 					t.Errorf("clock stepped by %v, the server's by %v: age is %d us, want about 2 s", step, others, age)
 				}
--- a/internal/driver/inventory.go
+++ b/internal/driver/inventory.go
@@ -8,8 +8,8 @@
 	"net"
 	"time"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/inventory"
-	"granitewing/internal/memory"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
@@ -173,7 +173,7 @@
 }
 
 // applyHosts passes servers to the core, with their start times converted to the dispatcher's own clock.
-func (d *Driver) applyHosts(how logic.ListKind, hosts []memory.Host) {
+func (d *Driver) applyHosts(how logic.ListKind, hosts []dispatch.Host) {
 	now, wall := d.now(), d.clock.wall().UnixMicro()
 	for i := range hosts {
 		hosts[i].UpSince = d.starts.Own(hosts[i].Name, hosts[i].UpSince, wall, now)
--- a/internal/driver/journal.go
+++ b/internal/driver/journal.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/record"
 	"granitewing/internal/syncpoint"
 )
@@ -101,7 +101,7 @@
 
 // applyReleased executes the commands that the journal releases and has the core refuse requests that cannot be
 // recorded.
-func (j *journal) applyReleased(out []memory.Command, refuse []memory.ID, changed bool) {
+func (j *journal) applyReleased(out []dispatch.Command, refuse []dispatch.ID, changed bool) {
 	d := j.d
 	if changed {
 		state := "closed"
--- a/internal/driver/journal_test.go
+++ b/internal/driver/journal_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/record"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
@@ -63,7 +63,7 @@
 		return logic.Class{Name: name, Deadline: 60_000_000, WorkerKind: -1, Repeat: r, Window: 40_000_000}
 	}
 	cfg := &platform.Config{Sockets: 1024, MemoryMB: 192, Discovery: "127.0.0.1:1",
-		Known:    platform.List{Hosts: []memory.Host{{Name: "s-a", Addr: host.Addr().String(), Phase: logic.Ready}}},
+		Known:    platform.List{Hosts: []dispatch.Host{{Name: "s-a", Addr: host.Addr().String(), Phase: logic.Ready}}},
 		Settings: logic.Config{Classes: []logic.Class{class("readings", logic.RepeatSafe), class("batch", logic.RepeatKeyed), class("alert", logic.RepeatUnsafe)}, MaxAttempts: 3, MayCancel: true}}
 	if s.d, err = New(cfg, ln, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
--- a/internal/driver/limits.go
+++ b/internal/driver/limits.go
@@ -4,8 +4,8 @@
 	"bytes"
 	"fmt"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/fleet/limit"
-	"granitewing/internal/memory"
 )
 
 // fleetLimits applies the fleet's limits to requests, using the rights that this dispatcher holds. It belongs to the
@@ -13,20 +13,20 @@
 type fleetLimits struct {
 	participant *limit.Part
 	now         func() int64
-	places      map[memory.ID]limit.Places // of open requests that hold any
+	places      map[dispatch.ID]limit.Places // of open requests that hold any
 }
 
-// Admit implements memory.Limits.
-func (l *fleetLimits) Admit(now int64, id memory.ID, tenant, class int) (memory.LimitResult, int64) {
+// Admit implements dispatch.Limits.
+func (l *fleetLimits) Admit(now int64, id dispatch.ID, tenant, class int) (dispatch.LimitResult, int64) {
 	verdict, places := l.participant.Admit(now, tenant, class)
 	if places != (limit.Places{}) {
 		l.places[id] = places
 	}
-	return [...]memory.LimitResult{limit.Free: memory.Unlimited, limit.Inside: memory.WithinShare, limit.Beyond: memory.BeyondShare, limit.Refuse: memory.OverLimit}[verdict], l.participant.MaxOpenTime(tenant, class)
+	return [...]dispatch.LimitResult{limit.Free: dispatch.Unlimited, limit.Inside: dispatch.WithinShare, limit.Beyond: dispatch.BeyondShare, limit.Refuse: dispatch.OverLimit}[verdict], l.participant.MaxOpenTime(tenant, class)
 }
 
-// Answered implements memory.Limits.
-func (l *fleetLimits) Answered(id memory.ID) {
+// Answered implements dispatch.Limits.
+func (l *fleetLimits) Answered(id dispatch.ID) {
 	if places, has := l.places[id]; has {
 		l.participant.Done(l.now(), places)
 		delete(l.places, id)
--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/fleet/court"
 	"granitewing/internal/fleet/gang"
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/limit"
 	"granitewing/internal/fleet/market"
-	"granitewing/internal/memory"
 	"granitewing/logic"
 )
 
@@ -77,7 +77,7 @@
 		d.sharing.admission = market.New(d.core)
 	}
 	if s.Rights != nil {
-		d.sharing.rights = &fleetLimits{participant: limit.New(d.now(), *s.Rights), now: d.now, places: map[memory.ID]limit.Places{}}
+		d.sharing.rights = &fleetLimits{participant: limit.New(d.now(), *s.Rights), now: d.now, places: map[dispatch.ID]limit.Places{}}
 		d.core.Limit(d.sharing.rights)
 		if s.Gangs != nil {
 			part := d.sharing.rights.participant
--- a/internal/driver/stop_test.go
+++ b/internal/driver/stop_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
@@ -65,10 +65,10 @@
 	if d.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	d.core.Inventory(d.now(), logic.ListFull, []memory.Host{{Name: "s-a", Addr: "127.0.0.1:1", Phase: logic.Ready}})
+	d.core.Inventory(d.now(), logic.ListFull, []dispatch.Host{{Name: "s-a", Addr: "127.0.0.1:1", Phase: logic.Ready}})
 	hold := func(name string, ago time.Duration) *downstream {
 		n := testClient(t, d)
-		n.msg = &platform.Message{Txn: name, Message: memory.Message{Name: name}, Remaining: 2 * time.Hour}
+		n.msg = &platform.Message{Txn: name, Message: dispatch.Message{Name: name}, Remaining: 2 * time.Hour}
 		n.receivedAt = d.now() - ago.Microseconds()
 		n.submit()
 		return n
--- a/internal/driver/upstream.go
+++ b/internal/driver/upstream.go
@@ -5,14 +5,14 @@
 	"slices"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
 
 // attempt is one attempt to run a request on a server.
 type attempt struct {
-	id       memory.AttemptID
+	id       dispatch.AttemptID
 	msg      *platform.Message
 	addr     string
 	deadline int64
@@ -102,7 +102,7 @@
 }
 
 // sendAttempt starts an attempt on the most recently used idle connection to its server, or on a new one.
-func (d *Driver) sendAttempt(c memory.Command) {
+func (d *Driver) sendAttempt(c dispatch.Command) {
 	n := d.openRequests[c.Attempt.Message]
 	if n == nil {
 		return // the client has just left; the core is notified next and cancels the attempt
@@ -342,7 +342,7 @@
 }
 
 // cancelAttempt stops an attempt that the core cancelled.
-func (d *Driver) cancelAttempt(id memory.AttemptID) {
+func (d *Driver) cancelAttempt(id dispatch.AttemptID) {
 	if r := d.attempts[id]; r != nil {
 		d.releaseAttempt(r)
 	}
--- a/internal/driver/upstream_test.go
+++ b/internal/driver/upstream_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
@@ -59,11 +59,11 @@
 			host, far := net.Pipe()
 			n := &downstream{parser: platform.NewNorth(nil, nil), msg: msg, inCore: true, expiryTimer: time.NewTimer(time.Hour)}
 			n.conn = d.newConn(near, 3, n.read, n.wrote)
-			d.core.Inventory(d.now(), logic.ListFull, []memory.Host{{Name: "s-a", Addr: "a", Phase: logic.Ready}})
+			d.core.Inventory(d.now(), logic.ListFull, []dispatch.Host{{Name: "s-a", Addr: "a", Phase: logic.Ready}})
 			n.messageID, _ = d.core.Arrive(d.now(), msg.Message, 0)
 			d.openRequests[n.messageID] = n
 
-			r := &attempt{id: memory.AttemptID{Message: n.messageID}, msg: msg, addr: "a", deadline: d.now() + 1_000_000, timer: time.NewTimer(time.Hour)}
+			r := &attempt{id: dispatch.AttemptID{Message: n.messageID}, msg: msg, addr: "a", deadline: d.now() + 1_000_000, timer: time.NewTimer(time.Hour)}
 			d.attempts[r.id] = r
 			d.pool.adjust("a", 1)
 			s := &upstream{addr: "a"}
@@ -102,7 +102,7 @@
 		s.parser = platform.NewRelay(s.handleNote)
 		s.conn = d.newConn(near, 1, s.read, s.wrote)
 		msg := &platform.Message{Method: "POST", Target: "/readings", Txn: "t1", Lane: "readings"}
-		r := &attempt{id: memory.AttemptID{Message: 7}, msg: msg, addr: "a", deadline: d.now() + 1_000_000, timer: time.NewTimer(time.Hour)}
+		r := &attempt{id: dispatch.AttemptID{Message: 7}, msg: msg, addr: "a", deadline: d.now() + 1_000_000, timer: time.NewTimer(time.Hour)}
 		d.attempts[r.id] = r
 		s.start(r)
 		if !answered {
@@ -123,10 +123,10 @@
 func TestLateConnectionToCordonedServer(t *testing.T) {
 	for _, cordoned := range []bool{false, true} {
 		d := testDriver(t)
-		d.core.Inventory(d.now(), logic.ListFull, []memory.Host{{Name: "s-a", Addr: "a", Phase: logic.Ready}})
+		d.core.Inventory(d.now(), logic.ListFull, []dispatch.Host{{Name: "s-a", Addr: "a", Phase: logic.Ready}})
 		msg := &platform.Message{Method: "POST", Target: "/readings", Txn: "t1", Lane: "readings"}
 		id, _ := d.core.Arrive(d.now(), msg.Message, 0)
-		r := &attempt{id: memory.AttemptID{Message: id}, msg: msg, addr: "a", deadline: d.now() + 1_000_000, timer: time.NewTimer(time.Hour)}
+		r := &attempt{id: dispatch.AttemptID{Message: id}, msg: msg, addr: "a", deadline: d.now() + 1_000_000, timer: time.NewTimer(time.Hour)}
 		d.attempts[r.id] = r
 		d.pool.adjust("a", 1)
 		if cordoned {
@@ -188,7 +188,7 @@
 			s.parser = platform.NewRelay(s.handleNote)
 			s.conn = d.newConn(near, 1, s.read, s.wrote)
 			msg := &platform.Message{Method: "POST", Target: "/readings", Txn: "t1", Lane: "readings"}
-			r := &attempt{id: memory.AttemptID{Message: 7}, msg: msg, addr: "a", deadline: d.now() + 1_000_000, timer: time.NewTimer(time.Hour)}
+			r := &attempt{id: dispatch.AttemptID{Message: 7}, msg: msg, addr: "a", deadline: d.now() + 1_000_000, timer: time.NewTimer(time.Hour)}
 			d.attempts[r.id] = r
 			s.start(r)
 			s.handleNote(platform.Note{Kind: platform.NoteEnded, Result: logic.Served})
--- a/internal/fleet/court/court.go
+++ b/internal/fleet/court/court.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/verdict"
-	"granitewing/internal/memory"
 	"granitewing/logic"
 )
 
@@ -28,7 +28,7 @@
 
 // New returns the court of the dispatcher named self in a zone. It makes core report the outcomes of its attempts to
 // it.
-func New(self string, zone int, core *memory.Core) *Ejector {
+func New(self string, zone int, core *dispatch.Core) *Ejector {
 	book := verdict.NewEvidence(zone)
 	core.ReportHealthTo(book)
 	return &Ejector{book: book, judge: verdict.NewDetector(self, book)}
@@ -40,7 +40,7 @@
 // Round runs one round. It passes the verdicts that hold now and the runs of the other members to the core, and puts this
 // dispatcher's own votes and runs into its report. members is the number of dispatchers with a valid report, this one
 // included; every is the time between two rounds.
-func (c *Ejector) Round(now int64, l *ledger.Ledger, core *memory.Core, members int, every time.Duration, own *ledger.Report) {
+func (c *Ejector) Round(now int64, l *ledger.Ledger, core *dispatch.Core, members int, every time.Duration, own *ledger.Report) {
 	for _, r := range l.Ran(now) {
 		core.RecordOthersRuns(now, r.Host, r.Run, r.Work)
 	}
@@ -61,7 +61,7 @@
 		return
 	}
 	var hosts []verdict.Host
-	core.Hosts(func(id logic.WorkerID, h memory.Host) {
+	core.Hosts(func(id logic.WorkerID, h dispatch.Host) {
 		hosts = append(hosts, verdict.Host{ID: id, Kind: h.Kind, Zone: h.Zone, Weight: max(h.Weight, 1e-6)})
 	})
 	c.verdicts = c.judge.Verdicts(now, votes, hosts, members)
--- a/internal/fleet/gang/gang.go
+++ b/internal/fleet/gang/gang.go
@@ -10,11 +10,11 @@
 package gang
 
 import (
+	"granitewing/internal/dispatch"
 	"granitewing/internal/fleet/gang/pattern"
 	"granitewing/internal/fleet/gang/place"
 	"granitewing/internal/fleet/gang/topology"
 	"granitewing/internal/fleet/limit/hold"
-	"granitewing/internal/memory"
 	"granitewing/logic"
 )
 
@@ -67,7 +67,7 @@
 
 // gang is a gang that has not ended.
 type gang struct {
-	memory.GangJob
+	dispatch.GangJob
 	kind       *Kind
 	state      state
 	holdID     uint64 // ID of its set of slots; a new placement has a new ID
@@ -82,18 +82,18 @@
 	served     []bool
 }
 
-// Part is one process's side of gang scheduling. It implements memory.Gangs and is not safe for concurrent use.
+// Part is one process's side of gang scheduling. It implements dispatch.Gangs and is not safe for concurrent use.
 type Part struct {
 	options     Options
 	hosts       Hosts
 	holder      *hold.Holder
 	lease       int64
 	kinds       map[int]*Kind
-	gangs       map[memory.ID]*gang
-	order       []memory.ID // oldest first; may contain ended gangs until removeEnded
+	gangs       map[dispatch.ID]*gang
+	order       []dispatch.ID // oldest first; may contain ended gangs until removeEnded
 	lastHold    uint64
 	rackNumbers map[[2]int]int
-	actions     []memory.GangAction
+	actions     []dispatch.GangAction
 	counts      Counts
 	closed      bool
 
@@ -102,7 +102,7 @@
 
 // New returns the Part of a process. Its slots are reserved through holder, for a lease in microseconds.
 func New(o Options, holder *hold.Holder, lease int64, hosts Hosts) *Part {
-	p := &Part{options: o, hosts: hosts, holder: holder, lease: lease, kinds: map[int]*Kind{}, gangs: map[memory.ID]*gang{}, rackNumbers: map[[2]int]int{}}
+	p := &Part{options: o, hosts: hosts, holder: holder, lease: lease, kinds: map[int]*Kind{}, gangs: map[dispatch.ID]*gang{}, rackNumbers: map[[2]int]int{}}
 	for i := range o.Kinds {
 		p.kinds[o.Kinds[i].Class] = &o.Kinds[i]
 	}
@@ -137,7 +137,7 @@
 // The methods below return the actions to carry out, in order. The slice is valid until the next call.
 
 // Arrive takes a new message. It is given up at once if no placement is worth its work.
-func (p *Part) Arrive(now int64, j memory.GangJob) []memory.GangAction {
+func (p *Part) Arrive(now int64, j dispatch.GangJob) []dispatch.GangAction {
 	p.actions = p.actions[:0]
 	g := &gang{GangJob: j, kind: p.kinds[j.Class]}
 	p.counts.Arrived++
@@ -160,7 +160,7 @@
 
 // Round advances all gangs, after the holder has handled what it received. Gangs are started, and given up for
 // lack of time, only here, so the interval of rounds must not exceed the delay that a gang tolerates.
-func (p *Part) Round(now int64) []memory.GangAction {
+func (p *Part) Round(now int64) []dispatch.GangAction {
 	p.actions = p.actions[:0]
 	for _, id := range p.order {
 		g := p.gangs[id]
@@ -215,7 +215,7 @@
 	g.sentAt = now
 	g.state, g.giveUpAt, g.endsAt = stateSent, now+g.kind.Within, now+int64((g.placement.Start+g.placement.Run)*1e6)
 	g.began, g.served = make([]bool, n), make([]bool, n)
-	a := memory.GangAction{Kind: memory.GangStart, ID: g.ID, Within: g.kind.Within, Run: g.placement.Run}
+	a := dispatch.GangAction{Kind: dispatch.GangStart, ID: g.ID, Within: g.kind.Within, Run: g.placement.Run}
 	for _, h := range g.placement.Hosts {
 		a.Hosts = append(a.Hosts, logic.WorkerID(h.ID))
 	}
@@ -228,7 +228,7 @@
 // giveUp ends a gang and counts the cause.
 func (p *Part) giveUp(now int64, g *gang, cause *int) {
 	*cause++
-	p.actions = append(p.actions, memory.GangAction{Kind: memory.GangGiveUp, ID: g.ID, After: p.retryAfter(now, g)})
+	p.actions = append(p.actions, dispatch.GangAction{Kind: dispatch.GangGiveUp, ID: g.ID, After: p.retryAfter(now, g)})
 	p.drop(g)
 }
 
@@ -249,13 +249,13 @@
 }
 
 // May reports whether a part may still be sent: the slots may no longer be its gang's.
-func (p *Part) May(now int64, id memory.ID) bool {
+func (p *Part) May(now int64, id dispatch.ID) bool {
 	g := p.gangs[id]
 	return g != nil && g.state != stateWaiting && (g.state == stateRunning || p.holder.Has(now, g.holdID))
 }
 
 // Began handles the report that a part has begun.
-func (p *Part) Began(now int64, id memory.ID, rank int) {
+func (p *Part) Began(now int64, id dispatch.ID, rank int) {
 	g := p.gangs[id]
 	if g == nil || g.state != stateSent || rank >= len(g.began) {
 		return
@@ -275,7 +275,7 @@
 }
 
 // Ended handles the end of a part. A part that fails ends the gang.
-func (p *Part) Ended(now int64, id memory.ID, rank int, served bool) []memory.GangAction {
+func (p *Part) Ended(now int64, id dispatch.ID, rank int, served bool) []dispatch.GangAction {
 	p.actions = p.actions[:0]
 	g := p.gangs[id]
 	if g == nil || g.state == stateWaiting || rank >= len(g.served) {
@@ -292,13 +292,13 @@
 		}
 	}
 	p.counts.Served++
-	p.actions = append(p.actions, memory.GangAction{Kind: memory.GangServe, ID: id})
+	p.actions = append(p.actions, dispatch.GangAction{Kind: dispatch.GangServe, ID: id})
 	p.drop(g)
 	return p.actions
 }
 
 // Left handles the report that no client waits for a gang any more.
-func (p *Part) Left(id memory.ID) {
+func (p *Part) Left(id dispatch.ID) {
 	if g := p.gangs[id]; g != nil {
 		p.drop(g)
 	}
--- a/internal/fleet/gang/gang_test.go
+++ b/internal/fleet/gang/gang_test.go
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/fleet/gang"
 	"granitewing/internal/fleet/gang/pattern"
 	"granitewing/internal/fleet/gang/topology"
 	"granitewing/internal/fleet/limit"
 	"granitewing/internal/fleet/limit/lease"
-	"granitewing/internal/memory"
 	"granitewing/logic"
 )
 
@@ -24,18 +24,18 @@
 type fixture struct {
 	t        *testing.T
 	now      int64
-	core     *memory.Core
+	core     *dispatch.Core
 	slots    *limit.Part
 	last     int
-	cmds     []memory.Command // since they were last checked
-	noRounds bool             // the dealer takes part in no more rounds
+	cmds     []dispatch.Command // since they were last checked
+	noRounds bool               // the dealer takes part in no more rounds
 }
 
 func newFixture(t *testing.T) *fixture {
 	class := func(name string, repeat logic.Repeat) logic.Class {
 		return logic.Class{Name: name, TargetLatency: 5 * sec, Deadline: 9 * sec, Value: 1, Repeat: repeat, WorkerKind: -1}
 	}
-	core, err := memory.New(logic.Config{Classes: []logic.Class{class("safe", logic.RepeatSafe), class("unsafe", logic.RepeatUnsafe)}, ReportsStart: true, MayCancel: true, MaxAttempts: 3}, 1)
+	core, err := dispatch.New(logic.Config{Classes: []logic.Class{class("safe", logic.RepeatSafe), class("unsafe", logic.RepeatUnsafe)}, ReportsStart: true, MayCancel: true, MaxAttempts: 3}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	}
 	e.slots = limit.New(e.now, limit.Options{Self: lease.Owner{Name: "n0", Incarnation: 1}, Keepers: []string{"n0"}, Lease: sec, SlotsPerHost: 1})
 	core.Gang(gang.New(o, e.slots.Holder(), sec, core.EachGangHost))
-	var hosts []memory.Host
+	var hosts []dispatch.Host
 	for i := range 6 {
 		hosts = append(hosts, host(i, logic.Ready))
 	}
@@ -55,8 +55,8 @@
 	return e
 }
 
-func host(i int, phase logic.Phase) memory.Host {
-	return memory.Host{Name: fmt.Sprintf("s-%08x", i+1), Addr: fmt.Sprint("h", i), Cell: i / 3, Weight: 1, Phase: phase}
+func host(i int, phase logic.Phase) dispatch.Host {
+	return dispatch.Host{Name: fmt.Sprintf("s-%08x", i+1), Addr: fmt.Sprint("h", i), Cell: i / 3, Weight: 1, Phase: phase}
 }
 
 // advance lets time pass, with the rounds that fall into it.
@@ -72,25 +72,25 @@
 	}
 }
 
-func (e *fixture) record(cmds []memory.Command) { e.cmds = append(e.cmds, cmds...) }
+func (e *fixture) record(cmds []dispatch.Command) { e.cmds = append(e.cmds, cmds...) }
 
-func (e *fixture) arrive(class int) memory.ID {
+func (e *fixture) arrive(class int) dispatch.ID {
 	e.last++
-	id, cmds := e.core.Arrive(e.now, memory.Message{Name: fmt.Sprint("m", e.last), Class: class, Hint: sec, Slots: 1}, e.now+9*sec)
+	id, cmds := e.core.Arrive(e.now, dispatch.Message{Name: fmt.Sprint("m", e.last), Class: class, Hint: sec, Slots: 1}, e.now+9*sec)
 	e.record(cmds)
 	return id
 }
 
 // eachPart applies do to the parts of a gang with ranks from <= rank < to.
-func (e *fixture) eachPart(id memory.ID, from, to int, do func(r memory.AttemptID) []memory.Command) {
+func (e *fixture) eachPart(id dispatch.ID, from, to int, do func(r dispatch.AttemptID) []dispatch.Command) {
 	for rank := from; rank < to; rank++ {
-		e.record(do(memory.AttemptID{Message: id, Attempt: rank}))
+		e.record(do(dispatch.AttemptID{Message: id, Attempt: rank}))
 	}
 }
 
-func (e *fixture) began(r memory.AttemptID) []memory.Command { return e.core.Started(e.now, r) }
+func (e *fixture) began(r dispatch.AttemptID) []dispatch.Command { return e.core.Started(e.now, r) }
 
-func (e *fixture) served(r memory.AttemptID) []memory.Command {
+func (e *fixture) served(r dispatch.AttemptID) []dispatch.Command {
 	return e.core.Ended(e.now, r, logic.Served, fmt.Appendf(nil, "part %d", r.Attempt))
 }
 
@@ -99,11 +99,11 @@
 	var out []string
 	for _, c := range e.cmds {
 		switch c.Kind {
-		case memory.Send:
+		case dispatch.Send:
 			out = append(out, "send")
-		case memory.Drop:
+		case dispatch.Drop:
 			out = append(out, "drop")
-		case memory.Answer:
+		case dispatch.Answer:
 			out = append(out, fmt.Sprintf("%s %q", [...]string{"served", "refused", "failed", "duplicate"}[c.Verdict], c.Content))
 		}
 	}
@@ -123,20 +123,20 @@
 // Outcomes of a gang: one final answer, by the rules of its class, and nothing left running.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
-		do           func(e *fixture, id memory.ID)
+		do           func(e *fixture, id dispatch.ID)
 		safe, unsafe string
 	}{
-		"all parts are served":          {func(e *fixture, id memory.ID) { e.eachPart(id, 0, 3, e.served) }, `served "part 0"`, `served "part 0"`},
-		"two of three parts are served": {func(e *fixture, id memory.ID) { e.eachPart(id, 1, 3, e.served) }, "", ""},
-		"a part fails": {func(e *fixture, id memory.ID) {
-			e.record(e.core.Ended(e.now, memory.AttemptID{Message: id, Attempt: 1}, logic.Failed, nil))
+		"all parts are served":          {func(e *fixture, id dispatch.ID) { e.eachPart(id, 0, 3, e.served) }, `served "part 0"`, `served "part 0"`},
+		"two of three parts are served": {func(e *fixture, id dispatch.ID) { e.eachPart(id, 1, 3, e.served) }, "", ""},
+		"a part fails": {func(e *fixture, id dispatch.ID) {
+			e.record(e.core.Ended(e.now, dispatch.AttemptID{Message: id, Attempt: 1}, logic.Failed, nil))
 		}, `drop, drop, refused ""`, `drop, drop, failed ""`},
-		"a part fails and another is served after it": {func(e *fixture, id memory.ID) {
-			e.record(e.core.Ended(e.now, memory.AttemptID{Message: id, Attempt: 1}, logic.Broken, nil))
+		"a part fails and another is served after it": {func(e *fixture, id dispatch.ID) {
+			e.record(e.core.Ended(e.now, dispatch.AttemptID{Message: id, Attempt: 1}, logic.Broken, nil))
 			e.eachPart(id, 0, 1, e.served)
 		}, `drop, drop, refused ""`, `drop, drop, failed ""`},
-		"its client leaves":      {func(e *fixture, id memory.ID) { e.record(e.core.ClientGone(e.now, id)) }, "drop, drop, drop", "drop, drop, drop"},
-		"its client's time ends": {func(e *fixture, id memory.ID) { e.record(e.core.Expire(e.now, id)) }, `failed "", drop, drop, drop`, `failed "", drop, drop, drop`},
+		"its client leaves":      {func(e *fixture, id dispatch.ID) { e.record(e.core.ClientGone(e.now, id)) }, "drop, drop, drop", "drop, drop, drop"},
+		"its client's time ends": {func(e *fixture, id dispatch.ID) { e.record(e.core.Expire(e.now, id)) }, `failed "", drop, drop, drop`, `failed "", drop, drop, drop`},
 	} {
 		for class, want := range []string{c.safe, c.unsafe} {
 			e := newFixture(t)
@@ -180,7 +180,7 @@
 	if got := e.commands(); got != `drop, drop, drop, refused ""` {
 		t.Errorf("the lease ends while two of three have begun: %s", got)
 	}
-	if e.core.MayStart(e.now, memory.AttemptID{Message: id, Attempt: 2}) {
+	if e.core.MayStart(e.now, dispatch.AttemptID{Message: id, Attempt: 2}) {
 		t.Error("a part may be sent though its gang has ended")
 	}
 
@@ -201,7 +201,7 @@
 	a, b := e.arrive(0), e.arrive(0)
 	e.advance(sec / 2)
 	e.expect("two gangs of three on six hosts", e.commands(), allSent+", "+allSent)
-	for _, id := range []memory.ID{a, b} {
+	for _, id := range []dispatch.ID{a, b} {
 		e.eachPart(id, 0, 3, e.began)
 	}
 	c := e.arrive(0)
@@ -225,14 +225,14 @@
 	var cells [2]int
 	for i := range 6 {
 		if i == 0 || i == 3 {
-			e.record(e.core.Inventory(e.now, logic.ListDelta, []memory.Host{host(i, logic.Draining)}))
+			e.record(e.core.Inventory(e.now, logic.ListDelta, []dispatch.Host{host(i, logic.Draining)}))
 			cells[i/3]++
 		}
 	}
 	e.advance(2 * sec)
 	sent := 0
 	for _, c := range e.cmds {
-		if c.Kind == memory.Send {
+		if c.Kind == dispatch.Send {
 			sent++
 			if slices.Contains([]string{"h0", "h3"}, c.Addr) {
 				t.Errorf("a part was sent to %s, which drains", c.Addr)
--- a/internal/fleet/market/market.go
+++ b/internal/fleet/market/market.go
@@ -6,9 +6,9 @@
 package market
 
 import (
+	"granitewing/internal/dispatch"
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/slack"
-	"granitewing/internal/memory"
 )
 
 // Admission holds the demand and the price of one dispatcher. It must not be used by two goroutines at once.
@@ -32,7 +32,7 @@
 func (m *Admission) State() State { return m.state }
 
 // New returns a market without a price, and makes the core ask it for the price of each message.
-func New(core *memory.Core) *Admission {
+func New(core *dispatch.Core) *Admission {
 	m := &Admission{}
 	core.Price(m)
 	return m
@@ -42,7 +42,7 @@
 // So no message that could be served in time is refused forever, however low its value.
 const freeInterval = 100
 
-// Price implements memory.Prices: it returns the price for the next message, which is 0 for one in freeInterval.
+// Price implements dispatch.Prices: it returns the price for the next message, which is 0 for one in freeInterval.
 func (m *Admission) Price() float64 {
 	p := m.price.Now()
 	if p > 0 {
@@ -53,14 +53,14 @@
 	return p
 }
 
-// Asked implements memory.Prices: it records the value, slot-work and slack in seconds of a message that arrived.
+// Asked implements dispatch.Prices: it records the value, slot-work and slack in seconds of a message that arrived.
 func (m *Admission) Asked(now int64, value, work, slack float64) {
 	m.gauge.Asked(now, value, work, slack)
 }
 
 // Round runs one round: it puts this dispatcher's own load into its report and updates the price from that and the valid
 // loads of other members. members is the number of dispatchers in the fleet, this one included.
-func (m *Admission) Round(now int64, l *ledger.Ledger, core *memory.Core, members int, own *ledger.Report) {
+func (m *Admission) Round(now int64, l *ledger.Ledger, core *dispatch.Core, members int, own *ledger.Report) {
 	waiting, capacity := core.PendingWork()
 	own.Load = m.gauge.Load(now, waiting)
 	sum, heard := l.Load(now)
--- a/internal/fleet/market/market_test.go
+++ b/internal/fleet/market/market_test.go
@@ -3,15 +3,15 @@
 import (
 	"testing"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/fleet/slack"
-	"granitewing/internal/memory"
 	"granitewing/logic"
 )
 
 // While there is a price, one message in a hundred is admitted without regard to it. While there is none, messages are
 // not counted for this.
 func TestFreeMessages(t *testing.T) {
-	core, err := memory.New(logic.Config{Classes: []logic.Class{{Name: "a", Deadline: 1_000_000, WorkerKind: -1}}}, 1)
+	core, err := dispatch.New(logic.Config{Classes: []logic.Class{{Name: "a", Deadline: 1_000_000, WorkerKind: -1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/virtual/clients.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/lab/client"
-	"granitewing/internal/memory"
 )
 
 // This file models the clients and the front-end load balancer that spreads their requests over the dispatchers.
@@ -89,21 +89,21 @@
 		sim.receivedPerSecond[d.number][second]++
 		deadline := sim.now + timeLeft.Microseconds()
 		gen := d.generation
-		var cmds []memory.Command
-		cmds = d.callCore(func(now int64) []memory.Command {
-			id, out := d.core.Arrive(now, memory.Message{Name: req.name, Class: j.Class, Subject: uint64(j.Set), Hint: j.Hint.Microseconds(),
+		var cmds []dispatch.Command
+		cmds = d.callCore(func(now int64) []dispatch.Command {
+			id, out := d.core.Arrive(now, dispatch.Message{Name: req.name, Class: j.Class, Subject: uint64(j.Set), Hint: j.Hint.Microseconds(),
 				Slots: j.Slots, Memory: j.Memory, Repeated: repeated}, deadline)
 			req.id = id
 			return out
 		})
 		if sim.options.OnVerdict != nil && !repeated {
-			sim.options.OnVerdict(sim.now, d.number, j.Job, slices.ContainsFunc(cmds, func(c memory.Command) bool { return c.Kind == memory.Answer && c.Verdict == memory.Refused }))
+			sim.options.OnVerdict(sim.now, d.number, j.Job, slices.ContainsFunc(cmds, func(c dispatch.Command) bool { return c.Kind == dispatch.Answer && c.Verdict == dispatch.Refused }))
 		}
 		d.requests[req.id] = req
 		d.execute(cmds)
 		sim.schedule(deadline+expireAfter, func() {
 			if d.generation == gen && !d.down && d.requests[req.id] == req {
-				d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Expire(now, req.id) }))
+				d.execute(d.callCore(func(now int64) []dispatch.Command { return d.core.Expire(now, req.id) }))
 			}
 		})
 	})
@@ -124,7 +124,7 @@
 		sim.after(clientDelay, func() {
 			if !d.down && d.requests[req.id] == req {
 				delete(d.requests, req.id)
-				d.execute(d.callCore(func(now int64) []memory.Command { return d.core.ClientGone(now, req.id) }))
+				d.execute(d.callCore(func(now int64) []dispatch.Command { return d.core.ClientGone(now, req.id) }))
 			}
 		})
 	})
--- a/internal/lab/virtual/dispatcher.go
+++ b/internal/lab/virtual/dispatcher.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/fleet/court"
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/market"
 	"granitewing/internal/lab/client"
 	"granitewing/internal/lab/model"
-	"granitewing/internal/memory"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
@@ -43,8 +43,8 @@
 	names         platform.Names
 	listRevision  int64 // revision of the host list that the core has; -1 if the whole list must be requested
 	watching      bool
-	requests      map[memory.ID]*clientRequest
-	attempts      map[memory.AttemptID]*attempt
+	requests      map[dispatch.ID]*clientRequest
+	attempts      map[dispatch.AttemptID]*attempt
 	wakeSeq       int
 	readyHosts    map[string]bool // hosts reported as ready
 	classes       []logic.Class
@@ -56,10 +56,10 @@
 	reportSeq uint64
 
 	court      *court.Ejector
-	courtCore  *memory.Core // the core that court was made for; a restart replaces both
+	courtCore  *dispatch.Core // the core that court was made for; a restart replaces both
 	market     *market.Admission
-	marketCore *memory.Core // the core that market was made for; a restart replaces both
-	gangs      *gangs       // nil if no class runs in parts
+	marketCore *dispatch.Core // the core that market was made for; a restart replaces both
+	gangs      *gangs         // nil if no class runs in parts
 }
 
 // start starts the dispatcher's process with a fresh core.
@@ -77,8 +77,8 @@
 	d.startGangs()
 	d.names, d.classes = cfg.Names(), cfg.Settings.Classes
 	d.down, d.watching, d.listRevision = false, false, cfg.Known.Revision
-	d.requests, d.attempts, d.readyHosts = map[memory.ID]*clientRequest{}, map[memory.AttemptID]*attempt{}, map[string]bool{}
-	d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Inventory(now, logic.ListCached, cfg.Known.Hosts) }))
+	d.requests, d.attempts, d.readyHosts = map[dispatch.ID]*clientRequest{}, map[dispatch.AttemptID]*attempt{}, map[string]bool{}
+	d.execute(d.callCore(func(now int64) []dispatch.Command { return d.core.Inventory(now, logic.ListCached, cfg.Known.Hosts) }))
 	return nil
 }
 
@@ -86,19 +86,19 @@
 // than the module's do not support cordons and ignore the call.
 func (d *dispatcher) cordon(host string, on bool) {
 	c, ok := d.core.(interface {
-		Cordon(now int64, name string, on bool) (bool, []memory.Command)
+		Cordon(now int64, name string, on bool) (bool, []dispatch.Command)
 	})
 	if d.down || !ok {
 		return
 	}
-	d.execute(d.callCore(func(now int64) []memory.Command {
+	d.execute(d.callCore(func(now int64) []dispatch.Command {
 		_, cmds := c.Cordon(now, host, on)
 		return cmds
 	}))
 }
 
 // callCore makes one call of the core and measures its duration if Options.Measure is set.
-func (d *dispatcher) callCore(f func(now int64) []memory.Command) []memory.Command {
+func (d *dispatcher) callCore(f func(now int64) []dispatch.Command) []dispatch.Command {
 	now := d.sim.now
 	if !d.sim.options.Measure {
 		return slices.Clone(f(now))
@@ -110,22 +110,22 @@
 }
 
 // execute executes the core's commands as the driver does.
-func (d *dispatcher) execute(cmds []memory.Command) {
+func (d *dispatcher) execute(cmds []dispatch.Command) {
 	sim := d.sim
 	for _, c := range cmds {
 		switch c.Kind {
-		case memory.Send:
+		case dispatch.Send:
 			d.startAttempt(c)
-		case memory.Drop:
+		case dispatch.Drop:
 			d.cancelAttempt(c.Attempt)
-		case memory.Answer:
+		case dispatch.Answer:
 			if req := d.requests[c.Attempt.Message]; req != nil {
 				delete(d.requests, c.Attempt.Message)
 				d.answerClient(req, c)
 			}
-		case memory.Wake:
+		case dispatch.Wake:
 			d.scheduleWake(c.At)
-		case memory.Watch:
+		case dispatch.Watch:
 			// Discovery is reached over the network, and the call fails while discovery is down.
 			gen := d.generation
 			sim.after(1000, func() {
@@ -149,7 +149,7 @@
 	seq, gen := d.wakeSeq, d.generation
 	d.sim.schedule(max(at, d.sim.now), func() {
 		if d.wakeSeq == seq && d.generation == gen && !d.down {
-			d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Wake(now) }))
+			d.execute(d.callCore(func(now int64) []dispatch.Command { return d.core.Wake(now) }))
 		}
 	})
 }
@@ -162,9 +162,9 @@
 	}
 	members, complete := sim.directory.Since(d.listRevision)
 	d.listRevision = sim.directory.Revision()
-	hosts := make([]memory.Host, 0, len(members))
+	hosts := make([]dispatch.Host, 0, len(members))
 	for _, m := range members {
-		h := memory.Host{Name: m.ID, Addr: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Weight: m.Size, UpSince: m.UpSince}
+		h := dispatch.Host{Name: m.ID, Addr: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Weight: m.Size, UpSince: m.UpSince}
 		switch m.Phase {
 		case model.Ready:
 			h.Phase = logic.Ready
@@ -180,7 +180,7 @@
 	if complete {
 		how = logic.ListFull
 	}
-	d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Inventory(now, how, hosts) }))
+	d.execute(d.callCore(func(now int64) []dispatch.Command { return d.core.Inventory(now, how, hosts) }))
 }
 
 // failWatch reports to the core that its watch of discovery has failed.
@@ -189,11 +189,11 @@
 		return
 	}
 	d.watching = false
-	d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Inventory(now, logic.ListFailed, nil) }))
+	d.execute(d.callCore(func(now int64) []dispatch.Command { return d.core.Inventory(now, logic.ListFailed, nil) }))
 }
 
 // startAttempt starts an attempt.
-func (d *dispatcher) startAttempt(c memory.Command) {
+func (d *dispatcher) startAttempt(c dispatch.Command) {
 	req := d.requests[c.Attempt.Message]
 	h := d.sim.hostsByName[c.Addr]
 	if req == nil || h == nil {
@@ -222,11 +222,11 @@
 	}
 	a.ended = true
 	delete(d.attempts, a.id)
-	d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Ended(now, a.id, r, []byte(content)) }))
+	d.execute(d.callCore(func(now int64) []dispatch.Command { return d.core.Ended(now, a.id, r, []byte(content)) }))
 }
 
 // cancelAttempt cancels an attempt that the core has given up.
-func (d *dispatcher) cancelAttempt(id memory.AttemptID) {
+func (d *dispatcher) cancelAttempt(id dispatch.AttemptID) {
 	if a := d.attempts[id]; a != nil {
 		a.ended = true
 		delete(d.attempts, id)
@@ -235,12 +235,12 @@
 }
 
 // answerClient sends the final answer to the client.
-func (d *dispatcher) answerClient(req *clientRequest, c memory.Command) {
+func (d *dispatcher) answerClient(req *clientRequest, c dispatch.Command) {
 	r := client.Failed
 	switch c.Verdict {
-	case memory.Served:
+	case dispatch.Served:
 		r = client.Served
-	case memory.Refused:
+	case dispatch.Refused:
 		r = client.Refused
 	}
 	after := time.Duration(c.After) * time.Microsecond
@@ -255,14 +255,14 @@
 	}
 	d.down, d.downSince = true, d.sim.now
 	d.avoidedUntil = d.sim.now + frontEndRetryDelay
-	for _, a := range sorted(d.attempts, func(id memory.AttemptID) int64 { return int64(id.Message)<<8 + int64(id.Attempt) }) {
+	for _, a := range sorted(d.attempts, func(id dispatch.AttemptID) int64 { return int64(id.Message)<<8 + int64(id.Attempt) }) {
 		a.ended = true
 		d.sim.cancelAttempt(a)
 	}
-	for _, req := range sorted(d.requests, func(id memory.ID) int64 { return int64(id) }) {
+	for _, req := range sorted(d.requests, func(id dispatch.ID) int64 { return int64(id) }) {
 		d.sim.after(clientDelay, func() { d.sim.finishRequest(req, client.Broken, 0, "") })
 	}
-	d.requests, d.attempts = map[memory.ID]*clientRequest{}, map[memory.AttemptID]*attempt{}
+	d.requests, d.attempts = map[dispatch.ID]*clientRequest{}, map[dispatch.AttemptID]*attempt{}
 }
 
 // restart starts a new process after a kill.
@@ -280,7 +280,7 @@
 
 // resetConnections breaks the dispatcher's connections to a host.
 func (d *dispatcher) resetConnections(h *host) {
-	for _, a := range sorted(d.attempts, func(id memory.AttemptID) int64 { return int64(id.Message)<<8 + int64(id.Attempt) }) {
+	for _, a := range sorted(d.attempts, func(id dispatch.AttemptID) int64 { return int64(id.Message)<<8 + int64(id.Attempt) }) {
 		if a.host == h {
 			d.sim.cancelAttempt(a)
 			d.endAttempt(a, logic.Broken, "")
--- a/internal/lab/virtual/gangs.go
+++ b/internal/lab/virtual/gangs.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/fleet/gang"
 	"granitewing/internal/fleet/gang/pattern"
 	"granitewing/internal/fleet/gang/place"
@@ -13,7 +14,6 @@
 	"granitewing/internal/fleet/limit/lease"
 	"granitewing/internal/lab/model"
 	"granitewing/internal/lab/world"
-	"granitewing/internal/memory"
 )
 
 // This file runs gangs in virtual time, that is jobs whose parts run at several hosts at once. It uses the product's
@@ -151,7 +151,7 @@
 // startGangs sets up the gang state of a new process, if the variant has gangs.
 func (d *dispatcher) startGangs() {
 	sim, s := d.sim, d.sim.options.Variant.Share
-	core, ok := d.core.(*memory.Core)
+	core, ok := d.core.(*dispatch.Core)
 	if s == nil || s.Gangs == "" || !ok {
 		return
 	}
@@ -173,7 +173,7 @@
 
 // exchangeSlotMessages runs one round of a dispatcher's slot protocol: it processes the received messages, sends its
 // own, and lets the core act on the leases it holds.
-func (sim *simulation) exchangeSlotMessages(d *dispatcher, core *memory.Core, s *world.Share) {
+func (sim *simulation) exchangeSlotMessages(d *dispatcher, core *dispatch.Core, s *world.Share) {
 	g := d.gangs
 	var out []*limit.Message
 	for _, m := range g.received {
@@ -194,7 +194,7 @@
 			}
 		})
 	}
-	d.execute(d.callCore(func(now int64) []memory.Command { return core.ReconsiderGangs(now) }))
+	d.execute(d.callCore(func(now int64) []dispatch.Command { return core.ReconsiderGangs(now) }))
 }
 
 // drawDelivery draws whether a datagram of dispatcher d reaches dispatcher o.
--- a/internal/lab/virtual/hosts.go
+++ b/internal/lab/virtual/hosts.go
@@ -1,11 +1,11 @@
 package virtual
 
 import (
+	"granitewing/internal/dispatch"
 	"granitewing/internal/lab/audit"
 	"granitewing/internal/lab/model"
 	"granitewing/internal/lab/spread"
 	"granitewing/internal/lab/world"
-	"granitewing/internal/memory"
 	"granitewing/logic"
 )
 
@@ -81,15 +81,15 @@
 	switch n.Kind {
 	case model.Taken:
 		sim.notifyDispatcher(a, func(d *dispatcher) {
-			d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Taken(now, a.id) }))
+			d.execute(d.callCore(func(now int64) []dispatch.Command { return d.core.Taken(now, a.id) }))
 		})
 	case model.Started:
 		sim.notifyDispatcher(a, func(d *dispatcher) {
-			d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Started(now, a.id) }))
+			d.execute(d.callCore(func(now int64) []dispatch.Command { return d.core.Started(now, a.id) }))
 		})
 	case model.Running:
 		sim.notifyDispatcher(a, func(d *dispatcher) {
-			d.execute(d.callCore(func(now int64) []memory.Command { return d.core.Progress(now, a.id, n.Share) }))
+			d.execute(d.callCore(func(now int64) []dispatch.Command { return d.core.Progress(now, a.id, n.Share) }))
 		})
 	case model.Done, model.Repeat:
 		end(audit.Done, logic.Served, a.request.name+" done by "+h.model.Name)
--- a/internal/lab/virtual/policy.go
+++ b/internal/lab/virtual/policy.go
@@ -3,33 +3,33 @@
 import (
 	"math/rand/v2"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
 
-// dispatcherCore is the interface of a dispatcher's decisions: memory.Core, or a plain policy to compare it with. All
+// dispatcherCore is the interface of a dispatcher's decisions: dispatch.Core, or a plain policy to compare it with. All
 // times are in microseconds. The commands that a call returns are valid until the next call.
 type dispatcherCore interface {
-	Arrive(now int64, m memory.Message, deadline int64) (memory.ID, []memory.Command)
-	Inventory(now int64, how logic.ListKind, hosts []memory.Host) []memory.Command
-	Started(now int64, r memory.AttemptID) []memory.Command
-	Taken(now int64, r memory.AttemptID) []memory.Command
-	Progress(now int64, r memory.AttemptID, share float64) []memory.Command
-	Ended(now int64, r memory.AttemptID, result logic.Result, content []byte) []memory.Command
-	ClientGone(now int64, id memory.ID) []memory.Command
-	Expire(now int64, id memory.ID) []memory.Command
-	Wake(now int64) []memory.Command
+	Arrive(now int64, m dispatch.Message, deadline int64) (dispatch.ID, []dispatch.Command)
+	Inventory(now int64, how logic.ListKind, hosts []dispatch.Host) []dispatch.Command
+	Started(now int64, r dispatch.AttemptID) []dispatch.Command
+	Taken(now int64, r dispatch.AttemptID) []dispatch.Command
+	Progress(now int64, r dispatch.AttemptID, share float64) []dispatch.Command
+	Ended(now int64, r dispatch.AttemptID, result logic.Result, content []byte) []dispatch.Command
+	ClientGone(now int64, id dispatch.ID) []dispatch.Command
+	Expire(now int64, id dispatch.ID) []dispatch.Command
+	Wake(now int64) []dispatch.Command
 }
 
 // newCore creates the core that the variant's policy asks for.
 func (sim *simulation) newCore(cfg *platform.Config, d *dispatcher) (dispatcherCore, error) {
 	switch sim.options.Variant.Policy {
 	case "", "module":
-		return memory.New(cfg.Settings, cfg.Seed)
+		return dispatch.New(cfg.Settings, cfg.Seed)
 	}
 	return &plainPolicy{policy: sim.options.Variant.Policy, classes: cfg.Settings.Classes, rng: d.rng, maxAttempts: max(cfg.Settings.MaxAttempts, 1),
-		messages: map[memory.ID]*plainMessage{}, hostIndex: map[string]int{}}, nil
+		messages: map[dispatch.ID]*plainMessage{}, hostIndex: map[string]int{}}, nil
 }
 
 // plainPolicy is a simple dispatcher for comparison. It sends each message to a host that its policy chooses, and sends
@@ -40,18 +40,18 @@
 	classes     []logic.Class
 	maxAttempts int
 	rng         *rand.Rand
-	lastID      memory.ID
-	messages    map[memory.ID]*plainMessage
+	lastID      dispatch.ID
+	messages    map[dispatch.ID]*plainMessage
 	hosts       []*plainHost
 	hostIndex   map[string]int
 	ready       []*plainHost
 	nextHost    int
-	commands    []memory.Command // of the current call
+	commands    []dispatch.Command // of the current call
 	watching    bool
 }
 
 type plainHost struct {
-	memory.Host
+	dispatch.Host
 	outstanding int // attempts outstanding
 }
 
@@ -62,7 +62,7 @@
 	host     *plainHost // host of the current attempt; nil if there is none
 }
 
-func (c *plainPolicy) emit(cmd memory.Command) { c.commands = append(c.commands, cmd) }
+func (c *plainPolicy) emit(cmd dispatch.Command) { c.commands = append(c.commands, cmd) }
 
 // chooseHost returns the host that the policy chooses, or nil if none is ready.
 func (c *plainPolicy) chooseHost() *plainHost {
@@ -94,7 +94,7 @@
 	return c.ready[c.rng.IntN(n)]
 }
 
-func (c *plainPolicy) Arrive(now int64, m memory.Message, deadline int64) (memory.ID, []memory.Command) {
+func (c *plainPolicy) Arrive(now int64, m dispatch.Message, deadline int64) (dispatch.ID, []dispatch.Command) {
 	c.commands = c.commands[:0]
 	c.lastID++
 	c.messages[c.lastID] = &plainMessage{class: m.Class, deadline: deadline}
@@ -102,30 +102,30 @@
 	return c.lastID, c.commands
 }
 
-func (c *plainPolicy) startAttempt(now int64, id memory.ID) {
+func (c *plainPolicy) startAttempt(now int64, id dispatch.ID) {
 	m := c.messages[id]
 	h := c.chooseHost()
 	if h == nil || m.attempts >= c.maxAttempts {
-		c.answer(id, memory.Command{Verdict: memory.Refused})
+		c.answer(id, dispatch.Command{Verdict: dispatch.Refused})
 		return
 	}
 	m.host = h
 	h.outstanding++
-	c.emit(memory.Command{Kind: memory.Send, Attempt: memory.AttemptID{Message: id, Attempt: m.attempts}, Addr: h.Addr, Until: max(m.deadline, now+1)})
+	c.emit(dispatch.Command{Kind: dispatch.Send, Attempt: dispatch.AttemptID{Message: id, Attempt: m.attempts}, Addr: h.Addr, Until: max(m.deadline, now+1)})
 	m.attempts++
 }
 
-func (c *plainPolicy) answer(id memory.ID, cmd memory.Command) {
+func (c *plainPolicy) answer(id dispatch.ID, cmd dispatch.Command) {
 	delete(c.messages, id)
-	cmd.Kind, cmd.Attempt = memory.Answer, memory.AttemptID{Message: id}
+	cmd.Kind, cmd.Attempt = dispatch.Answer, dispatch.AttemptID{Message: id}
 	c.emit(cmd)
 }
 
-func (c *plainPolicy) Inventory(_ int64, how logic.ListKind, hosts []memory.Host) []memory.Command {
+func (c *plainPolicy) Inventory(_ int64, how logic.ListKind, hosts []dispatch.Host) []dispatch.Command {
 	c.commands = c.commands[:0]
 	if !c.watching || how == logic.ListFailed {
 		c.watching = true
-		c.emit(memory.Command{Kind: memory.Watch})
+		c.emit(dispatch.Command{Kind: dispatch.Watch})
 	}
 	if how == logic.ListFailed {
 		return c.commands
@@ -153,12 +153,12 @@
 	return c.commands
 }
 
-func (c *plainPolicy) Started(int64, memory.AttemptID) []memory.Command           { return nil }
-func (c *plainPolicy) Taken(int64, memory.AttemptID) []memory.Command             { return nil }
-func (c *plainPolicy) Progress(int64, memory.AttemptID, float64) []memory.Command { return nil }
-func (c *plainPolicy) Wake(int64) []memory.Command                                { return nil }
+func (c *plainPolicy) Started(int64, dispatch.AttemptID) []dispatch.Command           { return nil }
+func (c *plainPolicy) Taken(int64, dispatch.AttemptID) []dispatch.Command             { return nil }
+func (c *plainPolicy) Progress(int64, dispatch.AttemptID, float64) []dispatch.Command { return nil }
+func (c *plainPolicy) Wake(int64) []dispatch.Command                                  { return nil }
 
-func (c *plainPolicy) Ended(now int64, r memory.AttemptID, result logic.Result, content []byte) []memory.Command {
+func (c *plainPolicy) Ended(now int64, r dispatch.AttemptID, result logic.Result, content []byte) []dispatch.Command {
 	c.commands = c.commands[:0]
 	m := c.messages[r.Message]
 	if m == nil || r.Attempt != m.attempts-1 || m.host == nil {
@@ -168,37 +168,37 @@
 	m.host = nil
 	switch {
 	case result == logic.Served:
-		c.answer(r.Message, memory.Command{Verdict: memory.Served, Content: content})
+		c.answer(r.Message, dispatch.Command{Verdict: dispatch.Served, Content: content})
 	case now >= m.deadline || result == logic.TimedOut:
-		c.answer(r.Message, memory.Command{Verdict: memory.Failed})
+		c.answer(r.Message, dispatch.Command{Verdict: dispatch.Failed})
 	case result == logic.Refused, result == logic.ConnectFailed, result == logic.NotSent, c.classes[m.class].Repeat == logic.RepeatSafe:
 		c.startAttempt(now, r.Message)
 	default:
-		c.answer(r.Message, memory.Command{Verdict: memory.Failed})
+		c.answer(r.Message, dispatch.Command{Verdict: dispatch.Failed})
 	}
 	return c.commands
 }
 
-func (c *plainPolicy) ClientGone(_ int64, id memory.ID) []memory.Command {
+func (c *plainPolicy) ClientGone(_ int64, id dispatch.ID) []dispatch.Command {
 	c.commands = c.commands[:0]
 	if m := c.messages[id]; m != nil {
 		if m.host != nil {
 			m.host.outstanding--
-			c.emit(memory.Command{Kind: memory.Drop, Attempt: memory.AttemptID{Message: id, Attempt: m.attempts - 1}})
+			c.emit(dispatch.Command{Kind: dispatch.Drop, Attempt: dispatch.AttemptID{Message: id, Attempt: m.attempts - 1}})
 		}
 		delete(c.messages, id)
 	}
 	return c.commands
 }
 
-func (c *plainPolicy) Expire(_ int64, id memory.ID) []memory.Command {
+func (c *plainPolicy) Expire(_ int64, id dispatch.ID) []dispatch.Command {
 	c.commands = c.commands[:0]
 	if m := c.messages[id]; m != nil {
 		if m.host != nil {
 			m.host.outstanding--
-			c.emit(memory.Command{Kind: memory.Drop, Attempt: memory.AttemptID{Message: id, Attempt: m.attempts - 1}})
+			c.emit(dispatch.Command{Kind: dispatch.Drop, Attempt: dispatch.AttemptID{Message: id, Attempt: m.attempts - 1}})
 		}
-		c.answer(id, memory.Command{Verdict: memory.Failed})
+		c.answer(id, dispatch.Command{Verdict: dispatch.Failed})
 	}
 	return c.commands
 }
--- a/internal/lab/virtual/sharing.go
+++ b/internal/lab/virtual/sharing.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"slices"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/fleet/court"
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/market"
 	"granitewing/internal/lab/world"
-	"granitewing/internal/memory"
 	"granitewing/logic"
 )
 
@@ -29,14 +29,14 @@
 	if sim.arrived < len(sim.day.Jobs) || sim.openJobs > 0 {
 		sim.after(s.Every.Microseconds(), func() { sim.shareState(d, s) })
 	}
-	core, ok := d.core.(*memory.Core)
+	core, ok := d.core.(*dispatch.Core)
 	if !ok || d.down {
 		return
 	}
 	d.hostIDs = core.WorkerIDs(d.hostIDs[:0])
 	slices.Sort(d.hostIDs)
 	d.ledger.Members(len(sim.dispatchers) - 1)
-	d.callCore(func(now int64) []memory.Command {
+	d.callCore(func(now int64) []dispatch.Command {
 		d.ledger.PassSums(now, d.hostIDs, core)
 		return nil
 	})
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -15,6 +15,7 @@
 	"runtime"
 	"time"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/lab/audit"
 	"granitewing/internal/lab/client"
 	"granitewing/internal/lab/load"
@@ -22,7 +23,6 @@
 	"granitewing/internal/lab/model"
 	"granitewing/internal/lab/spread"
 	"granitewing/internal/lab/world"
-	"granitewing/internal/memory"
 	"granitewing/internal/wire/platform"
 )
 
@@ -138,14 +138,14 @@
 // attempt is one attempt of a dispatcher to run a message at a host.
 type attempt struct {
 	request     *clientRequest
-	id          memory.AttemptID
+	id          dispatch.AttemptID
 	dispatcher  *dispatcher
 	generation  int // number of the dispatcher's process
 	host        *host
 	hostAttempt uint64 // its identifier at the host
 	auditHandle int
 	ended       bool // the dispatcher no longer waits for it
-	gang        *memory.GangPart
+	gang        *dispatch.GangPart
 }
 
 // clientRequest is one request of a client to a dispatcher. A job has several if the client retries.
@@ -153,7 +153,7 @@
 	job        *job
 	name       string
 	dispatcher *dispatcher
-	id         memory.ID
+	id         dispatch.ID
 	ended      bool
 	timeout    time.Duration
 	hangsUp    bool
--- a/internal/record/journal.go
+++ b/internal/record/journal.go
@@ -3,7 +3,7 @@
 import (
 	"container/heap"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/logic"
 )
 
@@ -48,7 +48,7 @@
 
 // entry is a message that is open or not yet durable.
 type entry struct {
-	id          memory.ID // the core's id, valid while the message is open
+	id          dispatch.ID // the core's id, valid while the message is open
 	rec         Record
 	class       int
 	policy      Policy
@@ -81,7 +81,7 @@
 
 // heldCommand is a command that waits until a step is durable.
 type heldCommand struct {
-	cmd       memory.Command
+	cmd       dispatch.Command
 	step      uint32
 	releaseAt int64 // when it is released even if the step is not durable; 0 = never
 }
@@ -93,7 +93,7 @@
 	limits            Limits
 	Breaker           *Breaker
 	nextID            uint64
-	open              map[memory.ID]*entry
+	open              map[dispatch.ID]*entry
 	dirty             []*entry            // in the order of their first unwritten change
 	inFlight          []*entry            // contained in the current write
 	withHeldSends     map[*entry]struct{} // entries with attempts that are held back
@@ -113,7 +113,7 @@
 
 // New returns a journal whose records get ids of the given epoch.
 func New(classes []Class, epoch uint32, limits Limits, b *Breaker) *Journal {
-	return &Journal{classes: classes, limits: limits, Breaker: b, nextID: uint64(epoch) << 32, open: map[memory.ID]*entry{},
+	return &Journal{classes: classes, limits: limits, Breaker: b, nextID: uint64(epoch) << 32, open: map[dispatch.ID]*entry{},
 		withHeldSends: map[*entry]struct{}{}, keyedResults: map[string]keyedResult{}}
 }
 
@@ -171,7 +171,7 @@
 
 // Accept starts the record of a message that the core has accepted. A message of a Behind class gets no record and
 // counts as lost when a limit is reached.
-func (j *Journal) Accept(now int64, id memory.ID, m Message) {
+func (j *Journal) Accept(now int64, id dispatch.ID, m Message) {
 	c := j.classes[m.Class]
 	if c.Policy == Off {
 		return
@@ -201,22 +201,22 @@
 
 // Filter takes the commands that a call of the core returned, records them, and returns the commands that may be
 // carried out now, in their order. The others are held until Wrote, Due or Trouble returns them.
-func (j *Journal) Filter(now int64, cmds []memory.Command) []memory.Command {
-	out := make([]memory.Command, 0, len(cmds))
+func (j *Journal) Filter(now int64, cmds []dispatch.Command) []dispatch.Command {
+	out := make([]dispatch.Command, 0, len(cmds))
 	for _, c := range cmds {
 		e := j.open[c.Attempt.Message]
 		switch {
 		case e == nil:
 			out = append(out, c)
-		case c.Kind == memory.Send:
+		case c.Kind == dispatch.Send:
 			if j.recordSend(now, c, e) {
 				out = append(out, c)
 			}
-		case c.Kind == memory.Drop:
+		case c.Kind == dispatch.Drop:
 			if !j.recordDrop(now, c, e) {
 				out = append(out, c)
 			}
-		case c.Kind == memory.Answer:
+		case c.Kind == dispatch.Answer:
 			out = j.recordAnswer(now, c, e, out)
 		default:
 			out = append(out, c)
@@ -226,7 +226,7 @@
 }
 
 // recordSend records an attempt and reports whether it may be sent at once.
-func (j *Journal) recordSend(now int64, c memory.Command, e *entry) bool {
+func (j *Journal) recordSend(now int64, c dispatch.Command, e *entry) bool {
 	if len(e.rec.Attempts) < MaxAttempts {
 		e.rec.Attempts = append(e.rec.Attempts, Attempt{Host: c.Addr, Sent: now})
 	}
@@ -241,7 +241,7 @@
 
 // recordDrop records that an attempt was cancelled. It reports whether the attempt was still held, in which case
 // nothing was sent.
-func (j *Journal) recordDrop(now int64, c memory.Command, e *entry) bool {
+func (j *Journal) recordDrop(now int64, c dispatch.Command, e *entry) bool {
 	held := false
 	for i, h := range e.heldSends {
 		if h.cmd.Attempt == c.Attempt {
@@ -281,7 +281,7 @@
 }
 
 // Started records that a host has begun to run an attempt.
-func (j *Journal) Started(r memory.AttemptID) {
+func (j *Journal) Started(r dispatch.AttemptID) {
 	if e := j.open[r.Message]; e != nil && len(e.rec.Attempts) > 0 {
 		if a := &e.rec.Attempts[len(e.rec.Attempts)-1]; a.Result == Unknown && !a.Started {
 			a.Started = true
@@ -291,7 +291,7 @@
 }
 
 // Ended records the end of an attempt. It has to be called before the core is notified of the end.
-func (j *Journal) Ended(now int64, r memory.AttemptID, result logic.Result) {
+func (j *Journal) Ended(now int64, r dispatch.AttemptID, result logic.Result) {
 	if e := j.open[r.Message]; e != nil {
 		j.recordEnd(now, e, ResultOf(result))
 	}
@@ -299,7 +299,7 @@
 
 // ClientLeft records that a client disconnected before it was answered. A result that the client will not read does not
 // wait for the store.
-func (j *Journal) ClientLeft(now int64, id memory.ID) {
+func (j *Journal) ClientLeft(now int64, id dispatch.ID) {
 	e := j.open[id]
 	if e == nil {
 		return
@@ -313,7 +313,7 @@
 }
 
 // recordAnswer records the final answer and appends it to out if it need not wait for the store.
-func (j *Journal) recordAnswer(now int64, c memory.Command, e *entry, out []memory.Command) []memory.Command {
+func (j *Journal) recordAnswer(now int64, c dispatch.Command, e *entry, out []dispatch.Command) []dispatch.Command {
 	if e.closed {
 		return out
 	}
@@ -326,11 +326,11 @@
 	}
 	e.rec.Answered = max(now, e.rec.Taken)
 	switch c.Verdict {
-	case memory.Served:
+	case dispatch.Served:
 		e.rec.Verdict, e.rec.Content = Served, c.Content
 		e.bytes += len(c.Content)
 		j.bytes += len(c.Content)
-	case memory.Refused, memory.Duplicate:
+	case dispatch.Refused, dispatch.Duplicate:
 		e.rec.Verdict = Refused
 	default:
 		e.rec.Verdict = Failed
@@ -341,7 +341,7 @@
 		return append(out, c)
 	}
 	h := heldCommand{cmd: c, step: e.rec.Step, releaseAt: e.rec.Deadline - j.limits.DeadlineMargin}
-	if c.Verdict != memory.Served {
+	if c.Verdict != dispatch.Served {
 		h.releaseAt = min(h.releaseAt, now+j.limits.MaxAnswerWait)
 		if j.Breaker.Open() {
 			// The message has already failed or been refused: answer at once, write the record when the store is back.
@@ -408,7 +408,7 @@
 // WriteDone takes the result of a write and returns the commands that it releases. changed reports whether the breaker
 // opened or closed. After an error it is unknown whether the records were written: they are written again, which
 // is harmless if they were.
-func (j *Journal) WriteDone(now int64, err error) (out []memory.Command, changed bool) {
+func (j *Journal) WriteDone(now int64, err error) (out []dispatch.Command, changed bool) {
 	j.writing = false
 	changed = j.Breaker.End(now, err == nil)
 	if err == nil {
@@ -441,7 +441,7 @@
 }
 
 // releaseDurable releases the held commands of an entry whose step is durable.
-func (j *Journal) releaseDurable(e *entry, out []memory.Command) []memory.Command {
+func (j *Journal) releaseDurable(e *entry, out []dispatch.Command) []dispatch.Command {
 	for len(e.heldSends) > 0 && e.heldSends[0].step <= e.durableStep {
 		out = append(out, e.heldSends[0].cmd)
 		e.heldSends = e.heldSends[1:]
@@ -488,7 +488,7 @@
 // HandleTimers handles expired timers: it opens the breaker if the current write takes too long, and releases answers that
 // can't wait any longer. refuse lists messages that were never sent and wait for an unavailable store; the core
 // has to refuse them. changed reports whether the breaker opened.
-func (j *Journal) HandleTimers(now int64) (out []memory.Command, refuse []memory.ID, changed bool) {
+func (j *Journal) HandleTimers(now int64) (out []dispatch.Command, refuse []dispatch.ID, changed bool) {
 	changed = j.Breaker.CheckTimeout(now)
 	out, refuse = j.ReleaseUnavailable(now)
 	for len(j.heldAnswers) > 0 && j.heldAnswers[0].heldAnswer.releaseAt <= now {
@@ -499,7 +499,7 @@
 
 // ReleaseUnavailable releases the commands that must not wait for an unavailable store: it returns the answers other than
 // results, and in refuse the messages that the core has to refuse. It does nothing while the breaker is closed.
-func (j *Journal) ReleaseUnavailable(now int64) (out []memory.Command, refuse []memory.ID) {
+func (j *Journal) ReleaseUnavailable(now int64) (out []dispatch.Command, refuse []dispatch.ID) {
 	if !j.Breaker.Open() {
 		return nil, nil
 	}
@@ -509,7 +509,7 @@
 		}
 	}
 	for i := 0; i < len(j.heldAnswers); {
-		if e := j.heldAnswers[i]; e.heldAnswer.cmd.Verdict != memory.Served {
+		if e := j.heldAnswers[i]; e.heldAnswer.cmd.Verdict != dispatch.Served {
 			out = append(out, j.releaseWithoutRecord(e))
 			i = 0 // the heap order has changed
 			continue
@@ -521,13 +521,13 @@
 
 // releaseWithoutRecord releases an answer whose record is not durable. A result is replaced by a failure, since a
 // result must not be sent before it is durable. Any other answer is sent unchanged.
-func (j *Journal) releaseWithoutRecord(e *entry) memory.Command {
+func (j *Journal) releaseWithoutRecord(e *entry) dispatch.Command {
 	cmd := e.heldAnswer.cmd
-	if cmd.Verdict == memory.Served {
+	if cmd.Verdict == dispatch.Served {
 		j.stats.Expired++
 		e.rec.Verdict, e.rec.Content = Failed, nil
 		e.rec.Note = "the store was too slow: served by a host, answered failed"
-		cmd.Verdict, cmd.Content = memory.Failed, nil
+		cmd.Verdict, cmd.Content = dispatch.Failed, nil
 	} else {
 		j.stats.Unrecorded++
 		e.rec.Note = "answered while the store was slow, written later"
--- a/internal/record/journal_test.go
+++ b/internal/record/journal_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/logic"
 )
 
@@ -27,28 +27,28 @@
 	return New(classes, 3, Limits{Messages: 5, Bytes: 10_000, Batch: 100, MaxAnswerWait: 250, DeadlineMargin: 5, MaxKeys: 2}, NewBreaker(100, 50, 400, 1))
 }
 
-func send(id memory.ID, attempt int) memory.Command {
-	return memory.Command{Kind: memory.Send, Attempt: memory.AttemptID{Message: id, Attempt: attempt}, Addr: fmt.Sprintf("h%d", attempt)}
+func send(id dispatch.ID, attempt int) dispatch.Command {
+	return dispatch.Command{Kind: dispatch.Send, Attempt: dispatch.AttemptID{Message: id, Attempt: attempt}, Addr: fmt.Sprintf("h%d", attempt)}
 }
 
-func served(id memory.ID, content string) memory.Command {
-	return memory.Command{Kind: memory.Answer, Attempt: memory.AttemptID{Message: id}, Verdict: memory.Served, Content: []byte(content)}
+func served(id dispatch.ID, content string) dispatch.Command {
+	return dispatch.Command{Kind: dispatch.Answer, Attempt: dispatch.AttemptID{Message: id}, Verdict: dispatch.Served, Content: []byte(content)}
 }
 
-func verdict(id memory.ID, v memory.Verdict) memory.Command {
-	return memory.Command{Kind: memory.Answer, Attempt: memory.AttemptID{Message: id}, Verdict: v}
+func verdict(id dispatch.ID, v dispatch.Verdict) dispatch.Command {
+	return dispatch.Command{Kind: dispatch.Answer, Attempt: dispatch.AttemptID{Message: id}, Verdict: v}
 }
 
-func take(j *Journal, now int64, id memory.ID, class int, key string) {
+func take(j *Journal, now int64, id dispatch.ID, class int, key string) {
 	j.Accept(now, id, Message{Name: fmt.Sprintf("t%d", id), Key: key, Class: class, Deadline: now + 1000})
 }
 
 // describe formats commands in short form.
-func describe(cmds []memory.Command) string {
+func describe(cmds []dispatch.Command) string {
 	var out []string
 	for _, c := range cmds {
 		s := []string{"send", "drop", "answer", "wake", "watch", "leave"}[c.Kind]
-		if c.Kind == memory.Answer {
+		if c.Kind == dispatch.Answer {
 			s += []string{"-served", "-refused", "-failed", "-duplicate"}[c.Verdict]
 		}
 		out = append(out, fmt.Sprintf("%s %d", s, c.Attempt.Message))
@@ -56,7 +56,7 @@
 	return strings.Join(out, ", ")
 }
 
-func expect(t *testing.T, step string, cmds []memory.Command, want string) {
+func expect(t *testing.T, step string, cmds []dispatch.Command, want string) {
 	t.Helper()
 	if got := describe(cmds); got != want {
 		t.Errorf("%s: released %q, want %q", step, got, want)
@@ -64,7 +64,7 @@
 }
 
 // write runs the next write and ends it with err. It returns the records of the write and the released commands.
-func write(t *testing.T, j *Journal, now int64, err error) ([]Record, []memory.Command) {
+func write(t *testing.T, j *Journal, now int64, err error) ([]Record, []dispatch.Command) {
 	t.Helper()
 	b := j.Batch(now)
 	if b == nil {
@@ -82,17 +82,17 @@
 	take(j, 0, 2, batch, "k")
 	take(j, 0, 3, reading, "")
 	take(j, 0, 4, probe, "")
-	expect(t, "attempts", j.Filter(1, []memory.Command{send(1, 0), send(2, 0), send(3, 0), send(4, 0)}), "send 2, send 3, send 4")
+	expect(t, "attempts", j.Filter(1, []dispatch.Command{send(1, 0), send(2, 0), send(3, 0), send(4, 0)}), "send 2, send 3, send 4")
 	b, out := write(t, j, 2, nil)
 	expect(t, "after the write", out, "send 1")
 	if len(b) != 3 || len(b[0].Attempts) != 1 || b[0].Verdict != Open || b[0].ID>>32 != 3 {
 		t.Errorf("written: %+v", b)
 	}
-	for id := range memory.ID(5) {
-		j.Started(memory.AttemptID{Message: id})
-		j.Ended(10, memory.AttemptID{Message: id}, logic.Served)
+	for id := range dispatch.ID(5) {
+		j.Started(dispatch.AttemptID{Message: id})
+		j.Ended(10, dispatch.AttemptID{Message: id}, logic.Served)
 	}
-	expect(t, "answers", j.Filter(10, []memory.Command{served(1, "a"), served(2, "b"), served(3, "c"), served(4, "d")}), "answer-served 3, answer-served 4")
+	expect(t, "answers", j.Filter(10, []dispatch.Command{served(1, "a"), served(2, "b"), served(3, "c"), served(4, "d")}), "answer-served 3, answer-served 4")
 	b, out = write(t, j, 11, nil)
 	expect(t, "after their write", out, "answer-served 1, answer-served 2")
 	for _, r := range b {
@@ -119,10 +119,10 @@
 func TestCancelledWhileHeld(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
-	j.Filter(0, []memory.Command{send(1, 0)})
+	j.Filter(0, []dispatch.Command{send(1, 0)})
 	b := j.Batch(0)
-	drop := memory.Command{Kind: memory.Drop, Attempt: memory.AttemptID{Message: 1}}
-	expect(t, "cancelled while held", j.Filter(1, []memory.Command{drop, send(1, 1)}), "")
+	drop := dispatch.Command{Kind: dispatch.Drop, Attempt: dispatch.AttemptID{Message: 1}}
+	expect(t, "cancelled while held", j.Filter(1, []dispatch.Command{drop, send(1, 1)}), "")
 	out, _ := j.WriteDone(2, nil)
 	expect(t, "write of the first attempt", out, "")
 	b2, out := write(t, j, 3, nil)
@@ -131,7 +131,7 @@
 		t.Errorf("%+v then %+v", b, b2)
 	}
 	// An attempt that was sent is stopped as usual.
-	expect(t, "cancelled after it was sent", j.Filter(4, []memory.Command{{Kind: memory.Drop, Attempt: memory.AttemptID{Message: 1, Attempt: 1}}}), "drop 1")
+	expect(t, "cancelled after it was sent", j.Filter(4, []dispatch.Command{{Kind: dispatch.Drop, Attempt: dispatch.AttemptID{Message: 1, Attempt: 1}}}), "drop 1")
 }
 
 // A write that ends with an error is repeated whether or not it was executed, and no command is released until a
@@ -139,7 +139,7 @@
 func TestFailedWriteIsRetried(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
-	j.Filter(0, []memory.Command{send(1, 0)})
+	j.Filter(0, []dispatch.Command{send(1, 0)})
 	_, out := write(t, j, 1, errors.New("reset"))
 	expect(t, "a failed write", out, "")
 	if !j.Breaker.Open() || j.Batch(1) != nil {
@@ -163,24 +163,24 @@
 	take(j, 0, 1, alert, "")
 	take(j, 0, 2, alert, "")
 	take(j, 0, 3, alert, "")
-	j.Filter(0, []memory.Command{send(2, 0), send(3, 0)})
+	j.Filter(0, []dispatch.Command{send(2, 0), send(3, 0)})
 	write(t, j, 0, nil)
-	j.Filter(1, []memory.Command{send(1, 0)})
+	j.Filter(1, []dispatch.Command{send(1, 0)})
 	if j.Batch(1) == nil {
 		t.Fatal("nothing to write")
 	}
-	j.Ended(2, memory.AttemptID{Message: 2}, logic.Served)
-	j.Ended(2, memory.AttemptID{Message: 3}, logic.Failed)
-	expect(t, "answers", j.Filter(2, []memory.Command{served(2, "x"), verdict(3, memory.Failed)}), "")
+	j.Ended(2, dispatch.AttemptID{Message: 2}, logic.Served)
+	j.Ended(2, dispatch.AttemptID{Message: 3}, logic.Failed)
+	expect(t, "answers", j.Filter(2, []dispatch.Command{served(2, "x"), verdict(3, dispatch.Failed)}), "")
 	if next := j.Next(); next != 101 {
 		t.Errorf("the write times out at %d, want 101", next)
 	}
 	out, refuse, changed := j.HandleTimers(101)
 	expect(t, "when the write times out", out, "answer-failed 3")
-	if !changed || !slices.Equal(refuse, []memory.ID{1}) {
+	if !changed || !slices.Equal(refuse, []dispatch.ID{1}) {
 		t.Errorf("changed %t, refuse %v", changed, refuse)
 	}
-	expect(t, "the refusal", j.Filter(101, []memory.Command{{Kind: memory.Drop, Attempt: memory.AttemptID{Message: 1}}, verdict(1, memory.Refused)}), "answer-refused 1")
+	expect(t, "the refusal", j.Filter(101, []dispatch.Command{{Kind: dispatch.Drop, Attempt: dispatch.AttemptID{Message: 1}}, verdict(1, dispatch.Refused)}), "answer-refused 1")
 	if j.Admit(alert) || !j.Admit(batch) || !j.Admit(reading) || !j.Admit(probe) {
 		t.Error("while the store is unavailable, exactly the classes that need it must be refused")
 	}
@@ -210,12 +210,12 @@
 func TestSpoolOverflows(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, reading, "")
-	j.Filter(0, []memory.Command{send(1, 0)})
+	j.Filter(0, []dispatch.Command{send(1, 0)})
 	j.Batch(0)
 	j.HandleTimers(100) // the breaker opens
-	for id := memory.ID(2); id < 12; id++ {
+	for id := dispatch.ID(2); id < 12; id++ {
 		take(j, 100, id, reading, "")
-		j.Filter(100, []memory.Command{send(id, 0), served(id, "x")})
+		j.Filter(100, []dispatch.Command{send(id, 0), served(id, "x")})
 	}
 	if j.Waiting() > 5 || j.Admit(batch) {
 		t.Errorf("%d messages waiting, want at most 5; a class that needs the store is admitted: %t", j.Waiting(), j.Admit(batch))
@@ -230,9 +230,9 @@
 func TestClientHangsUp(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
-	j.Filter(0, []memory.Command{send(1, 0)})
+	j.Filter(0, []dispatch.Command{send(1, 0)})
 	write(t, j, 0, nil)
-	j.Ended(1, memory.AttemptID{Message: 1}, logic.Cancelled)
+	j.Ended(1, dispatch.AttemptID{Message: 1}, logic.Cancelled)
 	j.ClientLeft(1, 1)
 	b, out := write(t, j, 2, nil)
 	expect(t, "after the client left", out, "")
@@ -324,25 +324,25 @@
 type harness struct {
 	j                 *Journal
 	store             map[uint64]Record
-	atHost            map[memory.ID]bool // a host has the message, or had it
-	answered          map[memory.ID]memory.Command
-	answeredWhileOpen map[memory.ID]bool // answered while the breaker was open
-	attempts          map[memory.ID]int  // number of attempts; -1 once the core has answered
+	atHost            map[dispatch.ID]bool // a host has the message, or had it
+	answered          map[dispatch.ID]dispatch.Command
+	answeredWhileOpen map[dispatch.ID]bool // answered while the breaker was open
+	attempts          map[dispatch.ID]int  // number of attempts; -1 once the core has answered
 	inFlight          []Record
 	now               int64
 }
 
 func newHarness(class Class) *harness {
 	return &harness{j: New([]Class{class}, 1, Limits{Messages: 100, Bytes: 1 << 20, Batch: 100, MaxAnswerWait: 250, DeadlineMargin: 5, MaxKeys: 10}, NewBreaker(100, 50, 100, 1)),
-		store: map[uint64]Record{}, atHost: map[memory.ID]bool{}, answered: map[memory.ID]memory.Command{}, answeredWhileOpen: map[memory.ID]bool{}, attempts: map[memory.ID]int{}}
+		store: map[uint64]Record{}, atHost: map[dispatch.ID]bool{}, answered: map[dispatch.ID]dispatch.Command{}, answeredWhileOpen: map[dispatch.ID]bool{}, attempts: map[dispatch.ID]int{}}
 }
 
-func (w *harness) execute(cmds []memory.Command) {
+func (w *harness) execute(cmds []dispatch.Command) {
 	for _, c := range cmds {
 		switch c.Kind {
-		case memory.Send:
+		case dispatch.Send:
 			w.atHost[c.Attempt.Message] = true
-		case memory.Answer:
+		case dispatch.Answer:
 			w.answered[c.Attempt.Message] = c
 			w.answeredWhileOpen[c.Attempt.Message] = w.j.Breaker.Open()
 		}
@@ -359,7 +359,7 @@
 
 // step performs an action and reports whether it was possible.
 func (w *harness) step(action int) bool {
-	const id = memory.ID(1)
+	const id = dispatch.ID(1)
 	w.now += 10
 	attempts, known := w.attempts[id]
 	switch action {
@@ -369,7 +369,7 @@
 		}
 		w.j.Accept(w.now, id, Message{Name: "t", Class: 0, Deadline: w.now + 100_000})
 		w.attempts[id] = 1
-		w.execute(w.j.Filter(w.now, []memory.Command{send(id, 0)}))
+		w.execute(w.j.Filter(w.now, []dispatch.Command{send(id, 0)}))
 	case 1: // a write begins
 		if w.inFlight != nil {
 			return false
@@ -394,30 +394,30 @@
 		w.execute(more)
 		for _, r := range refuse {
 			w.attempts[r] = -1
-			w.execute(w.j.Filter(w.now, []memory.Command{{Kind: memory.Drop, Attempt: memory.AttemptID{Message: r, Attempt: attempts - 1}}, verdict(r, memory.Refused)}))
+			w.execute(w.j.Filter(w.now, []dispatch.Command{{Kind: dispatch.Drop, Attempt: dispatch.AttemptID{Message: r, Attempt: attempts - 1}}, verdict(r, dispatch.Refused)}))
 		}
 	case 5: // the host serves the message
 		if !w.atHost[id] || attempts < 1 {
 			return false
 		}
 		w.attempts[id] = -1
-		w.j.Ended(w.now, memory.AttemptID{Message: id, Attempt: attempts - 1}, logic.Served)
-		w.execute(w.j.Filter(w.now, []memory.Command{served(id, "x")}))
+		w.j.Ended(w.now, dispatch.AttemptID{Message: id, Attempt: attempts - 1}, logic.Served)
+		w.execute(w.j.Filter(w.now, []dispatch.Command{served(id, "x")}))
 	case 6: // the host returns the message, and it goes to another host
 		if !w.atHost[id] || attempts != 1 {
 			return false
 		}
 		w.atHost[id] = false
 		w.attempts[id] = 2
-		w.j.Ended(w.now, memory.AttemptID{Message: id, Attempt: 0}, logic.Refused)
-		w.execute(w.j.Filter(w.now, []memory.Command{send(id, 1)}))
+		w.j.Ended(w.now, dispatch.AttemptID{Message: id, Attempt: 0}, logic.Refused)
+		w.execute(w.j.Filter(w.now, []dispatch.Command{send(id, 1)}))
 	case 7: // the connection to the host breaks, and the core answers failed
 		if !w.atHost[id] || attempts < 1 {
 			return false
 		}
 		w.attempts[id] = -1
-		w.j.Ended(w.now, memory.AttemptID{Message: id, Attempt: attempts - 1}, logic.Broken)
-		w.execute(w.j.Filter(w.now, []memory.Command{verdict(id, memory.Failed)}))
+		w.j.Ended(w.now, dispatch.AttemptID{Message: id, Attempt: attempts - 1}, logic.Broken)
+		w.execute(w.j.Filter(w.now, []dispatch.Command{verdict(id, dispatch.Failed)}))
 	}
 	return true
 }
@@ -441,11 +441,11 @@
 	}
 	for id, c := range w.answered {
 		switch {
-		case c.Verdict == memory.Served && r.Verdict != Served:
+		case c.Verdict == dispatch.Served && r.Verdict != Served:
 			return fmt.Sprintf("%d was served to its client, but the record says %s", id, r.Verdict)
-		case c.Verdict == memory.Refused && len(w.store) > 0 && r.Verdict != Refused && !w.answeredWhileOpen[id]:
+		case c.Verdict == dispatch.Refused && len(w.store) > 0 && r.Verdict != Refused && !w.answeredWhileOpen[id]:
 			return fmt.Sprintf("%d was refused to its client, but the record says %s", id, r.Verdict)
-		case c.Verdict == memory.Failed && (r.Verdict == Served || r.Verdict == Refused):
+		case c.Verdict == dispatch.Failed && (r.Verdict == Served || r.Verdict == Refused):
 			return fmt.Sprintf("%d failed for its client, but the record says %s", id, r.Verdict)
 		}
 	}
@@ -508,31 +508,31 @@
 	rapid.Check(t, func(t *rapid.T) {
 		j := New(classes, 1, Limits{Messages: 8, Bytes: 4000, Batch: 3, MaxAnswerWait: 250, DeadlineMargin: 5, MaxKeys: 4}, NewBreaker(100, 50, 400, 1))
 		store := map[uint64]Record{}
-		open := map[memory.ID]int{}
-		var ids []memory.ID
+		open := map[dispatch.ID]int{}
+		var ids []dispatch.ID
 		var inFlight []Record
-		sent, answered := map[memory.ID]bool{}, map[memory.ID]bool{}
-		now, next := int64(1), memory.ID(0)
-		execute := func(cmds []memory.Command) {
+		sent, answered := map[dispatch.ID]bool{}, map[dispatch.ID]bool{}
+		now, next := int64(1), dispatch.ID(0)
+		execute := func(cmds []dispatch.Command) {
 			for _, c := range cmds {
-				if c.Kind == memory.Answer {
+				if c.Kind == dispatch.Answer {
 					if answered[c.Attempt.Message] {
 						t.Fatalf("%d was answered twice", c.Attempt.Message)
 					}
 					answered[c.Attempt.Message] = true
 				}
-				if c.Kind == memory.Send {
+				if c.Kind == dispatch.Send {
 					sent[c.Attempt.Message] = true
 				}
 			}
 		}
-		refuseAll := func(refuse []memory.ID) {
+		refuseAll := func(refuse []dispatch.ID) {
 			for _, id := range refuse {
 				if sent[id] {
 					t.Fatalf("%d was sent, but is to be refused", id)
 				}
 				delete(open, id)
-				execute(j.Filter(now, []memory.Command{{Kind: memory.Drop, Attempt: memory.AttemptID{Message: id}}, verdict(id, memory.Refused)}))
+				execute(j.Filter(now, []dispatch.Command{{Kind: dispatch.Drop, Attempt: dispatch.AttemptID{Message: id}}, verdict(id, dispatch.Refused)}))
 			}
 		}
 		finish := func(err error) {
@@ -565,7 +565,7 @@
 				take(j, now, next, class, "k")
 				open[next] = class
 				ids = append(ids, next)
-				execute(j.Filter(now, []memory.Command{send(next, 0)}))
+				execute(j.Filter(now, []dispatch.Command{send(next, 0)}))
 			case 2:
 				if len(ids) == 0 {
 					continue
@@ -576,9 +576,9 @@
 				}
 				delete(open, id)
 				result := rapid.SampledFrom([]logic.Result{logic.Served, logic.Failed, logic.Refused}).Draw(t, "result")
-				j.Ended(now, memory.AttemptID{Message: id}, result)
-				execute(j.Filter(now, []memory.Command{map[logic.Result]memory.Command{logic.Served: served(id, "x"), logic.Failed: verdict(id, memory.Failed),
-					logic.Refused: verdict(id, memory.Refused)}[result]}))
+				j.Ended(now, dispatch.AttemptID{Message: id}, result)
+				execute(j.Filter(now, []dispatch.Command{map[logic.Result]dispatch.Command{logic.Served: served(id, "x"), logic.Failed: verdict(id, dispatch.Failed),
+					logic.Refused: verdict(id, dispatch.Refused)}[result]}))
 			case 3:
 				if len(ids) == 0 {
 					continue
--- a/internal/wire/platform/inventory.go
+++ b/internal/wire/platform/inventory.go
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/logic"
 )
 
@@ -26,7 +26,7 @@
 type List struct {
 	Revision int64
 	Complete bool // all hosts; otherwise only those that changed
-	Hosts    []memory.Host
+	Hosts    []dispatch.Host
 }
 
 // ReadList decodes one list; it does not retain the value. It fails if the list has no members, or one without an
@@ -38,7 +38,7 @@
 	}
 	l := List{Revision: v.GetInt64("revision"), Complete: v.GetBool("complete")}
 	for _, m := range members.GetArray() {
-		h := memory.Host{
+		h := dispatch.Host{
 			Name:    string(m.GetStringBytes("id")),
 			Addr:    string(m.GetStringBytes("host_port")),
 			Zone:    slices.Index(n.Zones, scalarText(m.Get("locality"))),
--- a/internal/wire/platform/north.go
+++ b/internal/wire/platform/north.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 )
 
 // Fault is the reason why a message is rejected, with its HTTP status.
@@ -27,7 +27,7 @@
 // Message is a complete request from a client. If Fault is set it is answered with that and not processed; the
 // connection stays usable, since the end of the request is known.
 type Message struct {
-	memory.Message
+	dispatch.Message
 	Fault     *Fault
 	Health    bool // a health check of this dispatcher
 	Method    string
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/testing/exchange"
 	"granitewing/logic"
 )
@@ -171,7 +171,7 @@
 	}
 	want := &Config{
 		Name: "n1", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: 0x1f, Cores: 1, MemoryMB: 192, Sockets: 1024,
-		Known: List{Revision: 4, Complete: true, Hosts: []memory.Host{{Name: "s-0a", Addr: "127.0.0.1:2", Zone: 1, Kind: 1,
+		Known: List{Revision: 4, Complete: true, Hosts: []dispatch.Host{{Name: "s-0a", Addr: "127.0.0.1:2", Zone: 1, Kind: 1,
 			Cell: 3, Weight: 1.5, UpSince: 7000, Phase: logic.Ready}}},
 		Settings: logic.Config{
 			Schedulers: 1, Zones: 2, NeedsSubscription: true, UncountedConnects: true, OverQuotaValue: 1, Progress: 2_000_000, MaxAttempts: 3, ConnectTimeout: 150000, ConnIdle: 30000000,
