--- a/internal/driver/door.go
+++ b/internal/driver/door.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"granitewing/internal/wire/door"
+	"granitewing/internal/wire/admin"
 )
 
 // Bounds of the admin endpoint.
@@ -41,7 +41,7 @@
 		default:
 			// A few callers that never finish a line must not keep others out for long.
 			c.SetWriteDeadline(time.Now().Add(adminWriteTimeout))
-			c.Write(door.AppendNo(nil, "too many callers at once"))
+			c.Write(admin.AppendNo(nil, "too many callers at once"))
 			c.Close()
 		}
 	}
@@ -51,7 +51,7 @@
 func (d *Driver) serveAdminConn(c net.Conn) {
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(adminReadTimeout))
-	var r door.Reader
+	var r admin.Reader
 	buf := make([]byte, 256)
 	for {
 		n, err := c.Read(buf)
@@ -59,7 +59,7 @@
 			if call, done, perr := r.Feed(buf[:n]); done {
 				var answer []byte
 				if perr != nil {
-					answer = door.AppendNo(nil, perr.Error())
+					answer = admin.AppendNo(nil, perr.Error())
 				} else {
 					answer = d.executeCall(call)
 				}
@@ -78,15 +78,15 @@
 }
 
 // executeCall executes one admin call and returns its answer.
-func (d *Driver) executeCall(c door.Call) []byte {
+func (d *Driver) executeCall(c admin.Call) []byte {
 	switch c.Verb {
-	case door.Health:
+	case admin.Health:
 		if d.serving.Load() {
-			return door.AppendYes(nil, "")
+			return admin.AppendYes(nil, "")
 		}
-		return door.AppendNo(nil, "not serving")
-	case door.Counters:
-		return door.AppendMetrics(nil, d.metrics.text())
+		return admin.AppendNo(nil, "not serving")
+	case admin.Counters:
+		return admin.AppendMetrics(nil, d.metrics.text())
 	}
 	answer := make(chan []byte, 1)
 	wait := time.NewTimer(adminOwnerTimeout)
@@ -94,41 +94,41 @@
 	select {
 	case d.events <- func() { answer <- d.applyCall(c) }:
 	case <-wait.C:
-		return door.AppendNo(nil, "busy, try again")
+		return admin.AppendNo(nil, "busy, try again")
 	case <-d.done:
-		return door.AppendNo(nil, "stopped")
+		return admin.AppendNo(nil, "stopped")
 	}
 	select {
 	case b := <-answer:
 		return b
 	case <-wait.C:
 		// The call may still be executed later; the caller may repeat it, since all these calls are idempotent.
-		return door.AppendNo(nil, "busy, try again")
+		return admin.AppendNo(nil, "busy, try again")
 	}
 }
 
 // applyCall executes a call that changes the dispatcher. It runs on the owner.
-func (d *Driver) applyCall(c door.Call) []byte {
+func (d *Driver) applyCall(c admin.Call) []byte {
 	switch c.Verb {
-	case door.Cordon, door.Uncordon:
-		known, cmds := d.core.Cordon(d.now(), c.ID, c.Verb == door.Cordon)
+	case admin.Cordon, admin.Uncordon:
+		known, cmds := d.core.Cordon(d.now(), c.ID, c.Verb == admin.Cordon)
 		d.execute(cmds)
 		if !known {
-			return door.AppendNo(nil, "no worker "+c.ID+" was listed")
+			return admin.AppendNo(nil, "no worker "+c.ID+" was listed")
 		}
-		d.log.Info("cordon changed by an operator", "host", c.ID, "on", c.Verb == door.Cordon)
+		d.log.Info("cordon changed by an operator", "host", c.ID, "on", c.Verb == admin.Cordon)
 		d.updateServing()
 		d.saveCordons()
-		return door.AppendYes(nil, "")
-	case door.Quiesce:
+		return admin.AppendYes(nil, "")
+	case admin.Quiesce:
 		d.quiesce()
-		return door.AppendYes(nil, "")
-	case door.Resume:
+		return admin.AppendYes(nil, "")
+	case admin.Resume:
 		if !d.stoppedAt.IsZero() {
-			return door.AppendNo(nil, "stopping")
+			return admin.AppendNo(nil, "stopping")
 		}
 		d.resume()
-		return door.AppendYes(nil, "")
+		return admin.AppendYes(nil, "")
 	}
-	return door.AppendNo(nil, "unknown call")
+	return admin.AppendNo(nil, "unknown call")
 }
--- a/internal/wire/door/door.go
+++ b/internal/wire/admin/door.go
@@ -1,9 +1,9 @@
-// Package door implements the line protocol of the admin endpoint, without sockets. A Reader is fed the bytes of one
+// Package admin implements the line protocol of the admin endpoint, without sockets. A Reader is fed the bytes of one
 // connection and returns the call that they make; the Append functions build answers.
 //
 // A caller sends one line, a verb and at most one argument separated by blanks, ended by LF or CR LF. The answer is
 // a line that begins with YES or NO. After the YES of `counters` follow the metrics and a line END.
-package door
+package admin
 
 import (
 	"bytes"
--- a/internal/wire/door/door_test.go
+++ b/internal/wire/admin/door_test.go
@@ -1,4 +1,4 @@
-package door
+package admin
 
 import (
 	"bytes"
