--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"granitewing/internal/dispatch"
-	"granitewing/internal/fleet/court"
+	"granitewing/internal/fleet/ejection"
 	"granitewing/internal/fleet/gang"
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/limit"
@@ -59,7 +59,7 @@
 	retriesRefused int          // requests that were not retried because the retry allowance was used up
 	rights         *fleetLimits // nil: no limits
 	resigned       chan struct{}
-	verdicts       *court.Ejector    // nil: this dispatcher ejects servers by its own observations
+	verdicts       *ejection.Ejector // nil: this dispatcher ejects servers by its own observations
 	admission      *market.Admission // nil: this dispatcher admits requests by its own view of the load
 	gangs          *gang.Part        // nil: no gangs
 }
@@ -71,7 +71,7 @@
 		d.core.Retries(s.Retries, retryBurst)
 	}
 	if s.VoteEjection {
-		d.sharing.verdicts = court.New(d.cfg.Name, d.cfg.Settings.Zone, d.core)
+		d.sharing.verdicts = ejection.New(d.cfg.Name, d.cfg.Settings.Zone, d.core)
 	}
 	if s.PriceAdmission {
 		d.sharing.admission = market.New(d.core)
--- a/internal/fleet/court/court.go
+++ b/internal/fleet/ejection/court.go
@@ -1,9 +1,9 @@
-// Package court ejects failing hosts together with the other members of a fleet (outlier detection). It connects the
+// Package ejection ejects failing hosts together with the other members of a fleet (outlier detection). It connects the
 // dispatcher's own observations (package verdict), the ledger that brings the votes of the other members, and the
 // scheduler, which avoids a host while a verdict holds.
 //
 // The dispatcher makes one Court and calls Sit in every round of reports. The package does no I/O and reads no clock.
-package court
+package ejection
 
 import (
 	"cmp"
--- a/internal/lab/virtual/dispatcher.go
+++ b/internal/lab/virtual/dispatcher.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"granitewing/internal/dispatch"
-	"granitewing/internal/fleet/court"
+	"granitewing/internal/fleet/ejection"
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/market"
 	"granitewing/internal/lab/client"
@@ -55,7 +55,7 @@
 	hostIDs   []logic.WorkerID
 	reportSeq uint64
 
-	court      *court.Ejector
+	court      *ejection.Ejector
 	courtCore  *dispatch.Core // the core that court was made for; a restart replaces both
 	market     *market.Admission
 	marketCore *dispatch.Core // the core that market was made for; a restart replaces both
--- a/internal/lab/virtual/sharing.go
+++ b/internal/lab/virtual/sharing.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"granitewing/internal/dispatch"
-	"granitewing/internal/fleet/court"
+	"granitewing/internal/fleet/ejection"
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/market"
 	"granitewing/internal/lab/world"
@@ -44,7 +44,7 @@
 	own := ledger.OwnReport(d.name, uint64(d.generation), d.reportSeq, sim.now, core)
 	if s.Verdicts == "on" {
 		if d.court == nil || d.courtCore != core {
-			d.court, d.courtCore = court.New(d.name, d.zone, core), core
+			d.court, d.courtCore = ejection.New(d.name, d.zone, core), core
 		}
 		d.court.Round(sim.now, d.ledger, core, len(sim.dispatchers), s.Every, own)
 	}
