--- a/internal/fleet/ledger/hub.go
+++ b/internal/fleet/ledger/hub.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"granitewing/internal/fleet/draw"
+	"granitewing/internal/fleet/namehash"
 	"granitewing/internal/fleet/slack"
 	"granitewing/internal/fleet/verdict"
 	"granitewing/logic"
@@ -44,7 +44,7 @@
 	}
 	all := make([]scored, len(names))
 	for i, m := range names {
-		all[i] = scored{m, draw.Hash(m, salt)}
+		all[i] = scored{m, namehash.Hash(m, salt)}
 	}
 	slices.SortFunc(all, func(a, b scored) int { return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.name, b.name)) })
 	out := make([]string, min(n, len(all)))
--- a/internal/fleet/draw/draw.go
+++ b/internal/fleet/namehash/draw.go
@@ -1,6 +1,6 @@
-// Package draw hashes names into numbers that are the same at all members of a fleet, so that they make the same choice
+// Package namehash hashes names into numbers that are the same at all members of a fleet, so that they make the same choice
 // without communication.
-package draw
+package namehash
 
 import "hash/fnv"
 
--- a/internal/fleet/verdict/judge.go
+++ b/internal/fleet/verdict/judge.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"granitewing/internal/fleet/draw"
+	"granitewing/internal/fleet/namehash"
 	"granitewing/logic"
 )
 
@@ -125,5 +125,5 @@
 }
 
 func hash(name string, host logic.WorkerID, period int64) uint64 {
-	return draw.Hash(name, fmt.Sprint(host, period))
+	return namehash.Hash(name, fmt.Sprint(host, period))
 }
