--- a/internal/driver/share.go
+++ b/internal/driver/share.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"granitewing/internal/dispatch"
+	"granitewing/internal/fleet/admission"
 	"granitewing/internal/fleet/ejection"
 	"granitewing/internal/fleet/gang"
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/limit"
-	"granitewing/internal/fleet/market"
 	"granitewing/logic"
 )
 
@@ -59,9 +59,9 @@
 	retriesRefused int          // requests that were not retried because the retry allowance was used up
 	rights         *fleetLimits // nil: no limits
 	resigned       chan struct{}
-	verdicts       *ejection.Ejector // nil: this dispatcher ejects servers by its own observations
-	admission      *market.Admission // nil: this dispatcher admits requests by its own view of the load
-	gangs          *gang.Part        // nil: no gangs
+	verdicts       *ejection.Ejector    // nil: this dispatcher ejects servers by its own observations
+	admission      *admission.Admission // nil: this dispatcher admits requests by its own view of the load
+	gangs          *gang.Part           // nil: no gangs
 }
 
 // UseFleet makes the driver take part in a fleet. It must be called before Run.
@@ -74,7 +74,7 @@
 		d.sharing.verdicts = ejection.New(d.cfg.Name, d.cfg.Settings.Zone, d.core)
 	}
 	if s.PriceAdmission {
-		d.sharing.admission = market.New(d.core)
+		d.sharing.admission = admission.New(d.core)
 	}
 	if s.Rights != nil {
 		d.sharing.rights = &fleetLimits{participant: limit.New(d.now(), *s.Rights), now: d.now, places: map[dispatch.ID]limit.Places{}}
--- a/internal/fleet/market/market.go
+++ b/internal/fleet/admission/market.go
@@ -1,9 +1,9 @@
-// Package market connects the admission of jobs at one dispatcher to the price of the whole fleet. It measures the
+// Package admission connects the admission of jobs at one dispatcher to the price of the whole fleet. It measures the
 // demand that the dispatcher's core receives, adds the loads that the ledger brings from the other members, and offers
 // the core the price that package slack computes from both.
 //
 // The dispatcher makes one Market and calls Sit in every round of reports. The package does no I/O and reads no clock.
-package market
+package admission
 
 import (
 	"granitewing/internal/dispatch"
--- a/internal/fleet/market/market_test.go
+++ b/internal/fleet/admission/market_test.go
@@ -1,4 +1,4 @@
-package market
+package admission
 
 import (
 	"testing"
--- a/internal/lab/virtual/dispatcher.go
+++ b/internal/lab/virtual/dispatcher.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"granitewing/internal/dispatch"
+	"granitewing/internal/fleet/admission"
 	"granitewing/internal/fleet/ejection"
 	"granitewing/internal/fleet/ledger"
-	"granitewing/internal/fleet/market"
 	"granitewing/internal/lab/client"
 	"granitewing/internal/lab/model"
 	"granitewing/internal/wire/platform"
@@ -57,7 +57,7 @@
 
 	court      *ejection.Ejector
 	courtCore  *dispatch.Core // the core that court was made for; a restart replaces both
-	market     *market.Admission
+	market     *admission.Admission
 	marketCore *dispatch.Core // the core that market was made for; a restart replaces both
 	gangs      *gangs         // nil if no class runs in parts
 }
--- a/internal/lab/virtual/sharing.go
+++ b/internal/lab/virtual/sharing.go
@@ -5,9 +5,9 @@
 	"slices"
 
 	"granitewing/internal/dispatch"
+	"granitewing/internal/fleet/admission"
 	"granitewing/internal/fleet/ejection"
 	"granitewing/internal/fleet/ledger"
-	"granitewing/internal/fleet/market"
 	"granitewing/internal/lab/world"
 	"granitewing/logic"
 )
@@ -50,7 +50,7 @@
 	}
 	if s.Slack == "on" {
 		if d.market == nil || d.marketCore != core {
-			d.market, d.marketCore = market.New(core), core
+			d.market, d.marketCore = admission.New(core), core
 		}
 		d.market.Round(sim.now, d.ledger, core, len(sim.dispatchers), own)
 	}
