--- a/internal/lab/emulate/emulate.go
+++ b/internal/lab/emulate/emulate.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"granitewing/internal/lab/audit"
-	"granitewing/internal/lab/hold"
 	"granitewing/internal/lab/link"
 	"granitewing/internal/lab/model"
+	"granitewing/internal/lab/portreserve"
 	"granitewing/internal/lab/spread"
 	"granitewing/internal/lab/world"
 )
@@ -58,8 +58,8 @@
 	model     *model.Host
 	endpoints []*endpoint // by dispatcher
 	ln        net.Listener
-	tcpPort   int        // the same port at all loopback addresses
-	heldPort  *hold.Port // reserves the port while the host does not listen
+	tcpPort   int               // the same port at all loopback addresses
+	heldPort  *portreserve.Port // reserves the port while the host does not listen
 	streams   map[uint64]*stream
 	timer     *time.Timer
 	up        bool // has joined and has not stopped or crashed
--- a/internal/lab/emulate/hosts.go
+++ b/internal/lab/emulate/hosts.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"granitewing/internal/lab/audit"
-	"granitewing/internal/lab/hold"
 	"granitewing/internal/lab/model"
+	"granitewing/internal/lab/portreserve"
 )
 
 // This file holds the listeners of the emulated hosts and the way a host's state affects them.
@@ -69,7 +69,7 @@
 	h.ln.Close()
 	h.ln = nil
 	// The port stays reserved: connections are refused, and no other program can take it.
-	h.heldPort, _ = hold.Take(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(h.tcpPort)))
+	h.heldPort, _ = portreserve.Take(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(h.tcpPort)))
 }
 
 // release frees the reserved port so that the host can listen on it.
--- a/internal/lab/experiment/peers.go
+++ b/internal/lab/experiment/peers.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"granitewing/internal/lab/emulate"
-	"granitewing/internal/lab/hold"
 	"granitewing/internal/lab/link"
 	"granitewing/internal/lab/mesh"
+	"granitewing/internal/lab/portreserve"
 	"granitewing/internal/lab/world"
 )
 
@@ -148,12 +148,12 @@
 func (c *cluster) reserveAddresses(n int) error {
 	net8 := 2 + 2*(os.Getpid()%120) // the following network is that of the mesh's addresses
 	for i := range n {
-		client, err := hold.Take(netip.MustParseAddrPort("127.0.0.1:0"))
+		client, err := portreserve.Take(netip.MustParseAddrPort("127.0.0.1:0"))
 		if err != nil {
 			return fmt.Errorf("dispatcher %d: %w", i, err)
 		}
 		c.heldPorts, c.clientAddrs = append(c.heldPorts, client), append(c.clientAddrs, client.Addr().String())
-		member, err := hold.Both(netip.AddrFrom4([4]byte{127, byte(net8), byte((i + 1) >> 8), byte(i + 1)}))
+		member, err := portreserve.Both(netip.AddrFrom4([4]byte{127, byte(net8), byte((i + 1) >> 8), byte(i + 1)}))
 		if err != nil {
 			return fmt.Errorf("gossip of dispatcher %d: %w", i, err)
 		}
--- a/internal/lab/experiment/theatre.go
+++ b/internal/lab/experiment/theatre.go
@@ -17,9 +17,9 @@
 
 	"granitewing/internal/lab/audit"
 	"granitewing/internal/lab/emulate"
-	"granitewing/internal/lab/hold"
 	"granitewing/internal/lab/link"
 	"granitewing/internal/lab/mesh"
+	"granitewing/internal/lab/portreserve"
 	"granitewing/internal/lab/stage"
 	"granitewing/internal/lab/world"
 	"granitewing/internal/record/pgstandin"
@@ -48,7 +48,7 @@
 	closed           bool
 	clientAddrs      []string // client listener, by dispatcher
 	gossipAddrs      []string // fleet membership, by dispatcher
-	heldPorts        []*hold.Port
+	heldPorts        []*portreserve.Port
 	mesh             *mesh.Mesh
 	clientGates      []*mesh.Gate // in front of each dispatcher, if the day has faults on client links
 	clientLinks      []*link.Link // from clients to each dispatcher
--- a/internal/lab/hold/hold.go
+++ b/internal/lab/portreserve/hold.go
@@ -1,10 +1,10 @@
-// Package hold reserves TCP ports for processes that the laboratory starts later. Between the moment at which a
+// Package portreserve reserves TCP ports for processes that the laboratory starts later. Between the moment at which a
 // port is found free and the moment at which a process listens on it, the system may give the port to any other
 // socket that asks for an unspecified one: to a listener on all addresses of a host in another run, or to an
 // outgoing connection of another run from the same address.
 //
 // Take and Both reserve a Port; Port.Release ends the reservation.
-package hold
+package portreserve
 
 import (
 	"errors"
--- a/internal/lab/hold/hold_test.go
+++ b/internal/lab/portreserve/hold_test.go
@@ -1,4 +1,4 @@
-package hold
+package portreserve
 
 import (
 	"context"
