--- a/cmd/gwlab/verbs.go
+++ b/cmd/gwlab/verbs.go
@@ -17,9 +17,9 @@
 	"granitewing/internal/lab/emulate"
 	"granitewing/internal/lab/experiment"
 	"granitewing/internal/lab/load"
+	"granitewing/internal/lab/process"
 	"granitewing/internal/lab/report"
 	"granitewing/internal/lab/selfcheck"
-	"granitewing/internal/lab/stage"
 	"granitewing/internal/lab/trace"
 	"granitewing/internal/lab/world"
 	"granitewing/internal/settings"
@@ -135,7 +135,7 @@
 		return err
 	}
 	defer fleet.Close()
-	var running []*stage.Dispatcher
+	var running []*process.Dispatcher
 	defer func() {
 		for _, d := range running {
 			if err := d.Stop(); err != nil {
@@ -158,7 +158,7 @@
 			fmt.Printf("n%d zone %s configuration %s discovery %s\n", i, day.Zones[day.ZoneOf(i)], path, place.Discovery)
 			continue
 		}
-		d, err := stage.Start(bin, e.Dir, name, config)
+		d, err := process.Start(bin, e.Dir, name, config)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/experiment/play.go
+++ b/internal/lab/experiment/play.go
@@ -20,8 +20,8 @@
 	"granitewing/internal/lab/load"
 	"granitewing/internal/lab/measure"
 	"granitewing/internal/lab/model"
+	"granitewing/internal/lab/process"
 	"granitewing/internal/lab/spread"
-	"granitewing/internal/lab/stage"
 	"granitewing/internal/lab/virtual"
 	"granitewing/internal/lab/world"
 	"granitewing/internal/record/pgstandin"
@@ -104,7 +104,7 @@
 	}
 	defer fleet.Close()
 	cl := &cluster{day: day, fleet: fleet, log: log, variant: v, seed: seed, setup: s,
-		running: map[int]*stage.Dispatcher{}, addrs: map[int]string{}, deadSince: map[int]int64{}, pausedSince: map[int]int64{}, partitionedSince: map[int]int64{}, opLocks: make([]sync.Mutex, day.Dispatchers)}
+		running: map[int]*process.Dispatcher{}, addrs: map[int]string{}, deadSince: map[int]int64{}, pausedSince: map[int]int64{}, partitionedSince: map[int]int64{}, opLocks: make([]sync.Mutex, day.Dispatchers)}
 	defer cl.stop()
 	if day.Postgres {
 		if cl.store, err = pgstandin.Start(filepath.Join(s.Dir, fmt.Sprintf("pg-%s-%d.db", v.Name, seed))); err != nil {
--- a/internal/lab/experiment/theatre.go
+++ b/internal/lab/experiment/theatre.go
@@ -20,7 +20,7 @@
 	"granitewing/internal/lab/link"
 	"granitewing/internal/lab/mesh"
 	"granitewing/internal/lab/portreserve"
-	"granitewing/internal/lab/stage"
+	"granitewing/internal/lab/process"
 	"granitewing/internal/lab/world"
 	"granitewing/internal/record/pgstandin"
 )
@@ -35,13 +35,13 @@
 	setup   Setup
 
 	mu               sync.Mutex
-	running          map[int]*stage.Dispatcher
+	running          map[int]*process.Dispatcher
 	addrs            map[int]string
-	deadSince        map[int]int64       // by dispatcher, in microseconds since the start of the emulator
-	pausedSince      map[int]int64       // likewise
-	partitionedSince map[int]int64       // likewise, for those cut off from their clients
-	opLocks          []sync.Mutex        // by dispatcher; serializes operations on its process
-	stopping         []*stage.Dispatcher // told to shut down; a successor of the same name may already be running
+	deadSince        map[int]int64         // by dispatcher, in microseconds since the start of the emulator
+	pausedSince      map[int]int64         // likewise
+	partitionedSince map[int]int64         // likewise, for those cut off from their clients
+	opLocks          []sync.Mutex          // by dispatcher; serializes operations on its process
+	stopping         []*process.Dispatcher // told to shut down; a successor of the same name may already be running
 	crashes          []error
 	cpu              []float64 // seconds, one value per process that has exited
 	startCount       uint64    // numbers the processes for their seeds and file names
@@ -78,7 +78,7 @@
 		}
 		args = []string{"serve", "--log", "text", "--settings", path}
 	}
-	d, err := stage.Start(c.setup.Program, c.setup.Dir, fmt.Sprintf("%s-%d-n%d-%d", c.variant.Name, c.seed, i, number), config, args...)
+	d, err := process.Start(c.setup.Program, c.setup.Dir, fmt.Sprintf("%s-%d-n%d-%d", c.variant.Name, c.seed, i, number), config, args...)
 	if err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 	case world.OpStopDispatcher:
 		go func() {
 			err := d.Stop()
-			if errors.Is(err, stage.ErrKilled) {
+			if errors.Is(err, process.ErrKilled) {
 				// Stop sent SIGTERM and, when the process did not exit, SIGKILL, as a platform does. Requests that arrived
 				// before the SIGTERM and were still running are lost with the process; requests that arrived later are not
 				// excused.
@@ -234,11 +234,11 @@
 }
 
 // recordExit records the CPU time and the error of a process that has exited.
-func (c *cluster) recordExit(i int, d *stage.Dispatcher, err error) {
+func (c *cluster) recordExit(i int, d *process.Dispatcher, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cpu = append(c.cpu, d.CPU().Seconds())
-	c.stopping = slices.DeleteFunc(c.stopping, func(o *stage.Dispatcher) bool { return o == d })
+	c.stopping = slices.DeleteFunc(c.stopping, func(o *process.Dispatcher) bool { return o == d })
 	if err != nil {
 		slog.Error("dispatcher exited with an error", "number", i, "cause", err)
 		c.crashes = append(c.crashes, err)
@@ -257,7 +257,7 @@
 	case op.Kind == world.OpCordon && op.On:
 		line = "cordon " + name
 	case op.Kind == world.OpQuiesce:
-		line, to = "resume", map[int]*stage.Dispatcher{}
+		line, to = "resume", map[int]*process.Dispatcher{}
 		if op.On {
 			line = "quiesce"
 		}
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/process/stage.go
@@ -1,8 +1,8 @@
-// Package stage runs real dispatchers as child processes of the laboratory.
+// Package process runs real dispatchers as child processes of the laboratory.
 //
 // Start starts a dispatcher with its configuration and waits until it listens. The Dispatcher it returns gives its
 // address, log and counters; Stop, Kill and Pause signal the process.
-package stage
+package process
 
 import (
 	"bufio"
--- a/internal/lab/stage/stage_test.go
+++ b/internal/lab/process/stage_test.go
@@ -1,4 +1,4 @@
-package stage
+package process
 
 import (
 	"os"
