--- a/internal/lab/arrive/arrive.go
+++ b/internal/lab/arrivals/arrive.go
@@ -1,9 +1,9 @@
-// Package arrive draws open-loop arrival times from a seed: they do not depend on answers.
+// Package arrivals draws open-loop arrival times from a seed: they do not depend on answers.
 //
 // A Programme describes the arrival rate over time and a Process the distribution of the gaps. Times combines them: the
 // process is a renewal process with mean gap 1, on a time axis that runs as fast as the programme's rate. Zipf draws
 // ranks, and Burstiness measures recorded arrivals.
-package arrive
+package arrivals
 
 import (
 	"fmt"
--- a/internal/lab/arrive/arrive_test.go
+++ b/internal/lab/arrivals/arrive_test.go
@@ -1,4 +1,4 @@
-package arrive
+package arrivals
 
 import (
 	"math"
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -25,7 +25,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"granitewing/internal/lab/arrive"
+	"granitewing/internal/lab/arrivals"
 )
 
 // maxEntries bounds the number of entries of a trace, which is held in memory.
@@ -447,7 +447,7 @@
 	if s.Seconds > 0 {
 		s.Rate = float64(s.Entries) / s.Seconds
 	}
-	s.Variation, s.Dispersion = arrive.Burstiness(t.Times())
+	s.Variation, s.Dispersion = arrivals.Burstiness(t.Times())
 	return s
 }
 
--- a/internal/lab/world/day.go
+++ b/internal/lab/world/day.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"granitewing/internal/lab/arrive"
+	"granitewing/internal/lab/arrivals"
 	"granitewing/internal/lab/model"
 	"granitewing/internal/lab/trace"
 )
@@ -184,7 +184,7 @@
 	if d.Sets.Count == 0 || d.Sets.Kept == 0 {
 		return
 	}
-	zipf := arrive.NewZipf(d.Sets.Count, d.Sets.Zipf)
+	zipf := arrivals.NewZipf(d.Sets.Count, d.Sets.Zipf)
 	for i := range d.Fleet.Hosts {
 		for tries := 0; len(d.CachedSets[i]) < min(d.Sets.Kept, d.Sets.Count) && tries < 1000; tries++ {
 			if set := uint64(zipf.Draw(rng)); !slices.Contains(d.CachedSets[i], set) {
@@ -469,9 +469,9 @@
 		total += c.Share
 		shares[i] = total
 	}
-	var sets *arrive.Zipf
+	var sets *arrivals.Zipf
 	if d.Sets.Count > 0 {
-		sets = arrive.NewZipf(d.Sets.Count, d.Sets.Zipf)
+		sets = arrivals.NewZipf(d.Sets.Count, d.Sets.Zipf)
 	}
 	fill := func(j *Job, classKnown bool) {
 		if !classKnown {
@@ -515,7 +515,7 @@
 		}
 		class := slices.IndexFunc(d.Classes, func(c Class) bool { return c.Name == s.Class })
 		zone := slices.Index(d.Zones, s.Zone)
-		for _, at := range arrive.Times(s.Programme.Steps, s.Process, rng) {
+		for _, at := range arrivals.Times(s.Programme.Steps, s.Process, rng) {
 			j := Job{At: at, Class: max(class, 0), Zone: zone}
 			if zone < 0 {
 				j.Zone = rng.IntN(len(d.Zones))
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"granitewing/internal/lab/arrive"
+	"granitewing/internal/lab/arrivals"
 	"granitewing/internal/lab/client"
 	"granitewing/internal/settings"
 )
@@ -112,25 +112,25 @@
 // Load describes the arrivals: one stream over all classes and zones by rate, process and programme, or several
 // streams.
 type Load struct {
-	Rate      float64        `sexp:"rate" min:"0"` // jobs per second over the whole length, if no programme is given
-	Process   arrive.Process `sexp:"process"`
-	Programme Steps          `sexp:"programme"`
-	Streams   []Stream       `sexp:"stream"`
+	Rate      float64          `sexp:"rate" min:"0"` // jobs per second over the whole length, if no programme is given
+	Process   arrivals.Process `sexp:"process"`
+	Programme Steps            `sexp:"programme"`
+	Streams   []Stream         `sexp:"stream"`
 }
 
 // Steps is a rate programme.
 type Steps struct {
-	Steps arrive.Programme `sexp:"constant|ramp|burst|wave"`
+	Steps arrivals.Programme `sexp:"constant|ramp|burst|wave"`
 }
 
 // Stream is a further source of jobs. It is restricted to a class or zone if it names one.
 type Stream struct {
-	Class     string         `sexp:"class"`
-	Zone      string         `sexp:"zone"`
-	Process   arrive.Process `sexp:"process"`
-	Programme Steps          `sexp:"programme"`
-	Trace     *TraceSource   `sexp:"trace"`
-	Where     settings.Pos   `sexp:",pos"`
+	Class     string           `sexp:"class"`
+	Zone      string           `sexp:"zone"`
+	Process   arrivals.Process `sexp:"process"`
+	Programme Steps            `sexp:"programme"`
+	Trace     *TraceSource     `sexp:"trace"`
+	Where     settings.Pos     `sexp:",pos"`
 }
 
 // TraceSource replays a recorded trace.
@@ -306,7 +306,7 @@
 		if s.Load.Rate == 0 {
 			s.Load.Rate = 14 * float64(s.Fleet.Hosts) / 9
 		}
-		s.Load.Programme.Steps = arrive.Programme{{Kind: "constant", For: s.Length, Rate: s.Load.Rate, Repeat: 1}}
+		s.Load.Programme.Steps = arrivals.Programme{{Kind: "constant", For: s.Length, Rate: s.Load.Rate, Repeat: 1}}
 	} else if s.Load.Rate != 0 {
 		return fmt.Errorf("load: rate and a programme or streams can't both be given")
 	}
