--- a/internal/lab/spread/spread.go
+++ b/internal/lab/balance/spread.go
@@ -1,9 +1,9 @@
-// Package spread measures how evenly the hosts of a fleet are used, from the hosts' own state: capacity that is idle
+// Package balance measures how evenly the hosts of a fleet are used, from the hosts' own state: capacity that is idle
 // while work waits at other hosts, herds of attempts, the busiest hosts, and the outcomes of attempts.
 //
 // A driver of package model creates a Watch by New, calls Came for each attempt and Look after each change of a host,
 // and gets the Report at the end. The package reads no clock; times are in microseconds.
-package spread
+package balance
 
 import (
 	"cmp"
--- a/internal/lab/spread/spread_test.go
+++ b/internal/lab/balance/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package balance
 
 import (
 	"math"
--- a/internal/lab/emulate/emulate.go
+++ b/internal/lab/emulate/emulate.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"granitewing/internal/lab/audit"
+	"granitewing/internal/lab/balance"
 	"granitewing/internal/lab/link"
 	"granitewing/internal/lab/model"
 	"granitewing/internal/lab/portreserve"
-	"granitewing/internal/lab/spread"
 	"granitewing/internal/lab/world"
 )
 
@@ -34,7 +34,7 @@
 
 	mu               sync.Mutex // guards all fields below, including the models
 	hosts            []*host
-	usage            *spread.Watch
+	usage            *balance.Watch
 	fabric           *model.Fabric
 	gangTimer        *time.Timer
 	steppingGangs    bool // stepGangs is running; it must not be entered again
@@ -86,7 +86,7 @@
 			len(day.Machines), day.Dispatchers, n, maxLinks)
 	}
 	e := &Emulator{day: day, log: log, start: time.Now(), conns: map[net.Conn]struct{}{}, partitionedZones: map[[2]int]bool{},
-		usage: spread.New(day.Machines, day.End.Microseconds()), fabric: model.NewFabric(day.Fleet.Links.Model())}
+		usage: balance.New(day.Machines, day.End.Microseconds()), fabric: model.NewFabric(day.Fleet.Links.Model())}
 	cells := map[int]*model.Cell{}
 	store := &model.Store{Room: day.Sets.Store}
 	window := int64(0)
@@ -314,7 +314,7 @@
 }
 
 // UsageReport returns a report on how evenly the hosts have been used so far.
-func (e *Emulator) UsageReport() *spread.Report {
+func (e *Emulator) UsageReport() *balance.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.usage.Report(e.now())
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"granitewing/internal/lab/spread"
+	"granitewing/internal/lab/balance"
 	"granitewing/internal/lab/world"
 )
 
@@ -208,9 +208,9 @@
 }
 
 // spreadReport returns the report on host usage, or an empty one if usage was not observed.
-func (o *Outcome) spreadReport() *spread.Report {
+func (o *Outcome) spreadReport() *balance.Report {
 	if o.Spread == nil {
-		return &spread.Report{}
+		return &balance.Report{}
 	}
 	return o.Spread
 }
--- a/internal/lab/experiment/play.go
+++ b/internal/lab/experiment/play.go
@@ -16,12 +16,12 @@
 	"time"
 
 	"granitewing/internal/lab/audit"
+	"granitewing/internal/lab/balance"
 	"granitewing/internal/lab/emulate"
 	"granitewing/internal/lab/load"
 	"granitewing/internal/lab/measure"
 	"granitewing/internal/lab/model"
 	"granitewing/internal/lab/process"
-	"granitewing/internal/lab/spread"
 	"granitewing/internal/lab/virtual"
 	"granitewing/internal/lab/world"
 	"granitewing/internal/record/pgstandin"
@@ -49,7 +49,7 @@
 	Marks               []Mark                   `json:"failures"`
 	Hosts               []audit.HostLoad         `json:"hosts"`
 	Contention          []audit.ClassConcurrency `json:"crowds,omitempty"` // by class; only for runs with real processes
-	Spread              *spread.Report           `json:"spread,omitempty"`
+	Spread              *balance.Report          `json:"spread,omitempty"`
 	Gangs               *model.GangReport        `json:"gangs,omitempty"` // only if a class runs jobs in parts (gangs)
 	Notes               []string                 `json:"notes,omitempty"`
 	Resent              int                      `json:"resent_by_clients"` // see load.Result.Resent
--- a/internal/lab/virtual/hosts.go
+++ b/internal/lab/virtual/hosts.go
@@ -3,8 +3,8 @@
 import (
 	"granitewing/internal/dispatch"
 	"granitewing/internal/lab/audit"
+	"granitewing/internal/lab/balance"
 	"granitewing/internal/lab/model"
-	"granitewing/internal/lab/spread"
 	"granitewing/internal/lab/world"
 	"granitewing/logic"
 )
@@ -15,7 +15,7 @@
 func (sim *simulation) createHosts() {
 	cells := map[int]*model.Cell{}
 	store := &model.Store{Room: sim.day.Sets.Store}
-	sim.usage = spread.New(sim.day.Machines, sim.day.End.Microseconds())
+	sim.usage = balance.New(sim.day.Machines, sim.day.End.Microseconds())
 	sim.fabric = model.NewFabric(sim.day.Fleet.Links.Model())
 	var members []model.Member
 	for i, m := range sim.day.Machines {
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -17,11 +17,11 @@
 
 	"granitewing/internal/dispatch"
 	"granitewing/internal/lab/audit"
+	"granitewing/internal/lab/balance"
 	"granitewing/internal/lab/client"
 	"granitewing/internal/lab/load"
 	"granitewing/internal/lab/measure"
 	"granitewing/internal/lab/model"
-	"granitewing/internal/lab/spread"
 	"granitewing/internal/lab/world"
 	"granitewing/internal/wire/platform"
 )
@@ -56,7 +56,7 @@
 	CPU               time.Duration // of all calls of the cores, if measured
 	Heap              int64         // bytes of one dispatcher, if measured
 	Length            time.Duration // of virtual time
-	Balance           *spread.Report
+	Balance           *balance.Report
 	Traffic           Traffic
 	Gangs             *model.GangReport
 	Interrupted       bool // the context ended before the run did
@@ -99,7 +99,7 @@
 	rng               *rand.Rand
 	recorder          *measure.Recorder
 	hosts             []*host
-	usage             *spread.Watch
+	usage             *balance.Watch
 	fabric            *model.Fabric
 	gangEventAt       int64 // time of the scheduled end of a gang; 0 if there is none
 	advancingGangs    bool
