--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,7 +1,7 @@
 //go:build check
 
 // Package check runs two to four goroutines of real code one at a time, over all interleavings of their accesses
-// to shared objects. The code under test marks its accesses through package seam; it needs the build tag check.
+// to shared objects. The code under test marks its accesses through package syncpoint; it needs the build tag check.
 //
 // Interleavings that differ only in the order of accesses to different objects are equivalent, and only one of
 // them is run (sleep sets). Run searches; when it finds a failure, Result.Schedule describes the interleaving as a
@@ -71,7 +71,7 @@
 	preemptions int          // number of preemptions before this point
 }
 
-// search is one search. Only one runs at a time, since the hooks of package seam are global.
+// search is one search. Only one runs at a time, since the hooks of package syncpoint are global.
 type search struct {
 	bounds   Bounds
 	path     []*decision
@@ -329,7 +329,7 @@
 }
 
 // Touch marks an access to an object. All accesses that the search has to order must go through Touch or package
-// seam.
+// syncpoint.
 func Touch(object any) { syncpoint.WaitScheduled(nil, object) }
 
 // Choose returns one of n options, 0 to n-1; the search tries all of them.
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -5,7 +5,7 @@
 // calls of the decision module, package logic, and the decisions into commands for a driver to carry out. It knows
 // no protocol and opens no socket, so the same decisions and rules apply behind every front end.
 //
-// A driver makes a Core with New, attaches the optional fleet-wide parts (Limit, Price, Tell, Gang, Retries)
+// A driver makes a Core with New, attaches the optional fleet-wide parts (Limit, Price, ReportHealthTo, Gang, Retries)
 // before the first message, then calls one method for each event and executes the returned commands in order.
 // Times are in microseconds. A Core is not safe for concurrent use.
 package dispatch
@@ -59,9 +59,9 @@
 
 // The kinds of command, each with the fields of Command that it uses.
 const (
-	Send      CommandKind = iota // Relay, Addr, Until: send the message to the host at Addr, with Until as the deadline
-	Drop                         // Relay: cancel the attempt; this must be done before the next command
-	Answer                       // Relay.Message, Verdict, After, Content: send the final answer to the client
+	Send      CommandKind = iota // Attempt, Addr, Until: send the message to the host at Addr, with Until as the deadline
+	Drop                         // Attempt: cancel the attempt; this must be done before the next command
+	Answer                       // Attempt.Message, Verdict, After, Content: send the final answer to the client
 	Wake                         // At: call Core.Wake at that time
 	Watch                        // open the watch on the inventory
 	CloseIdle                    // Addr: close the idle connections to this address
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -200,7 +200,7 @@
 		}
 		change(c, now+1)
 		if got, want := c.MayStart(0, AttemptID{id, 0}), name == "nothing changed"; got != want {
-			t.Errorf("%s: May %t, want %t", name, got, want)
+			t.Errorf("%s: MayStart %t, want %t", name, got, want)
 		}
 	}
 }
@@ -223,10 +223,10 @@
 			t.Fatalf("after %v: not sent again: %v", result, cmds)
 		}
 		if !c.MayStart(now+80_000, AttemptID{id, 1}) {
-			t.Errorf("after %v: May refuses the repeat within the window", result)
+			t.Errorf("after %v: MayStart refuses the repeat within the window", result)
 		}
 		if got := c.MayStart(now+101_000, AttemptID{id, 1}); got != neverRan {
-			t.Errorf("after %v: May after the window: %t", result, got)
+			t.Errorf("after %v: MayStart after the window: %t", result, got)
 		}
 	}
 }
--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -67,8 +67,8 @@
 	return true, c.applyActions(now)
 }
 
-// SetMembershipStale marks the membership as stale (on) or as reliable again. While it is stale any host may have drained
-// without a report to this dispatcher, so nothing new is sent and messages wait until their clients give up.
+// SetMembershipStale marks the membership as stale (on) or as reliable again. While it is stale any host may have
+// drained without a report to this dispatcher, so nothing new is sent and messages wait until their clients give up.
 func (c *Core) SetMembershipStale(now int64, on bool) []Command {
 	c.resetOutput()
 	c.stale = on
@@ -76,8 +76,8 @@
 	return c.applyActions(now)
 }
 
-// YieldSlowStartBudget prepares for another process to take over from this dispatcher: from now on its remaining sends go only to
-// hosts that are past their slow start.
+// YieldSlowStartBudget prepares for another process to take over from this dispatcher: from now on its remaining sends
+// go only to hosts that are past their slow start.
 func (c *Core) YieldSlowStartBudget() { c.sched.YieldSlowStartBudget() }
 
 // Restore applies a cordon that an earlier process of this dispatcher had, whether the host is listed or not.
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -3,10 +3,10 @@
 // discovery for the list of servers. It also serves the admin endpoint, keeps the store of record and the fleet
 // exchange running, and shuts down gracefully.
 //
-// Driver is the main type: New makes it on a listener; Keep, Share and Announce configure it; Run serves until the
-// stop channel is closed and all requests are answered. One goroutine, the owner, in Run, has the core and all state
-// of the package to itself. Readers, writers, dials and timers run on goroutines of their own and post events to the
-// owner. Times are Unix microseconds of the driver's clock unless they are of a time type.
+// Driver is the main type: New makes it on a listener; UseRecords, UseFleet and Announce configure it; Run serves until
+// the stop channel is closed and all requests are answered. One goroutine, the owner, in Run, has the core and all
+// state of the package to itself. Readers, writers, dials and timers run on goroutines of their own and post events to
+// the owner. Times are Unix microseconds of the driver's clock unless they are of a time type.
 package driver
 
 import (
--- a/internal/driver/upgrade.go
+++ b/internal/driver/upgrade.go
@@ -68,8 +68,8 @@
 	return later
 }
 
-// PredecessorRunning reports whether the process of this dispatcher that announced its start last is another one that still runs.
-// It must be called before Run.
+// PredecessorRunning reports whether the process of this dispatcher that announced its start last is another one that
+// still runs. It must be called before Run.
 func (d *Driver) PredecessorRunning() bool {
 	last, found := d.readStart()
 	return found && last.pid > 0 && last.pid != os.Getpid() && syscall.Kill(last.pid, 0) == nil
--- a/internal/fleet/admission/admission.go
+++ b/internal/fleet/admission/admission.go
@@ -2,7 +2,8 @@
 // demand that the dispatcher's core receives, adds the loads that the ledger brings from the other members, and offers
 // the core the price that package slack computes from both.
 //
-// The dispatcher makes one Market and calls Sit in every round of reports. The package does no I/O and reads no clock.
+// The dispatcher makes one Admission and calls Round in every round of reports. The package does no I/O and reads no
+// clock.
 package admission
 
 import (
@@ -19,7 +20,7 @@
 	queries int // for a price, while it was above 0
 }
 
-// State is a snapshot of a market, for metrics. It covers the members of the fleet with a valid report.
+// State is a snapshot of an Admission, for metrics. It covers the members of the fleet with a valid report.
 type State struct {
 	Price    float64 // of a slot-second, in the unit of the value that the settings give to classes
 	Asked    float64 // demand in slot-seconds a second
@@ -31,7 +32,7 @@
 // State returns the state after the last round.
 func (m *Admission) State() State { return m.state }
 
-// New returns a market without a price, and makes the core ask it for the price of each message.
+// New returns an Admission without a price, and makes the core ask it for the price of each message.
 func New(core *dispatch.Core) *Admission {
 	m := &Admission{}
 	core.Price(m)
@@ -58,8 +59,8 @@
 	m.gauge.Asked(now, value, work, slack)
 }
 
-// Round runs one round: it puts this dispatcher's own load into its report and updates the price from that and the valid
-// loads of other members. members is the number of dispatchers in the fleet, this one included.
+// Round runs one round: it puts this dispatcher's own load into its report and updates the price from that and the
+// valid loads of other members. members is the number of dispatchers in the fleet, this one included.
 func (m *Admission) Round(now int64, l *ledger.Ledger, core *dispatch.Core, members int, own *ledger.Report) {
 	waiting, capacity := core.PendingWork()
 	own.Load = m.gauge.Load(now, waiting)
--- a/internal/fleet/ejection/ejection.go
+++ b/internal/fleet/ejection/ejection.go
@@ -2,7 +2,8 @@
 // dispatcher's own observations (package verdict), the ledger that brings the votes of the other members, and the
 // scheduler, which avoids a host while a verdict holds.
 //
-// The dispatcher makes one Court and calls Sit in every round of reports. The package does no I/O and reads no clock.
+// The dispatcher makes one Ejector and calls Round in every round of reports. The package does no I/O and reads no
+// clock.
 package ejection
 
 import (
@@ -26,7 +27,7 @@
 	ejected  map[logic.WorkerID]bool // hosts with a verdict in the last round
 }
 
-// New returns the court of the dispatcher named self in a zone. It makes core report the outcomes of its attempts to
+// New returns the Ejector of the dispatcher named self in a zone. It makes core report the outcomes of its attempts to
 // it.
 func New(self string, zone int, core *dispatch.Core) *Ejector {
 	book := verdict.NewEvidence(zone)
@@ -37,9 +38,9 @@
 // verdictRounds is the number of rounds for which a verdict holds if it is not renewed.
 const verdictRounds = 3
 
-// Round runs one round. It passes the verdicts that hold now and the runs of the other members to the core, and puts this
-// dispatcher's own votes and runs into its report. members is the number of dispatchers with a valid report, this one
-// included; every is the time between two rounds.
+// Round runs one round. It passes the verdicts that hold now and the runs of the other members to the core, and puts
+// this dispatcher's own votes and runs into its report. members is the number of dispatchers with a valid report, this
+// one included; every is the time between two rounds.
 func (c *Ejector) Round(now int64, l *ledger.Ledger, core *dispatch.Core, members int, every time.Duration, own *ledger.Report) {
 	for _, r := range l.Ran(now) {
 		core.RecordOthersRuns(now, r.Host, r.Run, r.Work)
@@ -76,7 +77,7 @@
 	}
 }
 
-// State is a snapshot of a court, for metrics.
+// State is a snapshot of an Ejector, for metrics.
 type State struct {
 	VotesAgainst  int               // this dispatcher's own votes against hosts
 	Verdicts      []verdict.Verdict // that hold now
--- a/internal/fleet/gang/place/place.go
+++ b/internal/fleet/gang/place/place.go
@@ -52,8 +52,8 @@
 
 // Weights are the costs of a placement other than a missed deadline.
 type Weights struct {
-	// Fragmentation is the share of the worth lost for a rack of which all hosts but one stay free: the next gang has to cross
-	// its border.
+	// Fragmentation is the share of the worth lost for a rack of which all hosts but one stay free: the next gang has
+	// to cross its border.
 	Fragmentation float64
 	Fails         float64 // failures of a rack a second
 }
@@ -126,7 +126,7 @@
 const minLogChance = -60
 
 // startLaw returns the start-time distribution of a host. It is the module's own for a backlog that is known up to
-// a factor (logic.LateChance).
+// a factor (logic.ViolationProbability).
 func (s *search) startLaw(i int32) *[gridPoints]float64 {
 	if s.lawOf[i] == 0 {
 		var l [gridPoints]float64
--- a/internal/fleet/ledger/encode.go
+++ b/internal/fleet/ledger/encode.go
@@ -32,7 +32,7 @@
 	// MaxMessage is the maximum size in bytes of a dispatcher's report of itself. It fits one datagram of a common
 	// network together with the header of the membership library.
 	MaxMessage = 1300
-	// MaxSum is the maximum size in bytes of a sum. The network may fragment one that is larger than MessageMost.
+	// MaxSum is the maximum size in bytes of a sum. The network may fragment one that is larger than MaxMessage.
 	MaxSum = 16_000
 )
 
@@ -133,7 +133,7 @@
 )
 
 // Parse decodes a report. It returns an error that wraps ErrForm for bytes that are not a report of this version. It
-// does not check the figures; Hear does.
+// does not check the figures; Accept does.
 func Parse(b []byte) (*Report, error) {
 	if len(b) < 3 || b[0] != version {
 		return nil, fmt.Errorf("%w: want version %d", ErrForm, version)
--- a/internal/fleet/ledger/hub_test.go
+++ b/internal/fleet/ledger/hub_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// A hub stops responding while membership still considers it alive. Its group moves to other hubs within Limits.Deaf,
-// and its own reports expire. After the links work again every member counts every other once.
+// A hub stops responding while membership still considers it alive. Its group moves to other hubs within
+// Limits.HubTimeout, and its own reports expire. After the links work again every member counts every other once.
 func TestUnresponsiveHub(t *testing.T) {
 	f := newFleet(40, Limits{Hubs: 4})
 	for range 4 {
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -1,13 +1,13 @@
 // Package ledger keeps what the other dispatchers of a fleet report: the work that each has outstanding at every host
 // and the demand that each receives for every data set. It also decides how much of that may be trusted.
 //
-// A dispatcher calls Hear with each report that arrives, Tell to pass the sums to its own scheduler, and Round to learn
-// which reports to send to whom. Votes, Ran and Load give the other sums. Append and Parse are the encoding of a
+// A dispatcher calls Accept with each report that arrives, PassSums to pass the sums to its own scheduler, and Round to
+// learn which reports to send to whom. Votes, Ran and Load give the other sums. Append and Parse are the encoding of a
 // report. The package does no I/O and reads no clock; times are microseconds on the caller's clock.
 //
-// A report is valid for Limits.Believe after it arrived; then it no longer counts. Reports of a process that wakes up
+// A report is valid for Limits.Validity after it arrived; then it no longer counts. Reports of a process that wakes up
 // late are recognized by their incarnation and sequence number and refused. If too few of the members have a valid
-// report, Tell passes on nothing and the dispatcher decides as one that shares nothing.
+// report, PassSums passes on nothing and the dispatcher decides as one that shares nothing.
 package ledger
 
 import (
@@ -114,8 +114,8 @@
 	peers      map[source]*peer
 	order      []source // keys of peers, sorted: float sums depend on the order, and a simulated run must repeat
 	counts     Counts
-	workByHost map[logic.WorkerID]float64 // scratch space of Tell
-	loadBySet  map[uint64]float64         // scratch space of Tell
+	workByHost map[logic.WorkerID]float64 // scratch space of PassSums
+	loadBySet  map[uint64]float64         // scratch space of PassSums
 
 	hub         string           // the hub that this dispatcher reports to
 	hubSince    int64            // when it chose that hub
@@ -237,9 +237,9 @@
 // maxMembers bounds the number of dispatchers that a sum may claim to cover.
 const maxMembers = 10_000
 
-// forgetFactor times Limits.Believe is how long the incarnation of a silent peer is remembered, so that its old reports
-// stay refused. No datagram stays in the network for so long. After that the peer's entry may be evicted for another
-// sender, and the peer itself may come back with a lower incarnation because its clock was set back.
+// forgetFactor times Limits.Validity is how long the incarnation of a silent peer is remembered, so that its old
+// reports stay refused. No datagram stays in the network for so long. After that the peer's entry may be evicted for
+// another sender, and the peer itself may come back with a lower incarnation because its clock was set back.
 const forgetFactor = 30
 
 // evictSilent makes space for a new sender by removing the peer that has been silent longest. It reports false if no
@@ -271,11 +271,13 @@
 	}
 }
 
-// Receiver receives the sums that Tell makes.
+// Receiver receives the sums that PassSums makes.
 type Receiver interface {
-	// RecordOthersBacklog takes the work, in slot-seconds, that the other dispatchers have at a host, as of the time at.
+	// RecordOthersBacklog takes the work, in slot-seconds, that the other dispatchers have at a host, as of the time
+	// at.
 	RecordOthersBacklog(now int64, host logic.WorkerID, work float64, at int64)
-	// RecordOthersDemand takes the other dispatchers' demand for a data set, in slots a second, which is valid until a time.
+	// RecordOthersDemand takes the other dispatchers' demand for a data set, in slots a second, which is valid until a
+	// time.
 	RecordOthersDemand(set uint64, load float64, until int64)
 }
 
@@ -301,9 +303,10 @@
 	return from, members
 }
 
-// PassSums passes to the receiver the sum of the others' work at each of the given hosts, with the mean time of the reports
-// behind it, and the sum of their demand for each data set. It returns the number of members with a valid report. Below
-// the quorum it passes nothing on; figures passed on earlier then decay in the receiver as every observation does.
+// PassSums passes to the receiver the sum of the others' work at each of the given hosts, with the mean time of the
+// reports behind it, and the sum of their demand for each data set. It returns the number of members with a valid
+// report. Below the quorum it passes nothing on; figures passed on earlier then decay in the receiver as every
+// observation does.
 func (l *Ledger) PassSums(now int64, hosts []logic.WorkerID, to Receiver) (heard int) {
 	clear(l.workByHost)
 	clear(l.loadBySet)
@@ -354,7 +357,7 @@
 	Demand(now int64, tell func(set uint64, load float64))
 }
 
-// OwnReport makes a dispatcher's report of itself. Of the data sets it includes the AskedMost with the highest demand.
+// OwnReport makes a dispatcher's report of itself. Of the data sets it includes the MaxSets with the highest demand.
 func OwnReport(from string, incarnation, seq uint64, now int64, s Source) *Report {
 	r := &Report{From: from, Incarnation: incarnation, Seq: seq}
 	s.Outstanding(func(host logic.WorkerID, work float64) {
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -12,7 +12,7 @@
 	"granitewing/logic"
 )
 
-// received is a Telling that keeps what a ledger last passed on.
+// received is a Receiver that keeps what a ledger last passed on.
 type received struct {
 	work map[logic.WorkerID]float64
 	at   int64
@@ -37,7 +37,7 @@
 
 const second = 1_000_000
 
-// Tell adds up the work by host and the demand by data set, with the mean time of the reports.
+// PassSums adds up the work by host and the demand by data set, with the mean time of the reports.
 func TestSums(t *testing.T) {
 	l := New("me", Limits{})
 	l.Members(2)
@@ -230,11 +230,11 @@
 		t.Errorf("%v %s", err, cmp.Diff(rest, got))
 	}
 	if large := Append(nil, OwnReport("n", 1, 1, 0, manyEntries{MaxHosts, MaxSets})); len(large) > MaxMessage {
-		t.Errorf("the largest own report takes %d bytes, more than MessageMost", len(large))
+		t.Errorf("the largest own report takes %d bytes, more than MaxMessage", len(large))
 	}
 }
 
-// For any input, a report that Parse accepts encodes to the same bytes, and the sums stay within bounds after Hear
+// For any input, a report that Parse accepts encodes to the same bytes, and the sums stay within bounds after Accept
 // accepts it.
 func FuzzParse(f *testing.F) {
 	f.Add(Append(nil, &Report{From: "a", Incarnation: 1, Seq: 1, Held: []HostWork{{1, 2}}, Asked: []SetDemand{{3, 4}}}))
--- a/internal/fleet/limit/cover/cover.go
+++ b/internal/fleet/limit/cover/cover.go
@@ -8,7 +8,7 @@
 // table that its predecessor used at least once. Where keepers have different tables it uses the highest entries.
 // A keeper that has just started reports that it knows no table until a dealer has sent one.
 //
-// A keeper runs a Shelf for each limit and the dealer a Book. The package does no I/O and reads no clock.
+// A keeper runs a Replica for each limit and the dealer a Book. The package does no I/O and reads no clock.
 package cover
 
 import (
--- a/internal/fleet/limit/hold/book.go
+++ b/internal/fleet/limit/hold/book.go
@@ -179,7 +179,7 @@
 }
 
 // Handover returns all grants for the next dealer. It returns nil if this book does not grant yet, or if there are
-// more than HandMost spots.
+// more than MaxHandoverSpots spots.
 func (b *Book) Handover(now int64) (out []Holding) {
 	b.expire(now)
 	if now < b.dealsFrom {
--- a/internal/fleet/limit/hold/holder.go
+++ b/internal/fleet/limit/hold/holder.go
@@ -22,7 +22,7 @@
 func NewHolder(leaseFor int64) *Holder { return &Holder{lease: leaseFor} }
 
 // Want asks for a set of slots, all or none, that must be in use by a time, for parts that run for a time. It
-// returns false, and asks for nothing, if the report would exceed ItemsMost or SpotsMost.
+// returns false, and asks for nothing, if the report would exceed MaxItems or MaxSpots.
 func (h *Holder) Want(id uint64, spots []Spot, by, run int64) bool {
 	n := len(spots)
 	for _, i := range h.items {
--- a/internal/fleet/limit/holds.go
+++ b/internal/fleet/limit/holds.go
@@ -71,7 +71,7 @@
 // and spots.
 // Grant: whether there is an answer; if so the granted IDs, whether others' slots follow, and these slots with
 // their time left.
-// SlotsOver: each member with its number and items.
+// SlotHandover: each member with its number and items.
 //
 // A spot is a host and two 32 bit floats.
 func appendHolds(b []byte, m *Message) []byte {
--- a/internal/fleet/limit/limit.go
+++ b/internal/fleet/limit/limit.go
@@ -7,8 +7,8 @@
 // lets a new dealer take over without waiting for old rights to expire, and package hold reserves slots of several
 // hosts at once for gangs.
 //
-// Each process runs one Part: it passes received messages to Hear, calls Round regularly and sends what both
-// return, and asks Enter before it starts a job and reports its end with Done. The package does no I/O and reads
+// Each process runs one Part: it passes received messages to Receive, calls Round regularly and sends what both
+// return, and asks Admit before it starts a job and reports its end with Done. The package does no I/O and reads
 // no clock; all times are microseconds on the caller's clock.
 package limit
 
@@ -75,7 +75,7 @@
 	refusals    Refusals
 }
 
-// Refusals counts ignored messages: Strange were meant for another process or not for a keeper, Late came out of
+// Refusals counts ignored messages: Misaddressed were meant for another process or not for a keeper, Late came out of
 // order or from a former dealer or owner of the post, Full exceeded the queue of asks.
 type Refusals struct{ Misaddressed, Late, Full int }
 
@@ -125,7 +125,7 @@
 // Verdict is the decision of the limits on a job.
 type Verdict uint8
 
-// The verdicts of Enter.
+// The verdicts of Admit.
 const (
 	Free   Verdict = iota // no limit counts the job
 	Inside                // every limit that counts the job had a right for it
--- a/internal/fleet/limit/message.go
+++ b/internal/fleet/limit/message.go
@@ -35,7 +35,7 @@
 )
 
 // Message is a message from one process to another. Number is the time of a request on the requester's clock, and
-// the answer repeats it; for CoverPut, CoverHas and SlotsOver see there.
+// the answer repeats it; for CoverPut, CoverStored and SlotHandover see there.
 type Message struct {
 	Kind     Kind
 	From, To lease.Owner // To.Incarnation is 0 if unknown
@@ -43,7 +43,7 @@
 	Clock    int64 // of SeatYes: when the promise was given, on the sender's clock
 	Asks     []ItemAsk
 	Grants   []ItemGrant
-	Dealer   lease.Owner // of Elsewhere: the dealer; of SeatFree: the successor
+	Dealer   lease.Owner // of Redirect: the dealer; of SeatRelease: the successor
 	Cover    *Cover      // of the cover kinds
 
 	Holds []hold.Item // of Ask: slots that the member wants or has
@@ -129,7 +129,7 @@
 	return b
 }
 
-// Parse decodes a message, or returns ErrForm. It does not check the counts in asks and grants; the dealer and the
+// Parse decodes a message, or returns ErrMalformed. It does not check the counts in asks and grants; the dealer and the
 // holders do.
 func Parse(b []byte) (*Message, error) {
 	r := reader{b: b}
--- a/internal/fleet/limit/rights/cover_check_test.go
+++ b/internal/fleet/limit/rights/cover_check_test.go
@@ -10,7 +10,7 @@
 	"granitewing/internal/fleet/limit/lease"
 )
 
-// keeper is one of three keepers, with its promise and its shelf.
+// keeper is one of three keepers, with its promise and its replica.
 type keeper struct {
 	lease.Owner
 	promised lease.Owner
--- a/internal/fleet/limit/rights/dealer.go
+++ b/internal/fleet/limit/rights/dealer.go
@@ -36,8 +36,8 @@
 	Amount float64 // jobs a second, or places
 	Burst  float64 // of a rate: rights that may exist unused at once, in jobs
 	Lease  int64   // how long a right is valid from when it was asked for, microseconds
-	// MaxOpenTime is the longest time to an answer, microseconds: a job that starts at the end of the lease may stay open this
-	// long.
+	// MaxOpenTime is the longest time to an answer, microseconds: a job that starts at the end of the lease may stay
+	// open this long.
 	MaxOpenTime int64
 	Floor       float64 // of a rate: jobs a second that a member without rights may start; else: its places; 0: none
 }
--- a/internal/fleet/limit/rights/holder.go
+++ b/internal/fleet/limit/rights/holder.go
@@ -182,7 +182,7 @@
 }
 
 // State is a holder's state for status and metrics: rights held, unused, and places open; then totals as counted
-// by the holder (Over: jobs beyond the limit; Low: jobs admitted by the floor alone).
+// by the holder (Beyond: jobs beyond the limit; ByFloor: jobs admitted by the floor alone).
 type State struct {
 	Held, Free, Open       int64
 	Valid                  bool
--- a/internal/fleet/member/limits.go
+++ b/internal/fleet/member/limits.go
@@ -5,8 +5,8 @@
 // Messages about limits. Their senders repeat them while they matter, so messages that exceed a queue are dropped here,
 // as a network may drop them.
 
-// SendLimitMessages sends messages about limits without waiting; the caller must not change them afterwards. If too many batches wait
-// already, it drops this one and counts it.
+// SendLimitMessages sends messages about limits without waiting; the caller must not change them afterwards. If too
+// many batches wait already, it drops this one and counts it.
 func (f *Fleet) SendLimitMessages(out []*limit.Message) {
 	if len(out) == 0 {
 		return
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -2,8 +2,9 @@
 // (hashicorp/memberlist), and the messages of that library carry the dispatchers' reports and their messages about
 // limits.
 //
-// Join returns a Fleet. Tell and Say send; Take and Said return what arrived since the last call; Leave ends the
-// membership. The package makes no decisions: received messages wait here until they are taken.
+// Join returns a Fleet. SendReports and SendLimitMessages send; ReceiveReports and ReceiveLimitMessages return what
+// arrived since the last call; Leave ends the membership. The package makes no decisions: received messages wait here
+// until they are taken.
 package member
 
 import (
@@ -214,8 +215,8 @@
 	}
 }
 
-// SendReports sends reports without waiting; the caller must not change them afterwards. If earlier reports are still waiting
-// to be sent, these replace them.
+// SendReports sends reports without waiting; the caller must not change them afterwards. If earlier reports are still
+// waiting to be sent, these replace them.
 func (f *Fleet) SendReports(out []ledger.Outgoing) { f.outgoing.Put(out) }
 
 // sendLoop sends reports and messages about limits until the fleet is left.
@@ -284,8 +285,8 @@
 	return out
 }
 
-// ReceiveReports returns what was received since the last call: reports sorted by sender and kind, processes that are gone, and
-// the members present now.
+// ReceiveReports returns what was received since the last call: reports sorted by sender and kind, processes that are
+// gone, and the members present now.
 func (f *Fleet) ReceiveReports() ledger.Inbox {
 	members := slices.Sorted(maps.Keys(f.present()))
 	f.mu.Lock()
--- a/internal/fleet/namehash/namehash.go
+++ b/internal/fleet/namehash/namehash.go
@@ -1,5 +1,5 @@
-// Package namehash hashes names into numbers that are the same at all members of a fleet, so that they make the same choice
-// without communication.
+// Package namehash hashes names into numbers that are the same at all members of a fleet, so that they make the same
+// choice without communication.
 package namehash
 
 import "hash/fnv"
--- a/internal/fleet/verdict/evidence.go
+++ b/internal/fleet/verdict/evidence.go
@@ -1,6 +1,6 @@
 // Package verdict combines what the dispatchers of a fleet observe of its hosts, so that not every dispatcher has to
-// fail at a bad host by itself. A Book records one dispatcher's own attempts and casts its votes; a Judge counts the
-// votes of all dispatchers and returns the verdicts against hosts.
+// fail at a bad host by itself. Evidence records one dispatcher's own attempts and casts its votes; a Detector
+// counts the votes of all dispatchers and returns the verdicts against hosts.
 //
 // A dispatcher has one vote on a host. It rests on the dispatcher's own attempts and expires with them. Votes are
 // counted by the zone of the dispatchers that cast them. The package does no I/O and reads no clock; times are
@@ -37,7 +37,8 @@
 	maxFailedShare = 0.5
 )
 
-// Evidence records the results of one dispatcher's own attempts at hosts. It must not be used by two goroutines at once.
+// Evidence records the results of one dispatcher's own attempts at hosts. It must not be used by two goroutines at
+// once.
 type Evidence struct {
 	zone  uint8
 	hosts map[logic.WorkerID]*record
@@ -54,8 +55,8 @@
 	return &Evidence{zone: uint8(min(max(zone, 0), 255)), hosts: map[logic.WorkerID]*record{}}
 }
 
-// Record records the result of an attempt that is evidence about its host, or another sign that the host is alive. If the
-// book is full of recent records, a host that has none is ignored.
+// Record records the result of an attempt that is evidence about its host, or another sign that the host is alive. If
+// the book is full of recent records, a host that has none is ignored.
 func (b *Evidence) Record(now int64, host logic.WorkerID, ok bool) {
 	r := b.hosts[host]
 	if r == nil {
@@ -89,7 +90,7 @@
 
 func (r *record) good(now int64) bool { return r.fails == 0 && now-r.succeededAt <= evidenceLifetime }
 
-// Votes returns this dispatcher's votes, at most VotesMost: those against hosts first, then those for hosts that others
+// Votes returns this dispatcher's votes, at most MaxVotes: those against hosts first, then those for hosts that others
 // vote against. It returns none if so many of its attempts failed that its own network link is the likely cause.
 func (b *Evidence) Votes(now int64, others []Vote) []Vote {
 	b.dropExpired(now)
--- a/internal/fleet/verdict/judge.go
+++ b/internal/fleet/verdict/judge.go
@@ -38,11 +38,11 @@
 	book *Evidence
 }
 
-// NewDetector returns the judge of the dispatcher named self. A recent success in the dispatcher's own book overrules the
-// votes of others.
+// NewDetector returns the detector of the dispatcher named self. A recent success in the dispatcher's own book overrules
+// the votes of others.
 func NewDetector(self string, book *Evidence) *Detector { return &Detector{self, book} }
 
-// tally is the votes on a host: those of the judge's own zone, and those of the other zones.
+// tally is the votes on a host: those of the detector's own zone, and those of the other zones.
 type tally struct {
 	bad, good int
 	zones     int // other zones in which a majority finds the host bad; the host's own zone counts twice
@@ -53,7 +53,7 @@
 // Verdicts returns the verdicts that hold now for this dispatcher, the worst host first. members is the number of
 // dispatchers.
 //
-// The votes of the judge's own zone come first, because they used the same network path to the host. If there are too
+// The votes of the detector's own zone come first, because they used the same network path to the host. If there are too
 // few of them, the votes of other zones count too, provided that two zones agree or that the host's own zone finds it
 // bad. If a single zone can't reach a host of another zone, the path from there is the likely cause, not the host.
 func (j *Detector) Verdicts(now int64, votes []Vote, hosts []Host, members int) []Verdict {
--- a/internal/fleet/verdict/verdict_test.go
+++ b/internal/fleet/verdict/verdict_test.go
@@ -28,7 +28,7 @@
 
 // A verdict needs enough votes of the dispatcher's own zone, or the agreement of other zones, and is limited to a third
 // of the capacity of a kind.
-func TestJudge(t *testing.T) {
+func TestDetector(t *testing.T) {
 	for name, c := range map[string]struct {
 		votes []Vote
 		want  string
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,6 +1,6 @@
 // Package inventory decides how a dispatcher follows service discovery: when it queries discovery, which connection
-// it reads, which lists it accepts, and from when on its list of servers (the membership) is stale. Keeper is a
-// state machine that is fed events and times and opens no socket; the driver executes the commands that Keeper.Ready
+// it reads, which lists it accepts, and from when on its list of servers (the membership) is stale. Tracker is a
+// state machine that is fed events and times and opens no socket; the driver executes the commands that Tracker.Ready
 // returns. Starts converts the reported start times of servers to the dispatcher's own clock.
 //
 // Discovery reports changes on a watch, a response without end on which it writes something every 2 s. If a watch
@@ -30,7 +30,7 @@
 // The parts of the time budget, in microseconds.
 const (
 	SilenceTimeout       = 2_400_000 // without a byte, after which a watch counts as silent
-	SilenceJitter        = 400_000   // maximum of the random time added to Silence
+	SilenceJitter        = 400_000   // maximum of the random time added to SilenceTimeout
 	CallTimeout          = 2_200_000 // timeout of a call until its next byte, connecting included
 	NotifiedAfterSilence = 6_000_000 // after a watch or call fell silent, its missed changes count as notified
 	NotifiedAfterMove    = 4_000_000 // after discovery has moved, its changes count as notified
@@ -112,7 +112,7 @@
 	commands        []Command
 }
 
-// New returns a Keeper that starts with a list of the revision index, or without one for All. random returns
+// New returns a Tracker that starts with a list of the revision index, or without one for All. random returns
 // numbers from 0 to 1.
 func New(now int64, l Limits, index int64, random func() float64) *Tracker {
 	return &Tracker{limits: l, random: random, now: now, revision: index, knownUntil: now}
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestKeeper(t *testing.T) {
+func TestTracker(t *testing.T) {
 	queried := Limits{AskWithin: 4_000_000, Grace: 750_000}
 	for _, c := range []struct {
 		name   string
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -4,7 +4,7 @@
 // cold host is overrun.
 //
 // Hosts, clients and discovery record their observations in a Log; Log.Check returns the Report. CheckRecords and
-// CheckHistory check the store of record of the dispatchers against the same observations, and Crowds measures
+// CheckHistory check the store of record of the dispatchers against the same observations, and Concurrency measures
 // concurrency. All times are microseconds since the start of the run unless noted otherwise.
 package audit
 
@@ -152,7 +152,7 @@
 	return len(t.attempts) - 1
 }
 
-// AttemptPartArrived is like Came for one part of a gang: rank is the index of the part, parts their number.
+// AttemptPartArrived is like AttemptArrived for one part of a gang: rank is the index of the part, parts their number.
 func (l *Log) AttemptPartArrived(first, last int64, name, host string, cell, dispatcher, rank, parts int) int {
 	n := l.AttemptArrived(first, last, name, host, cell, dispatcher)
 	l.mu.Lock()
--- a/internal/lab/balance/balance.go
+++ b/internal/lab/balance/balance.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// RecordState records the state of host i after a change. up reports whether the host is reachable and accepts new jobs.
+// RecordState records the state of host i after a change. up reports whether the host is reachable and accepts new
+// jobs.
 func (w *Watch) RecordState(now int64, i int, m *model.Host, up bool) {
 	w.elapse(now)
 	h := &w.hosts[i]
--- a/internal/lab/emulate/emulate.go
+++ b/internal/lab/emulate/emulate.go
@@ -1,8 +1,8 @@
 // Package emulate emulates the hosts (back ends that run jobs) and the discovery service of a day on loopback
 // sockets, in the platform's protocol and with the day's faults.
 //
-// New opens the addresses of an Emulator, Place returns what a dispatcher's configuration needs to reach them, Play
-// starts the day's faults, and Close ends everything. Each dispatcher gets loopback addresses of its own for the
+// New opens the addresses of an Emulator, Addresses returns what a dispatcher's configuration needs to reach them,
+// Start starts the day's faults, and Close ends everything. Each dispatcher gets loopback addresses of its own for the
 // hosts (127.1.x.y). The emulator thereby knows which dispatcher is calling, and has a separate link between each
 // dispatcher and each host on which it can inject faults.
 package emulate
@@ -149,8 +149,8 @@
 // StartTime returns the time at which the emulator's clock was zero.
 func (e *Emulator) StartTime() time.Time { return e.start }
 
-// Addresses returns the addresses that go into a dispatcher's configuration: its own listener, its discovery service and
-// all hosts. listen is the dispatcher's listen address.
+// Addresses returns the addresses that go into a dispatcher's configuration: its own listener, its discovery service
+// and all hosts. listen is the dispatcher's listen address.
 func (e *Emulator) Addresses(dispatcher int, listen string) world.Place {
 	addrs := map[string]string{}
 	for _, h := range e.hosts {
@@ -162,7 +162,7 @@
 
 // Start schedules the day's operations relative to begin, each on its own timer, and returns at once. Operations on
 // dispatchers and on their store are passed to the dispatcher function. Operations at time zero or earlier are
-// applied before Play returns, because a timer might fire only after the first job has arrived.
+// applied before Start returns, because a timer might fire only after the first job has arrived.
 func (e *Emulator) Start(ctx context.Context, begin time.Time, dispatcher func(world.Op)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/experiment/cluster.go
+++ b/internal/lab/experiment/cluster.go
@@ -210,9 +210,9 @@
 		go func() {
 			err := d.Stop()
 			if errors.Is(err, process.ErrKilled) {
-				// Stop sent SIGTERM and, when the process did not exit, SIGKILL, as a platform does. Requests that arrived
-				// before the SIGTERM and were still running are lost with the process; requests that arrived later are not
-				// excused.
+				// Stop sent SIGTERM and, when the process did not exit, SIGKILL, as a platform does. Requests that
+				// arrived before the SIGTERM and were still running are lost with the process; requests that arrived
+				// later are not excused.
 				c.log.Killed(i, d.Killed().Sub(c.fleet.StartTime()).Microseconds(), now)
 				err = nil
 			}
@@ -359,7 +359,8 @@
 	c.mu.Unlock()
 	var wait sync.WaitGroup
 	for i, d := range running {
-		// An error here means that the process crashed. Its open requests are not excused, and the report shows the crash.
+		// An error here means that the process crashed. Its open requests are not excused, and the report shows the
+		// crash.
 		wait.Go(func() { c.recordExit(i, d, d.Stop()) })
 	}
 	for _, d := range leaving {
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -66,7 +66,7 @@
 
 // Run runs an experiment. Each pair of runs has its own seed, and the order of the variants alternates from pair to
 // pair, so that changes on the machine during the experiment affect all variants alike. label, which may be nil, is
-// called with a description of each run before it starts. If ctx ends, Run returns what it has with Cut set. On an
+// called with a description of each run before it starts. If ctx ends, Run returns what it has with CutShort set. On an
 // error it also returns the results so far.
 func Run(ctx context.Context, spec *world.Spec, s Setup, label func(string)) (*Results, error) {
 	variants := spec.Variants
@@ -159,7 +159,7 @@
 	Ratio       bool      `json:"ratio"` // Mean, Lo and Hi are relative
 	Verdict     string    `json:"verdict"`
 	Differences []float64 `json:"each"`   // difference of each pair, in the unit of Mean
-	Median      float64   `json:"median"` // median of Each
+	Median      float64   `json:"median"` // median of Differences
 }
 
 // metric is a quantity of an outcome that is compared between variants.
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -1,8 +1,8 @@
 // Package experiment runs laboratory experiments and compares their variants.
 //
 // A world.Spec describes an experiment; drawing it with a seed gives a world.Day, the complete schedule of jobs,
-// hosts and faults. Play runs one day of one variant against real dispatcher processes on loopback sockets,
-// PlayVirtual runs it in virtual time inside this process, and each returns an Outcome. Run runs a whole experiment:
+// hosts and faults. RunDay runs one day of one variant against real dispatcher processes on loopback sockets,
+// RunDayVirtual runs it in virtual time inside this process, and each returns an Outcome. Run runs a whole experiment:
 // pairs of variants (two builds, settings or policies) on the same seeds, or a sweep over fleet sizes. Its Results
 // hold the outcomes and state whether the variants differ.
 package experiment
@@ -87,7 +87,7 @@
 }
 
 // RunDay runs one day of a variant with real dispatchers on sockets. Cancelling ctx cuts the run short: the outcome
-// then has Cut set and holds what was measured so far. It returns an error if the day cannot be drawn, if the
+// then has CutShort set and holds what was measured so far. It returns an error if the day cannot be drawn, if the
 // emulator, the store or a dispatcher does not start, or if the dispatchers' records cannot be read.
 func RunDay(ctx context.Context, spec *world.Spec, v world.Variant, seed uint64, s Setup) (*Outcome, error) {
 	day, err := spec.For(v).Draw(seed)
@@ -185,7 +185,7 @@
 const maxAuditedJobs = 300_000
 
 // RunDayVirtual runs one day of a variant in virtual time, without sockets or processes. Cancelling ctx cuts the run
-// short: the outcome then has Cut set and holds what was measured so far.
+// short: the outcome then has CutShort set and holds what was measured so far.
 func RunDayVirtual(ctx context.Context, spec *world.Spec, v world.Variant, seed uint64, s Setup) (*Outcome, error) {
 	day, err := spec.For(v).Draw(seed)
 	if err != nil {
--- a/internal/lab/portreserve/portreserve.go
+++ b/internal/lab/portreserve/portreserve.go
@@ -45,8 +45,9 @@
 	return p, nil
 }
 
-// Both reserves a port chosen by the system that is free for UDP as well. The system gives it to no other TCP socket. UDP
-// can't be reserved, but code that picks a UDP port at a laboratory address takes the TCP port of that number first.
+// Both reserves a port chosen by the system that is free for UDP as well. The system gives it to no other TCP socket.
+// UDP can't be reserved, but code that picks a UDP port at a laboratory address takes the TCP port of that number
+// first.
 func Both(addr netip.Addr) (*Port, error) {
 	var last error
 	for range 8 {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
 // Package report writes the results of an experiment as a self-contained HTML page, plots in SVG and PNG, and
-// JSON. Open prepares a Folder before the run, Folder.Write writes the report, Read reads the results again, and
+// JSON. Open prepares a Dir before the run, Dir.Write writes the report, Read reads the results again, and
 // Merge combines the results of several generators.
 package report
 
--- a/internal/lab/virtual/alike.go
+++ b/internal/lab/virtual/alike.go
@@ -6,9 +6,9 @@
 	"granitewing/internal/lab/world"
 )
 
-// VerdictAgreement counts how often two dispatchers give the same verdict on similar jobs. Two jobs are similar if they have the
-// same class and number of slots, their hints differ by less than a tenth, and they reach different dispatchers within
-// 100 ms of each other. Pass its Judge method as Options.Judged.
+// VerdictAgreement counts how often two dispatchers give the same verdict on similar jobs. Two jobs are similar if they
+// have the same class and number of slots, their hints differ by less than a tenth, and they reach different
+// dispatchers within 100 ms of each other. Pass its Record method as Options.OnVerdict.
 type VerdictAgreement struct {
 	Pairs, Agreed     int // pairs of similar jobs, and those of them with the same verdict
 	Requests, Refused int // first requests of jobs, and those that were refused at once
--- a/internal/lab/virtual/dispatcher.go
+++ b/internal/lab/virtual/dispatcher.go
@@ -55,11 +55,11 @@
 	hostIDs   []logic.WorkerID
 	reportSeq uint64
 
-	court      *ejection.Ejector
-	courtCore  *dispatch.Core // the core that court was made for; a restart replaces both
-	market     *admission.Admission
-	marketCore *dispatch.Core // the core that market was made for; a restart replaces both
-	gangs      *gangs         // nil if no class runs in parts
+	ejector       *ejection.Ejector
+	ejectorCore   *dispatch.Core // the core that ejector was made for; a restart replaces both
+	admission     *admission.Admission
+	admissionCore *dispatch.Core // the core that admission was made for; a restart replaces both
+	gangs         *gangs         // nil if no class runs in parts
 }
 
 // start starts the dispatcher's process with a fresh core.
--- a/internal/lab/virtual/sharing.go
+++ b/internal/lab/virtual/sharing.go
@@ -43,16 +43,16 @@
 	d.reportSeq++
 	own := ledger.OwnReport(d.name, uint64(d.generation), d.reportSeq, sim.now, core)
 	if s.Verdicts == "on" {
-		if d.court == nil || d.courtCore != core {
-			d.court, d.courtCore = ejection.New(d.name, d.zone, core), core
+		if d.ejector == nil || d.ejectorCore != core {
+			d.ejector, d.ejectorCore = ejection.New(d.name, d.zone, core), core
 		}
-		d.court.Round(sim.now, d.ledger, core, len(sim.dispatchers), s.Every, own)
+		d.ejector.Round(sim.now, d.ledger, core, len(sim.dispatchers), s.Every, own)
 	}
 	if s.Slack == "on" {
-		if d.market == nil || d.marketCore != core {
-			d.market, d.marketCore = admission.New(core), core
+		if d.admission == nil || d.admissionCore != core {
+			d.admission, d.admissionCore = admission.New(core), core
 		}
-		d.market.Round(sim.now, d.ledger, core, len(sim.dispatchers), own)
+		d.admission.Round(sim.now, d.ledger, core, len(sim.dispatchers), own)
 	}
 	if d.gangs != nil {
 		sim.exchangeSlotMessages(d, core, s)
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -169,7 +169,7 @@
 	lastResult client.Result
 }
 
-// Run simulates a day. It stops early and sets Result.Cut if ctx ends. It returns an error if a dispatcher's
+// Run simulates a day. It stops early and sets Result.Interrupted if ctx ends. It returns an error if a dispatcher's
 // configuration is invalid.
 func Run(ctx context.Context, day *world.Day, o Options) (*Result, error) {
 	sim := &simulation{options: o, day: day, rng: rand.New(rand.NewPCG(o.Seed, 21)), hostsByName: map[string]*host{}, partitions: map[[2]int]bool{}, directoryEventAt: model.Never}
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// BenchmarkPlay measures how fast virtual time runs: 9 hosts, 3 dispatchers, 30 s of 14 jobs a second.
-func BenchmarkPlay(b *testing.B) {
+// BenchmarkRun measures how fast virtual time runs: 9 hosts, 3 dispatchers, 30 s of 14 jobs a second.
+func BenchmarkRun(b *testing.B) {
 	spec, err := world.Parse("bench", `(experiment bench (length 30s) (load (rate 14)))`)
 	if err != nil {
 		b.Fatal(err)
@@ -244,7 +244,7 @@
 	}
 }
 
-// onVerdict is Options.Judged of all runs; nil except in the test that sets it.
+// onVerdict is Options.OnVerdict of all runs; nil except in the test that sets it.
 var onVerdict func(at int64, dispatcher int, j *world.Job, refused bool)
 
 // Admission by a fleet-wide price: in an overload most alerts that can't be served are refused before they are sent,
--- a/internal/lab/world/draw.go
+++ b/internal/lab/world/draw.go
@@ -74,7 +74,7 @@
 	OpPeers          // the fault Link is on the links of Dispatchers with Others, On
 	OpClients        // the fault Link is on the links of clients with Dispatchers, On
 	OpReadCounters   // the counters of all dispatchers are read from their admin endpoints
-	OpStopDispatcher // dispatcher Host gets SIGTERM; OpRevive starts another of its name, whether it has ended or not
+	OpStopDispatcher // dispatcher Host gets SIGTERM; OpRestartDispatcher starts another of its name, whether it has ended or not
 )
 
 // Op is one operation on the deployment. OpKind says which fields its kind uses.
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -39,7 +39,8 @@
 	Chances         []Chance               `sexp:"chance"`
 	Generator       Generator              `sexp:"generator"`
 	Variants        []Variant              `sexp:"variant"`
-	// DispatcherSettings holds the dispatchers' own settings, in which {dir} and {name} are replaced. They are kept over restarts.
+	// DispatcherSettings holds the dispatchers' own settings, in which {dir} and {name} are replaced. They are kept
+	// over restarts.
 	DispatcherSettings string       `sexp:"settings"`
 	Postgres           bool         `sexp:"postgres"`      // start a stand-in server, whose URL replaces {postgres}
 	Records            bool         `sexp:"audit-records"` // the dispatchers keep a record store, which is audited
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,5 +1,5 @@
-// Package mailbox passes values between goroutines when only the latest value matters. A Place holds at most one value:
-// Put never blocks and replaces a value that nobody has taken yet.
+// Package mailbox passes values between goroutines when only the latest value matters. A Mailbox holds at most one
+// value: Put never blocks and replaces a value that nobody has taken yet.
 package mailbox
 
 import "granitewing/internal/syncpoint"
@@ -7,7 +7,7 @@
 // Mailbox holds at most one value. One goroutine puts values; any goroutine may take them.
 type Mailbox[T any] struct{ c chan T }
 
-// New returns an empty place.
+// New returns an empty mailbox.
 func New[T any]() Mailbox[T] { return Mailbox[T]{make(chan T, 1)} }
 
 // Put stores a value, replacing one that is still there. It never blocks.
--- a/internal/record/breaker.go
+++ b/internal/record/breaker.go
@@ -37,7 +37,7 @@
 // Begin records the start of a write.
 func (b *Breaker) Begin(now int64) { b.writeStarted = max(now, 1) }
 
-// Next returns the time at which Late or MayWrite has to be called again, 0 for never.
+// Next returns the time at which CheckTimeout or MayWrite has to be called again, 0 for never.
 func (b *Breaker) Next() int64 {
 	switch {
 	case b.writeStarted != 0 && !b.open:
--- a/internal/record/journal.go
+++ b/internal/record/journal.go
@@ -200,7 +200,8 @@
 }
 
 // Filter takes the commands that a call of the core returned, records them, and returns the commands that may be
-// carried out now, in their order. The others are held until Wrote, Due or Trouble returns them.
+// carried out now, in their order. The others are held until WriteDone, HandleTimers or ReleaseUnavailable returns
+// them.
 func (j *Journal) Filter(now int64, cmds []dispatch.Command) []dispatch.Command {
 	out := make([]dispatch.Command, 0, len(cmds))
 	for _, c := range cmds {
@@ -474,7 +475,7 @@
 	j.dirty = kept
 }
 
-// Next returns the time at which Due has to be called, 0 for never.
+// Next returns the time at which HandleTimers has to be called, 0 for never.
 func (j *Journal) Next() int64 {
 	next := j.Breaker.Next()
 	if len(j.heldAnswers) > 0 {
@@ -485,8 +486,8 @@
 	return next
 }
 
-// HandleTimers handles expired timers: it opens the breaker if the current write takes too long, and releases answers that
-// can't wait any longer. refuse lists messages that were never sent and wait for an unavailable store; the core
+// HandleTimers handles expired timers: it opens the breaker if the current write takes too long, and releases answers
+// that can't wait any longer. refuse lists messages that were never sent and wait for an unavailable store; the core
 // has to refuse them. changed reports whether the breaker opened.
 func (j *Journal) HandleTimers(now int64) (out []dispatch.Command, refuse []dispatch.ID, changed bool) {
 	changed = j.Breaker.CheckTimeout(now)
@@ -497,8 +498,8 @@
 	return out, refuse, changed
 }
 
-// ReleaseUnavailable releases the commands that must not wait for an unavailable store: it returns the answers other than
-// results, and in refuse the messages that the core has to refuse. It does nothing while the breaker is closed.
+// ReleaseUnavailable releases the commands that must not wait for an unavailable store: it returns the answers other
+// than results, and in refuse the messages that the core has to refuse. It does nothing while the breaker is closed.
 func (j *Journal) ReleaseUnavailable(now int64) (out []dispatch.Command, refuse []dispatch.ID) {
 	if !j.Breaker.Open() {
 		return nil, nil
--- a/internal/record/journal_test.go
+++ b/internal/record/journal_test.go
@@ -74,8 +74,8 @@
 	return b, out
 }
 
-// A message of a Before class is durable before each attempt and before its answer, one of a Told class before its
-// answer, and one of a Behind class waits for nothing.
+// A message of a BeforeSend class is durable before each attempt and before its answer, one of a BeforeAnswer class
+// before its answer, and one of a Behind class waits for nothing.
 func TestCommandsWaitForDurability(t *testing.T) {
 	j := journal()
 	take(j, 0, 1, alert, "")
@@ -254,7 +254,7 @@
 		}
 		again := c.r
 		if again.SettleAfterCrash(99) || !cmp.Equal(again, c.r) {
-			t.Error("a second Settle changed the record")
+			t.Error("a second SettleAfterCrash changed the record")
 		}
 	}
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -4,7 +4,7 @@
 //
 // A Record describes one message, its attempts and its final answer. A Journal follows the messages of a
 // dispatcher: Filter passes or holds the commands of the dispatcher's core, Batch returns the records to write,
-// and Wrote takes the result of the write and releases held commands. A Breaker detects a slow or lost store.
+// and WriteDone takes the result of the write and releases held commands. A Breaker detects a slow or lost store.
 // Store is the interface to the storage; the subpackages sqlite and postgres implement it. Recover settles at
 // start what earlier starts left open.
 package record
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// SettleAfterCrash closes a record that a crash left open: as failed if the message may have run, as refused if it never
-// ran. The message is never sent again. now is Unix microseconds. Settle reports whether it changed the record;
+// SettleAfterCrash closes a record that a crash left open: as failed if the message may have run, as refused if it
+// never ran. The message is never sent again. now is Unix microseconds. Settle reports whether it changed the record;
 // settling twice changes nothing.
 func (r *Record) SettleAfterCrash(now int64) bool {
 	if r.Verdict != Open {
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -221,7 +221,7 @@
 
 func isScalar(t reflect.Type) bool { return t == rangeType || t == spanType }
 
-// decodeSpan decodes a Range or Span from one value or two.
+// decodeSpan decodes a Range or DurationRange from one value or two.
 func decodeSpan(n *Node, v reflect.Value, tag reflect.StructTag, path string) error {
 	if len(n.Items) != 2 && len(n.Items) != 3 {
 		return &Error{n.Pos, path, fmt.Sprintf("want one value or two, have %d", len(n.Items)-1)}
--- a/internal/syncpoint/built.go
+++ b/internal/syncpoint/built.go
@@ -1,8 +1,8 @@
 //go:build !check
 
-// Package syncpoint holds the synchronisation operations, channel sends and receives and locks, of code that internal/check
-// runs under all interleavings of its goroutines. In normal builds they are the language's own operations, inlined. With
-// the build tag check, each operation first waits until the checker schedules its goroutine.
+// Package syncpoint holds the synchronisation operations, channel sends and receives and locks, of code that
+// internal/check runs under all interleavings of its goroutines. In normal builds they are the language's own
+// operations, inlined. With the build tag check, each operation first waits until the checker schedules its goroutine.
 package syncpoint
 
 import "sync"
--- a/internal/syncpoint/checked.go
+++ b/internal/syncpoint/checked.go
@@ -1,20 +1,20 @@
 //go:build check
 
-// Package syncpoint holds the synchronisation operations of code that internal/check runs under all interleavings. In this
-// build each operation first waits until the checker schedules its goroutine.
+// Package syncpoint holds the synchronisation operations of code that internal/check runs under all interleavings. In
+// this build each operation first waits until the checker schedules its goroutine.
 package syncpoint
 
 import "sync"
 
-// Turn blocks until the checker schedules this goroutine's next operation, which uses the given objects; ready reports
-// whether the operation can proceed, and is nil where it always can. Choose returns one of the numbers 0 to n-1, to
-// explore alternatives. Both are set only while a check runs; otherwise operations do not wait for a schedule.
+// WaitScheduled blocks until the checker schedules this goroutine's next operation, which uses the given objects; ready
+// reports whether the operation can proceed, and is nil where it always can. Choose returns one of the numbers 0 to
+// n-1, to explore alternatives. Both are set only while a check runs; otherwise operations do not wait for a schedule.
 var (
 	WaitScheduled func(ready func() bool, objects ...any)
 	Choose        func(n int) int
 )
 
-// waitScheduled calls Turn while a check runs.
+// waitScheduled calls WaitScheduled while a check runs.
 func waitScheduled(ready func() bool, objects ...any) {
 	if WaitScheduled != nil {
 		WaitScheduled(ready, objects...)
@@ -73,8 +73,8 @@
 	return true
 }
 
-// Recv receives, blocking until there is a value or done is closed, and reports whether a value was received. Where both
-// are possible, Choose decides.
+// Recv receives, blocking until there is a value or done is closed, and reports whether a value was received. Where
+// both are possible, Choose decides.
 func Recv[T any](c chan T, done <-chan struct{}) (v T, ok bool) {
 	waitScheduled(func() bool { return len(c) > 0 || closed(done) }, c, done)
 	if closed(done) && (Choose == nil || len(c) == 0 || Choose(2) == 1) {
--- a/internal/wire/admin/admin.go
+++ b/internal/wire/admin/admin.go
@@ -42,7 +42,7 @@
 	ID   string // the worker, for Cordon and Uncordon
 }
 
-// ErrTooLong reports a line of more than LineMost bytes. The bytes after it cannot be separated from it, so the
+// ErrTooLong reports a line of more than MaxLine bytes. The bytes after it cannot be separated from it, so the
 // caller is answered and disconnected.
 var ErrTooLong = fmt.Errorf("line longer than %d bytes", MaxLine)
 
--- a/internal/wire/platform/http.go
+++ b/internal/wire/platform/http.go
@@ -1,7 +1,7 @@
 // Package platform implements the platform's HTTP/1.1 protocol without sockets. State machines are fed bytes as
-// they arrive: North reads client requests, Relay reads the responses of back-end hosts, and Watch reads the lists
-// of service discovery. The Append functions build what is sent, and ReadConfig decodes the configuration of a
-// dispatcher. A driver owns the connections.
+// they arrive: RequestReader reads client requests, ResponseReader reads the responses of back-end hosts, and Watch
+// reads the lists of service discovery. The Append functions build what is sent, and ReadConfig decodes the
+// configuration of a dispatcher. A driver owns the connections.
 package platform
 
 import (
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -188,11 +188,11 @@
 }
 
 // A short wait indicates a retry only if the settings say so.
-func TestHidesRetry(t *testing.T) {
+func TestRetriesUnmarked(t *testing.T) {
 	for line, want := range map[string]bool{"": false, "Clients.MarksRetry=true": false, "Clients.MarksRetry=false": true, "Clients.MarksRetry=0": false} {
 		c, err := ParseSettings([]byte("Classes.count=1\n" + line))
 		if err != nil || c.RetriesUnmarked != want {
-			t.Errorf("%q: HidesRetry %t, error %v; want %t", line, c.RetriesUnmarked, err, want)
+			t.Errorf("%q: RetriesUnmarked %t, error %v; want %t", line, c.RetriesUnmarked, err, want)
 		}
 	}
 }
--- a/logic/api.go
+++ b/logic/api.go
@@ -10,9 +10,9 @@
 // One Scheduler serves one dispatcher; New makes it from a Config. The caller reports each event by a method
 // call, in the order of the events: Scheduler.Workers for a change of the worker list, Scheduler.Arrive for a
 // new job, Scheduler.Started, Scheduler.Progress, Scheduler.Streaming and Scheduler.Outcome for its attempts,
-// Scheduler.HangUp for a client that leaves and Scheduler.Wake for a timer. Each call appends Actions, which
+// Scheduler.ClientGone for a client that leaves and Scheduler.Wake for a timer. Each call appends Actions, which
 // the caller carries out in their order. Schedulers of one fleet work without communication; where their
-// dispatchers exchange load reports, Scheduler.Heard and its relatives take them in.
+// dispatchers exchange load reports, Scheduler.RecordOthersBacklog and its relatives take them in.
 //
 // Contract: times are microseconds on one clock of the caller that never goes back; a time earlier than one
 // already seen counts as the latest seen. A Scheduler does no I/O, reads no clock, starts no goroutine and must
@@ -55,10 +55,10 @@
 // Class describes one class of jobs. Durations are microseconds.
 type Class struct {
 	Name          string  // label used by the callers of this deployment; no decision depends on it
-	TargetLatency int64   // target latency: answers within Aim + Stretch x work earn the full value; default Deadline
+	TargetLatency int64   // target latency: answers within TargetLatency + TargetPerWork x work earn the full value; default Deadline
 	TargetPerWork float64 // growth of the target latency with the job's own work
 	Deadline      int64   // how long a client waits; used where a job states no deadline; default 10 s
-	Value         float64 // value of a job, or of a unit of its work (Config.WorthByWork)
+	Value         float64 // value of a job, or of a unit of its work (Config.ValueByWork)
 	LateValue     float64 // fraction of the value that a late answer still earns
 	Repeat        Repeat  // whether and where the job may run again
 	Group         Group   // for RepeatKeyed: the workers that drop each other's repeats
@@ -98,7 +98,7 @@
 	Reports    []Field  // the values of a load report, in order; empty where workers send none
 
 	NeedsSubscription bool    // the worker list comes only to subscribers
-	ValueByWork       bool    // Class.Worth counts for each unit of work
+	ValueByWork       bool    // Class.Value counts for each unit of work
 	OverQuotaValue    float64 // fraction of its value that a job beyond its tenant's quota has
 	ReportsStart      bool    // workers report when a job starts
 	Progress          int64   // interval at which workers report the progress of a running job; 0 = never
--- a/logic/backlog.go
+++ b/logic/backlog.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// RecordOthersBacklog records the slot-work, in seconds, that the other schedulers have at a worker, as of time at. It counts
-// like an own observation; a report older than the last observation is ignored.
+// RecordOthersBacklog records the slot-work, in seconds, that the other schedulers have at a worker, as of time at. It
+// counts like an own observation; a report older than the last observation is ignored.
 func (s *Scheduler) RecordOthersBacklog(now int64, id WorkerID, work float64, at int64) {
 	s.now = max(s.now, now)
 	if i, ok := s.byID[id]; ok && at >= s.workers[i].othersBacklogAt {
--- a/logic/cost.go
+++ b/logic/cost.go
@@ -11,9 +11,9 @@
 	missPenalty     = 1.0  // cost in mean jobs of a fetch beyond its time: it evicts a data set still in demand
 )
 
-// ViolationProbability returns the probability that a job misses its target on a worker with estimated backlog u when it
-// tolerates the backlog tau, both in seconds. It is the indicator 1(u >= tau) of the paper's cost averaged over
-// the error of the estimate, which is modelled as a gamma distribution of shape 2 with mean u.
+// ViolationProbability returns the probability that a job misses its target on a worker with estimated backlog u when
+// it tolerates the backlog tau, both in seconds. It is the indicator 1(u >= tau) of the paper's cost averaged over the
+// error of the estimate, which is modelled as a gamma distribution of shape 2 with mean u.
 func ViolationProbability(tau, u float64) float64 {
 	if tau <= 0 {
 		return 1
--- a/logic/place.go
+++ b/logic/place.go
@@ -133,7 +133,7 @@
 }
 
 // valueShare returns the fraction of its value that a tenant's next job has: 1 within this scheduler's part of the
-// quota, Config.OverShare beyond it. A fraction that the limits of the whole fleet have decided takes precedence.
+// quota, Config.OverQuotaValue beyond it. A fraction that the limits of the whole fleet have decided takes precedence.
 func (s *Scheduler) valueShare(t int, decided float64) float64 {
 	switch {
 	case decided > 0:
--- a/logic/rules.go
+++ b/logic/rules.go
@@ -10,7 +10,8 @@
 	contentionThreshold   = 0.5  // share of attempts without a free slot from which slow starts are not a worker's fault
 )
 
-// MaxWriteDelay is the longest delay, in microseconds, of a dispatcher between a decision and the write that follows from it.
+// MaxWriteDelay is the longest delay, in microseconds, of a dispatcher between a decision and the write that follows
+// from it.
 const MaxWriteDelay = 150_000
 
 // RepeatWithin returns the microseconds after the first sending of a keyed job that may have run in which another
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -9,14 +9,14 @@
 	fewRequests    = 30.0 // allowance in requests of mean work below which the tolerated excess is relatively larger
 )
 
-// YieldSlowStartBudget makes this scheduler send nothing more to workers in slow start, because the process that takes over
-// from it uses this scheduler's part of their budgets.
+// YieldSlowStartBudget makes this scheduler send nothing more to workers in slow start, because the process that takes
+// over from it uses this scheduler's part of their budgets.
 func (s *Scheduler) YieldSlowStartBudget() { s.yielded = true }
 
 // slowStartAllows reports whether a worker may be sent this work. It protects a worker in slow start from
 // overload by the sum of all schedulers, and from more work than it can do.
 //
-// Let N be the requests of mean work that the settings allow the worker in a FallWindow; it fails beyond
+// Let N be the requests of mean work that the settings allow the worker in an OverloadWindow; it fails beyond
 // N + slowStartSlack(N) of them in any window. Time is cut into slots as long as a window. In each slot a few
 // schedulers, chosen by a hash that all compute alike, may each send an equal part of slowStartShare N. The
 // first job of a scheduler in a slot may exceed its part by an equal part of slowStartSlack(N) / 2; otherwise jobs
--- a/logic/slow_start_test.go
+++ b/logic/slow_start_test.go
@@ -8,10 +8,10 @@
 )
 
 // Guards against overload of a worker in slow start by the sum of all schedulers, however many they are and however
-// often their processes restart. Every scheduler always has jobs for the worker, of random sizes or as large as allowed,
-// and sends all that it may: at random moments, or late in one slot and early in the next. In any window the sum must
-// stay within N + 2 root N + 2 requests of mean work (for N under 30: N + 3 root N + 3), where N is the allowance at the
-// beginning of the window.
+// often their processes restart. Every scheduler always has jobs for the worker, of random sizes or as large as
+// allowed, and sends all that it may: at random moments, or late in one slot and early in the next. In any window the
+// sum must stay within N + 2 root N + 2 requests of mean work (for N under 30: N + 3 root N + 3), where N is the
+// allowance at the beginning of the window.
 func TestSlowStartBudgetOfAnyNumberOfSchedulers(t *testing.T) {
 	for _, n := range []int{1, 2, 4, 5, 80, 900} {
 		justMany := 31 / (0.37 * initialSlots * 2) // N just past the border between few and many in the middle of the run
@@ -73,7 +73,8 @@
 			sum -= sent[from].work
 			from++
 		}
-		// The worker warms up within the window; the allowance at the window's end is the loosest bound of the settings.
+		// The worker warms up within the window; the allowance at the window's end is the loosest bound of the
+		// settings.
 		limit := allowed(o.at)
 		if limit < 30 {
 			limit += 3*math.Sqrt(limit) + 3
--- a/logic/state.go
+++ b/logic/state.go
@@ -33,7 +33,7 @@
 	answered, inUse                          bool
 	key                                      uint64
 	work, slots, value                       float64
-	slotPrice                                float64 // value of the work that a slot could do in a second instead; see Job.Price
+	slotPrice                                float64 // value of the work that a slot could do in a second instead; see Job.SlotPrice
 	uncounted                                int     // attempts that do not count, because they never reached a worker
 	maxWork                                  float64 // larger of the expected work and the hint
 	arrived, deadline, targetAt              int64
@@ -72,7 +72,7 @@
 	running                   float64 // slots of own jobs that have started
 	lastAlive                 int64   // time of the last sign of life
 	failures, successes       float64 // answers with an error and with a result, decayed
-	slowStartSlot             int64   // number of the window that slowStartUsed counts, by time / FallWindow
+	slowStartSlot             int64   // number of the window that slowStartUsed counts, by time / OverloadWindow
 	slowStartUsed             float64 // work sent in that window, seconds
 	derivedAt                 int64
 	slowdown, d, drainTime    float64 // running time per second of work; time to drain a mean job, and a second of slot-work
@@ -157,11 +157,11 @@
 	othersKnownUntil int64      // until then the other schedulers' work is known too
 	contention       float64    // share of recent attempts that found no free slot
 	fetchTime        float64    // time to fetch a data set, seconds
-	lastEstimate     [3]float64 // result of Weighed
+	lastEstimate     [3]float64 // result of LastJobEstimate
 }
 
-// SetMembershipStale switches on or off that the worker list may be stale and must not be acted on. Meanwhile jobs wait, as they do
-// while there is no worker.
+// SetMembershipStale switches on or off that the worker list may be stale and must not be acted on. Meanwhile jobs
+// wait, as they do while there is no worker.
 func (s *Scheduler) SetMembershipStale(now int64, on bool, out []Action) []Action {
 	s.begin(now, out)
 	s.membershipStale = on
@@ -207,14 +207,14 @@
 	}
 }
 
-// LastJobEstimate returns the estimates for the job that arrived last: its value in units of the settings, its slot-work in
-// seconds, and for how many seconds it can wait and still meet its target.
+// LastJobEstimate returns the estimates for the job that arrived last: its value in units of the settings, its
+// slot-work in seconds, and for how many seconds it can wait and still meet its target.
 func (s *Scheduler) LastJobEstimate() (worth, work, slack float64) {
 	return s.lastEstimate[0], s.lastEstimate[1], s.lastEstimate[2]
 }
 
-// PendingWork returns the slot-work, in seconds, of this scheduler that has been sent and has not started, and the slot-work
-// per second that all ready workers can do.
+// PendingWork returns the slot-work, in seconds, of this scheduler that has been sent and has not started, and the
+// slot-work per second that all ready workers can do.
 func (s *Scheduler) PendingWork() (work, capacity float64) {
 	for i := range s.jobs {
 		for _, a := range s.jobs[i].attempts[:s.jobs[i].attemptCount] {
@@ -230,7 +230,8 @@
 	return work, capacity
 }
 
-// WorkerView is the state of a worker for callers that place the parts of one job at several workers. Times are seconds.
+// WorkerView is the state of a worker for callers that place the parts of one job at several workers. Times are
+// seconds.
 type WorkerView struct {
 	ID           WorkerID
 	Zone, Cell   int
@@ -239,13 +240,14 @@
 	Backlog      float64 // seconds to drain
 	Headroom     float64 // largest backlog with which a job still starts at once, on average
 	Slowdown     float64 // running time for a second of work
-	// CongestionCost is the cost, in units of value of the settings, that a second of one slot here causes to later jobs. It follows
-	// from the value function, and is limited to the value of the work that the slot could do, since that much work can
-	// be refused instead.
+	// CongestionCost is the cost, in units of value of the settings, that a second of one slot here causes to later
+	// jobs. It follows from the value function, and is limited to the value of the work that the slot could do, since
+	// that much work can be refused instead.
 	CongestionCost float64
 }
 
-// EachWorkerView calls tell with each ready worker, in the order of IDs, as seen by a job with the given work in seconds.
+// EachWorkerView calls tell with each ready worker, in the order of IDs, as seen by a job with the given work in
+// seconds.
 func (s *Scheduler) EachWorkerView(now int64, work float64, tell func(WorkerView)) {
 	s.now = max(s.now, now)
 	s.refreshEstimates()
@@ -259,8 +261,8 @@
 	}
 }
 
-// AdjustBacklog adds slot-work in seconds that another component placed to this scheduler's work at a worker; a negative
-// value removes it.
+// AdjustBacklog adds slot-work in seconds that another component placed to this scheduler's work at a worker; a
+// negative value removes it.
 func (s *Scheduler) AdjustBacklog(id WorkerID, work float64) {
 	if i, ok := s.byID[id]; ok {
 		s.workers[i].ownBacklog = max(s.workers[i].ownBacklog+work, 0)
