--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,7 +1,7 @@
 //go:build check
 
 // Package check runs two to four goroutines of real code one at a time, over all interleavings of their accesses
-// to shared objects. The code under test marks its accesses through package seam; it needs the build tag check.
+// to shared objects. The code under test marks its accesses through package syncpoint; it needs the build tag check.
 //
 // Interleavings that differ only in the order of accesses to different objects are equivalent, and only one of
 // them is run (sleep sets). Run searches; when it finds a failure, Result.Schedule describes the interleaving as a
@@ -15,7 +15,7 @@
 	"strings"
 	"sync"
 
-	"granitewing/internal/seam"
+	"granitewing/internal/syncpoint"
 )
 
 // Bounds limit a search.
@@ -32,14 +32,14 @@
 type Result struct {
 	Schedules int   // interleavings that were run to their end
 	Pruned    int   // interleavings skipped because an equivalent one was run
-	Whole     bool  // all interleavings within the bound of preemptions were covered
+	Complete  bool  // all interleavings within the bound of preemptions were covered
 	Schedule  []int // the failing one: for each decision the goroutine that ran, or the option that Choose returned
 	Err       error // failure of Schedule; nil if no interleaving failed
 }
 
 // String summarizes the result in one line.
 func (r *Result) String() string {
-	s := fmt.Sprintf("%d interleavings run, %d pruned as equivalent, complete: %t", r.Schedules, r.Pruned, r.Whole)
+	s := fmt.Sprintf("%d interleavings run, %d pruned as equivalent, complete: %t", r.Schedules, r.Pruned, r.Complete)
 	if r.Err != nil {
 		s += fmt.Sprintf("; %v with schedule %s", r.Err, strings.Trim(fmt.Sprint(r.Schedule), "[]"))
 	}
@@ -71,7 +71,7 @@
 	preemptions int          // number of preemptions before this point
 }
 
-// search is one search. Only one runs at a time, since the hooks of package seam are global.
+// search is one search. Only one runs at a time, since the hooks of package syncpoint are global.
 type search struct {
 	bounds   Bounds
 	path     []*decision
@@ -104,7 +104,7 @@
 			r.Schedules++
 		}
 		if !s.backtrack() {
-			r.Whole = true
+			r.Complete = true
 			return r
 		}
 		if r.Schedules+r.Pruned >= b.Schedules {
@@ -179,9 +179,9 @@
 	for range threads {
 		s.threads = append(s.threads, &thread{resume: make(chan bool)})
 	}
-	seam.Turn = func(ready func() bool, objects ...any) { s.yield(s.current, ready, objects) }
-	seam.Choose = func(n int) int { return s.choose(n, schedule) }
-	defer func() { seam.Turn, seam.Choose = nil, nil }()
+	syncpoint.WaitScheduled = func(ready func() bool, objects ...any) { s.yield(s.current, ready, objects) }
+	syncpoint.Choose = func(n int) int { return s.choose(n, schedule) }
+	defer func() { syncpoint.WaitScheduled, syncpoint.Choose = nil, nil }()
 	for i, f := range threads {
 		go s.runThread(i, f)
 		<-s.yielded // the goroutine has reached its start
@@ -199,7 +199,7 @@
 		err = s.failure
 	}
 	if err == nil && after != nil {
-		seam.Turn, seam.Choose = nil, nil
+		syncpoint.WaitScheduled, syncpoint.Choose = nil, nil
 		err = after()
 	}
 	return err
@@ -329,8 +329,8 @@
 }
 
 // Touch marks an access to an object. All accesses that the search has to order must go through Touch or package
-// seam.
-func Touch(object any) { seam.Turn(nil, object) }
+// syncpoint.
+func Touch(object any) { syncpoint.WaitScheduled(nil, object) }
 
 // Choose returns one of n options, 0 to n-1; the search tries all of them.
-func Choose(n int) int { return seam.Choose(n) }
+func Choose(n int) int { return syncpoint.Choose(n) }
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -7,13 +7,13 @@
 	"strings"
 	"testing"
 
-	"granitewing/internal/seam"
+	"granitewing/internal/syncpoint"
 )
 
 // counter is a counter that two goroutines increment, with or without a lock.
 func counter(locked bool) Make {
 	return func() ([]func(), func() error) {
-		var mu seam.Mutex
+		var mu syncpoint.Mutex
 		n := 0
 		add := func() {
 			if locked {
@@ -36,8 +36,8 @@
 
 // lockOrderInversion is two goroutines that take two locks in opposite orders.
 func lockOrderInversion() ([]func(), func() error) {
-	var a, b seam.Mutex
-	take := func(x, y *seam.Mutex) func() {
+	var a, b syncpoint.Mutex
+	take := func(x, y *syncpoint.Mutex) func() {
 		return func() {
 			x.Lock()
 			y.Lock()
@@ -63,7 +63,7 @@
 		t.Logf("%s: %v", name, r)
 		switch {
 		case c.want == "":
-			if r.Err != nil || !r.Whole {
+			if r.Err != nil || !r.Complete {
 				t.Errorf("%s: %v", name, r)
 			}
 		case r.Err == nil || !strings.Contains(r.Err.Error(), c.want):
@@ -97,10 +97,10 @@
 			return out, nil
 		}
 	}
-	if r := Run(Default, of(false)); r.Schedules != 1 || !r.Whole {
+	if r := Run(Default, of(false)); r.Schedules != 1 || !r.Complete {
 		t.Error(r)
 	}
-	if r := Run(Default, of(true)); r.Schedules != 6 || !r.Whole {
+	if r := Run(Default, of(true)); r.Schedules != 6 || !r.Complete {
 		t.Error(r)
 	}
 }
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,12 +1,12 @@
 // Package driver runs a dispatcher on real sockets and timers. It accepts client connections, reads their requests,
-// passes them to the decision core (memory.Core), executes the core's commands on connections to servers and watches
+// passes them to the decision core (dispatch.Core), executes the core's commands on connections to servers and watches
 // discovery for the list of servers. It also serves the admin endpoint, keeps the store of record and the fleet
 // exchange running, and shuts down gracefully.
 //
-// Driver is the main type: New makes it on a listener; Keep, Share and Announce configure it; Run serves until the
-// stop channel is closed and all requests are answered. One goroutine, the owner, in Run, has the core and all state
-// of the package to itself. Readers, writers, dials and timers run on goroutines of their own and post events to the
-// owner. Times are Unix microseconds of the driver's clock unless they are of a time type.
+// Driver is the main type: New makes it on a listener; UseRecords, UseFleet and Announce configure it; Run serves until
+// the stop channel is closed and all requests are answered. One goroutine, the owner, in Run, has the core and all
+// state of the package to itself. Readers, writers, dials and timers run on goroutines of their own and post events to
+// the owner. Times are Unix microseconds of the driver's clock unless they are of a time type.
 package driver
 
 import (
@@ -17,10 +17,10 @@
 	"sync/atomic"
 	"time"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/inventory"
-	"granitewing/internal/latest"
-	"granitewing/internal/memory"
-	"granitewing/internal/seam"
+	"granitewing/internal/mailbox"
+	"granitewing/internal/syncpoint"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
@@ -46,7 +46,7 @@
 // Driver serves one dispatcher. Unless stated otherwise its methods belong to the owner, the goroutine in Run.
 type Driver struct {
 	cfg   *platform.Config
-	core  *memory.Core
+	core  *dispatch.Core
 	clock clock
 	log   *slog.Logger
 	ln    net.Listener
@@ -58,8 +58,8 @@
 	lanes         map[string]platform.Lane
 	tenants       map[string]int
 	downstreams   map[*downstream]struct{}
-	openRequests  map[memory.ID]*downstream
-	attempts      map[memory.RelayID]*attempt
+	openRequests  map[dispatch.ID]*downstream
+	attempts      map[dispatch.AttemptID]*attempt
 	pool          pool
 	watches       inventoryWatches
 	starts        inventory.Starts // start times of the servers
@@ -79,8 +79,8 @@
 	shutdownPlan     shutdownPlan // of a SIGTERM without a successor process
 	serving          atomic.Bool  // health as the admin endpoint reports it: servers are known and clients are accepted
 	metrics          *metrics
-	cordonUpdates    latest.Place[[]string] // to the cordonSyncer
-	startedAt        time.Time              // when this process started
+	cordonUpdates    mailbox.Mailbox[[]string] // to the cordonSyncer
+	startedAt        time.Time                 // when this process started
 	files            fileSystem
 	tempSuffix       string        // unique to this process; in the names of temporary files
 	previousStart    startRecord   // start announced by the process before this one
@@ -112,7 +112,7 @@
 
 // New returns a driver that serves on a listener. Settings that the core refuses are an error.
 func New(cfg *platform.Config, ln net.Listener, log *slog.Logger) (*Driver, error) {
-	core, err := memory.New(cfg.Settings, cfg.Seed)
+	core, err := dispatch.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -120,9 +120,9 @@
 		cfg: cfg, core: core, clock: newClock(), log: log, ln: ln, lanes: cfg.Lanes(), tenants: cfg.Tenants(), shutdownPlan: shutdownPlanFor(cfg.Settings.Classes),
 		events: make(chan func(), maxQueuedEvents), done: make(chan struct{}),
 		stopAccepting: make(chan struct{}), dial: dialTCP,
-		downstreams: map[*downstream]struct{}{}, openRequests: map[memory.ID]*downstream{}, attempts: map[memory.RelayID]*attempt{},
+		downstreams: map[*downstream]struct{}{}, openRequests: map[dispatch.ID]*downstream{}, attempts: map[dispatch.AttemptID]*attempt{},
 		pool: pool{servers: map[string]*serverConns{}}, limits: limitsFor(cfg.Sockets, cfg.MemoryMB),
-		metrics: newMetrics(cfg.Settings.Classes), cordonUpdates: latest.New[[]string](), startedAt: time.Now(),
+		metrics: newMetrics(cfg.Settings.Classes), cordonUpdates: mailbox.New[[]string](), startedAt: time.Now(),
 		files: osFileSystem{}, tempSuffix: fmt.Sprintf("%d-%x", os.Getpid(), time.Now().UnixNano()),
 	}, nil
 }
@@ -161,7 +161,7 @@
 }
 
 // post passes an event to the owner; it blocks while maxQueuedEvents are pending.
-func (d *Driver) post(f func()) { seam.Send(d.events, f, d.done) }
+func (d *Driver) post(f func()) { syncpoint.Send(d.events, f, d.done) }
 
 // postAfter posts an event after a delay.
 func (d *Driver) postAfter(wait time.Duration, f func()) *time.Timer {
@@ -180,7 +180,7 @@
 // updateServing updates the numbers of listed and avoided servers in the metrics, and the health of this process. It
 // is called after every change of the inventory, the cordons, the drain and the stop, on which alone these depend.
 func (d *Driver) updateServing() {
-	listed, avoided := d.core.Census()
+	listed, avoided := d.core.HostCounts()
 	d.metrics.targets.Store(int64(listed))
 	d.metrics.disabled.Store(int64(avoided))
 	d.serving.Store(d.acceptingClients() && avoided < listed)
@@ -188,7 +188,7 @@
 
 // execute carries out the commands of one call of the core, except those that must wait for the store of record. No
 // command calls the core before all of them are executed.
-func (d *Driver) execute(cmds []memory.Command) {
+func (d *Driver) execute(cmds []dispatch.Command) {
 	if d.journal == nil {
 		d.executeNow(cmds)
 		return
@@ -197,23 +197,23 @@
 	d.journal.flush()
 }
 
-func (d *Driver) executeNow(cmds []memory.Command) {
+func (d *Driver) executeNow(cmds []dispatch.Command) {
 	for _, c := range cmds {
 		switch c.Kind {
-		case memory.Send:
+		case dispatch.Send:
 			d.sendAttempt(c)
-		case memory.Drop:
-			d.cancelAttempt(c.Relay)
-		case memory.Answer:
-			if n := d.openRequests[c.Relay.Message]; n != nil {
-				delete(d.openRequests, c.Relay.Message)
+		case dispatch.Drop:
+			d.cancelAttempt(c.Attempt)
+		case dispatch.Answer:
+			if n := d.openRequests[c.Attempt.Message]; n != nil {
+				delete(d.openRequests, c.Attempt.Message)
 				n.answer(c)
 			}
-		case memory.Wake:
+		case dispatch.Wake:
 			d.wakeAt(c.At)
-		case memory.Watch:
+		case dispatch.Watch:
 			d.requestInventory()
-		case memory.Leave:
+		case dispatch.CloseIdle:
 			d.pool.closeIdle(c.Addr)
 		}
 	}
--- a/internal/driver/share.go
+++ b/internal/driver/fleet.go
@@ -7,34 +7,34 @@
 	"slices"
 	"time"
 
-	"granitewing/internal/fleet/court"
+	"granitewing/internal/dispatch"
+	"granitewing/internal/fleet/admission"
+	"granitewing/internal/fleet/ejection"
 	"granitewing/internal/fleet/gang"
 	"granitewing/internal/fleet/ledger"
 	"granitewing/internal/fleet/limit"
-	"granitewing/internal/fleet/market"
-	"granitewing/internal/memory"
 	"granitewing/logic"
 )
 
 // Peers carries load reports and messages about limits between the dispatchers of a fleet. No call blocks.
 type Peers interface {
-	Tell([]ledger.Out)
-	Take() ledger.Heard
-	Say([]*limit.Message)
-	Said() []*limit.Message
+	SendReports([]ledger.Outgoing)
+	ReceiveReports() ledger.Inbox
+	SendLimitMessages([]*limit.Message)
+	ReceiveLimitMessages() []*limit.Message
 }
 
-// Sharing configures the exchange of load reports with the other dispatchers of a fleet.
-type Sharing struct {
-	Peers       Peers
-	Limits      ledger.Limits
-	Every       time.Duration
-	Incarnation uint64
-	Rights      *limit.Options // fleet-wide limits; nil: none
-	Retries     float64        // attempts beyond the first, as a share of first attempts; 0: no fleet-wide bound
-	Verdicts    bool           // servers are ejected by a vote of all members
-	Slack       bool           // requests are admitted at one price for the whole fleet's capacity
-	Gangs       *gang.Options  // requests that run as parts on many servers at once; nil: none. They require Rights
+// FleetOptions configures the exchange of load reports with the other dispatchers of a fleet.
+type FleetOptions struct {
+	Peers          Peers
+	Limits         ledger.Limits
+	Interval       time.Duration
+	Incarnation    uint64
+	Rights         *limit.Options // fleet-wide limits; nil: none
+	Retries        float64        // attempts beyond the first, as a share of first attempts; 0: no fleet-wide bound
+	VoteEjection   bool           // servers are ejected by a vote of all members
+	PriceAdmission bool           // requests are admitted at one price for the whole fleet's capacity
+	Gangs          *gang.Options  // requests that run as parts on many servers at once; nil: none. They require Rights
 }
 
 // metricsEvery is the number of exchange periods between renderings of the fleet's metrics.
@@ -48,7 +48,7 @@
 
 // fleetSharing is the driver's state for the fleet exchange. It belongs to the owner.
 type fleetSharing struct {
-	Sharing
+	FleetOptions
 	ledger         *ledger.Ledger
 	hosts          []logic.WorkerID
 	seq            uint64
@@ -59,29 +59,29 @@
 	retriesRefused int          // requests that were not retried because the retry allowance was used up
 	rights         *fleetLimits // nil: no limits
 	resigned       chan struct{}
-	verdicts       *court.Court   // nil: this dispatcher ejects servers by its own observations
-	admission      *market.Market // nil: this dispatcher admits requests by its own view of the load
-	gangs          *gang.Part     // nil: no gangs
+	verdicts       *ejection.Ejector    // nil: this dispatcher ejects servers by its own observations
+	admission      *admission.Admission // nil: this dispatcher admits requests by its own view of the load
+	gangs          *gang.Part           // nil: no gangs
 }
 
-// Share makes the driver take part in a fleet. It must be called before Run.
-func (d *Driver) Share(s Sharing) {
-	d.sharing = &fleetSharing{Sharing: s, ledger: ledger.New(d.cfg.Name, s.Limits), resigned: make(chan struct{})}
+// UseFleet makes the driver take part in a fleet. It must be called before Run.
+func (d *Driver) UseFleet(s FleetOptions) {
+	d.sharing = &fleetSharing{FleetOptions: s, ledger: ledger.New(d.cfg.Name, s.Limits), resigned: make(chan struct{})}
 	if s.Retries > 0 {
 		d.core.Retries(s.Retries, retryBurst)
 	}
-	if s.Verdicts {
-		d.sharing.verdicts = court.New(d.cfg.Name, d.cfg.Settings.Zone, d.core)
+	if s.VoteEjection {
+		d.sharing.verdicts = ejection.New(d.cfg.Name, d.cfg.Settings.Zone, d.core)
 	}
-	if s.Slack {
-		d.sharing.admission = market.New(d.core)
+	if s.PriceAdmission {
+		d.sharing.admission = admission.New(d.core)
 	}
 	if s.Rights != nil {
-		d.sharing.rights = &fleetLimits{participant: limit.New(d.now(), *s.Rights), now: d.now, places: map[memory.ID]limit.Places{}}
+		d.sharing.rights = &fleetLimits{participant: limit.New(d.now(), *s.Rights), now: d.now, places: map[dispatch.ID]limit.Places{}}
 		d.core.Limit(d.sharing.rights)
 		if s.Gangs != nil {
 			part := d.sharing.rights.participant
-			d.sharing.gangs = gang.New(*s.Gangs, part.Holder(), part.Lease(), d.core.Places)
+			d.sharing.gangs = gang.New(*s.Gangs, part.Holder(), part.Lease(), d.core.EachGangHost)
 			d.core.Gang(d.sharing.gangs)
 		}
 	}
@@ -91,40 +91,40 @@
 // period. It is off the request path: no request waits for it.
 func (d *Driver) shareRound() {
 	s, now := d.sharing, d.now()
-	h := s.Peers.Take()
+	h := s.Peers.ReceiveReports()
 	s.members, s.malformed, s.outdated = len(h.Members), s.malformed+h.Bad, s.outdated+h.Old
 	s.ledger.Members(len(h.Members))
 	s.retriesRefused = d.core.GivenUp()
 	for _, p := range h.Gone {
 		s.ledger.Gone(p.Name, p.Incarnation)
 	}
-	for _, n := range h.News {
-		s.ledger.Hear(now-time.Since(n.At).Microseconds(), n.Report) // refused reports are counted in the ledger
+	for _, n := range h.Reports {
+		s.ledger.Accept(now-time.Since(n.At).Microseconds(), n.Report) // refused reports are counted in the ledger
 	}
-	s.hosts = d.core.Numbers(s.hosts[:0])
-	s.believed = s.ledger.Tell(now, s.hosts, d.core)
+	s.hosts = d.core.WorkerIDs(s.hosts[:0])
+	s.believed = s.ledger.PassSums(now, s.hosts, d.core)
 	s.seq++
-	own := ledger.Of(d.cfg.Name, s.Incarnation, s.seq, now, d.core)
+	own := ledger.OwnReport(d.cfg.Name, s.Incarnation, s.seq, now, d.core)
 	if s.verdicts != nil {
-		s.verdicts.Sit(now, s.ledger, d.core, s.believed+1, s.Every, own)
+		s.verdicts.Round(now, s.ledger, d.core, s.believed+1, s.Interval, own)
 	}
 	if s.admission != nil {
-		s.admission.Sit(now, s.ledger, d.core, len(h.Members)+1, own)
+		s.admission.Round(now, s.ledger, d.core, len(h.Members)+1, own)
 	}
 	if out := s.ledger.Round(now, own, h.Members); len(out) > 0 {
-		s.Peers.Tell(out)
+		s.Peers.SendReports(out)
 	}
 	if s.rights != nil {
 		s.rights.exchange(s.Peers)
 	}
 	if s.gangs != nil {
-		d.execute(d.core.Gathered(d.now()))
+		d.execute(d.core.ReconsiderGangs(d.now()))
 	}
 	if s.seq%metricsEvery == 1 {
 		text := s.metricsText(now)
 		d.metrics.fleetText.Store(&text)
 	}
-	d.postAfter(s.Every, d.shareRound)
+	d.postAfter(s.Interval, d.shareRound)
 }
 
 // metricsText renders the metrics of the fleet in the Prometheus text format.
@@ -139,7 +139,7 @@
 	}{{"old", c.Old + s.outdated}, {"range", c.Range}, {"flood", c.Flood}, {"full", c.Full}, {"self", c.Self}, {"form", s.malformed}} {
 		fmt.Fprintf(&b, "router_fleet_refused_total{cause=%q} %d\n", r.cause, r.n)
 	}
-	fmt.Fprintf(&b, "router_fleet_unknown_hosts_total %d\n", c.Strange)
+	fmt.Fprintf(&b, "router_fleet_unknown_hosts_total %d\n", c.UnknownHosts)
 	peers := s.ledger.Peers()
 	slices.SortFunc(peers, func(a, b ledger.Peer) int { return cmp.Compare(a.Name, b.Name) })
 	for _, p := range peers {
@@ -171,7 +171,7 @@
 	}
 	if s.verdicts != nil {
 		c := s.verdicts.State()
-		fmt.Fprintf(&b, "router_fleet_votes_against %d\nrouter_fleet_verdicts %d\nrouter_fleet_verdicts_total %d\n", c.Against, len(c.Verdicts), c.Passed)
+		fmt.Fprintf(&b, "router_fleet_votes_against %d\nrouter_fleet_verdicts %d\nrouter_fleet_verdicts_total %d\n", c.VotesAgainst, len(c.Verdicts), c.VerdictsTotal)
 	}
 	return b.Bytes()
 }
--- a/internal/driver/inventory.go
+++ b/internal/driver/inventory.go
@@ -8,15 +8,15 @@
 	"net"
 	"time"
 
+	"granitewing/internal/dispatch"
 	"granitewing/internal/inventory"
-	"granitewing/internal/memory"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
 )
 
-// inventoryWatches carries out the actions of inventory.Keeper: connections to discovery and one timer.
+// inventoryWatches carries out the actions of inventory.Tracker: connections to discovery and one timer.
 type inventoryWatches struct {
-	tracker *inventory.Keeper
+	tracker *inventory.Tracker
 	open    map[inventory.Call]*watch
 	timer   *time.Timer
 }
@@ -29,12 +29,12 @@
 
 func newWatches(cfg *platform.Config, now int64) inventoryWatches {
 	rng := rand.New(rand.NewPCG(cfg.Seed, 7))
-	limits := inventory.Limits{Pushed: cfg.Settings.Pushed, AskWithin: cfg.Settings.AskWithin, Grace: cfg.Settings.DrainGrace}
+	limits := inventory.Limits{Pushed: cfg.Settings.Pushed, AskWithin: cfg.Settings.ListValidity, Grace: cfg.Settings.DrainGrace}
 	return inventoryWatches{tracker: inventory.New(now, limits, cfg.Known.Revision, rng.Float64), open: map[inventory.Call]*watch{}}
 }
 
-// Reload changes the address of discovery. It is safe for use by any goroutine.
-func (d *Driver) Reload(discovery string) {
+// SetDiscovery changes the address of discovery. It is safe for use by any goroutine.
+func (d *Driver) SetDiscovery(discovery string) {
 	d.post(func() {
 		if discovery != d.cfg.Discovery {
 			d.cfg.Discovery = discovery
@@ -65,12 +65,12 @@
 			w.close(c.Call)
 		case inventory.Fail:
 			d.execute(d.core.Inventory(d.now(), logic.ListFailed, nil))
-		case inventory.Doubt:
+		case inventory.Stale:
 			d.log.Warn("inventory stale, sending no new requests", "cause", c.Cause)
-			d.execute(d.core.Doubt(d.now(), true))
-		case inventory.Trust:
+			d.execute(d.core.SetMembershipStale(d.now(), true))
+		case inventory.Reliable:
 			d.log.Info("inventory up to date again")
-			d.execute(d.core.Doubt(d.now(), false))
+			d.execute(d.core.SetMembershipStale(d.now(), false))
 		}
 	}
 	if w.timer != nil {
@@ -124,15 +124,15 @@
 		how, whole := inventory.Refused, false
 		if err == nil {
 			whole, err = parser.Feed(b)
-			how = inventory.Spoilt
-			if parser.Fresh() {
+			how = inventory.Malformed
+			if parser.Alive() {
 				d.watches.tracker.Heard(d.now(), id)
 			}
 		}
 		if err == nil {
 			err = staleErr
 		}
-		if errors.Is(err, platform.ErrTurnedAway) {
+		if errors.Is(err, platform.ErrStatus) {
 			how = inventory.Refused
 		}
 		if err != nil {
@@ -161,9 +161,9 @@
 	how := logic.ListDelta
 	if l.Complete {
 		how = logic.ListFull
-		before, _ := d.core.Census()
+		before, _ := d.core.HostCounts()
 		defer func() {
-			if now, _ := d.core.Census(); now < before/2 {
+			if now, _ := d.core.HostCounts(); now < before/2 {
 				d.log.Warn("inventory lists less than half as many hosts as before", "before", before, "now", now)
 			}
 		}()
@@ -173,7 +173,7 @@
 }
 
 // applyHosts passes servers to the core, with their start times converted to the dispatcher's own clock.
-func (d *Driver) applyHosts(how logic.ListKind, hosts []memory.Host) {
+func (d *Driver) applyHosts(how logic.ListKind, hosts []dispatch.Host) {
 	now, wall := d.now(), d.clock.wall().UnixMicro()
 	for i := range hosts {
 		hosts[i].UpSince = d.starts.Own(hosts[i].Name, hosts[i].UpSince, wall, now)
@@ -192,7 +192,7 @@
 }
 
 // watchFailed reports the end of a connection to discovery to the tracker.
-func (d *Driver) watchFailed(id inventory.Call, err error, how inventory.How) {
+func (d *Driver) watchFailed(id inventory.Call, err error, how inventory.EndReason) {
 	if d.watches.open[id] == nil {
 		return
 	}
--- a/internal/driver/journal.go
+++ b/internal/driver/journal.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/record"
-	"granitewing/internal/seam"
+	"granitewing/internal/syncpoint"
 )
 
 // journalRetryAfter is the Retry-After of a request that cannot be recorded now.
@@ -17,9 +17,9 @@
 
 // Records configures the recording of requests in a store of record.
 type Records struct {
-	Journal *record.Journal
-	Store   record.Store
-	Limit   time.Duration // of one write, after which it counts as failed
+	Journal      *record.Journal
+	Store        record.Store
+	WriteTimeout time.Duration // of one write, after which it counts as failed
 }
 
 // journal connects the driver to the store of record. A goroutine of its own makes one write at a time, so that the
@@ -35,16 +35,16 @@
 	lastWriteFailed bool  // avoids a log line per failed write
 }
 
-// Keep makes the driver record requests. It must be called before Run.
-func (d *Driver) Keep(r Records) {
-	d.journal = &journal{Journal: r.Journal, d: d, store: r.Store, limit: r.Limit, writes: make(chan []record.Record, 1)}
+// UseRecords makes the driver record requests. It must be called before Run.
+func (d *Driver) UseRecords(r Records) {
+	d.journal = &journal{Journal: r.Journal, d: d, store: r.Store, limit: r.WriteTimeout, writes: make(chan []record.Record, 1)}
 	go d.journal.writeLoop()
 }
 
 // writeLoop writes batches to the store and posts each result to the owner.
 func (j *journal) writeLoop() {
 	for {
-		batch, more := seam.Recv(j.writes, j.d.done)
+		batch, more := syncpoint.Recv(j.writes, j.d.done)
 		if !more {
 			return
 		}
@@ -58,7 +58,7 @@
 // flush starts the next write if there is something to write and no write is under way.
 func (j *journal) flush() {
 	if batch := j.Batch(j.d.now()); batch != nil {
-		seam.Send(j.writes, batch, nil) // never blocks: Batch returns one only after the previous write has finished
+		syncpoint.Send(j.writes, batch, nil) // never blocks: Batch returns one only after the previous write has finished
 	}
 	j.armTimer()
 }
@@ -78,7 +78,7 @@
 	}
 	j.timer = j.d.postAfter(time.Duration(next-j.d.now())*time.Microsecond, func() {
 		j.timerAt = 0
-		out, refuse, changed := j.Due(j.d.now())
+		out, refuse, changed := j.HandleTimers(j.d.now())
 		j.applyReleased(out, refuse, changed)
 		j.flush()
 	})
@@ -90,10 +90,10 @@
 		j.d.log.Warn("write to the store of record failed", "cause", err)
 	}
 	j.lastWriteFailed = err != nil
-	out, changed := j.Wrote(j.d.now(), err)
+	out, changed := j.WriteDone(j.d.now(), err)
 	j.applyReleased(out, nil, changed)
 	if changed {
-		released, refuse := j.Trouble(j.d.now())
+		released, refuse := j.ReleaseUnavailable(j.d.now())
 		j.applyReleased(released, refuse, false)
 	}
 	j.flush()
@@ -101,7 +101,7 @@
 
 // applyReleased executes the commands that the journal releases and has the core refuse requests that cannot be
 // recorded.
-func (j *journal) applyReleased(out []memory.Command, refuse []memory.ID, changed bool) {
+func (j *journal) applyReleased(out []dispatch.Command, refuse []dispatch.ID, changed bool) {
 	d := j.d
 	if changed {
 		state := "closed"
@@ -109,8 +109,8 @@
 			state = "open"
 		}
 		s := j.Stats()
-		d.log.Warn("circuit breaker of the store of record changed", "breaker", state, "opened", j.Breaker.Opened(), "waiting", j.Waiting(), "lost", s.Lost,
-			"unrecorded", s.Unrecorded, "overtaken", s.Overtaken, "refused", s.Refused)
+		d.log.Warn("circuit breaker of the store of record changed", "breaker", state, "opened", j.Breaker.Trips(), "waiting", j.Waiting(), "lost", s.Lost,
+			"unrecorded", s.Unrecorded, "overtaken", s.Expired, "refused", s.Refused)
 	}
 	d.executeNow(out)
 	for _, id := range refuse {
--- a/internal/driver/journal_test.go
+++ b/internal/driver/journal_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"granitewing/internal/memory"
+	"granitewing/internal/dispatch"
 	"granitewing/internal/record"
 	"granitewing/internal/wire/platform"
 	"granitewing/logic"
@@ -63,13 +63,13 @@
 		return logic.Class{Name: name, Deadline: 60_000_000, WorkerKind: -1, Repeat: r, Window: 40_000_000}
 	}
 	cfg := &platform.Config{Sockets: 1024, MemoryMB: 192, Discovery: "127.0.0.1:1",
-		Known:    platform.List{Hosts: []memory.Host{{Name: "s-a", Addr: host.Addr().String(), Phase: logic.Ready}}},
+		Known:    platform.List{Hosts: []dispatch.Host{{Name: "s-a", Addr: host.Addr().String(), Phase: logic.Ready}}},
 		Settings: logic.Config{Classes: []logic.Class{class("readings", logic.RepeatSafe), class("batch", logic.RepeatKeyed), class("alert", logic.RepeatUnsafe)}, MaxAttempts: 3, MayCancel: true}}
 	if s.d, err = New(cfg, ln, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	classes := []record.Class{{Name: "readings", Policy: record.Behind}, {Name: "batch", Policy: record.Told, Window: 40_000_000}, {Name: "alert", Policy: record.Before}}
-	s.d.Keep(Records{Store: s.store, Limit: time.Minute,
+	classes := []record.Class{{Name: "readings", Policy: record.Behind}, {Name: "batch", Policy: record.BeforeAnswer, Window: 40_000_000}, {Name: "alert", Policy: record.BeforeSend}}
+	s.d.UseRecords(Records{Store: s.store, WriteTimeout: time.Minute,
 		Journal: record.New(classes, 1, record.DefaultLimits, record.NewBreaker(patience.Microseconds(), 1000, 2000, 1))})
 	s.addr = ln.Addr().String()
 	stop := make(chan struct{})
--- a/internal/fleet/limit/hold/holder.go
+++ b/internal/fleet/limit/hold/holder.go
@@ -1,41 +1,42 @@
 package hold
 
-// Holder is a member's side: what it wants and has. It must not be used by two goroutines at once.
+// Holder is the member's side: the sets of slots that it wants and has. It is not safe for concurrent use.
 type Holder struct {
-	lease   int64
-	items   []*held
-	changed bool // since it was last told
-	asked   int64
-	silent  bool // nothing it has told has been answered
-	look    bool // it wants to know what others have
-	busy    []Busy
-	busyAt  int64
+	lease      int64
+	items      []*request
+	unsent     bool // changed since the last report
+	askedAt    int64
+	unanswered bool // the last report has not been answered
+	wantsBusy  bool // the slots of others are to be requested
+	busy       []Busy
+	busyAt     int64
 }
 
-type held struct {
+type request struct {
 	Item
-	ends  int64 // Left is counted from here
-	until int64 // it has its slots until then; 0: it was never given them
+	endsAt       int64 // reference time of Left
+	grantedUntil int64 // the slots are its own until then; 0: they were never granted
 }
 
-// NewHolder makes the side of a member that has nothing.
+// NewHolder returns a Holder without any sets; leaseFor is the length of the lease.
 func NewHolder(leaseFor int64) *Holder { return &Holder{lease: leaseFor} }
 
-// Want asks for slots, all of them, by a time, for parts that will run for so long; false where it has too much to tell already.
+// Want asks for a set of slots, all or none, that must be in use by a time, for parts that run for a time. It
+// returns false, and asks for nothing, if the report would exceed MaxItems or MaxSpots.
 func (h *Holder) Want(id uint64, spots []Spot, by, run int64) bool {
 	n := len(spots)
 	for _, i := range h.items {
 		n += len(i.Spots)
 	}
-	if len(h.items) >= ItemsMost || n > SpotsMost {
+	if len(h.items) >= MaxItems || n > MaxSpots {
 		return false
 	}
-	h.items = append(h.items, &held{Item: Item{ID: id, Spots: spots, Run: run}, ends: by})
-	h.changed = true
+	h.items = append(h.items, &request{Item: Item{ID: id, Spots: spots, Run: run}, endsAt: by})
+	h.unsent = true
 	return true
 }
 
-func (h *Holder) find(id uint64) *held {
+func (h *Holder) find(id uint64) *request {
 	for _, i := range h.items {
 		if i.ID == id {
 			return i
@@ -44,67 +45,67 @@
 	return nil
 }
 
-// Has tells whether the slots are its own now.
+// Has reports whether the slots of a set are its own now.
 func (h *Holder) Has(now int64, id uint64) bool {
 	i := h.find(id)
-	return i != nil && now < i.until
+	return i != nil && now < i.grantedUntil
 }
 
-// Begin says that the parts run, and until about when.
+// Begin records that the parts run, and when they are expected to end.
 func (h *Holder) Begin(id uint64, ends int64) {
 	if i := h.find(id); i != nil {
-		i.State, i.ends = Runs, ends
-		h.changed = true
+		i.State, i.endsAt = Runs, ends
+		h.unsent = true
 	}
 }
 
-// Drop gives the slots up, or wants them no more.
+// Drop gives up a set of slots, whether granted or not.
 func (h *Holder) Drop(id uint64) {
 	for n, i := range h.items {
 		if i.ID == id {
 			h.items = append(h.items[:n:n], h.items[n+1:]...)
-			h.changed = true
+			h.unsent = true
 			return
 		}
 	}
 }
 
-// Look has it ask what others have.
-func (h *Holder) Look() { h.look = true }
+// Look requests the slots of others with the next ask.
+func (h *Holder) Look() { h.wantsBusy = true }
 
-// Ask gives what is to be told now, and whether it is to be told what others have; any is false where nothing need be said. What was
-// dropped is told by its absence.
+// Ask returns what to report to the dealer now, and whether to request the slots of others; any is false if
+// nothing is due. A dropped set is reported by its absence.
 func (h *Holder) Ask(now int64) (items []Item, look, any bool) {
-	if !h.changed && !h.silent && !h.look && len(h.items) == 0 {
+	if !h.unsent && !h.unanswered && !h.wantsBusy && len(h.items) == 0 {
 		return nil, false, false
 	}
 	for _, i := range h.items {
 		if i.State != Runs {
 			i.State = Want
-			if now < i.until {
+			if now < i.grantedUntil {
 				i.State = Has
 			}
 		}
-		i.Left = i.ends - now
+		i.Left = i.endsAt - now
 		items = append(items, i.Item)
 	}
-	h.changed, h.silent, h.asked = false, true, now
-	return items, h.look, true
+	h.unsent, h.unanswered, h.askedAt = false, true, now
+	return items, h.wantsBusy, true
 }
 
-// Granted takes an answer to what was told at a time. What is given counts from then, not from now: the dealer heard of it
-// later.
+// Granted handles the answer to the report with that number, which is the time when it was sent. The lease counts
+// from then, not from now, because the dealer received the report later than that.
 func (h *Holder) Granted(now, number int64, a Answer) {
-	h.silent = h.silent && number < h.asked
+	h.unanswered = h.unanswered && number < h.askedAt
 	for _, id := range a.Given {
 		if i := h.find(id); i != nil {
-			i.until = max(i.until, number+h.lease)
+			i.grantedUntil = max(i.grantedUntil, number+h.lease)
 		}
 	}
-	if a.Told {
-		h.busy, h.busyAt, h.look = a.Busy, now, false
+	if a.BusyIncluded {
+		h.busy, h.busyAt, h.wantsBusy = a.Busy, now, false
 	}
 }
 
-// Busy lists the slots that others had when the dealer told of them last, and when that was.
+// Busy returns the slots that others had by the dealer's last list, and when that arrived.
 func (h *Holder) Busy() (list []Busy, at int64) { return h.busy, h.busyAt }
--- a/internal/fleet/limit/lease/lease.go
+++ b/internal/fleet/limit/lease/lease.go
@@ -1,55 +1,61 @@
-// Package lease gives one of a few named keepers a post for a time, by the word of a majority of them, without a disk: two
-// hold it at no time, whatever is lost, late or doubled, and whichever process is stopped or started anew. It does no I/O
-// and reads no clock; times are microseconds on the caller's own clock, and only lengths are compared between processes.
+// Package lease elects one of a few named keepers to a post for a limited time, by a majority of them and without
+// stable storage. Two keepers never hold the post at once, whatever messages are lost, late or duplicated, and
+// whichever process pauses or restarts.
 //
-// A keeper promises the post to one asker for a length from when it hears the ask; the asker counts from when it asked,
-// which is before. A keeper that has just started promises nothing for a length, since it may have before. So a majority's
-// promises overlap in at least one keeper, and while the asker counts, each of them still holds.
+// A keeper promises the post to one candidate for a fixed length from when it receives the ask. The candidate
+// counts the length from when it asked, which is earlier. A keeper that has just started promises nothing for one
+// length, since an earlier incarnation may have promised. So two majorities share at least one keeper, and while
+// the candidate counts itself the holder, every promise to it is still valid.
+//
+// Each keeper runs one Seat. The package does no I/O and reads no clock. Times are microseconds on the caller's
+// own clock, and only lengths are compared between processes.
 package lease
 
 import "slices"
 
-// Owner is one process of a dispatcher: of one name a higher incarnation is a later one.
+// Owner is one incarnation of a process: of the same name, a higher incarnation started later.
 type Owner struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Shares of the length.
+// Divisors of the length.
 const (
-	marginPart = 10 // the holder stops so much of the length early: clocks of two machines run at most 10% apart
-	askPart    = 4  // asks are so much of the length apart, and ranks wait for each other so long
+	marginDivisor = 10 // the holder stops a tenth of the length early: clocks of two machines differ by at most 10% in speed
+	askDivisor    = 4  // interval of asks; keepers of each further rank wait as much longer
 )
 
-// Seat is a keeper's view of the post: what it has promised, and what it was promised itself.
+// Seat is a keeper's view of the post: its promise to others, and the promises that it has received. It is not
+// safe for concurrent use.
 type Seat struct {
 	self    Owner
 	keepers []string
-	rank    int
+	rank    int // its index in keepers
 	length  int64
 
-	free     int64 // it promises nothing before
-	promised Owner
-	until    int64 // its promise counts till then
-	turn     int64 // how often it has promised the post to another than before
-
-	asked int64 // when it asked last; the number of that ask
-	again int64 // it asks no more before then
-	yes   map[string]bool
-	heir  Owner // the keeper that promised it last
-	holds int64 // it holds the post till then
-	since int64 // from when on, without a gap
-	left  bool  // it wants the post no more
+	promisesFrom  int64 // no promise is given before
+	promised      Owner
+	promisedUntil int64 // when its promise ends
+	turn          int64 // number of times that it promised the post to another process than before
+
+	askedAt      int64 // time of the last ask, which is also its number
+	askNotBefore int64 // no ask is sent before
+	promisedBy   map[string]bool
+	successor    Owner // the other keeper that promised it last
+	heldUntil    int64 // when its tenure ends
+	heldSince    int64 // start of its uninterrupted tenure
+	resigned     bool  // it does not want the post any more
 }
 
-// New makes the seat of one of the keepers, whose order is the same everywhere; length is in microseconds.
+// New returns the Seat of one of the keepers at its start. The order of keepers must be the same everywhere;
+// length is in microseconds.
 func New(now int64, self Owner, keepers []string, length int64) *Seat {
-	return &Seat{self: self, keepers: keepers, rank: slices.Index(keepers, self.Name), length: length, free: now + length, yes: map[string]bool{}}
+	return &Seat{self: self, keepers: keepers, rank: slices.Index(keepers, self.Name), length: length, promisesFrom: now + length, promisedBy: map[string]bool{}}
 }
 
-// Ask takes an ask of a keeper and tells whether the post is promised to it for a length from now.
+// Ask handles the ask of a keeper, and reports whether the post is promised to it for a length from now.
 func (s *Seat) Ask(now int64, who Owner) bool {
-	if now < s.free || !slices.Contains(s.keepers, who.Name) || now < s.until && who != s.promised {
+	if now < s.promisesFrom || !slices.Contains(s.keepers, who.Name) || now < s.promisedUntil && who != s.promised {
 		return false
 	}
 	s.promise(now, who)
@@ -60,85 +66,86 @@
 	if who != s.promised {
 		s.turn++
 	}
-	s.promised, s.until = who, now+s.length
+	s.promised, s.promisedUntil = who, now+s.length
 }
 
-// Free takes the word of one that has given up the post, for good, and would have another be the next: the promise to it is
-// one to the heir from now on.
-func (s *Seat) Free(now int64, from, heir Owner) {
-	if from != s.promised || now >= s.until {
+// Release handles the message of a process that has given up the post for good and names a successor. A promise to
+// that process becomes one to the successor.
+func (s *Seat) Release(now int64, from, successor Owner) {
+	if from != s.promised || now >= s.promisedUntil {
 		return
 	}
-	if s.promise(now, heir); !slices.Contains(s.keepers, heir.Name) {
-		s.until = now
+	if s.promise(now, successor); !slices.Contains(s.keepers, successor.Name) {
+		s.promisedUntil = now
 	}
 }
 
 // Leave gives up the post, if this process has it, and never asks for it again.
-func (s *Seat) Leave() { s.left, s.holds = true, 0 }
+func (s *Seat) Leave() { s.resigned, s.heldUntil = true, 0 }
 
-// Heir is another keeper that promised it the post lately; the zero value where none did.
-func (s *Seat) Heir() Owner { return s.heir }
+// Successor returns the other keeper that promised this one the post last, or the zero value if none did.
+func (s *Seat) Successor() Owner { return s.successor }
 
-// Turn changes whenever the post is promised here to another than before.
+// Turn returns a number that grows whenever the post is promised here to another process than before.
 func (s *Seat) Turn() int64 { return s.turn }
 
-// Promised tells to whom the post is promised here; the zero value is to nobody.
+// Promised returns the process to which the post is promised here, or the zero value if there is none.
 func (s *Seat) Promised(now int64) Owner {
-	if now < s.until {
+	if now < s.promisedUntil {
 		return s.promised
 	}
 	return Owner{}
 }
 
-// Round tells whether to ask the other keepers now; the number of the ask is now. Its own word comes first: who has promised
-// the post to another does not ask. Those of higher rank wait a little longer once a promise has lapsed, and once an ask has
-// brought no majority: where each of some keepers has promised the post to itself nobody would ever get it.
+// Round reports whether to ask the other keepers now; the number of that ask is now. The keeper needs its own
+// promise first: one that has promised the post to another does not ask. Keepers of higher rank wait longer after
+// a promise has expired, and after an ask that brought no majority: if several keepers had each promised the post
+// to themselves, none would ever get it.
 func (s *Seat) Round(now int64) bool {
-	if s.left || s.asked > 0 && now-s.asked < s.length/askPart {
+	if s.resigned || s.askedAt > 0 && now-s.askedAt < s.length/askDivisor {
 		return false
 	}
-	if s.asked > 0 && !s.Holds(now) && s.promised == s.self && now < s.until {
-		// It takes back its own word, and what others answer to that ask counts no more.
-		s.until, s.asked, s.again = now, 0, now+int64(s.rank)*s.length/askPart
+	if s.askedAt > 0 && !s.Holds(now) && s.promised == s.self && now < s.promisedUntil {
+		// It withdraws its own promise, and answers to that ask no longer count.
+		s.promisedUntil, s.askedAt, s.askNotBefore = now, 0, now+int64(s.rank)*s.length/askDivisor
 	}
 	switch {
-	case now < s.again:
+	case now < s.askNotBefore:
 		return false
-	case !s.Holds(now) && s.promised != s.self && now < max(s.until, s.free)+int64(s.rank)*s.length/askPart:
+	case !s.Holds(now) && s.promised != s.self && now < max(s.promisedUntil, s.promisesFrom)+int64(s.rank)*s.length/askDivisor:
 		return false
 	case !s.Ask(now, s.self):
 		return false
 	}
-	s.asked = now
-	clear(s.yes)
-	s.Yes(now, s.self, now)
+	s.askedAt = now
+	clear(s.promisedBy)
+	s.Promise(now, s.self, now)
 	return true
 }
 
-// Yes takes a keeper's promise, in answer to the ask of that number. Those to asks before the last come too late to count.
-func (s *Seat) Yes(now int64, from Owner, number int64) {
-	if s.left || number != s.asked || number == 0 || !slices.Contains(s.keepers, from.Name) {
+// Promise handles a keeper's promise in answer to the ask of that number. Answers to earlier asks don't count.
+func (s *Seat) Promise(now int64, from Owner, number int64) {
+	if s.resigned || number != s.askedAt || number == 0 || !slices.Contains(s.keepers, from.Name) {
 		return
 	}
-	if s.yes[from.Name] = true; from != s.self {
-		s.heir = from
+	if s.promisedBy[from.Name] = true; from != s.self {
+		s.successor = from
 	}
-	if len(s.yes) <= len(s.keepers)/2 {
+	if len(s.promisedBy) <= len(s.keepers)/2 {
 		return
 	}
-	until := number + s.length - s.length/marginPart
+	until := number + s.length - s.length/marginDivisor
 	if until <= now {
-		return // it stood still meanwhile
+		return // the process was paused for longer than the promises last
 	}
 	if !s.Holds(now) {
-		s.since = now
+		s.heldSince = now
 	}
-	s.holds = until
+	s.heldUntil = until
 }
 
-// Holds tells whether the post is this process's now.
-func (s *Seat) Holds(now int64) bool { return now < s.holds }
+// Holds reports whether this process holds the post now.
+func (s *Seat) Holds(now int64) bool { return now < s.heldUntil }
 
-// Since is when it came to hold the post.
-func (s *Seat) Since() int64 { return s.since }
+// Since returns when this process came to hold the post.
+func (s *Seat) Since() int64 { return s.heldSince }
--- a/internal/fleet/draw/draw.go
+++ b/internal/fleet/namehash/namehash.go
@@ -1,11 +1,11 @@
-// Package draw hashes names into numbers that are the same at all members of a fleet, so that they make the same choice
-// without communication.
-package draw
+// Package namehash hashes names into numbers that are the same at all members of a fleet, so that they make the same
+// choice without communication.
+package namehash
 
 import "hash/fnv"
 
-// Of returns the hash of two strings.
-func Of(a, b string) uint64 {
+// Hash returns the hash of two strings.
+func Hash(a, b string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(a))
 	h.Write([]byte{0})
--- a/internal/lifecycle/log.go
+++ b/internal/lifecycle/log.go
@@ -77,22 +77,22 @@
 	if s.MayCopy {
 		fmt.Fprintln(w, "copies: a second copy may be sent while the first waits, where the class allows a repeat")
 	}
-	if s.HidesRetry {
+	if s.RetriesUnmarked {
 		fmt.Fprintln(w, "retries: clients do not mark them; less time left than the class's deadline tells")
 	}
 	for _, t := range s.Tenants {
-		fmt.Fprintf(w, "tenant %s: %g jobs a second over %d dispatchers; one beyond them counts %g of its worth\n", t.Name, t.Quota, s.Schedulers, s.OverShare)
+		fmt.Fprintf(w, "tenant %s: %g jobs a second over %d dispatchers; one beyond them counts %g of its worth\n", t.Name, t.Quota, s.Schedulers, s.OverQuotaValue)
 	}
 	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 	repeats := []string{"must never run twice", "keyed: a rack drops repeats", "safe to repeat"}
 	for _, c := range s.Classes {
 		fmt.Fprintf(w, "class %s: wanted within %v plus %g times its work, given up after %v, worth %g, %s\n",
-			c.Name, us(c.Aim), c.Stretch, us(c.Deadline), c.Worth, repeats[c.Repeat])
+			c.Name, us(c.TargetLatency), c.TargetPerWork, us(c.Deadline), c.Value, repeats[c.Repeat])
 	}
 	if product != nil && product.Fleet != nil {
 		f := product.Fleet
 		fmt.Fprintf(w, "fleet %s: member %s at %s, joins %s; tells the others every %v, news counts for %v\n",
-			f.Label, cfg.Name, f.Bind, strings.Join(f.Join, " "), f.Every, f.Believe)
+			f.Label, cfg.Name, f.Bind, strings.Join(f.Join, " "), f.ReportInterval, f.MaxReportAge)
 		if f.Limits != nil {
 			if err := f.describeLimits(w, cfg); err != nil {
 				return err
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "store of record: %s %s; a write over %v is not waited for\n", product.Records.Store.Kind, product.Records.Store.location(), product.Records.Patience)
+	fmt.Fprintf(w, "store of record: %s %s; a write over %v is not waited for\n", product.Records.Store.Kind, product.Records.Store.location(), product.Records.SlowWrite)
 	meaning := []string{"not recorded", "written behind", "durable before its client is told", "durable before it is sent and before its client is told"}
 	for _, c := range classes {
 		fmt.Fprintf(w, "class %s: %s", c.Name, meaning[c.Policy])
--- a/internal/latest/latest_check_test.go
+++ b/internal/mailbox/mailbox_check_test.go
@@ -1,17 +1,17 @@
 //go:build check
 
-package latest
+package mailbox
 
 import (
 	"fmt"
 	"testing"
 
 	"granitewing/internal/check"
-	"granitewing/internal/seam"
+	"granitewing/internal/syncpoint"
 )
 
 // placeModel has one goroutine put three values and another take three times; put is the function under test.
-func placeModel(put func(p Place[int], v int)) check.Make {
+func placeModel(put func(p Mailbox[int], v int)) check.Make {
 	return func() ([]func(), func() error) {
 		p := New[int]()
 		var took []int
@@ -45,16 +45,16 @@
 }
 
 func TestInterleavings(t *testing.T) {
-	r := check.Run(check.Default, placeModel(Place[int].Put))
+	r := check.Run(check.Default, placeModel(Mailbox[int].Put))
 	t.Log(r)
-	if r.Err != nil || !r.Whole || r.Schedules < 10 {
+	if r.Err != nil || !r.Complete || r.Schedules < 10 {
 		t.Error(r)
 	}
 }
 
 // Without taking out the old value, the latest one is lost in some order.
 func TestInterleavingsWithoutRoom(t *testing.T) {
-	broken := placeModel(func(p Place[int], v int) { seam.TrySend(p.c, v) })
+	broken := placeModel(func(p Mailbox[int], v int) { syncpoint.TrySend(p.c, v) })
 	r := check.Run(check.Default, broken)
 	t.Log(r)
 	if r.Err == nil || check.Replay(r.Schedule, broken) == nil {
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -13,8 +13,8 @@
 // Range is a range of plain numbers, written as one number or two.
 type Range struct{ Lo, Hi float64 }
 
-// Span is a range of durations, written as one duration or two.
-type Span struct{ Lo, Hi time.Duration }
+// DurationRange is a range of durations, written as one duration or two.
+type DurationRange struct{ Lo, Hi time.Duration }
 
 // Size is a number of bytes, written plain or with KiB, MiB or GiB.
 type Size int64
@@ -214,14 +214,14 @@
 
 var (
 	rangeType    = reflect.TypeFor[Range]()
-	spanType     = reflect.TypeFor[Span]()
+	spanType     = reflect.TypeFor[DurationRange]()
 	durationType = reflect.TypeFor[time.Duration]()
 	sizeType     = reflect.TypeFor[Size]()
 )
 
 func isScalar(t reflect.Type) bool { return t == rangeType || t == spanType }
 
-// decodeSpan decodes a Range or Span from one value or two.
+// decodeSpan decodes a Range or DurationRange from one value or two.
 func decodeSpan(n *Node, v reflect.Value, tag reflect.StructTag, path string) error {
 	if len(n.Items) != 2 && len(n.Items) != 3 {
 		return &Error{n.Pos, path, fmt.Sprintf("want one value or two, have %d", len(n.Items)-1)}
--- a/logic/cold_test.go
+++ b/logic/slow_start_test.go
@@ -8,10 +8,10 @@
 )
 
 // Guards against overload of a worker in slow start by the sum of all schedulers, however many they are and however
-// often their processes restart. Every scheduler always has jobs for the worker, of random sizes or as large as allowed,
-// and sends all that it may: at random moments, or late in one slot and early in the next. In any window the sum must
-// stay within N + 2 root N + 2 requests of mean work (for N under 30: N + 3 root N + 3), where N is the allowance at the
-// beginning of the window.
+// often their processes restart. Every scheduler always has jobs for the worker, of random sizes or as large as
+// allowed, and sends all that it may: at random moments, or late in one slot and early in the next. In any window the
+// sum must stay within N + 2 root N + 2 requests of mean work (for N under 30: N + 3 root N + 3), where N is the
+// allowance at the beginning of the window.
 func TestSlowStartBudgetOfAnyNumberOfSchedulers(t *testing.T) {
 	for _, n := range []int{1, 2, 4, 5, 80, 900} {
 		justMany := 31 / (0.37 * initialSlots * 2) // N just past the border between few and many in the middle of the run
@@ -33,7 +33,7 @@
 func checkSlowStartBudget(t *testing.T, n int, multiple float64) {
 	const window, moments = 2_000_000, 40
 	c := testConfig()
-	c.Schedulers, c.Cold, c.StartCapacity, c.FallWindow, c.FallMultiple = n, 24_000_000, 0.3, window, multiple
+	c.Schedulers, c.SlowStart, c.StartCapacity, c.OverloadWindow, c.OverloadMultiple = n, 24_000_000, 0.3, window, multiple
 	list := readyWorkers(1)
 	list[0].UpSince = t0
 	fleet := newFleet(t, c, list)
@@ -73,7 +73,8 @@
 			sum -= sent[from].work
 			from++
 		}
-		// The worker warms up within the window; the allowance at the window's end is the loosest bound of the settings.
+		// The worker warms up within the window; the allowance at the window's end is the loosest bound of the
+		// settings.
 		limit := allowed(o.at)
 		if limit < 30 {
 			limit += 3*math.Sqrt(limit) + 3
@@ -107,16 +108,16 @@
 // A process that has been replaced must leave the slow-start budget to its successor.
 func TestSlowStartBudgetIsLeftToTheSuccessor(t *testing.T) {
 	c := testConfig()
-	c.Cold, c.StartCapacity, c.FallWindow, c.FallMultiple = 24_000_000, 0.3, 2_000_000, 3
+	c.SlowStart, c.StartCapacity, c.OverloadWindow, c.OverloadMultiple = 24_000_000, 0.3, 2_000_000, 3
 	s := mustNew(t, c)
 	list := readyWorkers(1)
 	list[0].UpSince = t0
 	s.Workers(t0, ListFull, list, nil)
-	s.now = t0 + c.FallWindow
+	s.now = t0 + c.OverloadWindow
 	if maxAllowedWork(s) == 0 {
 		t.Error("nothing may be sent to a worker in slow start")
 	}
-	if s.Yield(); maxAllowedWork(s) != 0 {
+	if s.YieldSlowStartBudget(); maxAllowedWork(s) != 0 {
 		t.Error("a process that was replaced still sends to it")
 	}
 }
