--- a/internal/system/simulation/control_trouble.go
+++ b/internal/system/simulation/control_trouble.go
@@ -59,12 +59,12 @@
 // isolateThenLoseOthers isolates a machine, so that it misses configuration changes. When the partition heals, one of
 // the other storage machines loses its disk and the rest lose their power, so that for a while the machine that lags
 // behind is alone.
-func (sim *simulation) isolateThenLoseOthers(h *eventArguments) {
-	isolated := sim.machinesNamed(h.name)
+func (sim *simulation) isolateThenLoseOthers(args *eventArguments) {
+	isolated := sim.machinesNamed(args.name)
 	others := excluding(sim.storageMachines(), isolated...)
-	sim.partition(isolated, others, false, h.duration)
-	sim.changeRepeatedly(h.duration)
-	sim.world.after(h.duration, func() {
+	sim.partition(isolated, others, false, args.duration)
+	sim.changeRepeatedly(args.duration)
+	sim.world.after(args.duration, func() {
 		for i, m := range others {
 			sim.powerOff(m, powerOffAfterPartition, i == 0)
 		}
@@ -89,12 +89,12 @@
 
 // killOthersAfterPartition isolates a machine from the other storage machines while the configuration changes. Just
 // after the partition heals, the processes of the other machines are killed.
-func (sim *simulation) killOthersAfterPartition(h *eventArguments) {
-	isolated := sim.machinesNamed(h.name)
+func (sim *simulation) killOthersAfterPartition(args *eventArguments) {
+	isolated := sim.machinesNamed(args.name)
 	others := excluding(sim.storageMachines(), isolated...)
-	sim.partition(isolated, others, false, h.duration)
-	sim.changeRepeatedly(h.duration)
-	sim.world.after(h.duration+20*time.Millisecond, func() {
+	sim.partition(isolated, others, false, args.duration)
+	sim.changeRepeatedly(args.duration)
+	sim.world.after(args.duration+20*time.Millisecond, func() {
 		sim.checker.addDisruption(sim.world.now, restartDelay)
 		for _, m := range others {
 			sim.kill(m, restartDelay)
@@ -103,9 +103,9 @@
 }
 
 // seedWithUnreachable isolates a machine from all others, makes new seed lists name it first, and restarts edge-1.
-func (sim *simulation) seedWithUnreachable(h *eventArguments) {
-	isolated := sim.machinesNamed(h.name)
-	sim.partition(isolated, excluding(sim.machinesNamed("all"), isolated...), false, h.duration)
+func (sim *simulation) seedWithUnreachable(args *eventArguments) {
+	isolated := sim.machinesNamed(args.name)
+	sim.partition(isolated, excluding(sim.machinesNamed("all"), isolated...), false, args.duration)
 	for _, m := range isolated {
 		sim.firstSeed = m.name
 	}
@@ -115,20 +115,20 @@
 			sim.kill(m, restartDelay)
 		}
 	})
-	sim.world.after(h.duration, func() { sim.firstSeed = "" })
+	sim.world.after(args.duration, func() { sim.firstSeed = "" })
 }
 
 // restartBothSides isolates a machine from the other storage machines and restarts it, and later restarts the others.
-func (sim *simulation) restartBothSides(h *eventArguments) {
-	isolated := sim.machinesNamed(h.name)
+func (sim *simulation) restartBothSides(args *eventArguments) {
+	isolated := sim.machinesNamed(args.name)
 	others := excluding(sim.storageMachines(), isolated...)
-	sim.partition(isolated, others, false, h.duration)
-	sim.world.after(h.duration/3, func() {
+	sim.partition(isolated, others, false, args.duration)
+	sim.world.after(args.duration/3, func() {
 		for _, m := range isolated {
 			sim.kill(m, restartDelay)
 		}
 	})
-	sim.world.after(2*h.duration/3, func() {
+	sim.world.after(2*args.duration/3, func() {
 		sim.checker.addDisruption(sim.world.now, restartDelay)
 		for _, m := range others {
 			sim.kill(m, restartDelay)
@@ -138,24 +138,24 @@
 
 // seedWithPartitioned isolates a machine from the other storage machines while workers are replaced, and makes new
 // seed lists name it first.
-func (sim *simulation) seedWithPartitioned(h *eventArguments) {
-	isolated := sim.machinesNamed(h.name)
-	sim.partition(isolated, excluding(sim.storageMachines(), isolated...), false, h.duration)
+func (sim *simulation) seedWithPartitioned(args *eventArguments) {
+	isolated := sim.machinesNamed(args.name)
+	sim.partition(isolated, excluding(sim.storageMachines(), isolated...), false, args.duration)
 	for _, m := range isolated {
 		sim.firstSeed = m.name
 	}
 	sim.reloadSeeds()
 	sim.replaceWorker(archive)
 	sim.replaceWorker(alert)
-	sim.world.after(h.duration, func() {
+	sim.world.after(args.duration, func() {
 		sim.firstSeed = ""
 		sim.sendNewConfiguration(1)
 	})
 }
 
 // retireThenLoseAnother asks for a machine to be retired, and makes another one lose its disk right after.
-func (sim *simulation) retireThenLoseAnother(h *eventArguments) {
-	retiring := sim.machinesNamed(h.name)
+func (sim *simulation) retireThenLoseAnother(args *eventArguments) {
+	retiring := sim.machinesNamed(args.name)
 	if len(retiring) == 0 {
 		return
 	}
@@ -163,15 +163,15 @@
 	others := excluding(sim.storageMachines(), retiring...)
 	victim := others[sim.world.random.IntN(len(others))]
 	sim.world.after(time.Duration(5+sim.world.random.IntN(400))*time.Millisecond, func() {
-		sim.checker.addDisruption(sim.world.now, h.duration)
-		sim.powerOff(victim, h.duration, true)
+		sim.checker.addDisruption(sim.world.now, args.duration)
+		sim.powerOff(victim, args.duration, true)
 	})
 }
 
 // replacePlanned replaces a machine as a planned operation. The new one is added first; then the old one is shut down
 // and removed.
-func (sim *simulation) replacePlanned(h *eventArguments) {
-	machines := sim.machinesNamed(h.name)
+func (sim *simulation) replacePlanned(args *eventArguments) {
+	machines := sim.machinesNamed(args.name)
 	if len(machines) == 0 {
 		return
 	}
--- a/internal/system/simulation/events.go
+++ b/internal/system/simulation/events.go
@@ -22,178 +22,182 @@
 }
 
 func parseEventArguments(words []string) (*eventArguments, error) {
-	h := &eventArguments{name: wordOrEmpty(words, 1), fault: wordOrEmpty(words, 2), duration: time.Second, after: time.Second,
+	args := &eventArguments{name: wordOrEmpty(words, 1), fault: wordOrEmpty(words, 2), duration: time.Second, after: time.Second,
 		oneWay: words[len(words)-1] == "oneway"}
 	if words[0] == "kill" {
-		h.duration = restartDelay
+		args.duration = restartDelay
 	}
 	for i := 1; i+1 < len(words); i++ {
 		var err error
 		switch words[i] {
 		case "for":
-			h.duration, err = time.ParseDuration(words[i+1])
+			args.duration, err = time.ParseDuration(words[i+1])
 		case "after":
-			h.after, err = time.ParseDuration(words[i+1])
-			h.duration = h.after // the disruption ends when the replacement comes
+			args.after, err = time.ParseDuration(words[i+1])
+			args.duration = args.after // the disruption ends when the replacement comes
 		case "from":
-			h.from = words[i+1]
+			args.from = words[i+1]
 		case "to":
-			h.to = words[i+1]
+			args.to = words[i+1]
 		case "by":
-			h.by = words[i+1]
+			args.by = words[i+1]
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	return h, nil
+	return args, nil
 }
 
-func (h *eventArguments) amount() (int, error) { return strconv.Atoi(h.by) }
+func (args *eventArguments) amount() (int, error) { return strconv.Atoi(args.by) }
 
 // machineEvents are unplanned events that happen to each named machine.
-var machineEvents = map[string]func(sim *simulation, h *eventArguments, m *machine){
-	"kill":     func(sim *simulation, h *eventArguments, m *machine) { sim.kill(m, h.duration) },
-	"power":    func(sim *simulation, h *eventArguments, m *machine) { sim.powerOff(m, h.duration, false) },
-	"wipe":     func(sim *simulation, h *eventArguments, m *machine) { sim.powerOff(m, h.duration, true) },
-	"freeze":   func(sim *simulation, h *eventArguments, m *machine) { sim.freeze(m, h.duration) },
-	"replace":  func(sim *simulation, h *eventArguments, m *machine) { sim.replace(m, h.after) },
-	"fulldisk": func(sim *simulation, h *eventArguments, m *machine) { sim.setTemporarily(&m.diskFull, h.duration)() },
-	"quota": func(sim *simulation, h *eventArguments, m *machine) {
-		sim.setTemporarily(&m.cpuThrottled, h.duration)()
+var machineEvents = map[string]func(sim *simulation, args *eventArguments, m *machine){
+	"kill":    func(sim *simulation, args *eventArguments, m *machine) { sim.kill(m, args.duration) },
+	"power":   func(sim *simulation, args *eventArguments, m *machine) { sim.powerOff(m, args.duration, false) },
+	"wipe":    func(sim *simulation, args *eventArguments, m *machine) { sim.powerOff(m, args.duration, true) },
+	"freeze":  func(sim *simulation, args *eventArguments, m *machine) { sim.freeze(m, args.duration) },
+	"replace": func(sim *simulation, args *eventArguments, m *machine) { sim.replace(m, args.after) },
+	"fulldisk": func(sim *simulation, args *eventArguments, m *machine) {
+		sim.setTemporarily(&m.diskFull, args.duration)()
+	},
+	"quota": func(sim *simulation, args *eventArguments, m *machine) {
+		sim.setTemporarily(&m.cpuThrottled, args.duration)()
 	},
 	"reset": func(sim *simulation, _ *eventArguments, m *machine) { sim.resetConnections(m) },
 }
 
 // disruptiveEvents are unplanned events that happen to the workers of a service or to several machines together.
-var disruptiveEvents = map[string]func(sim *simulation, h *eventArguments){
+var disruptiveEvents = map[string]func(sim *simulation, args *eventArguments){
 	// A process that starts while the platform does not answer knows no worker. If all start, messages that had run
 	// without a recorded outcome run again only after the platform answers.
-	"silence": func(sim *simulation, h *eventArguments) { sim.setTemporarily(&sim.platform.unavailable, h.duration)() },
-	"dark":    func(sim *simulation, h *eventArguments) { sim.silenceWorkers(h.name, h.duration) },
-	"blackout": func(sim *simulation, h *eventArguments) {
-		wiped := sim.machinesNamed(h.name)
+	"silence": func(sim *simulation, args *eventArguments) {
+		sim.setTemporarily(&sim.platform.unavailable, args.duration)()
+	},
+	"dark": func(sim *simulation, args *eventArguments) { sim.silenceWorkers(args.name, args.duration) },
+	"blackout": func(sim *simulation, args *eventArguments) {
+		wiped := sim.machinesNamed(args.name)
 		for _, m := range sim.machinesNamed("all") {
-			sim.powerOff(m, h.duration, slices.Contains(wiped, m))
+			sim.powerOff(m, args.duration, slices.Contains(wiped, m))
 		}
 	},
-	"crash":   func(sim *simulation, h *eventArguments) { sim.crashWorkers(h.name, h.duration) },
-	"split":   func(sim *simulation, h *eventArguments) { sim.partitionStorage(h.duration) },
-	"behind":  func(sim *simulation, h *eventArguments) { sim.isolateThenLoseOthers(h) },
-	"relieve": func(sim *simulation, h *eventArguments) { sim.killOthersAfterPartition(h) },
-	"misseed": func(sim *simulation, h *eventArguments) { sim.seedWithUnreachable(h) },
-	"restart": func(sim *simulation, h *eventArguments) { sim.restartBothSides(h) },
-	"lure":    func(sim *simulation, h *eventArguments) { sim.seedWithPartitioned(h) },
-	"evict":   func(sim *simulation, h *eventArguments) { sim.retireThenLoseAnother(h) },
-	"cut": func(sim *simulation, h *eventArguments) {
-		sim.partition(sim.machinesNamed(h.name), sim.machinesNamed(h.from), h.oneWay, h.duration)
+	"crash":   func(sim *simulation, args *eventArguments) { sim.crashWorkers(args.name, args.duration) },
+	"split":   func(sim *simulation, args *eventArguments) { sim.partitionStorage(args.duration) },
+	"behind":  func(sim *simulation, args *eventArguments) { sim.isolateThenLoseOthers(args) },
+	"relieve": func(sim *simulation, args *eventArguments) { sim.killOthersAfterPartition(args) },
+	"misseed": func(sim *simulation, args *eventArguments) { sim.seedWithUnreachable(args) },
+	"restart": func(sim *simulation, args *eventArguments) { sim.restartBothSides(args) },
+	"lure":    func(sim *simulation, args *eventArguments) { sim.seedWithPartitioned(args) },
+	"evict":   func(sim *simulation, args *eventArguments) { sim.retireThenLoseAnother(args) },
+	"cut": func(sim *simulation, args *eventArguments) {
+		sim.partition(sim.machinesNamed(args.name), sim.machinesNamed(args.from), args.oneWay, args.duration)
 	},
 }
 
 // plannedEvents are planned operations and faults that the system must hide. They excuse no broken rule.
-var plannedEvents = map[string]func(sim *simulation, h *eventArguments){
-	"lose": func(sim *simulation, h *eventArguments) { sim.setTemporarily(&sim.loseAcks, h.duration)() },
-	"deafen": func(sim *simulation, h *eventArguments) {
-		sim.setTemporarily(&sim.platform.receiversFail, h.duration)()
+var plannedEvents = map[string]func(sim *simulation, args *eventArguments){
+	"lose": func(sim *simulation, args *eventArguments) { sim.setTemporarily(&sim.loseAcks, args.duration)() },
+	"deafen": func(sim *simulation, args *eventArguments) {
+		sim.setTemporarily(&sim.platform.receiversFail, args.duration)()
 	},
-	"term": func(sim *simulation, h *eventArguments) {
-		for _, m := range sim.machinesNamed(h.name) {
+	"term": func(sim *simulation, args *eventArguments) {
+		for _, m := range sim.machinesNamed(args.name) {
 			sim.restartGracefully(m)
 		}
 	},
-	"outdate": func(sim *simulation, h *eventArguments) {
-		for _, m := range sim.machinesNamed(h.name) {
-			sim.setTemporarily(&m.pushesLost, h.duration)()
+	"outdate": func(sim *simulation, args *eventArguments) {
+		for _, m := range sim.machinesNamed(args.name) {
+			sim.setTemporarily(&m.pushesLost, args.duration)()
 		}
 	},
 	"add":          func(sim *simulation, _ *eventArguments) { sim.addStorageMachine() },
 	"turnover":     func(sim *simulation, _ *eventArguments) { sim.reloadSeeds() },
-	"storm":        func(sim *simulation, h *eventArguments) { sim.sendChangeStorm(h) },
+	"storm":        func(sim *simulation, args *eventArguments) { sim.sendChangeStorm(args) },
 	"misconfigure": func(sim *simulation, _ *eventArguments) { sim.sendInvalid() },
-	"renew":        func(sim *simulation, h *eventArguments) { sim.replacePlanned(h) },
-	"retire":       func(sim *simulation, h *eventArguments) { sim.retire(h.name) },
-	"release":      func(sim *simulation, h *eventArguments) { sim.replaceWorker(h.name) },
+	"renew":        func(sim *simulation, args *eventArguments) { sim.replacePlanned(args) },
+	"retire":       func(sim *simulation, args *eventArguments) { sim.retire(args.name) },
+	"release":      func(sim *simulation, args *eventArguments) { sim.replaceWorker(args.name) },
 	"configure":    func(sim *simulation, _ *eventArguments) { sim.sendNewConfiguration(1) },
-	"move":         func(sim *simulation, h *eventArguments) { sim.moveRoute(h.name, h.to) },
-	"drop":         func(sim *simulation, h *eventArguments) { sim.dropRoute(h.name) },
+	"move":         func(sim *simulation, args *eventArguments) { sim.moveRoute(args.name, args.to) },
+	"drop":         func(sim *simulation, args *eventArguments) { sim.dropRoute(args.name) },
 	"race":         func(sim *simulation, _ *eventArguments) { sim.sendConflictingChanges() },
 }
 
 // eventAction returns the function that carries out an event. It fails with a ParseError for an unknown event.
 func (sim *simulation) eventAction(words []string) (func(), error) {
 	verb := words[0]
-	h, err := parseEventArguments(words)
+	args, err := parseEventArguments(words)
 	if err != nil {
 		return nil, err
 	}
 	if do := machineEvents[verb]; do != nil {
-		return sim.disrupt(h, do), nil
+		return sim.disrupt(args, do), nil
 	}
 	if do := disruptiveEvents[verb]; do != nil {
 		return func() {
-			sim.checker.addDisruption(sim.world.now, h.duration)
-			do(sim, h)
+			sim.checker.addDisruption(sim.world.now, args.duration)
+			do(sim, args)
 		}, nil
 	}
 	if do := plannedEvents[verb]; do != nil {
-		return func() { do(sim, h) }, nil
+		return func() { do(sim, args) }, nil
 	}
-	return sim.quantifiedAction(verb, h)
+	return sim.quantifiedAction(verb, args)
 }
 
 // quantifiedAction returns the function that carries out an event with an amount.
-func (sim *simulation) quantifiedAction(verb string, h *eventArguments) (func(), error) {
+func (sim *simulation) quantifiedAction(verb string, args *eventArguments) (func(), error) {
 	switch verb {
 	case "slowdisk":
-		times, err := h.amount()
-		return sim.disrupt(h, func(sim *simulation, h *eventArguments, m *machine) {
+		times, err := args.amount()
+		return sim.disrupt(args, func(sim *simulation, args *eventArguments, m *machine) {
 			m.diskSlowdown = times
-			sim.world.after(h.duration, func() { m.diskSlowdown = 0 })
+			sim.world.after(args.duration, func() { m.diskSlowdown = 0 })
 		}), err
 	case "unhear":
-		share, err := h.amount()
+		share, err := args.amount()
 		return func() {
-			for _, m := range sim.machinesNamed(h.name) {
+			for _, m := range sim.machinesNamed(args.name) {
 				m.answerLossPercent = share
-				sim.world.after(h.duration, func() { m.answerLossPercent = 0 })
+				sim.world.after(args.duration, func() { m.answerLossPercent = 0 })
 			}
 		}, err
 	case "skew":
-		step, err := time.ParseDuration(h.by)
-		return sim.disrupt(&eventArguments{name: h.name}, func(_ *simulation, _ *eventArguments, m *machine) {
+		step, err := time.ParseDuration(args.by)
+		return sim.disrupt(&eventArguments{name: args.name}, func(_ *simulation, _ *eventArguments, m *machine) {
 			m.wallSkew += step.Milliseconds()
 		}), err
 	case "burst":
-		times, err := h.amount()
+		times, err := args.amount()
 		return func() {
-			sim.burstFactors[h.name] = times
-			sim.world.after(h.duration, func() { delete(sim.burstFactors, h.name) })
+			sim.burstFactors[args.name] = times
+			sim.world.after(args.duration, func() { delete(sim.burstFactors, args.name) })
 		}, err
 	case "slow":
-		times, err := h.amount()
+		times, err := args.amount()
 		return func() {
-			sim.checker.addDisruption(sim.world.now, h.duration)
-			sim.slowWorkers(h.name, times, h.duration)
+			sim.checker.addDisruption(sim.world.now, args.duration)
+			sim.slowWorkers(args.name, times, args.duration)
 		}, err
 	case "grey":
-		fault, known := faultNames[h.fault]
+		fault, known := faultNames[args.fault]
 		if !known {
-			return nil, &ParseError{Reason: "unknown fault " + h.fault}
+			return nil, &ParseError{Reason: "unknown fault " + args.fault}
 		}
 		return func() {
-			sim.checker.addDisruption(sim.world.now, h.duration)
-			sim.injectWorkerFault(h.name, fault, h.duration)
+			sim.checker.addDisruption(sim.world.now, args.duration)
+			sim.injectWorkerFault(args.name, fault, args.duration)
 		}, nil
 	}
 	return nil, &ParseError{Reason: "unknown event " + verb}
 }
 
 // disrupt returns a function that records a disruption with the checker and does something to each named machine.
-func (sim *simulation) disrupt(h *eventArguments, do func(sim *simulation, h *eventArguments, m *machine)) func() {
+func (sim *simulation) disrupt(args *eventArguments, do func(sim *simulation, args *eventArguments, m *machine)) func() {
 	return func() {
-		sim.checker.addDisruption(sim.world.now, h.duration)
-		for _, m := range sim.machinesNamed(h.name) {
-			do(sim, h, m)
+		sim.checker.addDisruption(sim.world.now, args.duration)
+		for _, m := range sim.machinesNamed(args.name) {
+			do(sim, args, m)
 		}
 	}
 }
--- a/internal/system/simulation/operators.go
+++ b/internal/system/simulation/operators.go
@@ -54,11 +54,11 @@
 }
 
 // sendChangeStorm sends changes one after the other for a while, with at most eight in flight.
-func (sim *simulation) sendChangeStorm(h *eventArguments) {
+func (sim *simulation) sendChangeStorm(args *eventArguments) {
 	const gap = 60 * time.Millisecond
-	count, err := h.amount()
+	count, err := args.amount()
 	if err != nil {
-		count = int(h.duration / gap)
+		count = int(args.duration / gap)
 	}
 	const maxInFlight = 8
 	inFlight := 0
