--- a/internal/system/workers/client_test.go
+++ b/internal/system/workers/client_test.go
@@ -282,7 +282,7 @@
 		}()
 		client := NewClient()
 		m := &message.Message{ID: "m", Method: http.MethodPost, Target: "/in/x", Host: "h.example", Body: make([]byte, 8<<20)}
-		outcome := client.Send(carrier.Attempt{Message: m, Address: listener.Addr().String(), Deadline: 2 * time.Second})
+		outcome := client.Send(carrier.Attempt{Message: m, Address: listener.Addr().String(), Deadline: 30 * time.Second})
 		Expect(outcome.Kind).To(BeElementOf(carrier.NotRun, carrier.RunUnknown)) // the reset may arrive before the response is read
 		Expect(client.idle.take(listener.Addr().String())).To(BeNil())
 	})
