--- a/internal/system/agreement/disk/disk.go
+++ b/internal/system/agreement/disk/disk.go
@@ -29,10 +29,11 @@
 	maxEntries     = 2048    // a log with more entries should be compacted
 )
 
-// record is one record of the log, encoded under the names of its fields. The fields that are set apply in their order.
+// record is one record of the log. It is encoded as a map from the names of its fields, so renaming a field makes stored
+// logs unreadable. The fields that are set are applied in the order in which they are listed here.
 type record struct {
-	// Started marks the start of an identity with ID and Founders, the bootstrap members. It invalidates all earlier
-	// records, and is set in the first record of a disk.
+	// Started marks the start of a log with the member's ID and Founders, the bootstrap members. It invalidates all
+	// earlier records. It is set in the first record of an identity, and in the first record that Compact writes.
 	Started   bool
 	ID        string
 	Founders  []string
@@ -42,7 +43,7 @@
 	Entries  []agreement.Entry
 }
 
-// CorruptError reports stored data that is unreadable or contradictory, which a power loss alone does not cause.
+// CorruptError reports stored data that is unreadable or contradictory. A power loss alone does not cause it.
 type CorruptError struct{ Reason string }
 
 func (e *CorruptError) Error() string { return "agreement log: " + e.Reason }
--- a/internal/system/agreement/node.go
+++ b/internal/system/agreement/node.go
@@ -15,7 +15,7 @@
 
 // Limits of one message.
 const (
-	maxEntriesInMessage = 256 // of one Append
+	maxEntriesInMessage = 256 // entries in one Append
 )
 
 // progress is the leader's view of the log of another member.
@@ -241,8 +241,8 @@
 	return true
 }
 
-// rejectStaleTerm responds to a message of an earlier term with the current one, so that a deposed leader or a member
-// that comes back adopts it.
+// rejectStaleTerm responds to an Append, InstallSnapshot or PreVote of an earlier term with the current one, so that a
+// deposed leader or a member that comes back adopts it. Other messages of an earlier term get no response.
 func (n *Node) rejectStaleTerm(message Message) {
 	switch message.Kind {
 	case Append, InstallSnapshot:
--- a/internal/system/agreement/types.go
+++ b/internal/system/agreement/types.go
@@ -102,10 +102,11 @@
 	return kept
 }
 
-// MemberRole is the standing of a member in a group.
+// MemberRole is the place of a member in a membership. It is decided by membership changes, unlike Role, which a
+// member takes by elections.
 type MemberRole uint8
 
-// The places of a member.
+// The places of a member in a membership.
 const (
 	NotMember MemberRole = iota // not in the group
 	Learner                     // replicates the log, has no vote
--- a/internal/system/catalog/catalog.go
+++ b/internal/system/catalog/catalog.go
@@ -1,4 +1,5 @@
-// Package catalog reads the platform's list of workers, which comes in pages.
+// Package catalog reads the platform's list of workers, which comes in pages. The platform is the operators' environment
+// that starts processes and lists the workers; other packages call the list inventory or catalog.
 //
 // ParsePage decodes one page, a Reading gathers the pages of one pass over the list, and Merge combines its result with
 // the list that was known before.
--- a/internal/system/delivery/cost.go
+++ b/internal/system/delivery/cost.go
@@ -25,7 +25,7 @@
 	return m
 }
 
-// classTerm is one class of the multi-class value function.
+// classTerm is one class of the multi-class value function: one route of the service.
 type classTerm struct {
 	share    float64 // part of the pool's arrivals, 0 to 1
 	deadline float64 // seconds from due to the target start
@@ -43,7 +43,8 @@
 	return terms
 }
 
-// utilisation returns the utilisation of each worker under the load-equalising random split.
+// utilisation returns the utilisation that each worker would have if every message went to a random worker, with
+// probabilities that give all workers the same utilisation (the load-equalising random split).
 func (p *pool) utilisation(now time.Duration) float64 {
 	capacity := 0.0
 	for _, worker := range p.sorted {
@@ -80,8 +81,9 @@
 	return cost, backlog + serviceTime
 }
 
-// relativeValue returns v(u)-v(tau) of equation (16) in units of the service time d: u is the backlog and tau the
-// deadline, in seconds.
+// relativeValue returns v(u)-v(tau) by equation (16) of the paper (see the package comment): how many more deadlines a
+// worker is expected to miss over all time if its backlog is u now than if it is tau. u is the argument backlog and tau
+// the argument deadline, in seconds; the table takes both divided by the service time d.
 func relativeValue(table *value.Table, deadline, backlog, serviceTime float64) float64 {
 	slack := (deadline - backlog) / serviceTime
 	return table.At(slack) - table.Slope(deadline/serviceTime)*slack
--- a/internal/system/delivery/policy.go
+++ b/internal/system/delivery/policy.go
@@ -1,9 +1,19 @@
 // Package delivery chooses the worker that a due message is sent to, and limits the rate of a service's messages.
 //
-// Policy.Pick takes the worker with the lowest admission cost. The cost is one policy-improvement step over the
-// load-equalising random split of an M/D/1 queue with deadlines; it uses the value function of package value
-// (equation 16, in its multi-class form). Costs for failing workers and for crossing zones are added. Each worker
-// has a circuit breaker, and bounds on the messages that it may hold.
+// Policy.Pick takes the worker with the lowest admission cost: the expected number of deadlines that are missed, by the
+// message itself and by later ones, because the worker is given the message. The cost comes from a paper on deadline
+// violations in the M/D/1 queue (Poisson arrivals, constant service time, one server). It is one policy-improvement
+// step: it assumes that all later messages go to random workers, with probabilities that give all workers the same
+// utilisation (the load-equalising random split).
+//
+// The cost uses the paper's equation 16, which package value evaluates. It gives v(u)-v(tau), where v(u) is the
+// expected extra number of missed deadlines over all time if the worker starts with the backlog u, u is the work that
+// the worker holds, and tau is the deadline, the longest wait that meets it. A message of service time d that is added
+// to the backlog u costs v(u+d)-v(u). In the multi-class form each route is a class with a deadline of its own, and the
+// cost is the mean over the classes, weighted by their shares of the arrivals.
+//
+// Costs for failing workers and for crossing zones are added. Each worker has a circuit breaker, and bounds on the
+// messages that it may hold.
 //
 // The server of the M/D/1 model runs one job at a time, whereas a worker runs several. A worker with c slots counts
 // as one server with a service time of d/c, where d is its run time. Its backlog u is the work of all messages that
@@ -24,7 +34,7 @@
 	"granitewing/internal/system/catalog"
 )
 
-// Parameters of the policy. Costs are relative to 1 for a message that misses its target latency.
+// Parameters of the policy. Costs are relative to 1 for a message that misses its target start.
 const (
 	maxUtilisation        = 0.99                    // bound on the estimated utilisation
 	defaultRunTime        = 100 * time.Millisecond  // run time that is assumed before one was measured
@@ -45,7 +55,7 @@
 	failureCost           = 0.8                     // cost of a failed attempt
 	failureWeight         = 0.12                    // weight of the latest attempt in a worker's share of failures
 	failureHalfLife       = 3 * time.Second         // half-life of that share while nothing is sent to the worker
-	notRunFailure         = 0.25                    // how much of a failure an attempt counts that the worker did not run
+	notRunFailure         = 0.25                    // weight of an attempt that the worker did not run, relative to a failed one
 	staticConnectionShare = 0.45                    // share of a static endpoint's connections for its owner (see maxInFlight)
 	connectionShare       = 0.85                    // share of a worker's connections that all carriers use together
 )
@@ -132,8 +142,8 @@
 
 // Pick returns the worker with the lowest cost for a message of a route that should start within slack. It returns nil
 // if no worker of the service can take a message now. exclude is the ID of the worker that was tried last, or empty;
-// that worker is returned only if there is no other. A
-// static endpoint is returned whatever its cost. Pick does not count the message; call RecordStart when it is sent.
+// that worker is returned only if there is no other. A static endpoint is returned whatever its cost. Pick does not
+// count the message; call RecordStart when it is sent.
 func (p *Policy) Pick(now time.Duration, service, route string, slack time.Duration, exclude string) *Worker {
 	pool := p.pools[service]
 	if pool == nil {
--- a/internal/system/delivery/pool.go
+++ b/internal/system/delivery/pool.go
@@ -6,7 +6,7 @@
 	"granitewing/internal/system/catalog"
 )
 
-// class holds the arrivals and the deadline of one route.
+// class holds the arrivals and the deadline of one route, which is a class of the multi-class value function.
 type class struct {
 	arrivals float64 // decayed count
 	deadline float64 // seconds from due to the target start
--- a/internal/system/delivery/rate_limiter.go
+++ b/internal/system/delivery/rate_limiter.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// RateLimiter is the rate limiter of one service: it spaces messages evenly. It allows no bursts, so that any time
-// window, also one that spans a change of the service's owner, sees at most the rate plus one message. The zero value
-// has no limit.
+// RateLimiter is the rate limiter of one service: it spaces messages evenly. It allows no bursts beyond two messages, so
+// that any time window, also one that spans a change of the service's owner, sees at most the rate plus one message. The
+// zero value has no limit.
 type RateLimiter struct {
 	interval time.Duration // between messages; 0 without a limit
 	next     time.Duration // earliest time of the next message
--- a/internal/system/link/client.go
+++ b/internal/system/link/client.go
@@ -128,8 +128,9 @@
 	}
 }
 
-// run connects, serves the connection and reconnects after a pause, until Close. The pause starts anew after a
-// connection attempt that lasted more than 5 s, and is randomised between half and one and a half of its mean.
+// run connects, serves the connection and reconnects after a pause, until Close. The pause grows with each round. It
+// returns to its minimum after a round, of connecting and serving the connection, that lasted more than 5 s. It is
+// randomised between half and one and a half of its mean.
 func (c *Client) run() {
 	wait, attempts := minReconnectWait, 0
 	for {
--- a/internal/system/member/client.go
+++ b/internal/system/member/client.go
@@ -91,7 +91,8 @@
 // LeaseValid reports whether the session's lease is valid, so that the process may act on what it owns.
 func (c *Client) LeaseValid() bool { return c.loop.Now() < c.leaseUntil }
 
-// Joined reports whether a session was ever opened under the current incarnation.
+// Joined reports whether a session was opened under the current incarnation, even if it has expired since. After Close
+// it reports false.
 func (c *Client) Joined() bool { return c.leaseUntil > 0 }
 
 // SessionOpen reports whether a session is open, with a keeper that answers.
--- a/internal/system/message/message.go
+++ b/internal/system/message/message.go
@@ -71,7 +71,7 @@
 	DeadLetter Phase = "dead_letter"
 )
 
-// OwedCallbackFactor is a multiple of the time for which message states can be queried. For that long a store keeps an
+// OwedCallbackFactor is a multiple of the time for which message states can be queried (settings.Bounds.Status). For that long a store keeps an
 // outcome whose callback is owed, and a carrier retries the callback.
 const OwedCallbackFactor = 2
 
--- a/internal/system/node/operators.go
+++ b/internal/system/node/operators.go
@@ -125,8 +125,8 @@
 	return c.JSON(http.StatusServiceUnavailable, &errorResponse{Error: result.err.Error()})
 }
 
-// startRetirement starts draining a machine's disks. Draining has no deadline here: it is up to the operator to watch one,
-// and the drain continues past it.
+// startRetirement starts draining a machine's disks. A drain has no timeout: it continues even if the operator stops
+// waiting for it.
 func (n *keeperNode) startRetirement(c echo.Context) error {
 	node := c.Param("node")
 	result := n.awaitResult(func(done func(operatorResult)) {
--- a/internal/system/node/store_repair.go
+++ b/internal/system/node/store_repair.go
@@ -5,14 +5,16 @@
 	"granitewing/internal/system/wire"
 )
 
-// backfillPart is a batch of copies of another store's messages for the goroutine that owns the core.
+// backfillPart is a batch of copies of another store's messages, from the Backfiller or the Drainer, for the goroutine
+// that owns the core.
 type backfillPart struct {
 	messages []wire.CopiedMessage
 	last     bool
 }
 
-// AddCopies implements store.RepairEnvironment. It is called under the mutex. The number of waiting goroutines is
-// bounded, because the backfiller requests one part at a time from each source, and none while parts are pending.
+// AddCopies implements store.RepairEnvironment. It is called under the mutex by the Backfiller and the Drainer. The
+// number of waiting goroutines that the Backfiller causes is bounded, because it requests one part at a time from each
+// source, and none while parts are pending.
 func (n *storeNode) AddCopies(messages []wire.CopiedMessage, last bool) {
 	n.pendingParts.Add(1)
 	go func() { n.backfillParts <- backfillPart{messages: messages, last: last} }()
--- a/internal/system/ownership/balance.go
+++ b/internal/system/ownership/balance.go
@@ -104,6 +104,7 @@
 		live[incarnation] = true
 	}
 	candidates := fleet.eligible()
+	// The candidates include stopping carriers only if all live carriers are stopping.
 	if len(candidates) == 0 || fleet.Stopping[candidates[0]] {
 		return nil
 	}
--- a/internal/system/ownership/state.go
+++ b/internal/system/ownership/state.go
@@ -1,5 +1,6 @@
 // Package ownership is the replicated table of the owners of a shard's units. A unit is the part of the messages that
-// one carrier at a time orders or rate-limits. Its owner acts under a fencing token, which rises with every change of
+// one carrier at a time orders or rate-limits: a share of the ordering keys (KeyUnit), or the messages of a service that
+// is rate-limited or has a single endpoint (ServiceUnit, also called the paced unit of the service). Its owner acts under a fencing token, which rises with every change of
 // owner.
 //
 // State is the table of one shard. The shard's leader computes changes with Assign, Balance and WithdrawOffers,
--- a/internal/system/role/carrier/accept.go
+++ b/internal/system/role/carrier/accept.go
@@ -12,7 +12,7 @@
 
 // Submission is a client's request to accept a message.
 type Submission struct {
-	Message message.Message // without unit, route and sequence number; Submit fills them in
+	Message message.Message // Submit fills in the version, retention, unit, token and sequence number
 	Path    string          // path of the target URL, escaped as the client sent it
 	// ClientTimeout is how long the client still waits for an answer, as stated in its request; 0 if it stated nothing.
 	ClientTimeout time.Duration
--- a/internal/system/role/carrier/core.go
+++ b/internal/system/role/carrier/core.go
@@ -4,7 +4,8 @@
 //
 // Each message belongs to a unit, and each unit has one owner among the carriers. Messages without order or rate
 // limit belong to the unit of the carrier that accepted them. The keys of ordered services are spread over a set
-// of units. A service with a rate limit or a single static endpoint has a unit of its own, its paced unit.
+// of units. A service with a rate limit or a single static endpoint has a unit of its own, its paced unit
+// (ownership.ServiceUnit).
 // Ownership is guarded by fencing tokens. If an owner departs, another carrier takes the unit over and recovers
 // its messages from the stores.
 //
@@ -72,12 +73,14 @@
 	paused             bool // no new delivery starts
 	relistScheduled    bool
 	figures            Counters
-	// endedBeforeLogged is set while a log line about messages that completed before they arrived here is pending.
+	// completedBeforeLogged is set while a log line about messages that completed before they arrived here is pending.
 	completedBeforeLogged bool
 }
 
 // Counters holds the counts of events since the carrier started.
 type Counters struct {
+	// Delivered counts the attempts that were sent to workers, and Failed those that failed. Completed counts the messages
+	// with an outcome, also dead letters.
 	Accepted, Refused, Indeterminate, Delivered, Failed, Completed, Callbacks uint64
 	// CompletedBefore counts messages that were passed to this carrier after they had completed under a former owner.
 	CompletedBefore uint64
--- a/internal/system/role/carrier/dispatch.go
+++ b/internal/system/role/carrier/dispatch.go
@@ -48,7 +48,7 @@
 	retryWhenFull        = 25 * time.Millisecond
 	defaultTimeout       = time.Second
 	rateHoldAfterRefusal = 60 * time.Millisecond
-	// newerTableRetry is how often a message that waits for a newer configuration is checked.
+	// newerConfigurationRetry is how often a message that waits for a newer configuration is checked.
 	newerConfigurationRetry = 50 * time.Millisecond
 )
 
--- a/internal/system/role/carrier/handover.go
+++ b/internal/system/role/carrier/handover.go
@@ -22,7 +22,9 @@
 
 // handover is a unit's transfer to another carrier. No attempt of a message that has had none is started any more.
 // Once all started messages have completed and their outcomes are stored, the unit is released. From the first
-// release call to the keepers on, this carrier takes no message for the unit, whether or not the call succeeds.
+// release call to the keepers on, this carrier takes no message for the unit, also while calls fail. It takes messages
+// again only if the handover ends without a release: if the keepers refuse the release because the offer is stale, or
+// have made or withdrawn an offer since.
 type handover struct {
 	offer     uint64
 	nextOwner string // incarnation
--- a/internal/system/role/carrier/queue.go
+++ b/internal/system/role/carrier/queue.go
@@ -7,7 +7,7 @@
 	"granitewing/internal/system/delivery"
 )
 
-// queue holds a service's due messages. Messages that can still start within their target latency go first, the
+// queue holds a service's due messages. Messages that can still start by their target start go first, the
 // oldest ahead. Late messages use the remaining capacity, those of the keys with the fewest messages first: once a
 // key is cleared, its next messages can start within their target, whereas if all keys advance alike, every
 // message stays late.
@@ -178,7 +178,7 @@
 	it.removeFromLate() // its entry in q.lateByAge is skipped later
 }
 
-// overdueShare returns how much of its retention a late message waits before it goes ahead of fresh ones.
+// overdueShare returns for how long of its retention a late message waits before it goes ahead of fresh ones.
 func overdueShare(retention time.Duration) time.Duration { return retention / 2 }
 
 // len returns the number of waiting messages.
--- a/internal/system/role/keeper/core.go
+++ b/internal/system/role/keeper/core.go
@@ -1,5 +1,6 @@
 // Package keeper implements the keeper role, which holds the control state of the fleet: the configuration, the
-// members' sessions, the owner of each unit, and the platform's list of workers.
+// members' sessions, the owner of each unit, and the list of workers that the platform (the operators' environment that
+// starts processes) provides.
 //
 // The replicated state is split into shards. Each shard is a replica group with its own log and leader: one for the
 // configuration, one for the sessions, and OwnershipShards groups for the ownership of units. The unit of a
--- a/internal/system/role/store/backfill.go
+++ b/internal/system/role/store/backfill.go
@@ -26,21 +26,23 @@
 // Backfiller backfills a disk with the messages that too few other disks hold: a first time until the disk may be
 // counted in the roster, then again for what was written to disks of the former roster meanwhile.
 type Backfiller struct {
-	env              RepairEnvironment
-	session          *member.Client
-	disk             string // of this store
-	tolerance        *tolerance.Tolerance
-	throttle         throttle
-	running          bool
-	lists            *listReader
-	plan             *fetchPlan // nil until the lists have been read
-	sender           *sender    // copies out under-replicated messages held here, as for a lost disk
-	countRequested   bool       // the keepers were asked to count this disk
+	env       RepairEnvironment
+	session   *member.Client
+	disk      string // of this store
+	tolerance *tolerance.Tolerance
+	throttle  throttle
+	running   bool
+	lists     *listReader
+	plan      *fetchPlan // nil until the lists have been read
+	sender    *sender    // copies out under-replicated messages held here, as for a lost disk
+	// The backfill has three stages: copying while countRequested is false, waiting to be counted once it is true, and
+	// copying again, from the disks of the former roster, once epoch is over 0. See advance.
+	countRequested   bool // the keepers were asked to count this disk
 	countRequestedAt time.Duration
 	startedAt        time.Duration
 	epoch            uint64            // of the roster in which this disk was found to count; 0 before
-	previousDisks    map[string]string // zones of the disks that counted before that, by disk identity
-	replacedZone     []string          // zone of the disk that this one replaces, one of those that may be unreachable
+	previousDisks    map[string]string // zones of the disks that counted when the keepers were asked to count this one, by disk identity
+	replacedZone     []string          // zone of the disk that this one replaces, added to those of the disks that can't be read; "" if not known; empty if none
 	complete         bool              // everything was fetched, and the core has been notified
 }
 
--- a/internal/system/role/store/core.go
+++ b/internal/system/role/store/core.go
@@ -110,7 +110,8 @@
 // DiskID returns the random identity that was recorded on the disk.
 func (c *Core) DiskID() string { return c.disk }
 
-// Complete reports whether the store holds everything that it ever acknowledged.
+// Complete reports whether the store holds all messages that a disk must hold to count toward the write quorum. It is
+// false on a disk that is new or was replaced while it was away, until its backfill has ended.
 func (c *Core) Complete() bool { return c.complete }
 
 // Counts returns how many messages the store knows, and how many of them are pending.
--- a/internal/system/role/store/index.go
+++ b/internal/system/role/store/index.go
@@ -22,9 +22,9 @@
 	size         uint32
 	held         bool // the message's record is on disk at position
 	writing      bool // the message's record is waiting to be synced
-	void         bool
-	// shared is set once another process was told of the message, or may have been by an earlier incarnation of
-	// the store. Such a message can't be voided.
+	void         bool // the message was cancelled
+	// shared is set once another process may know the message: this incarnation of the store has named it to one, or
+	// an earlier incarnation may have. Such a message can't be cancelled (void).
 	shared       bool
 	phase        message.Phase
 	stamp        string
@@ -51,7 +51,7 @@
 	dropped int      // how many of the entries the index has dropped
 }
 
-// segmentUse counts the records and bytes of a segment that are still needed.
+// segmentUse counts the records and bytes of a segment that are still needed. It is not used at present.
 type segmentUse struct{ records, bytes int }
 
 // index is everything that a store knows of its messages, in memory.
--- a/internal/system/role/store/repair.go
+++ b/internal/system/role/store/repair.go
@@ -17,7 +17,7 @@
 	loop.Peers
 	// AddCopies passes copies to the core; last marks the end of a backfill.
 	AddCopies(messages []wire.CopiedMessage, last bool)
-	// Complete reports whether the store holds everything that its disk has to hold.
+	// Complete reports whether the store holds all messages that a disk must hold to count toward the write quorum.
 	Complete() bool
 	// CopiesPending reports whether copies are waiting to be written to disk.
 	CopiesPending() bool
--- a/internal/system/session/retire.go
+++ b/internal/system/session/retire.go
@@ -6,7 +6,9 @@
 	"granitewing/internal/system/ordered"
 )
 
-// Retirement is the stage that the drain of a machine has reached.
+// Retirement is the stage that the retirement of a machine has reached. A retirement is the operator's order to remove a
+// machine. The drain is the part in which other disks copy what the machine's disks hold; the disks are marked as
+// Leaving in the roster meanwhile. Texts for operators call the drain emptying.
 type Retirement uint8
 
 // The stages of a retirement.
--- a/internal/system/session/roster.go
+++ b/internal/system/session/roster.go
@@ -13,7 +13,8 @@
 	// Counted disks count toward the write and read quorums. A message lies on one more of them than may be lost at one
 	// time, and a reader queries all of them except as many as may be lost. A disk that isn't counted is being backfilled.
 	Counted bool
-	// Spare disks began to count while no counted disk was missing. A spare takes the place of a disk that is lost later.
+	// Spare disks began to count while no counted disk was missing, so each is one counted disk more than needed. A spare
+	// takes the place of a disk that is lost later.
 	Spare bool
 	// Leaving disks are being drained: they accept no new messages, and other disks copy the ones they hold.
 	Leaving bool
--- a/internal/system/session/state.go
+++ b/internal/system/session/state.go
@@ -51,7 +51,7 @@
 const (
 	Join             CommandKind = iota + 1 // opens a session
 	Leave                                   // ends a session, at its member's request or by expiry
-	SettleDeparted                          // all messages of a departed carrier are complete
+	SettleDeparted                          // all messages of a departed carrier are complete, and it is forgotten
 	CountDisk                               // a disk is backfilled from the others, and counts toward the write quorum from now on
 	Retire                                  // a machine's disks are to be drained
 	DiskDrained                             // all messages on a leaving disk have enough replicas on other disks
@@ -94,7 +94,8 @@
 }
 
 // maxDeparted bounds the departed carriers. Beyond it the one with the lowest incarnation name is dropped. No
-// deployment reaches the bound while adopters complete the messages and settle.
+// deployment reaches the bound while the carriers that adopt the messages of departed ones complete them and report that
+// (SettleDeparted).
 const maxDeparted = 4096
 
 // Member returns the member with an open session under an incarnation.
--- a/internal/system/simulation/checker.go
+++ b/internal/system/simulation/checker.go
@@ -33,7 +33,23 @@
 
 func (r *messageRecord) completed() bool { return r.completedAt > 0 }
 
-// checker checks the rules by what clients, workers, receivers and the operator observe.
+// checker checks the rules by what clients, workers, receivers and the operator observe. The rules are broken if
+//
+//	BUDGET   a message runs again after more failures than its route allows
+//	CEILING  a service with a rate limit receives more messages than its rate
+//	CONFIG   the configuration that is used or read contradicts the operator's acknowledged changes
+//	CONTROL  a control group has too few voters with a disk for the tolerance that it reports, or no leader at the end
+//	COPIES   a message is on too few disks at the end to survive every tolerated loss
+//	DRAIN    a carrier is still ready long after SIGTERM; no drain of a disk is meant
+//	EARLY    a message runs before its delay has passed
+//	LOST     an accepted message, a call-back, a configuration or a retirement is lost, or does not proceed
+//	MIXED    a state, stamp or call-back does not belong to the message
+//	ORDER    a message starts before an earlier one with the same key has completed
+//	REFUSED  a message that was refused runs, or is refused after it ran
+//	REST     no message is accepted for a long time, without an unplanned fault that excuses it
+//	ROUTE    a message runs at a service that no configuration routes it to
+//	TWICE    a message runs again after a success, or while another run of it is in progress
+//	UNASKED  a message runs that was never sent, or with a different ordering key
 type checker struct {
 	records        map[string]*messageRecord
 	recordsByKey   map[string][]*messageRecord
--- a/internal/system/simulation/moves.go
+++ b/internal/system/simulation/moves.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// maxApplyTime is how long after an acknowledgement a carrier may still use an older version.
+// maxApplyTime is how long after the acknowledgement of a version a carrier may still use an older one. routeDropped
+// allows the same time after the sending of a document without the route.
 const maxApplyTime = 3 * time.Second
 
 // backends maps each kind of traffic to the service that it is routed to. Traffic that is missing has no route.
@@ -46,7 +47,7 @@
 }
 
 // routeDropped reports whether a configuration without a message's route may have been in force since the message was
-// sent; the message completes by that. Without recent disruptions all carriers have such a configuration within
+// sent. Such a configuration makes the message complete as a dead letter. Without recent disruptions all carriers have such a configuration within
 // maxFeedDelay after it was sent.
 func (c *checker) routeDropped(r *messageRecord) bool {
 	const maxFeedDelay = 400 * time.Millisecond
--- a/internal/system/simulation/run.go
+++ b/internal/system/simulation/run.go
@@ -7,7 +7,7 @@
 
 // Result is the outcome of a run.
 type Result struct {
-	Broken []string // broken rules, each with its time, name and what broke it
+	Broken []string // broken rules, each with its time (0 for some call-backs), name and what broke it
 	// Sent is the number of messages that clients sent.
 	Sent int
 	// Shares holds the measured value of each share.
--- a/internal/system/simulation/scenario.go
+++ b/internal/system/simulation/scenario.go
@@ -61,7 +61,22 @@
 //	expect retired 1                   number of machines that are drained and removed
 //	expect spread 1                    maximum difference between carriers in ordering-key units owned at the end
 //
-// Drawn scenarios use further events, which are listed in machineEvents, disruptiveEvents and plannedEvents.
+// Drawn scenarios use further events, which are in machineEvents, disruptiveEvents and plannedEvents:
+//
+//	quota         the processor time of a machine is limited
+//	reset         all connections of a machine's processes break
+//	split         a partition between two random halves of the storage machines
+//	behind        a machine is isolated and misses configuration changes; then one of the others loses its disk and the
+//	              rest lose their power
+//	relieve       a machine is isolated from the storage machines during changes; after it the others are killed
+//	misseed       a machine is isolated, new seed lists name it first, and edge-1 restarts
+//	restart       a machine is isolated from the storage machines and restarts; later the others restart
+//	lure          a machine is isolated while workers are replaced, and new seed lists name it first
+//	evict         a machine is to be retired, and another one loses its disk right after
+//	turnover      all processes reload settings that name other seeds
+//	storm         configuration changes follow one another, at most eight at a time without an answer
+//	misconfigure  an invalid configuration is sent
+//	renew         a machine is replaced as a planned operation: the new one is added before the old one is removed
 type Scenario struct {
 	Seed            uint64
 	Traffic         time.Duration // for which clients send messages
--- a/internal/system/simulation/world.go
+++ b/internal/system/simulation/world.go
@@ -1,6 +1,6 @@
 // Package simulation runs the whole system in one process on simulated time and checks that it keeps its guarantees.
-// Keepers, stores and carriers run their real code; the links, disks, workers, platform, operator and clients are
-// models. A Scenario lists the faults and planned operations of a run. Parse reads one from a text, Draw and its
+// Keepers, stores and carriers run their real code. The links, disks, workers, operator and clients are models, as is
+// the platform, the operators' environment that starts processes and lists workers. A Scenario lists the faults and planned operations of a run. Parse reads one from a text, Draw and its
 // variants draw one at random from a seed, and Run executes one and returns a Result with the rules that were broken.
 // The rules are judged only by what clients, workers, call-back receivers and the operator observe, and by the state
 // of the disks at the end. The same seed and scenario always give the same run.
--- a/internal/system/tolerance/tolerance.go
+++ b/internal/system/tolerance/tolerance.go
@@ -12,12 +12,12 @@
 
 import "slices"
 
-// Tolerance is the largest loss at one time that the system tolerates: this many machines with a disk, or all machines
-// of this many zones, or all machines of this many regions.
+// Tolerance is the largest loss at one time that the system tolerates. The losses of machines, of zones and of regions
+// are alternatives: only one of the three happens at a time, and they do not add up.
 type Tolerance struct {
-	Machines int
-	Zones    int
-	Regions  int
+	Machines int // how many machines with a disk may be lost
+	Zones    int // of how many zones all machines may be lost
+	Regions  int // of how many regions all machines may be lost
 	// RegionOf maps each zone to its region.
 	RegionOf map[string]string
 }
@@ -25,7 +25,8 @@
 // MinReplicas returns the minimum number of replicas of a message, each on a disk of its own.
 func (t *Tolerance) MinReplicas() int { return max(t.Machines, t.Zones, t.Regions) + 1 }
 
-// Voters returns the number of voters that a control group (a Raft group of keepers) should have.
+// Voters returns the number of voters that a control group (a Raft group of keepers) should have, so that a majority
+// remains after the loss of as many voters as machines, zones or regions may be lost.
 func (t *Tolerance) Voters() int { return 2*max(t.Machines, t.Zones, t.Regions) + 1 }
 
 // countDistinct returns the number of different names.
--- a/internal/system/wire/messages.go
+++ b/internal/system/wire/messages.go
@@ -190,7 +190,7 @@
 type FindOutcomesAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Outcomes []message.Outcome
-	Complete bool // the store has all that a disk must have to count toward the write quorum: no outcome of the others
+	Complete bool // the store holds all that a disk must hold to count toward the write quorum: it knows no outcome of the messages not in Outcomes
 }
 
 // CallbackDoneBody records that the call-backs with the outcomes of messages were made.
@@ -346,6 +346,6 @@
 type DeliverBody struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Message  message.Message
-	Holders  []string      // nodes of the stores that hold it, or were asked to store it
+	Holders  []string      // identities of the disks that hold it, or whose stores were asked to store it
 	Age      time.Duration // since the accepting carrier received it
 }
