--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost runs scheduler instances for the simulator. It reads batches of events in the simulator's binary
+// Command simhost runs scheduler instances for the simulator, the operators' program that runs the decisions of package
+// logic over batches of events. It reads batches of events in the simulator's binary
 // protocol (internal/wire) from standard input and writes one reply per batch to standard output. It only translates
 // between the protocol and package logic.
 package main
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -3,7 +3,9 @@
 //
 // Core translates events (a message arrives, an attempt completes, the list of hosts changes, a timer fires) into
 // calls of the decision module, package logic, and the decisions into commands for a driver to carry out. It knows
-// no protocol and opens no socket, so the same decisions and rules apply behind every front end.
+// no protocol and opens no socket, so the same decisions and rules apply behind every front end. Package logic (the
+// decision module, or module) has other names for the same things: a message is its job, a host its worker, and a
+// message's subject the job's data set (key).
 //
 // A driver makes a Core with New, attaches the optional fleet-wide parts (Limit, Price, ReportHealthTo, Gang, Retries)
 // before the first message, then calls one method for each event and executes the returned commands in order.
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -125,6 +125,7 @@
 	}
 }
 
+// The core answers each script of events with exactly the commands that the script states.
 func TestScripts(t *testing.T) {
 	for _, s := range exchange.Load(t, "testdata/core.txtar").Files {
 		t.Run(s.Name, func(t *testing.T) {
--- a/internal/dispatch/rules.go
+++ b/internal/dispatch/rules.go
@@ -40,7 +40,7 @@
 	switch {
 	case m.answered, // an answered message needs no more work
 		!c.acceptsWork(h), // no new work for a host that is draining, gone or cordoned
-		len(m.attempts)-m.uncounted > max(c.cfg.MaxAttempts, 1), // the site's limit on attempts
+		len(m.attempts)-m.uncounted > max(c.cfg.MaxAttempts, 1), // the limit on attempts, Config.MaxAttempts
 		m.outstanding > 1 && !c.cfg.MayCopy:                     // one outstanding attempt at a time
 		c.completeAttempt(now, r, logic.NotSent, nil)
 		return
--- a/internal/driver/cordons.go
+++ b/internal/driver/cordons.go
@@ -64,7 +64,9 @@
 	}
 }
 
-// poll retries the start announcement or a failed write, or else checks the file for changes by another process.
+// poll retries the announcement of this process's start if that has failed so far, which is done here because it
+// writes a file too. It then retries a failed write of the cordons or, if there is none, checks the file for changes by
+// another process.
 func (k *cordonSyncer) poll() {
 	k.d.retryAnnounce()
 	if k.unsaved != nil {
--- a/internal/driver/inventory.go
+++ b/internal/driver/inventory.go
@@ -14,7 +14,7 @@
 	"granitewing/logic"
 )
 
-// inventoryWatches carries out the actions of inventory.Tracker: connections to discovery and one timer.
+// inventoryWatches carries out the commands of inventory.Tracker: connections to discovery and one timer.
 type inventoryWatches struct {
 	tracker *inventory.Tracker
 	open    map[inventory.Call]*watch
--- a/internal/fleet/admission/admission.go
+++ b/internal/fleet/admission/admission.go
@@ -17,7 +17,7 @@
 	gauge   slack.Gauge
 	price   slack.Price
 	state   State
-	queries int // for a price, while it was above 0
+	queries int // queries for the price, counted while the price was above 0
 }
 
 // State is a snapshot of an Admission, for metrics. It covers the members of the fleet with a valid report.
--- a/internal/fleet/ejection/ejection.go
+++ b/internal/fleet/ejection/ejection.go
@@ -38,9 +38,9 @@
 // verdictRounds is the number of rounds for which a verdict holds if it is not renewed.
 const verdictRounds = 3
 
-// Round runs one round. It passes the verdicts that hold now and the runs of the other members to the core, and puts
-// this dispatcher's own votes and runs into its report. members is the number of dispatchers with a valid report, this
-// one included; every is the time between two rounds.
+// Round runs one round of the exchange of reports. It passes the verdicts that hold now and the runs of the other
+// members to the core, and puts this dispatcher's own votes and runs into its report. members is the number of
+// dispatchers with a valid report, this one included; every is the time between two rounds.
 func (c *Ejector) Round(now int64, l *ledger.Ledger, core *dispatch.Core, members int, every time.Duration, own *ledger.Report) {
 	for _, r := range l.Ran(now) {
 		core.RecordOthersRuns(now, r.Host, r.Run, r.Work)
--- a/internal/fleet/gang/gang.go
+++ b/internal/fleet/gang/gang.go
@@ -1,8 +1,9 @@
 // Package gang runs messages of some classes as gangs: a gang has parts at several hosts that run at the same
 // time, all or none (gang scheduling).
 //
-// Package place chooses the hosts and limit/hold reserves their slots together; a Part takes each gang from its
-// arrival to its end. The caller passes events to the Part, calls Round regularly, and carries out the actions
+// Package place chooses the hosts and limit/hold reserves their slots together. The type Part is one process's side of
+// gang scheduling (not one of the parts of a gang): it takes each gang from its arrival to its end. The caller passes
+// events to the Part, calls Round regularly, and carries out the actions
 // that both return. Pattern and topology describe how the parts communicate and what that costs.
 //
 // The package does no I/O and reads no clock; times are microseconds on the caller's clock unless stated
@@ -53,7 +54,7 @@
 	// Gangs given up: no placement worth it; no slots in time; not all parts began in time; a part failed.
 	NoPlacement, Waited, IncompleteStart, Failed int
 	Crosses                                      float64 // sum of the shares of bytes that leave a rack, of all gangs started
-	Late, Push, Price, Pieces                    float64 // sums of the score terms of all placements that were started
+	Late, Push, Price, Pieces                    float64 // sums of the score terms (place.Score) of all placements that were started
 }
 
 // state is the progress of a gang.
@@ -134,7 +135,8 @@
 	return waiting, half, running
 }
 
-// The methods below return the actions to carry out, in order. The slice is valid until the next call.
+// The methods that return actions return them in the order in which they have to be carried out. The slice is valid
+// until the next call.
 
 // Arrive takes a new message. It is given up at once if no placement is worth its work.
 func (p *Part) Arrive(now int64, j dispatch.GangJob) []dispatch.GangAction {
@@ -202,9 +204,9 @@
 	maxWaitFactor = 4.0 // limit of the factor, in both directions
 )
 
-// waitFactor returns how long parts wait at their hosts, as a multiple of the module's start-time model. That
-// model serves to compare hosts and may be wrong by a factor. A gang starts with the last of many parts, so here
-// such a factor decides the result.
+// waitFactor returns the ratio of the observed waits of parts at their hosts to the expected ones (place.Host.Wait, by
+// the start-time model of package logic). That model serves to compare hosts, for which an error by a common factor
+// does not matter. Here the absolute time is needed at which the last of many parts starts, so the factor is corrected.
 func (p *Part) waitFactor() float64 {
 	return min(max((p.observedWait+waitPrior)/(p.expectedWait+waitPrior), 1/maxWaitFactor), maxWaitFactor)
 }
--- a/internal/fleet/gang/pattern/pattern.go
+++ b/internal/fleet/gang/pattern/pattern.go
@@ -84,8 +84,9 @@
 	return out
 }
 
-// Orders lists orders of k ranks worth trying. If an order is cut anywhere into runs, one for each rack, few edges
-// cross a cut. Which order is best depends on where the cuts are.
+// Orders lists orders of k ranks worth trying. Hosts are sorted by rack, so a rack gets a run of consecutive ranks of
+// the order. The orders are such that few edges connect ranks of different runs, wherever the runs are cut. Which order
+// is best depends on where the cuts are.
 func (p Pattern) Orders(k int) [][]int {
 	plain := make([]int, k)
 	for i := range plain {
--- a/internal/fleet/gang/place/bound.go
+++ b/internal/fleet/gang/place/bound.go
@@ -8,8 +8,10 @@
 	"granitewing/internal/fleet/gang/topology"
 )
 
-// Bound returns a score that no placement of the job can be below. Each term is minimized by itself, without
-// regard to the others.
+// Bound returns a score that no placement of the job can be below. Each term is minimized by itself, without regard to
+// the others: the run time with the k fastest hosts and exchanges within one rack, the probability of a missed deadline
+// with the k hosts that are the most likely to start in time, and the cost to later messages with the k hosts where it
+// is lowest. At least one rack can fail; fragmentation and duration count as 0.
 func Bound(hosts []Host, j Job, t *topology.Topology, w Weights) float64 {
 	s := newSearch(hosts, j, t, &topology.Loads{}, w)
 	least := math.Inf(1)
--- a/internal/fleet/gang/place/place.go
+++ b/internal/fleet/gang/place/place.go
@@ -26,7 +26,9 @@
 	Push    float64 // worth that a slot-second taken here costs later messages
 }
 
-// Wait returns how long a part is expected to wait for its start, by the module's start-time model.
+// Wait returns how long a part is expected to wait for its start, by the start-time model of package logic
+// (logic.ViolationProbability): the backlog has a gamma distribution of shape 2 with mean Backlog, and the wait is the
+// expected excess of the backlog over Room.
 func (h *Host) Wait() float64 {
 	if h.Backlog <= 0 {
 		return 0
@@ -60,6 +62,13 @@
 
 // Score is the score of a placement by its terms, in units of worth, and the figures behind them.
 type Score struct {
+	// The terms:
+	//   - Late: worth that the gang is expected to lose by a missed deadline, and a little for its duration.
+	//   - Push: worth that later messages lose because of the slots taken (Host.Push).
+	//   - Price: price of the slots taken, where the fleet lacks capacity (Job.Price).
+	//   - Crowd: worth that other gangs lose by a delay, because the slots for gangs are scarce (Job.Crowd).
+	//   - Pieces: cost of racks that are left partly free (Weights.Fragmentation).
+	//   - Risk: worth that the gang is expected to lose by a failure of one of its racks (Weights.Fails).
 	Late, Push, Price, Crowd, Pieces, Risk float64
 
 	Chance  float64 // probability of a missed deadline
@@ -79,8 +88,8 @@
 	Leaves, Zoned []float64 // bytes a second of each rank beyond its rack, and beyond its zone
 }
 
-// durationWeight is the share of its worth that a gang loses if it takes all of its slack. Of two placements in
-// time, the one that ends first is better.
+// durationWeight breaks ties: of two placements in time, the one that ends first is better. It is the share of its
+// worth that a gang is charged if it takes all of its slack.
 const durationWeight = 0.001
 
 // workFactors are possible true amounts of work, as multiples of the stated work, equally likely.
@@ -97,7 +106,7 @@
 	others          *topology.Loads
 	weights         Weights
 	times           [gridPoints]float64
-	startLaws       [][gridPoints]float64 // log P(started by each of times), for hosts that were looked at
+	startLaws       [][gridPoints]float64 // logarithm of the probability of a start by each of times, for hosts that were looked at
 	lawOf           []int32               // per host: index into startLaws plus 1; 0: not computed
 	racks           []rack
 	rackOf          []int32    // per host: index into racks
@@ -125,8 +134,9 @@
 // minLogChance stands for the logarithm of a probability of zero.
 const minLogChance = -60
 
-// startLaw returns the start-time distribution of a host. It is the module's own for a backlog that is known up to
-// a factor (logic.ViolationProbability).
+// startLaw returns the start-time distribution of a host: for each of s.times, the logarithm of the probability that a
+// part has started by then. It is the distribution of package logic for a backlog of which only an estimate is known
+// (logic.ViolationProbability).
 func (s *search) startLaw(i int32) *[gridPoints]float64 {
 	if s.lawOf[i] == 0 {
 		var l [gridPoints]float64
--- a/internal/fleet/gang/place/search.go
+++ b/internal/fleet/gang/place/search.go
@@ -160,8 +160,8 @@
 	return true
 }
 
-// improve replaces the most expensive hosts of the best choice by others of the racks in use, as long as that
-// lowers the score.
+// improve replaces hosts of the best choice by others of the racks in use where that lowers the score. It tries the 16
+// most expensive hosts, in exchangePasses passes, and ends early after a pass without an improvement.
 func (s *search) improve() {
 	if len(s.chosen) < s.k {
 		return
--- a/internal/fleet/gang/placement.go
+++ b/internal/fleet/gang/placement.go
@@ -9,7 +9,7 @@
 	"granitewing/logic"
 )
 
-// Placement of a gang by what is known: the module's view of the hosts, the slots held by the gangs of all
+// Placement of a gang by what is known: package logic's view of the hosts, the slots held by the gangs of all
 // dispatchers, and their traffic on the uplinks.
 
 // maxLateChance is the probability of a missed deadline above which a gang without value after its deadline is
@@ -28,8 +28,8 @@
 	hold.Spot
 }
 
-// occupied returns what gangs hold at each host, without the gang but: of others from the dealer's last list, of
-// this process from its own state.
+// occupied returns what gangs other than except hold at each host: the gangs of other processes by the dealer's last
+// list, those of this process by its own state.
 func (p *Part) occupied(now int64, except *gang) map[uint32]*hostUse {
 	out := map[uint32]*hostUse{}
 	add := func(s hold.Spot, left int64) {
@@ -101,7 +101,7 @@
 // maxRacks bounds the racks that have numbers.
 const maxRacks = 1 << 16
 
-// minRunShare is the share of its expected run time that a gang may take at least, since its stated work is an
+// minRunShare is the smallest share of its expected run time in which a gang may end, since its stated work is an
 // estimate.
 const minRunShare = 0.75
 
--- a/internal/fleet/gang/topology/topology.go
+++ b/internal/fleet/gang/topology/topology.go
@@ -46,13 +46,13 @@
 	Racks, Zones []Share
 	Crosses      float64 // total that leaves a rack
 	Total        float64
-	Hosts        []float64 // per rank: the bytes that it sends; Leaves and Zoned are those beyond its rack and its zone
-	Leaves       []float64
-	Zoned        []float64
+	Hosts        []float64 // per rank: the bytes that it sends
+	Leaves       []float64 // per rank: the bytes that it sends beyond its rack
+	Zoned        []float64 // per rank: the bytes that it sends beyond its zone
 
 	level int   // the farthest distance of any edge: 0 same rack, 1 same zone, 2 across zones
-	racks []int // per rank: its index in Racks; zones: in Zones
-	zones []int
+	racks []int // per rank: its index in Racks
+	zones []int // per rank: its index in Zones
 }
 
 // findOrAppend returns the index of a number in a short list, and appends it if it is missing.
--- a/internal/fleet/ledger/hub.go
+++ b/internal/fleet/ledger/hub.go
@@ -21,7 +21,7 @@
 // maxMeshMembers is the fleet size up to which every member is a hub and so reports to all others.
 const maxMeshMembers = 12
 
-// avoidFactor times Limits.HubTimeout is how long a hub that did not answer is not chosen.
+// avoidFactor is the multiple of Limits.HubTimeout for which a hub that did not answer is not chosen.
 const avoidFactor = 5
 
 // noticeRounds is the number of rounds in which a member repeats that it moved, because datagrams may be lost.
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -1,5 +1,6 @@
-// Package ledger keeps what the other dispatchers of a fleet report: the work that each has outstanding at every host
-// and the demand that each receives for every data set. It also decides how much of that may be trusted.
+// Package ledger keeps what the other dispatchers of a fleet report: the work that each has outstanding at every host,
+// the demand that each receives for every data set, its votes on hosts, the run times that it observed at hosts, and
+// its load. It also decides how much of that may be trusted.
 //
 // A dispatcher calls Accept with each report that arrives, PassSums to pass the sums to its own scheduler, and Round to
 // learn which reports to send to whom. Votes, Ran and Load give the other sums. Append and Parse are the encoding of a
@@ -84,11 +85,11 @@
 	From        string
 	Incarnation uint64
 	Seq         uint64
-	Held        []HostWork
-	Asked       []SetDemand
-	Votes       []verdict.Vote
-	Ran         []HostRuns
-	Load        *slack.Load // nil: the report has no load
+	Held        []HostWork     // outstanding work by host
+	Asked       []SetDemand    // demand by data set
+	Votes       []verdict.Vote // on hosts
+	Ran         []HostRuns     // recent runs by host
+	Load        *slack.Load    // nil: the report has no load
 }
 
 // The reasons for which a report is refused.
@@ -343,7 +344,7 @@
 	return heard
 }
 
-// Believes returns for how many microseconds a report is valid.
+// Believes returns Limits.Validity, the microseconds for which a report is valid.
 func (l *Ledger) Believes() int64 { return l.limits.Validity }
 
 // Counts returns the numbers of reports accepted and refused.
--- a/internal/fleet/limit/cases_test.go
+++ b/internal/fleet/limit/cases_test.go
@@ -73,7 +73,8 @@
 	s.run(20 * sec)
 }
 
-// Each rule is needed: without it some run soon exceeds the limit.
+// Each rule of the protocol is needed: the harness disables one, and the test fails if no run then exceeds the limit,
+// that is, if the fault tests could not notice the loss of that rule.
 func TestFaultsWithRuleRemoved(t *testing.T) {
 	randomFaults := func(seed uint64, rule string) *harness { return runLimitFaults(seed, openLimit(20, sec/2), rule) }
 	for rule, run := range map[string]func(seed uint64, rule string) *harness{
--- a/internal/fleet/limit/cover/book.go
+++ b/internal/fleet/limit/cover/book.go
@@ -66,8 +66,9 @@
 func (b *Book) Allowed(key uint64) int64 { return b.allowed[key] }
 
 // Want takes the maximum number of rights that each process is to hold, which is no less than it may hold already,
-// and writes a new table if the current one does not fit. Only one table is sent at a time. An entry is a quarter
-// more than wanted, and is kept until the wanted number is higher, or less than half of it.
+// and writes a new table if the current one does not fit. Only one table is sent at a time. An entry gets a
+// quarter more than is wanted, so that the table is rewritten only when the wanted number exceeds the entry or falls
+// below half of it.
 func (b *Book) Want(now int64, want Table) {
 	if !b.settled || !b.committed {
 		return
--- a/internal/fleet/limit/hold/book.go
+++ b/internal/fleet/limit/hold/book.go
@@ -38,7 +38,7 @@
 }
 
 // NewBook opens the book of a process that has just become the dealer. leaseFor is the length of the lease and
-// room the slots of a host that gangs may have at once.
+// room the number of slots of a host (slotsPerHost) that gangs may have at once.
 func NewBook(now, leaseFor int64, room int) *Book {
 	return &Book{lease: leaseFor, slotsPerHost: room, dealsFrom: now + withClockMargin(leaseFor), granted: map[setKey]*slotSet{}, reports: map[lease.Owner]*report{}}
 }
--- a/internal/fleet/limit/hold/hold.go
+++ b/internal/fleet/limit/hold/hold.go
@@ -18,8 +18,8 @@
 	Runs              // its parts run; they go on when the lease ends, so the book counts them whatever it has granted
 )
 
-// Spot is one slot at a host. Rack and Zone are the bytes a second that its part sends beyond its rack and its
-// zone; from them others learn how full the uplinks are.
+// Spot is one slot at a host, unlike topology.Spot, which is a host's location. Rack and Zone are the bytes a second
+// that its part sends beyond its rack and its zone; from them others learn how full the uplinks are.
 type Spot struct {
 	Host       uint32
 	Rack, Zone float32
--- a/internal/fleet/limit/hold/hold_check_test.go
+++ b/internal/fleet/limit/hold/hold_check_test.go
@@ -43,7 +43,7 @@
 
 var members = [2]lease.Owner{{Name: "a", Incarnation: 1}, {Name: "b", Incarnation: 1}}
 
-// deal lets the book handle a number of messages and answer them. With newBook, a new book replaces it before the
+// deal lets the book handle a number of messages and answer them. With follows, a new book replaces it before the
 // last.
 func (w *world) deal(times int, follows bool) func() {
 	return func() {
--- a/internal/fleet/limit/lease/lease.go
+++ b/internal/fleet/limit/lease/lease.go
@@ -22,7 +22,7 @@
 // Divisors of the length.
 const (
 	marginDivisor = 10 // the holder stops a tenth of the length early: clocks of two machines differ by at most 10% in speed
-	askDivisor    = 4  // interval of asks; keepers of each further rank wait as much longer
+	askDivisor    = 4  // interval of asks; after a promise has expired, a keeper of rank r waits r intervals longer
 )
 
 // Seat is a keeper's view of the post: its promise to others, and the promises that it has received. It is not
--- a/internal/fleet/limit/limit.go
+++ b/internal/fleet/limit/limit.go
@@ -7,6 +7,9 @@
 // lets a new dealer take over without waiting for old rights to expire, and package hold reserves slots of several
 // hosts at once for gangs.
 //
+// The post is the office of the dealer, a Seat is what a keeper knows of the post, and a cover is a table with an upper
+// bound for the rights of each member, which a majority of keepers stores before the rights are granted.
+//
 // Each process runs one Part: it passes received messages to Receive, calls Round regularly and sends what both
 // return, and asks Admit before it starts a job and reports its end with Done. The package does no I/O and reads
 // no clock; all times are microseconds on the caller's clock.
@@ -51,8 +54,8 @@
 	askDivisor           = 20 // minimum interval of all other asks
 )
 
-// Part is one process's side of the fleet's limits: a member, and a keeper or the dealer if it is named as one. It
-// is not safe for concurrent use.
+// Part is one process's side of the fleet's limits (not a part of a gang): a member, and a keeper or the dealer if it
+// is named as one. It is not safe for concurrent use.
 type Part struct {
 	options        Options
 	seat           *lease.Seat // nil: this process is not a keeper
@@ -206,7 +209,7 @@
 func (p *Part) Refusals() Refusals { return p.refusals }
 
 // Status is the state of one limit at this member, and the dealer's books where this process deals: rights
-// outstanding (Out), unallocated (Left), and the number of holders.
+// outstanding (Out), rights that no member has (Unallocated), and the number of holders.
 type Status struct {
 	Limit
 	rights.State
--- a/internal/fleet/limit/message.go
+++ b/internal/fleet/limit/message.go
@@ -35,7 +35,8 @@
 )
 
 // Message is a message from one process to another. Number is the time of a request on the requester's clock, and
-// the answer repeats it; for CoverPut, CoverStored and SlotHandover see there.
+// the answer repeats it; of CoverPut and CoverStored it is the version of the table, of
+// SlotHandover the Clock of the successor's last promise.
 type Message struct {
 	Kind     Kind
 	From, To lease.Owner // To.Incarnation is 0 if unknown
--- a/internal/fleet/limit/protocol.go
+++ b/internal/fleet/limit/protocol.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// tryNextKeeper asks the next keeper in the list while the dealer is unknown.
+// tryNextKeeper makes the next keeper in the list the one to ask while the dealer is unknown; Round sends the ask.
 func (p *Part) tryNextKeeper(now int64) {
 	if len(p.options.Keepers) > 0 {
 		p.switchDealer(now, lease.Owner{Name: p.options.Keepers[p.nextKeeper%len(p.options.Keepers)]})
--- a/internal/fleet/limit/rights/dealer.go
+++ b/internal/fleet/limit/rights/dealer.go
@@ -260,6 +260,8 @@
 	scale := math.Min(1, total/math.Max(sum, 1e-9))
 	more := math.Max(0, math.Min(maxDeviations, (total-sum)/math.Max(deviation, 1)))
 	out := make([]int64, len(all))
+	// The running sum starts at a fraction that is new with each lease (multiples of the golden ratio are spread evenly),
+	// so that another holder's share is rounded up each time.
 	_, run := math.Modf(float64(now/d.limit.Lease) * 0.6180339887)
 	for i, u := range uses {
 		if u >= 0 {
--- a/internal/fleet/limit/rights/holder.go
+++ b/internal/fleet/limit/rights/holder.go
@@ -121,7 +121,8 @@
 }
 
 // Ask returns what to report to the dealer now. It reports false if nothing is due: more than half of the lease is
-// left, no job was refused, nothing is to be returned, and no use has to be replaced.
+// left, no job was refused, nothing is to be returned, and no right was used up while fewer than the reserve (keep) are
+// unused.
 func (h *Holder) Ask(now int64, dealer lease.Owner) (Ask, bool) {
 	here := dealer == h.dealer && h.session != 0
 	surplus := here && now < h.validUntil && min(h.granted-h.spent-h.returned-h.keep, h.unused()) > 0
--- a/internal/fleet/limit/rights/rights_check_test.go
+++ b/internal/fleet/limit/rights/rights_check_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// twoHolders lets two holders use one place while time passes in two steps of 4. right is the lease and job the
-// longest run time.
+// twoHolders lets two holders use one place while time passes in two steps of 4. right is the length of the lease of
+// a right, and job the longest run time of a job.
 func twoHolders(right, job int64, removed string) check.Make {
 	return func() ([]func(), func() error) {
 		l := Limit{Kind: Open, Amount: 1, Lease: right, MaxOpenTime: job}
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -155,9 +155,9 @@
 }
 
 // silentMember returns the address of one random live member that should answer and is silent, if there is one. It may
-// be cut off or paused. Or it declared this member dead while links were down; nothing tells the member that was
-// declared dead, because its own pings are still answered. A full state exchange shows this member what the other
-// believes, and it then announces that it is alive.
+// be cut off or paused. Or it has declared this member dead while links were down. This member does not notice that,
+// because its own pings are still answered. A full state exchange shows this member what the other believes, and it
+// then announces that it is alive.
 func (f *Fleet) silentMember() []string {
 	var out []string
 	now := time.Now()
--- a/internal/fleet/slack/price.go
+++ b/internal/fleet/slack/price.go
@@ -6,7 +6,7 @@
 const (
 	targetUtilization = 0.97 // share of the capacity that is admitted while the waiting work is at its target
 	waitShare         = 0.25 // target waiting time, as a share of the slack of the urgent jobs
-	urgentShare       = 0.15 // the urgent jobs' slack is the quantile below which this share of the demanded value lies
+	urgentShare       = 0.15 // the slack below which this share of the demanded value lies; jobs below it are the urgent ones
 	minWait           = 0.1  // seconds of work that may always wait, so that no host is idle
 	correctionTime    = 1.0  // seconds in which a surplus or deficit of waiting work is corrected
 	minAdmitted       = 0.3  // share of the capacity that is admitted however much work waits
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -5,26 +5,26 @@
 //
 // Discovery reports changes on a watch, a response without end on which it writes something every 2 s. If a watch
 // falls silent, the changes that it missed count as notified 6 s later, whether they were received or not; from then
-// on a draining host may be sent to only for the drain grace. The parts of these 6 s, counted from the last byte
-// received:
+// on a draining host may be sent to only for the drain grace. With a drain grace of 0.75 s, as deployments set it, and
+// 0.25 s of it reserved for acting (actMargin), the membership is stale 6 + 0.75 - 0.25 = 6.5 s after the last byte
+// received. In the longest case these are used as follows:
 //
 //	2.4 to 2.8 s  until the silence is detected: a line is 0.4 s overdue. The time is random, so that dispatchers that
 //	              detect a silence together do not query together.
 //	+ 2.2 s       timeout of the first call: discovery answers a call that waited 2 s with a 503
-//	+ 0           a second call starts at once if the first one timed out
-//	+ 0.75 s      or, if discovery rejected it, after the first retry delay of the decision module (0.25 to 0.75 s)
-//	+ 0.8 s       remains for the answer, with a drain grace of 0.75 s as deployments set it
+//	+ 0.75 s      first retry delay of package logic (0.25 to 0.75 s), if discovery rejected the first call; if that
+//	              call timed out, the second one starts at once
+//	+ 0.75 s      remains for the answer to the second call
 //
-// After that the membership is stale: any listed host may have drained, so nothing new is sent until discovery
-// answers.
+// A stale membership means that any listed host may have drained, so nothing new is sent until discovery answers.
 //
 // A watch that discovery ends does not count as silent if lists must be queried (Limits.Pushed is false): watches
 // end when discovery goes down, and it reports nothing then.
 //
 // If lists are pushed, each change counts as notified at once. The membership is then stale soon after its watch has
-// ended, and from the start of a process until the first answer. A discovery that is down does not respond and
-// learns of no changes in that mode. A call that waited longer than discovery lets any call wait shows this; the
-// list then stays valid, and a call stays open until discovery returns.
+// ended, and from the start of a process until the first answer. If a call times out in that mode (CallTimeout is
+// longer than discovery ever lets a call wait), discovery itself is down. It then learns of no changes, so the list
+// stays valid, and calls are repeated until discovery answers.
 package inventory
 
 // The parts of the time budget, in microseconds.
@@ -35,8 +35,8 @@
 	NotifiedAfterSilence = 6_000_000 // after a watch or call fell silent, its missed changes count as notified
 	NotifiedAfterMove    = 4_000_000 // after discovery has moved, its changes count as notified
 	actMargin            = 250_000   // part of the drain grace that is reserved for acting on the change
-	pushedRetryGap       = 200_000   // before a failed call is repeated if lists are pushed; doubled at most by a random part
-	failedValidityFactor = 4         // after a failed call, a list stays valid this many times AskWithin without a watch
+	pushedRetryGap       = 200_000   // wait before a failed call is repeated if lists are pushed; a random part of up to as much is added
+	failedValidityFactor = 4         // without a watch, a list stays valid for this multiple of AskWithin after the start of a failed call
 )
 
 // Limits are a deployment's settings for lists. Times are in microseconds.
@@ -78,7 +78,7 @@
 // The ways in which a connection ends.
 const (
 	Refused   EndReason = iota // discovery or its machine refused: connection refused or reset, error status, end of the response
-	Malformed                  // the response could not be decoded
+	Malformed                  // the response could not be decoded, or its list was older than the current one
 )
 
 // call is one connection to discovery.
@@ -118,7 +118,8 @@
 	return &Tracker{limits: l, random: random, now: now, revision: index, knownUntil: now}
 }
 
-// Ready returns the commands since its last call. The slice is valid until the next one is emitted.
+// Ready returns the commands that were emitted since its last call, and removes them. The slice is valid until the next
+// one is emitted.
 func (k *Tracker) Ready() []Command {
 	out := k.commands
 	k.commands = k.commands[:0]
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// runScript applies the steps of a script to a keeper and returns its commands, one per line. A step is a time in
+// runScript applies the steps of a script to a tracker and returns its commands, one per line. A step is a time in
 // milliseconds, an event and its arguments.
 func runScript(t *testing.T, l Limits, steps string) string {
 	k := New(0, l, 41, func() float64 { return 0 })
--- a/internal/inventory/search_test.go
+++ b/internal/inventory/search_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The search runs a keeper against a model of discovery in which one of a few events happens at each tick, in all
+// The search runs a tracker against a model of discovery in which one of a few events happens at each tick, in all
 // orders up to a depth. The model knows what discovery holds and what it has delivered to the dispatcher. The
 // property checked: once a change counts as notified, no send is possible after the drain grace that follows.
 const (
@@ -30,32 +30,32 @@
 }
 
 type state struct {
-	keeper Tracker
-	model  discoveryModel
-	pushed bool
-	from   *state // the previous state, and the move that led here
-	move   string
+	tracker Tracker
+	model   discoveryModel
+	pushed  bool
+	from    *state // the previous state, and the move that led here
+	move    string
 }
 
 // copy returns a state that shares nothing mutable with this one.
 func (a *state) copy() *state {
 	b := *a
 	b.model.changes = append([]int64(nil), a.model.changes...)
-	if a.keeper.watch != nil {
-		w := *a.keeper.watch
-		b.keeper.watch = &w
+	if a.tracker.watch != nil {
+		w := *a.tracker.watch
+		b.tracker.watch = &w
 	}
-	if a.keeper.pending != nil {
-		w := *a.keeper.pending
-		b.keeper.pending = &w
+	if a.tracker.pending != nil {
+		w := *a.tracker.pending
+		b.tracker.pending = &w
 	}
-	b.keeper.commands = nil
+	b.tracker.commands = nil
 	return &b
 }
 
-// applyCommands executes the keeper's commands in the model.
+// applyCommands executes the tracker's commands in the model.
 func (a *state) applyCommands() {
-	for _, c := range append([]Command(nil), a.keeper.Ready()...) {
+	for _, c := range append([]Command(nil), a.tracker.Ready()...) {
 		switch c.Kind {
 		case Dial:
 			a.model.pendingCall, a.model.lastCallStart = c.Call, a.model.now
@@ -113,7 +113,7 @@
 			if !a.pushed {
 				a.model.silentSince = 0
 			}
-			a.keeper.Ended(a.model.now, id, Refused)
+			a.tracker.Ended(a.model.now, id, Refused)
 		}
 		return ok
 	}},
@@ -121,7 +121,7 @@
 		ok := a.model.movedAt == 0 && a.model.watch != 0 && !a.model.hasMoved
 		if ok {
 			a.model.hasMoved, a.model.movedAt, a.model.formerWatch, a.model.watch = true, a.model.now, a.model.watch, 0
-			a.keeper.Moved(a.model.now)
+			a.tracker.Moved(a.model.now)
 		}
 		return ok
 	}},
@@ -160,13 +160,13 @@
 func (a *state) rejectCall() {
 	id := a.model.pendingCall
 	a.model.pendingCall, a.model.lastCallFailed = 0, true
-	a.keeper.Ended(a.model.now, id, Refused)
+	a.tracker.Ended(a.model.now, id, Refused)
 }
 
 // deliverList writes the list of discovery on a connection.
 func (a *state) deliverList(id Call) {
-	a.keeper.Heard(a.model.now, id)
-	if a.keeper.Listed(a.model.now, id, int64(len(a.model.changes)), true) {
+	a.tracker.Heard(a.model.now, id)
+	if a.tracker.Listed(a.model.now, id, int64(len(a.model.changes)), true) {
 		a.model.deliveredRevision = len(a.model.changes)
 	}
 }
@@ -179,7 +179,7 @@
 		a.deliverList(a.model.watch)
 	}
 	for {
-		wake, timeout := a.keeper.Next(), int64(0)
+		wake, timeout := a.tracker.Next(), int64(0)
 		if a.pushed && !a.model.down && a.model.pendingCall != 0 {
 			timeout = a.model.lastCallStart + 2_000_000 // discovery ends a call that waited this long
 		}
@@ -189,7 +189,7 @@
 			a.rejectCall()
 		case wake != 0 && wake <= end:
 			a.model.now = max(wake, a.model.now)
-			a.keeper.Wake(a.model.now)
+			a.tracker.Wake(a.model.now)
 		default:
 			a.model.now = end
 		}
@@ -203,7 +203,7 @@
 	}
 	a.applyCommands()
 	if a.model.pendingCall == 0 && a.model.watch == 0 && a.model.lastCallFailed {
-		a.keeper.Ask(a.model.now) // the retry delay of the decision module is over: its first one is at most a tick
+		a.tracker.Ask(a.model.now) // the retry delay of the decision module is over: its first one is at most a tick
 		a.applyCommands()
 	}
 	return true
@@ -212,7 +212,7 @@
 // overdue returns how long ago the grace ended for the oldest change that was not received; it has not ended if
 // the result is 0 or less.
 func (a *state) overdue(l Limits) int64 {
-	if a.keeper.stale || a.model.deliveredRevision >= len(a.model.changes) {
+	if a.tracker.stale || a.model.deliveredRevision >= len(a.model.changes) {
 		return 0
 	}
 	changedAt := a.model.changes[a.model.deliveredRevision]
@@ -258,7 +258,7 @@
 		}
 		return min(a.model.now-t, 14*tick)
 	}
-	s, k := &a.model, &a.keeper
+	s, k := &a.model, &a.tracker
 	out := stateKey{deliveredRevision: s.deliveredRevision, changes: len(s.changes), silentSince: rel(s.silentSince), lastCallStart: rel(s.lastCallStart), moved: rel(s.movedAt), nextLineAt: rel(s.nextLineAt),
 		knownUntil: rel(k.knownUntil), keeperSilentSince: rel(k.silentSince), keeperMoved: rel(k.movedAt), failedCallStart: rel(k.failedCallStart), retryAt: rel(k.retryAt)}
 	out.flags = [12]bool{s.pendingCall != 0, s.watch != 0, s.formerWatch != 0, s.lastCallFailed, s.hasMoved, s.down, k.stale, k.unresponsive, k.watch != nil, k.pending != nil}
@@ -284,9 +284,9 @@
 
 // search runs all orders of moves up to a depth and returns the first one that violates the property.
 func search(l Limits, depth int, mutate func(*Tracker)) (path string, states int) {
-	start := &state{keeper: *New(tick, l, 0, func() float64 { return 0.5 }), pushed: l.Pushed}
+	start := &state{tracker: *New(tick, l, 0, func() float64 { return 0.5 }), pushed: l.Pushed}
 	start.model.now = tick
-	start.keeper.Ask(tick)
+	start.tracker.Ask(tick)
 	start.applyCommands()
 	level := []*state{start}
 	for range depth {
@@ -300,7 +300,7 @@
 					continue
 				}
 				if mutate != nil {
-					mutate(&c.keeper)
+					mutate(&c.tracker)
 				}
 				if c.overdue(l) > 0 {
 					return c.path(), states
@@ -318,7 +318,7 @@
 }
 
 // No order of silence, answers, failures, ends, a move and late lists allows a send after the grace that follows
-// the time at which a change counts as notified. As a check of the search itself, removing any one of the keeper's
+// the time at which a change counts as notified. As a check of the search itself, removing any one of the tracker's
 // rules must lead to an order that does.
 func TestNoSendAfterGrace(t *testing.T) {
 	const depth = 14
--- a/internal/inventory/starts_test.go
+++ b/internal/inventory/starts_test.go
@@ -55,6 +55,7 @@
 	}
 }
 
+// A start of 0 stays without a time, and Keep removes the servers that are gone.
 func TestStartsForget(t *testing.T) {
 	var s Starts
 	s.Own("s-1", 1, 1, 1)
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -17,8 +17,9 @@
 	"granitewing/internal/lab/client"
 )
 
-// Limits of the rules, in microseconds where they are times. On sockets every limit is 50 ms longer than in the
-// simulator (socketSlack).
+// Limits of the rules, in microseconds where they are times. The limits on a send after a drain and on
+// the overlap of two attempts are longer than the platform's by the 50 ms of socketSlack, since sockets delay what is
+// observed; runs in virtual time use the same limits.
 const (
 	socketSlack       = 50_000
 	drainGrace        = 750_000
@@ -187,9 +188,10 @@
 	l.listed[host] = append(l.listed[host], phaseAt{at, ready})
 }
 
-// Killed records an interval in which a dispatcher was dead; tries that were open in it may be lost. For a process
-// that was told to end and killed later, from is the time of the kill and to, which is earlier, the time at which
-// it was told: only the tries that it had accepted before that are excused.
+// Killed records an interval in which a dispatcher was dead or cut off; tries that were open in it may be lost. A try
+// is excused if it was sent at or before to and ended at or after from. For a process that was told to end and killed
+// later, from is the time of the kill and to, which is earlier, the time at which it was told: only tries sent before
+// it was told that were still open at the kill are excused.
 func (l *Log) Killed(dispatcher int, from, to int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/audit/concurrency.go
+++ b/internal/lab/audit/concurrency.go
@@ -8,7 +8,7 @@
 // ClassConcurrency describes the concurrency and the starts of a class's jobs, as the hosts observed them.
 type ClassConcurrency struct {
 	Class  string    `json:"class"`
-	Most   int       `json:"most_at_once"` // maximum number of jobs with an unfinished attempt at a host at one time
+	Most   int       `json:"most_at_once"` // maximum number of jobs at one time, each from its first arrival at a host to the last end of an attempt
 	Starts []float64 `json:"starts_s"`     // arrival times of the first attempt of each job, seconds, in order
 }
 
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -41,7 +41,7 @@
 	Partial             bool    `json:"partial"`        // the wall-time budget ended the run; Service covers the jobs that completed by then
 }
 
-// Violations returns the number of rule violations that the audits found over all runs of the module. Runs of plain
+// Violations returns the number of rule violations that the audits found over all runs of package logic. Runs of plain
 // policies are left out, because such policies do not know about hosts in slow start.
 func (r *Results) Violations() int {
 	n := 0
@@ -151,7 +151,7 @@
 	Against     string    `json:"against"` // name of the first variant
 	Pairs       int       `json:"pairs"`
 	Base        float64   `json:"base"`  // mean of the metric over the runs of the first variant
-	Mean        float64   `json:"mean"`  // mean of the differences, or of the ratios minus 1
+	Mean        float64   `json:"mean"`  // mean of the differences, or geometric mean of the ratios minus 1
 	Lo          float64   `json:"lo"`    // lower bound of the 95% confidence interval
 	Hi          float64   `json:"hi"`    // upper bound
 	SignFlipP   float64   `json:"flip"`  // two-sided p-value of the sign-flip test
--- a/internal/lab/experiment/compare_test.go
+++ b/internal/lab/experiment/compare_test.go
@@ -63,6 +63,7 @@
 	}
 }
 
+// Two variants count as the same only if the whole confidence interval lies within the margin.
 func TestMargin(t *testing.T) {
 	c := Comparison{Mean: 0.002, Lo: -0.004, Hi: 0.008}
 	if c.setVerdict(0.01); c.Verdict != "the same within 1 points" {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -38,7 +38,7 @@
 	Experiment          string                   `json:"experiment"`
 	Variant             string                   `json:"variant"`
 	Seed                uint64                   `json:"seed"`
-	Policy              string                   `json:"policy,omitempty"` // empty for the module's own policy
+	Policy              string                   `json:"policy,omitempty"` // empty for the policy of package logic
 	Virtual             bool                     `json:"virtual"`
 	CutShort            bool                     `json:"cut_short"` // ended before the end of the day
 	Service             float64                  `json:"service"`   // value of the jobs served in time divided by the value of all jobs
@@ -174,6 +174,7 @@
 	}
 	o.Hosts, o.Contention, o.Spread = log.HostLoads(), log.Concurrency(), fleet.UsageReport()
 	o.Gangs = gangReport(day, fleet.GangReport())
+	// An answer that belongs to another request breaks the first rule, one final answer for each try.
 	if res.Mismatched > 0 {
 		o.Audit.Rules[0].Broken += res.Mismatched
 	}
--- a/internal/lab/virtual/gangs.go
+++ b/internal/lab/virtual/gangs.go
@@ -68,8 +68,8 @@
 
 // policyByName returns a placement policy to compare with the scored one, or nil for the scored policy itself. "first"
 // takes the first hosts that no gang has, "random" takes random ones, "racks" looks at racks and ignores how soon hosts
-// are free, "late" takes the hosts that are free soonest and ignores racks. "no-crowd", "no-pieces" and "no-push" drop
-// one term of the score.
+// are free, "late" avoids lateness: it takes the hosts that are free soonest and ignores racks. "no-crowd", "no-pieces"
+// and "no-push" drop one term of the score.
 func policyByName(policy string, rng *rand.Rand) placementPolicy {
 	pick := func(hosts []place.Host, j place.Job, t *topology.Topology, o *topology.Loads, w gang.Weights, shuffle bool) (place.Placement, bool) {
 		var free []place.Host
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// withEstimate returns a placement with the value that a less informed policy sees: that value decides the admission,
-// while the run time stays the real one.
+// withEstimate returns a placement with the score as a less informed policy estimates it: that score decides the
+// admission, while the run time stays the real one.
 func withEstimate(p place.Placement, w place.Score) place.Placement {
 	run := p.Run
 	p.Score, p.Run = w, run
--- a/internal/lab/world/draw.go
+++ b/internal/lab/world/draw.go
@@ -14,7 +14,8 @@
 	"granitewing/internal/lab/trace"
 )
 
-// Day is one day of a deployment, drawn from a seed. The same seed gives the same day for every variant.
+// Day is one run of a deployment, drawn from a seed; its length is set by the Spec, whatever its name says. The same
+// seed gives the same day for every variant.
 type Day struct {
 	*Spec
 	Machines   []model.Machine // all hosts, including those that join later
@@ -94,7 +95,9 @@
 	Link        *LinkFault
 }
 
-// LinkFault is a fault of a network link.
+// LinkFault is a fault of a network link. Its Manner is "silent" (bytes wait until the link is healed), "reset"
+// (connections are refused), "half" (half of the next segment is delivered, then the direction is cut) or "late" (bytes
+// are delayed).
 type LinkFault struct {
 	Direction  string        // both, to, from
 	Manner     string        // silent, reset, half, late
--- a/internal/lab/world/spec.go
+++ b/internal/lab/world/spec.go
@@ -250,7 +250,8 @@
 	return c, c.checkFaults()
 }
 
-// Policies are the host selection policies of virtual time: the product's own module, and simple ones for comparison.
+// Policies are the host selection policies of virtual time: the product's own ("module", package logic),
+// and simple ones for comparison.
 var Policies = []string{"module", "random", "least", "two", "round-robin"}
 
 // SetDefaults implements settings.Defaulter. The values are those of the operators' own deployment.
--- a/internal/lifecycle/gangs.go
+++ b/internal/lifecycle/gangs.go
@@ -22,8 +22,8 @@
 	RackLocalDelay time.Duration `sexp:"near-delay" min:"0"`     // latency within a rack
 	CrossRackDelay time.Duration `sexp:"rack-delay" min:"0"`     // latency between racks of a zone
 	CrossZoneDelay time.Duration `sexp:"zone-delay" min:"0"`
-	RackMTBF       time.Duration `sexp:"rack-fails" min:"1"` // mean time between a rack's failures
-	Pieces         float64       `sexp:"pieces" min:"0" max:"1"`
+	RackMTBF       time.Duration `sexp:"rack-fails" min:"1"`     // mean time between a rack's failures
+	Pieces         float64       `sexp:"pieces" min:"0" max:"1"` // share of a gang's worth charged for a rack that it leaves partly free
 	Gangs          []Gang        `sexp:"gang"`
 	Where          settings.Pos  `sexp:",pos"`
 }
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -88,8 +88,9 @@
 	return out, nil
 }
 
-// OpenStore opens the store that the settings name, for an instance of the dispatcher and a use; verbs open it to
-// read. This default fails; a build with a store replaces it.
+// OpenStore opens the store that the settings name. The string is the name of the dispatcher's instance, and the mode
+// is the use (Serving for a dispatcher, Reading or Repairing for the operators' subcommands). This default fails; a
+// build with a store replaces it.
 var OpenStore = func(context.Context, StoreSettings, string, StoreMode) (record.Store, error) {
 	return nil, errors.New("this build has no store of record; bin/granitewing-store has")
 }
--- a/internal/mailbox/mailbox_check_test.go
+++ b/internal/mailbox/mailbox_check_test.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// In no interleaving is the latest value lost, or an older value taken after a newer one.
 func TestInterleavings(t *testing.T) {
 	r := check.Run(check.Default, placeModel(Mailbox[int].Put))
 	t.Log(r)
@@ -52,7 +53,7 @@
 	}
 }
 
-// Without taking out the old value, the latest one is lost in some order.
+// A Put that does not remove the old value first (to make room) loses the latest one in some order.
 func TestInterleavingsWithoutRoom(t *testing.T) {
 	broken := placeModel(func(p Mailbox[int], v int) { syncpoint.TrySend(p.c, v) })
 	r := check.Run(check.Default, broken)
--- a/internal/record/journal.go
+++ b/internal/record/journal.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Accept starts the record of a message that the core has accepted. A message of a Behind class gets no record and
-// counts as lost when a limit is reached.
+// Accept starts the record of a message that the core has accepted. When a limit is reached, a message of a
+// Behind class gets no record and counts as lost.
 func (j *Journal) Accept(now int64, id dispatch.ID, m Message) {
 	c := j.classes[m.Class]
 	if c.Policy == Off {
@@ -268,7 +268,8 @@
 
 func (j *Journal) recordEnd(now int64, e *entry, result Result) {
 	// The core numbers attempts when it decides them. An attempt that the rules forbade never became a command, so
-	// the numbers may have gaps. The last attempt without an end is the one that ended.
+	// the numbers may have gaps. The end is therefore recorded at the last attempt without one. With several open
+	// attempts (copies, parts of a gang) that may be another one than the attempt that ended.
 	for i := len(e.rec.Attempts) - 1; i >= 0; i-- {
 		if a := &e.rec.Attempts[i]; a.Result == Unknown {
 			a.Ended, a.Result = max(now, a.Sent), result
--- a/internal/record/journal_test.go
+++ b/internal/record/journal_test.go
@@ -241,6 +241,8 @@
 	}
 }
 
+// A record that a crash left open is settled as failed if a host may have run the message, else as refused, and only
+// once; a clock that was set back does no harm.
 func TestSettle(t *testing.T) {
 	ran := Record{ID: 1, Step: 2, Name: "a", Class: "alert", Policy: "before", Taken: 50, Attempts: []Attempt{{Host: "h", Sent: 60}}}
 	never := Record{ID: 2, Step: 2, Name: "b", Class: "alert", Policy: "before", Taken: 50, Attempts: []Attempt{{Host: "h", Sent: 60, Ended: 61, Result: Returned}}}
@@ -259,6 +261,7 @@
 	}
 }
 
+// Verify finds each kind of corruption of a good record.
 func TestVerifyReportsViolation(t *testing.T) {
 	good := func() Record {
 		return Record{ID: 1, Step: 3, Name: "t", Class: "alert", Policy: "before", Taken: 1, Answered: 9, Verdict: Served, Content: []byte("x"),
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -26,6 +26,7 @@
 	BeforeSend                 // durable before each attempt is sent, and before the client is answered
 )
 
+// policyNames are the policies as the settings and the records spell them.
 var policyNames = [...]string{"off", "behind", "told", "before"}
 
 func (p Policy) String() string { return policyNames[p] }
@@ -147,8 +148,9 @@
 	return false
 }
 
-// MaxAttempts is the largest number of attempts in a record. The rules allow 3 attempts, and further ones may have
-// been cancelled before they were sent.
+// MaxAttempts is the largest number of attempts in a record. The platform's rules allow 3 sent attempts, which Verify
+// checks, and further ones may have been cancelled before they were sent. Verify expects attempts one after another: of
+// a message with several open attempts (copies, parts of a gang) a record can fail it.
 const MaxAttempts = 16
 
 // Verify checks the invariants of a record and returns an error that describes the first violation.
@@ -206,8 +208,8 @@
 }
 
 // SettleAfterCrash closes a record that a crash left open: as failed if the message may have run, as refused if it
-// never ran. The message is never sent again. now is Unix microseconds. Settle reports whether it changed the record;
-// settling twice changes nothing.
+// never ran. The message is never sent again. now is Unix microseconds. SettleAfterCrash reports whether it changed
+// the record; settling twice changes nothing.
 func (r *Record) SettleAfterCrash(now int64) bool {
 	if r.Verdict != Open {
 		return false
--- a/internal/record/sqlite/sqlite.go
+++ b/internal/record/sqlite/sqlite.go
@@ -27,7 +27,7 @@
 	Instance string           // name of the dispatcher
 	Busy     time.Duration    // longest wait of a write for another program's lock; 0 = 1 s
 	Now      func() time.Time // nil = the system clock
-	ReadOnly bool             // for operator commands: takes no lock and no epoch; read only unless Writable is set
+	ReadOnly bool             // for operator commands: takes no lock and no epoch, and writes only if Writable is set
 	Writable bool             // with ReadOnly: an operator may settle and prune records
 }
 
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -24,9 +24,10 @@
 	// and returns it.
 	Query(ctx context.Context, q Query, f func(instance string, r Record) error) error
 	// Prune deletes at most limit records that were answered before the given time (Unix microseconds) and returns
-	// how many it deleted.
+	// how many it deleted. Of which instances is up to the store: sqlite prunes those of all, postgres those of all for
+	// an operator and only its own for a serving dispatcher.
 	Prune(ctx context.Context, before int64, limit int) (int, error)
-	// Size returns the number of records.
+	// Size returns the number of records of all instances.
 	Size(ctx context.Context) (int64, error)
 	Close() error
 }
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -1,7 +1,8 @@
-// Package settings reads the product's own settings: S-expressions, decoded into Go types. Parse and ReadFile give the
-// expressions of a text as Nodes, Decode, DecodeText and DecodeFile fill a struct by its field tags, and Format writes
-// expressions in a canonical form. It has its own reader, which keeps the position of each word, so that an error
-// names file, line, column and the path of the key; EDN libraries give values without positions.
+// Package settings reads the product's own settings (the platform's configuration is read by wire/platform):
+// S-expressions, decoded into Go types. Parse and ReadFile give the expressions of a text as Nodes, Decode, DecodeText
+// and DecodeFile fill a struct by its field tags, and Format writes expressions in a canonical form. It has its own
+// reader, which keeps the position of each word, so that an error names file, line, column and the path of the key; EDN
+// libraries give values without positions.
 package settings
 
 import (
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,6 +1,7 @@
-// Package wire implements the simulator's protocol: frames of binary big-endian records on a pipe, and the
-// settings text in the first record of a scheduler instance. It also parses these settings for other front ends.
-// It takes no scheduling decisions.
+// Package wire implements the protocol of the simulator, the operators' program that runs the decisions of package
+// logic over batches of events (not internal/lab/virtual): frames of binary big-endian records on a pipe, and the
+// settings text in the first record of a scheduler instance. It also parses these settings for other front ends. It
+// takes no scheduling decisions.
 //
 // ReadFrame reads a frame of events, Batch decodes its records one by one into an Event, and Reply builds the
 // frame of actions that answers it. Times are in microseconds.
@@ -32,18 +33,18 @@
 
 // Codes of the action records, sent in replies.
 const (
-	actTell      = 1
-	actPanic     = 2
-	actFail      = 3
-	actCancel    = 4
-	actSend      = 5
-	actRecord    = 6
-	actList      = 7
-	actRefuse    = 8
-	actRelease   = 9
-	actRemind    = 10
-	actSubscribe = 11
-	actInspect   = 12
+	actTell      = 1  // Reply.Tell: a message to a peer, or to all
+	actPanic     = 2  // Reply.Fault: an instance cannot continue
+	actFail      = 3  // logic.ActFail
+	actCancel    = 4  // logic.ActCancel
+	actSend      = 5  // logic.ActSend
+	actRecord    = 6  // Reply.Record: a line for the simulator's report
+	actList      = 7  // Reply.ListAll: request for the whole worker list
+	actRefuse    = 8  // logic.ActRefuse
+	actRelease   = 9  // Reply.Release: close idle connections to a worker
+	actRemind    = 10 // logic.ActWake
+	actSubscribe = 11 // logic.ActSubscribe
+	actInspect   = 12 // Reply.Inspect: a probe of a worker
 )
 
 const (
--- a/internal/wire/platform/config.go
+++ b/internal/wire/platform/config.go
@@ -90,7 +90,7 @@
 	if err := checkSchedulerIndex(settings, &c.Settings); err != nil {
 		return nil, err
 	}
-	// On sockets, lists come only on request, whatever the simulator does.
+	// Here discovery sends a list only on request, whatever the simulator does.
 	c.Settings.NeedsSubscription = true
 	// An attempt counts here once its last byte has arrived at the host, so one whose connect failed does not count.
 	c.Settings.UncountedConnects = true
--- a/internal/wire/platform/http.go
+++ b/internal/wire/platform/http.go
@@ -1,4 +1,5 @@
-// Package platform implements the platform's HTTP/1.1 protocol without sockets. State machines are fed bytes as
+// Package platform implements the HTTP/1.1 protocol of the platform, the operators' environment that starts processes
+// and lists workers, without sockets. State machines are fed bytes as
 // they arrive: RequestReader reads client requests, ResponseReader reads the responses of back-end hosts, and Watch
 // reads the lists of service discovery. The Append functions build what is sent, and ReadConfig decodes the
 // configuration of a dispatcher. A driver owns the connections.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -40,7 +40,7 @@
 		MayCopy:   s.flag("Limits.SecondCopies"),
 
 		MaxAttempts:     s.count("Limits.MaxAttempts", 1),
-		RetriesUnmarked: s["Clients.MarksRetry"] == "false", // if not said, a short wait is no sign of a retry
+		RetriesUnmarked: s["Clients.MarksRetry"] == "false", // without the setting, a short deadline is no sign of a retry
 		MaxRetryAfter:   s.micros("Limits.MaxRetryAfter", 0),
 
 		AnswerSlack:      s.micros("Rules.AnswerSlack", 0),
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -73,6 +73,7 @@
 	}
 }
 
+// A frame or record whose lengths do not fit is an error that names the fault.
 func TestMalformed(t *testing.T) {
 	cases := []struct{ name, frame, wantErr string }{
 		{"length under header", `0000000000000001 00000005 00000000 00000007`, "batch 7"},
@@ -114,6 +115,7 @@
 	}
 }
 
+// Replies have the bytes that the simulator expects.
 func TestReplyLayout(t *testing.T) {
 	var r Reply
 	r.Begin(12)
--- a/logic/api.go
+++ b/logic/api.go
@@ -214,7 +214,7 @@
 	ActCancel                      // Job, Attempt: stop waiting for this attempt
 	ActRefuse                      // Job, After: final answer; a retry by the client is harmless
 	ActFail                        // Job: final answer; the job may have run
-	ActWake                        // Token, At: call Wake at or after At
+	ActWake                        // At: call Wake at or after At; Token is always 0
 	ActSubscribe                   // subscribe to changes of the worker list, or repeat the request for it
 )
 
--- a/logic/cost.go
+++ b/logic/cost.go
@@ -2,8 +2,15 @@
 
 import "math"
 
-// The admission cost of a job at a worker: equation (18) of the paper on the M/D/1 queue with deadlines whose
-// value function package logic/value holds.
+// The admission cost of a job at a worker: equation (18) of a paper on the M/D/1 queue with deadlines. It is the value
+// that is expected to be lost to deadline violations when a job of x mean jobs joins a worker with backlog u:
+//
+//	sum over the classes of h (v(u+x) - v(u))  +  H 1(u >= tau)
+//
+// The first term is lost by the jobs that come later: h is the class's weight (Scheduler.classWeight) and v its value
+// function (package logic/value) for the backlog that its jobs tolerate. The second is lost by the job itself: H is
+// its value, tau the backlog that it tolerates, and 1(u >= tau) is 1 if it is late and else 0. cost adds terms for the
+// failure of the worker, a zone border, a fetch, an ejected worker and a worker in slow start.
 
 const (
 	warmupGain      = 1.0  // bonus in mean jobs for a job at a worker in slow start: work warms it up
--- a/logic/rules.go
+++ b/logic/rules.go
@@ -7,7 +7,7 @@
 const (
 	refusalThreshold      = 0.95 // probability of a deadline violation beyond which a job is not worth its work
 	unsafeViolationFactor = 3.0  // factor on it for a job that can't be refused once sent, where the fleet lacks capacity
-	contentionThreshold   = 0.5  // share of attempts without a free slot from which slow starts are not a worker's fault
+	contentionThreshold   = 0.5  // share of attempts without a free slot from which the fleet is overloaded: late starts eject no worker
 )
 
 // MaxWriteDelay is the longest delay, in microseconds, of a dispatcher between a decision and the write that follows
@@ -98,8 +98,12 @@
 	s.emit(Action{Kind: ActCancel, Job: j.id, Attempt: k})
 }
 
-// shouldRefuse reports whether a job is so likely to be late that it only keeps others waiting. A job that can't be
-// refused is failed only under contention, of which each of many schedulers sees a part.
+// shouldRefuse reports whether a job is so likely to be late that it only keeps others waiting. A job for
+// which the price of its slots is higher than its expected value is refused before its first attempt. Otherwise a job
+// that can't be refused is failed only under contention: with up to fewSchedulers schedulers, if the share of attempts
+// without a free slot is at least contentionThreshold. Each of a higher number n of schedulers sees only a part of the
+// contention, so there contentionThreshold*fewSchedulers/n is enough; if the others report their work, their part is
+// known and contentionThreshold applies.
 func (s *Scheduler) shouldRefuse(j *job, violation float64) bool {
 	risk := violation
 	if s.cfg.Classes[j.class].Repeat == RepeatUnsafe {
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -355,6 +355,7 @@
 	c.apply(s.Outcome(c.now, o, nil))
 }
 
+// In random orders of events no attempt or answer breaks the rules that rules.go names.
 func TestRulesHoldInAnyEventOrder(t *testing.T) {
 	for seed := int64(1); seed <= 150; seed++ {
 		if violations := runRandomHistory(seed, 1500); len(violations) > 0 {
--- a/logic/scheduler.go
+++ b/logic/scheduler.go
@@ -7,7 +7,8 @@
 )
 
 // Construction of a scheduler, the start and end of each call, timers, and the bookkeeping of jobs. The decisions are
-// in the files that deploy/balancer.toml names.
+// in place.go (the worker for a job), cost.go and backlog.go (the cost there), rules.go (what is permitted), review.go
+// (jobs that wait), health.go and slow_start.go (the state of workers) and affinity.go (workers for a data set).
 
 // New returns a scheduler for a configuration; seed feeds its random choices. It fails if cfg.Classes is empty.
 func New(cfg Config, seed uint64) (*Scheduler, error) {
--- a/logic/state.go
+++ b/logic/state.go
@@ -143,7 +143,7 @@
 	classWork        []float64 // mean work of a job, seconds
 	meanWork         float64
 	meanValue        float64
-	classWeight      []float64 // p_c E[H_c] in mean jobs: share of the class times the value that a late job loses
+	classWeight      []float64 // share of the class in the arrivals times the value that a late job loses, in values of a mean job
 	rho              float64   // utilisation of a worker
 	table            *value.Table
 	tableVersion     uint32 // counts changes of the table
--- a/logic/value/value.go
+++ b/logic/value/value.go
@@ -1,12 +1,14 @@
 // Package value computes the value function of the M/D/1 queue with deadlines: Poisson arrivals at utilisation rho,
 // a constant service time d, and a cost for each job whose wait exceeds tau.
 //
-// The value v(u) of a backlog u is the expected extra cost over all time of starting with it. Equation (16) of the
-// paper that the package follows, in units of d with q = (tau-u)/d and s = tau/d, is
+// The value v(u) of a backlog u is the expected extra cost over all time of starting with it. Equation (16) of a
+// paper on the admission cost of deadline violations in the M/D/1 queue gives it relative to a backlog of tau, in units
+// of d with q = (tau-u)/d and s = tau/d:
 //
 //	v(u)-v(tau) = G(q) - G'(s) q   for q > 0,   -G'(s) q   for q <= 0,
 //
-// where G(q) = sum over k<m of (e^-z Σ z^j/j! - 1), z = rho (k-q), depends on rho and q alone. The sum alternates and
+// where G(q) = sum over 0<=k<m of (e^-z Σ z^j/j! - 1) depends on rho and q alone; z = rho (k-q), m = ceil(q)
+// and j runs from 0 to k. The sum alternates and
 // cancels for large rho q. G also solves the delay equation G' = rho (1 + G(q) - G(q-1)) with G = 0 for q <= 0, which
 // has no growing mode for rho < 1, so stepping it forward is numerically stable. G'(s) equals
 // rho/(1-rho) P(W <= tau), which makes v'(0) = 0.
--- a/logic/value/value_test.go
+++ b/logic/value/value_test.go
@@ -59,6 +59,7 @@
 	return v * (1 - rho)
 }
 
+// Stepping the delay equation agrees with the closed sum for G and with the waiting-time distribution for its slope.
 func TestTableMatchesPublishedFormulas(t *testing.T) {
 	for _, level := range []int{0, 4, 14, 24, 34, 44, 49} {
 		tab := &tables[level]
