--- a/internal/system/agreement/disk/disk.go
+++ b/internal/system/agreement/disk/disk.go
@@ -59,8 +59,8 @@
 	referencedSnapshot uint64   // index of the snapshot that the log refers to: its file is never overwritten
 }
 
-// Identity is the identity of a member that starts on an empty disk. Founders lists the bootstrap members of the
-// group, of which it is one; it is empty for a member that joins an existing group.
+// Identity is the identity of a member that starts on an empty disk. Founders, a name that stored logs contain, lists the
+// bootstrap members of the group, of which it is one; it is empty for a member that joins an existing group.
 type Identity struct {
 	ID       string
 	Founders []string
--- a/internal/system/agreement/model_search_test.go
+++ b/internal/system/agreement/model_search_test.go
@@ -69,8 +69,8 @@
 func mutationBounds(name string) bounds {
 	switch name {
 	case "leader-opens-term":
-		// Too deep for a search within seconds. The trace is written by hand after the bug in the first publication of
-		// single-server changes.
+		// Too deep for a search within seconds. The trace is written by hand. It shows the bug in the first publication of
+		// single-server changes: a leader that changes the membership before it has committed an entry of its own term.
 		return bounds{members: 5, bootstrap: 0b01111, terms: 3, entries: 4, changes: 2}
 	case "snapshot-keeps":
 		return bounds{members: 3, bootstrap: 0b111, terms: 3, entries: 3, installs: 1}
--- a/internal/system/configuration/document.go
+++ b/internal/system/configuration/document.go
@@ -98,7 +98,7 @@
 	Ordered     bool     `json:"ordered"`
 	Retention   float64  `json:"retention-s"`
 	Callback    bool     `json:"callback-url"`
-	Weight      *float64 `json:"weight"`
+	Weight      *float64 `json:"weight"` // checked, but not used by the roles
 }
 
 type serviceJSON struct {
@@ -240,8 +240,8 @@
 	return nil
 }
 
-// routeFromJSON returns the route, with defaults for what is missing. Retries counts attempts, of which there is always
-// one.
+// routeFromJSON returns the route, with defaults for what is missing. Retries counts failed attempts, the first one
+// included, so it is at least 1.
 func routeFromJSON(form *routeJSON, host string) Route {
 	route := Route{
 		Name: form.Name, Host: host, PathPrefix: form.PathPrefix, Kind: form.Kind, Service: form.Backend,
--- a/internal/system/configuration/state.go
+++ b/internal/system/configuration/state.go
@@ -33,8 +33,8 @@
 // not safe for concurrent use.
 type State struct {
 	current *Document
-	history []acceptedOrder // ascending by version
-	hashes  map[[sha256.Size]byte]uint64
+	history []acceptedOrder              // ascending by version
+	hashes  map[[sha256.Size]byte]uint64 // versions of the orders in history, by the hash of their text
 }
 
 // NewState returns the state before the first order.
--- a/internal/system/delivery/pool.go
+++ b/internal/system/delivery/pool.go
@@ -134,7 +134,7 @@
 	sortByID(p.sorted)
 }
 
-// RecordArrival counts the arrival of a message of a route at a service, with the route's target latency to the
+// RecordArrival counts the arrival of a message of a route at a service, with the route's target time until the
 // start of the run.
 func (p *Policy) RecordArrival(now time.Duration, service, route string, target time.Duration) {
 	pool := p.pool(service)
--- a/internal/system/link/link.go
+++ b/internal/system/link/link.go
@@ -144,7 +144,7 @@
 type Server struct {
 	listener net.Listener
 	handle   Handler
-	closed   func(*Peer) // may be nil
+	closed   func(*Peer) // called when the connection of a peer has ended; may be nil
 	mutex    sync.Mutex
 	peers    map[*Peer]bool
 	maxPeers int
--- a/internal/system/loop/loop.go
+++ b/internal/system/loop/loop.go
@@ -12,7 +12,7 @@
 
 // Loop is the event loop of one role.
 type Loop interface {
-	// Now returns the monotonic time.
+	// Now returns the monotonic time since an origin that the driver chooses.
 	Now() time.Duration
 	// WallMillis returns the time of day in milliseconds since 1970.
 	WallMillis() int64
@@ -24,14 +24,15 @@
 
 // Peers makes calls to other processes of the system.
 type Peers interface {
-	// Call calls a peer. done is called exactly once, and never before Call returns. It gets the answer or an error: a
+	// Call calls a peer. done is called exactly once, and never before Call returns, unlike that of link.Client.Call. It
+	// gets the answer or an error: a
 	// *TimeoutError if there was no answer within timeout.
 	Call(address string, kind wire.Kind, payload []byte, timeout time.Duration, done func(payload []byte, err error))
 	// Connected reports whether there is a connection to a peer.
 	Connected(address string) bool
 	// Disconnect drops the current connection to a peer that does not respond; a new connection is tried at once.
 	Disconnect(address string)
-	// Connect sets the peers to keep connections to. Connections to other peers are dropped.
+	// Connect sets the whole set of peers to keep connections to. Connections to other peers are dropped.
 	Connect(addresses []string)
 }
 
--- a/internal/system/member/client.go
+++ b/internal/system/member/client.go
@@ -61,7 +61,7 @@
 	closed          bool
 	failures        int
 	leaseUntil      time.Duration
-	catalogReadAt   time.Duration // when the list of workers in the view was read from the platform
+	catalogReadAt   time.Duration // when the list of workers in the view was read from the platform; -time.Hour before the first reading
 	generation      uint64        // rises with each attempt to open a session; answers to earlier attempts are ignored
 	ownershipLeader string        // last known leader of the ownership shard of the latest release; empty if unknown
 }
--- a/internal/system/member/view.go
+++ b/internal/system/member/view.go
@@ -53,7 +53,8 @@
 // changes.
 type copiedTables struct{ members, disks, departed, owners, instances, keepers bool }
 
-// maxRetainedOwners bounds the ownership records that a view retains after the feed has dropped them.
+// maxRetainedOwners is the number of ownership records in a view up to which it retains records that the feed drops. In a
+// view with more, a record that the feed drops is not retained.
 const maxRetainedOwners = 8192
 
 // withUpdate returns the view after an update. It never replaces a configuration by an older one, nor an ownership
--- a/internal/system/message/message.go
+++ b/internal/system/message/message.go
@@ -45,12 +45,12 @@
 	Method   string
 	Target   string // path and query, unchanged
 	Headers  []Header
-	Key      string // X-Ordering-Key on ordered routes
-	Callback string // X-Callback-Url; empty if no callback is wanted
+	Key      string // ordering key, from X-Ordering-Key on ordered routes
+	Callback string // URL that is notified of the outcome, from X-Callback-Url; empty if no callback is wanted
 	Body     []byte
-	// Token is the fencing token of the unit's owner that the accepting carrier knew before it sent the message to
-	// any store. It is 0 if the carrier knew none or the unit has no token. No owner with an earlier token was
-	// ever given the message. Token and Sequence together order the messages of a key; Sequence is the counter of
+	// Token guarantees that no owner of the unit with an earlier fencing token was ever given the message. It is the
+	// token of the owner that the accepting carrier knew before it sent the message to any store, or 0 if the carrier
+	// knew none or the unit has no token. Token and Sequence together order the messages of a key; Sequence is the counter of
 	// the owner that assigned the position.
 	Token    uint64
 	Sequence uint64
@@ -80,7 +80,7 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
 	Phase    Phase
-	Stamp    string // of the successful run
+	Stamp    string // signature that the worker returned for the successful run (wire.HeaderSignature)
 	// CallbackOwed is set until the outcome has been delivered to the message's callback URL.
 	CallbackOwed bool
 }
--- a/internal/system/node/connections.go
+++ b/internal/system/node/connections.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// connectionTracker closes a server's idle connections without losing a request. http.Server closes a connection that was
-// idle a moment ago even if a request has been read from it since. The tracker instead ends pending reads by a deadline in
-// the past, which does not affect a read that already has its bytes. A client may safely send a request elsewhere if this
-// process has not read it.
+// connectionTracker closes a server's idle connections without losing a request. A client may safely send a request
+// elsewhere if this process has not read it, so a connection must not be closed once a request has been read from it.
+// http.Server closes a connection that was idle a moment ago even then. The tracker instead ends pending reads by a
+// deadline in the past, which does not affect a read that already has its bytes.
 type connectionTracker struct {
 	mutex sync.Mutex
 	idle  map[net.Conn]bool
--- a/internal/system/role/carrier/core.go
+++ b/internal/system/role/carrier/core.go
@@ -79,8 +79,8 @@
 
 // Counters holds the counts of events since the carrier started.
 type Counters struct {
-	// Delivered counts the attempts that were sent to workers, and Failed those that failed. Completed counts the messages
-	// with an outcome, also dead letters.
+	// Delivered counts the attempts that were sent to workers, and Failed those that ended as RunFailed. Completed counts
+	// the messages with an outcome, also dead letters.
 	Accepted, Refused, Indeterminate, Delivered, Failed, Completed, Callbacks uint64
 	// CompletedBefore counts messages that were passed to this carrier after they had completed under a former owner.
 	CompletedBefore uint64
--- a/internal/system/role/keeper/answers_test.go
+++ b/internal/system/role/keeper/answers_test.go
@@ -27,8 +27,8 @@
 	invoke func(c *Core, now time.Duration, done func(err error))
 }
 
-// calls lists every call that a keeper answers, with arguments that it could answer from its own state. It matches
-// the table of docs/design/control-under-loss.md.
+// calls lists every call that a keeper answers, with arguments that a deposed leader could answer from its own state.
+// docs/design/control-under-loss.md has the same calls in a table.
 var calls = []call{
 	{"Config.Replace, accepted before", replaces("0", document("1"))},
 	{"Config.Replace, based on another version", replaces("0", document("7"))},
--- a/internal/system/role/keeper/groups.go
+++ b/internal/system/role/keeper/groups.go
@@ -13,7 +13,7 @@
 	voterRemovalTimeout   = 1200 * time.Millisecond
 	learnerRemovalTimeout = 8 * time.Second        // the same for learners, which are removed
 	memberLiveWindow      = 600 * time.Millisecond // a live member answered its leader within this time
-	permanentSilence      = time.Hour              // stands for the silence of a voter whose disk is known to be lost
+	permanentSilence      = time.Hour              // used in place of the measured silence of a voter whose disk is known to be lost; above all timeouts
 )
 
 // reconcileGroups adjusts the membership of the groups that this keeper leads. A learner that has caught up is
--- a/internal/system/role/store/index.go
+++ b/internal/system/role/store/index.go
@@ -42,7 +42,8 @@
 	return e.held && !e.void && (e.phase == message.Pending || e.callbackOwed)
 }
 
-// needsBytes reports whether the message's record must be kept.
+// needsBytes reports whether the message's record must be kept: while it is listed, and if it is a dead letter, whose
+// body may still be requested.
 func (e *entry) needsBytes() bool { return e.listed() || e.held && e.phase == message.DeadLetter }
 
 // unitIndex is the messages of a unit in the order in which they joined it.
--- a/internal/system/role/store/outcomes.go
+++ b/internal/system/role/store/outcomes.go
@@ -88,7 +88,7 @@
 	Latest string // id of the latest such message
 }
 
-// Repeats returns those seen by this incarnation of the store.
+// Repeats returns the count of the messages that ran again after a success, as seen by this incarnation of the store.
 func (c *Core) Repeats() Repeats { return c.repeats }
 
 // countRepeat counts an outcome that reports another successful run than the recorded one.
--- a/internal/system/role/store/record.go
+++ b/internal/system/role/store/record.go
@@ -26,11 +26,11 @@
 	recordStarted  recordKind = iota + 1 // the disk is in use; Incomplete is set if it replaces a lost disk
 	recordComplete                       // everything that the lost disk held has been copied from other stores
 	recordMessage
-	recordVoid
-	recordEnd
-	recordCallbackDone
-	recordClock  // carries only its time, so that the log's clock advances while nothing else is written
-	recordFenced // a carrier's unit was taken over: no more messages are accepted for it
+	recordVoid         // a message is cancelled
+	recordEnd          // the outcome of a message
+	recordCallbackDone // the callback with the outcome was made
+	recordClock        // carries only its time, so that the log's clock advances while nothing else is written
+	recordFenced       // a carrier's unit was taken over: no more messages are accepted for it
 )
 
 // record is one record of the log. It is encoded as an array: the order of its fields is part of the stored format.
@@ -38,7 +38,7 @@
 	_msgpack   struct{} `msgpack:",as_array"`
 	Kind       recordKind
 	Incomplete bool
-	Founder    bool
+	Founder    bool // the disk has been in use since the system was bootstrapped
 	Disk       string
 	Message    *message.Message
 	ID         string
--- a/internal/system/segment/log.go
+++ b/internal/system/segment/log.go
@@ -41,7 +41,8 @@
 
 // Open reads the list of segments. Records are appended to a new segment, so that the torn end of an older one is
 // never overwritten. A segment is closed for writes at segmentLength bytes; 0 means 8 MiB. Replay must be called
-// before the first Append. The error is a *FileError.
+// before the first Append, since it creates the segment that Append writes to; this is not checked. The error is a
+// *FileError.
 func Open(files Directory, segmentLength uint32) (*Log, error) {
 	if segmentLength == 0 {
 		segmentLength = defaultSegmentLength
--- a/internal/system/session/drains.go
+++ b/internal/system/session/drains.go
@@ -27,7 +27,9 @@
 	return found
 }
 
-// waitReason describes what the drain of a machine that is not complete waits for.
+// waitReason describes what the drain of a machine that is not complete waits for: the tolerance, which is not recorded
+// yet; enough live disks in enough zones; its own store, or the store of another machine, to return, since until then the
+// disk may hold the last replicas; or the copying of messages that too few other disks hold.
 func (s *State) waitReason(node string) string {
 	if s.waitsForCapacity(node) {
 		if s.tolerance == nil {
--- a/internal/system/simulation/checker.go
+++ b/internal/system/simulation/checker.go
@@ -35,7 +35,7 @@
 
 // checker checks the rules by what clients, workers, receivers and the operator observe. The rules are broken if
 //
-//	BUDGET   a message runs again after more failures than its route allows
+//	BUDGET   a message runs again after more failures than budgetFactor times the retries of its route
 //	CEILING  a service with a rate limit receives more messages than its rate
 //	CONFIG   the configuration that is used or read contradicts the operator's acknowledged changes
 //	CONTROL  a control group has too few voters with a disk for the tolerance that it reports, or no leader at the end
--- a/internal/system/simulation/retire_test.go
+++ b/internal/system/simulation/retire_test.go
@@ -19,8 +19,8 @@
 // of the group were on machines being retired, and another group that they depend on had already removed them.
 // Keepers without the session table could not tell which machines are being retired. Keepers that led the session
 // group but lacked another group did not manage that group's membership. Each leader transferred leadership to the
-// next. The first scenario broke no rule before the fix either; the second is a shortened form of the drawn schedule
-// that did.
+// next. The first scenario has this situation but broke no rule before the fix either. The second, a shortened form of
+// a drawn scenario, did.
 func TestVotersRetireTogether(t *testing.T) {
 	runSomeSeeds(t, filepath.Join("testdata", "retirements", "all-voters-leave.txt"), fewSeeds)
 	runSomeSeeds(t, filepath.Join("testdata", "retirements", "group-that-nobody-tends.txt"), fewSeeds)
--- a/internal/system/soak/checker_test.go
+++ b/internal/system/soak/checker_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// strict is isStrict with the mutex held.
+// strict reports the same as isStrict, for callers that hold the mutex.
 func (c *checker) strict() bool { return time.Now().After(c.excusedUntil) }
 
 // isStrict reports whether no recent unplanned fault excuses violations.
--- a/internal/system/soak/soak_test.go
+++ b/internal/system/soak/soak_test.go
@@ -43,7 +43,7 @@
 	return fallback
 }
 
-// TestSoak guards against violations of the delivery rules under all kinds of faults.
+// TestSoak guards against violations of the rules that the type checker lists, under all kinds of faults.
 func TestSoak(t *testing.T) { runSeeds(t, false) }
 
 // TestSoakPlanned guards against violations during planned work alone, where nothing excuses that a message runs again
--- a/internal/system/wire/messages.go
+++ b/internal/system/wire/messages.go
@@ -12,7 +12,8 @@
 // Kind is the kind of a frame: an answer, a certain call or a certain push.
 type Kind uint8
 
-// The kinds, grouped by the role that serves the call. The values are part of the protocol.
+// The kinds, grouped by the role that serves the call. The values are part of the protocol: new kinds are added at the
+// end, so a role may have several groups.
 const (
 	Answer   Kind = iota + 1 // to a call that was carried out; the type of its body depends on the call
 	Refusal                  // to a call that was not carried out, with a RefusalBody
@@ -127,7 +128,7 @@
 	CatalogAge time.Duration
 }
 
-// CloseSessionBody ends the session of a member that shuts down: nothing happens under its incarnation any more.
+// CloseSessionBody ends the session of a member that shuts down. The member does nothing under its incarnation any more.
 type CloseSessionBody struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Incarnation string
--- a/internal/system/workers/client_test.go
+++ b/internal/system/workers/client_test.go
@@ -160,6 +160,7 @@
 		Expect(send(NewClient(), nobody, "m").Kind).To(Equal(carrier.NotSent))
 	})
 
+	// net/http would send a request again that has an idempotency key or an idempotent method.
 	ginkgo.It("never resends a message by itself, whatever its method, body or idempotency key", func() {
 		for _, m := range []message.Message{
 			{Method: http.MethodPost, Body: []byte("body")},
