--- a/internal/fleet/ledger/hub.go
+++ b/internal/fleet/ledger/hub.go
@@ -144,7 +144,7 @@
 		all.add(self, now, 1)
 	}
 	if group.members == 0 && (l.previousHub != l.self || l.noticesLeft == 0) {
-		return out // no member reports to this one, and the other hubs know that it is no hub
+		return out // no member reports to this one, and it was no hub before or has told the other hubs often enough
 	}
 	if to := slices.DeleteFunc(hubs, func(h string) bool { return h == l.self }); len(to) > 0 {
 		out = append(out, Outgoing{group.report(Group, own), to})
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -395,7 +395,7 @@
 
 // Peer is the state of one sender.
 type Peer struct {
-	Speaks      int // dispatchers that its latest report covers
+	Speaks      int // number of dispatchers that its latest report covers
 	Name        string
 	Incarnation uint64
 	At          int64 // when its latest report arrived, in microseconds
--- a/internal/fleet/limit/limit.go
+++ b/internal/fleet/limit/limit.go
@@ -9,6 +9,8 @@
 //
 // The post is the office of the dealer, a Seat is what a keeper knows of the post, and a cover is a table with an upper
 // bound for the rights of each member, which a majority of keepers stores before the rights are granted.
+// A turn counts how often a keeper has promised the post to another process than before. A place is the right to one
+// open job, and a floor is what a member without rights may start nevertheless.
 //
 // Each process runs one Part: it passes received messages to Receive, calls Round regularly and sends what both
 // return, and asks Admit before it starts a job and reports its end with Done. The package does no I/O and reads
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -68,6 +68,7 @@
 	}
 }
 
+// Each script of events gives exactly the stated commands at the stated times (ms).
 func TestTracker(t *testing.T) {
 	queried := Limits{AskWithin: 4_000_000, Grace: 750_000}
 	for _, c := range []struct {
--- a/internal/lab/world/draw.go
+++ b/internal/lab/world/draw.go
@@ -96,7 +96,7 @@
 }
 
 // LinkFault is a fault of a network link. Its Manner is "silent" (bytes wait until the link is healed), "reset"
-// (connections are refused), "half" (half of the next segment is delivered, then the direction is cut) or "late" (bytes
+// (connections are reset), "half" (half of the next segment is delivered, then the direction is cut) or "late" (bytes
 // are delayed).
 type LinkFault struct {
 	Direction  string        // both, to, from
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -49,6 +49,7 @@
 	return nil
 }
 
+// Every kind of field tag and value is decoded, with the position of a list.
 func TestDecode(t *testing.T) {
 	var got sample
 	err := DecodeText("a.sexp", []byte(`; a comment
--- a/internal/wire/admin/admin_test.go
+++ b/internal/wire/admin/admin_test.go
@@ -9,6 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// A line gives the call that it names, or an error that says what is wrong with it.
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		line string
@@ -75,6 +76,7 @@
 	}
 }
 
+// No text of an answer can break it into two: a line break in it becomes a space.
 func TestAnswers(t *testing.T) {
 	got := string(AppendNo(AppendYes(nil, ""), "two\nlines"))
 	got += string(AppendMetrics(nil, []byte("router_concurrent 3")))
--- a/internal/wire/platform/platform_test.go
+++ b/internal/wire/platform/platform_test.go
@@ -134,6 +134,7 @@
 	}
 }
 
+// The target, the body and the headers of a request reach the host byte for byte, with the remaining time added.
 func TestRelayRequestIsForwardedUnchanged(t *testing.T) {
 	m := &Message{Method: "POST", Target: "/ingest/a%20b?user=7&x=%2F", Txn: "t 1", Lane: "ingest", Key: "k,1", Body: []byte("\x00\r\n\xff")}
 	got := string(AppendRelay(nil, "127.0.0.9:9000", m, 1_250_000_000, nil))
@@ -164,6 +165,7 @@
   "Classes":[{"Name":"readings","Aim":1,"Semantics":"read_like"},{"Name":"ingest","Semantics":"idempotency_key","Group":"cell"}],
   "FamilyInfo":{"ClassStretch":[2.5,2.0],"Progress":2000000},"Tenants":[{"Name":"coast guard","QuotaPerS":8},{"Name":"harbour"}],"Limits":{"MaxAttempts":3,"ConnectTimeout":150000,"ConnIdle":30000000,"MaxOpen":9}}}`
 
+// All fields of a good configuration are read.
 func TestConfig(t *testing.T) {
 	got, err := ReadConfig([]byte(goodConfig))
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -160,6 +160,7 @@
 	}
 }
 
+// Known settings are read, unknown ones are skipped, and unusable values get their default.
 func TestSettings(t *testing.T) {
 	c, err := ParseSettings([]byte("Balancers=3\nClasses.count=1\nClasses.0.Aim=300000\n" +
 		"Classes.0.Semantics=idempotency_key\nClasses.0.Group=zone\nFamilyInfo.ClassKind=1\n" +
--- a/logic/failures_test.go
+++ b/logic/failures_test.go
@@ -160,6 +160,7 @@
 	}
 }
 
+// The number of workers preferred for a data set grows with the demand for it.
 func TestHotDataSetHasMoreAffinityWorkers(t *testing.T) {
 	s := mustNew(t, testConfig())
 	s.Workers(t0, ListFull, readyWorkers(9), nil)
@@ -316,6 +317,7 @@
 	}
 }
 
+// The same events give the same actions, so that a simulated run can be repeated from its seed.
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (all []Action) {
 		c := testConfig()
